--- a/crates/core/src/engine/permits.rs
+++ b/crates/core/src/engine/permits.rs
@@ -52,7 +52,7 @@
         self.request.organisation
     }
 
-    fn share(&self) -> f64 {
+    fn weight(&self) -> f64 {
         self.request.share
     }
 }
--- a/crates/core/src/fleet/limits.rs
+++ b/crates/core/src/fleet/limits.rs
@@ -11,8 +11,8 @@
 
 pub mod bucket;
 mod engine_share;
+pub mod events;
 pub mod ledger;
 pub mod limit;
-pub mod events;
-pub mod share;
 pub mod report;
+pub mod share;
--- a/crates/core/src/fleet/limits/engine_share.rs
+++ b/crates/core/src/fleet/limits/engine_share.rs
@@ -16,13 +16,13 @@
 };
 
 /// How often an unchanged demand is resent: the ledger drops it after three times as long.
-const DEMAND_RENEWAL: Duration = Duration::from_millis(500);
+const DEMAND_RENEWAL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// How long a wish holds, until its permit comes: an engine that was preferred once may not be the next time.
-const WISH_HOLDS: Duration = Duration::from_millis(250);
+const DIVERTED_DEMAND_TTL: Duration = Duration::from_millis(250);
 
 /// The least time between two demands for an engine for which no request waits.
-const WISH_PAUSE: Duration = Duration::from_millis(250);
+const DIVERTED_DEMAND_INTERVAL: Duration = Duration::from_millis(250);
 
 /// What this host knows of one engine's limit.
 #[derive(Debug, Clone)]
@@ -31,57 +31,57 @@
     /// The limit that the engine declared last.
     pub(super) limit: RequestLimit,
     /// Whether it has declared none since.
-    pub(super) ended: bool,
+    pub(super) recovering: bool,
     /// When the response began that declared it.
-    pub(super) said: ClockMillis,
+    pub(super) responded_at: ClockMillis,
     /// When the request of that response was sent.
-    pub(super) asked: ClockMillis,
+    pub(super) requested_at: ClockMillis,
     /// When this host itself last received a response that declared it. The age of the ledger's reports is known less well: their
     /// time in transit is not counted.
-    pub(super) named_here: Option<ClockMillis>,
+    pub(super) declared_here_at: Option<ClockMillis>,
     /// Whether the ledger has to receive it.
     pub(super) pending: bool,
     /// Until when each permit may be used.
     pub(super) permits: VecDeque<ClockMillis>,
     pub(super) resumed: u32,
     pub(super) waiting: u32,
-    pub(super) wished: Option<ClockMillis>,
-    pub(super) got: u64,
+    pub(super) diverted_at: Option<ClockMillis>,
+    pub(super) received: u64,
     pub(super) unused: u64,
     pub(super) unpermitted: u64,
     /// The demand that was sent last.
     pub(super) sent: PermitDemand,
     pub(super) sent_at: ClockMillis,
     /// When the ledger expects a permit for the last request that waits.
-    pub(super) due: Option<ClockMillis>,
+    pub(super) expected_at: Option<ClockMillis>,
     /// The time of return that the last rejected client was given.
-    pub(super) returns: Option<ClockMillis>,
+    pub(super) last_retry_at: Option<ClockMillis>,
     /// What this host may use where it stands in for the ledger.
-    pub(super) alone: Option<TokenBucket>,
+    pub(super) fallback_bucket: Option<TokenBucket>,
 }
 
 impl EngineShare {
-    pub(super) fn new(born: EngineBirth, limit: RequestLimit, said: ClockMillis) -> Self {
+    pub(super) fn new(born: EngineBirth, limit: RequestLimit, responded_at: ClockMillis) -> Self {
         Self {
             born,
             limit,
-            ended: false,
-            said,
-            asked: said,
-            named_here: None,
+            recovering: false,
+            responded_at,
+            requested_at: responded_at,
+            declared_here_at: None,
             pending: true,
             permits: VecDeque::new(),
             resumed: 0,
             waiting: 0,
-            wished: None,
-            got: 0,
+            diverted_at: None,
+            received: 0,
             unused: 0,
             unpermitted: 0,
             sent: PermitDemand::default(),
             sent_at: ClockMillis::default(),
-            due: None,
-            returns: None,
-            alone: None,
+            expected_at: None,
+            last_retry_at: None,
+            fallback_bucket: None,
         }
     }
 
@@ -94,16 +94,24 @@
         &mut self,
         born: EngineBirth,
         limit: RequestLimit,
-        said: ClockMillis,
+        responded_at: ClockMillis,
     ) {
-        let Self { resumed, waiting, got, unused, unpermitted, .. } = *self;
-        *self = Self { resumed, waiting, got, unused, unpermitted, ..Self::new(born, limit, said) };
+        let Self { resumed, waiting, received, unused, unpermitted, .. } = *self;
+        *self = Self {
+            resumed,
+            waiting,
+            received,
+            unused,
+            unpermitted,
+            ..Self::new(born, limit, responded_at)
+        };
     }
 
     /// Applies a report of the ledger, which need not receive it back.
     pub(super) fn apply(&mut self, report: &LimitReport, now: ClockMillis) {
-        (self.limit, self.ended) = (report.limit, report.state != LimitState::Named);
-        (self.said, self.asked) = (now - report.said_ago, now - report.asked_ago);
+        (self.limit, self.recovering) = (report.limit, report.state != LimitState::Active);
+        (self.responded_at, self.requested_at) =
+            (now - report.responded_ago, now - report.requested_ago);
         self.pending = false;
     }
 
@@ -114,11 +122,11 @@
     }
 
     /// Returns whether this host itself has received no limit since a report of the ledger.
-    pub(super) fn is_older_than(&self, said: ClockMillis) -> bool {
-        self.named_here.is_none_or(|named| said >= named)
+    pub(super) fn has_no_declaration_after(&self, responded_at: ClockMillis) -> bool {
+        self.declared_here_at.is_none_or(|declared_at| responded_at >= declared_at)
     }
 
-    pub(super) fn drop_old_permits(&mut self, now: ClockMillis) {
+    pub(super) fn drop_expired_permits(&mut self, now: ClockMillis) {
         while self.permits.front().is_some_and(|until| *until <= now) {
             self.permits.pop_front();
             self.unused += 1;
@@ -126,7 +134,7 @@
     }
 
     /// Returns how many permits there are for a use.
-    pub(super) fn permits_for(&self, wanted: PermitUse) -> u32 {
+    pub(super) fn available_permits(&self, wanted: PermitUse) -> u32 {
         let permits = u32::try_from(self.permits.len()).unwrap_or(u32::MAX);
         match wanted {
             PermitUse::Resumed => permits,
@@ -138,7 +146,7 @@
     /// Returns whether a request of this host would use one more permit.
     pub(super) fn wants_permit(&self, now: ClockMillis) -> bool {
         let demand = self.demand(now);
-        demand.resumed > 0 || demand.waiting > 0 || demand.wished
+        demand.resumed > 0 || demand.waiting > 0 || demand.diverted
     }
 
     pub(super) fn demand(&self, now: ClockMillis) -> PermitDemand {
@@ -148,23 +156,34 @@
             permits -= covered;
             wanted - covered
         });
-        let wished = self.wished.is_some_and(|wished| now.since(wished) < WISH_HOLDS);
-        let Self { got, unused, unpermitted, .. } = *self;
-        PermitDemand { resumed, waiting, wished: wished && permits == 0, got, unused, unpermitted }
+        let diverted = self
+            .diverted_at
+            .is_some_and(|diverted_at| now.since(diverted_at) < DIVERTED_DEMAND_TTL);
+        let Self { received, unused, unpermitted, .. } = *self;
+        PermitDemand {
+            resumed,
+            waiting,
+            diverted: diverted && permits == 0,
+            received,
+            unused,
+            unpermitted,
+        }
     }
 
     /// Returns the demand if it is due to be sent.
     pub(super) fn due_demand(&self, now: ClockMillis) -> Option<PermitDemand> {
         let demand = self.demand(now);
         let waits = demand.resumed > 0 || demand.waiting > 0;
-        let waited = self.sent.resumed > 0 || self.sent.waiting > 0;
-        let since = now.since(self.sent_at);
-        let due = if waits || waited {
-            demand != self.sent || since >= DEMAND_RENEWAL
+        let waited_before = self.sent.resumed > 0 || self.sent.waiting > 0;
+        let elapsed = now.since(self.sent_at);
+        let due = if waits || waited_before {
+            demand != self.sent || elapsed >= DEMAND_RENEWAL_INTERVAL
         } else {
             // Received permits are reported with the next demand, unused ones at once, unpermitted calls soon.
             let unused = demand.unused != self.sent.unused;
-            unused || (demand.wished || demand.unpermitted > 0) && since >= WISH_PAUSE
+            unused
+                || (demand.diverted || demand.unpermitted > 0)
+                    && elapsed >= DIVERTED_DEMAND_INTERVAL
         };
         due.then_some(demand)
     }
@@ -174,9 +193,9 @@
             engine: Arc::clone(engine),
             born: self.born,
             limit: self.limit,
-            state: if self.ended { LimitState::Ended } else { LimitState::Named },
-            said_ago: now.since(self.said),
-            asked_ago: now.since(self.asked),
+            state: if self.recovering { LimitState::Recovering } else { LimitState::Active },
+            responded_ago: now.since(self.responded_at),
+            requested_ago: now.since(self.requested_at),
         }
     }
 }
--- a/crates/core/src/fleet/limits/events.rs
+++ b/crates/core/src/fleet/limits/events.rs
@@ -8,13 +8,13 @@
 };
 
 /// The least time between two lines on one engine: it may name another limit, or none, in each answer.
-const NEWS_PAUSE: Duration = Duration::from_secs(1);
+const MIN_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// What became of an engine's limit, for log lines.
 #[derive(Debug, Clone, PartialEq)]
 pub enum LimitEvent {
     /// The engine names one, or another one than before.
-    Named {
+    Limited {
         /// The engine.
         engine: EngineName,
         /// When the life that names it began.
@@ -22,7 +22,7 @@
         /// The limit.
         limit: RequestLimit,
         /// The limit that was logged before, if it still held.
-        before: Option<RequestLimit>,
+        previous: Option<RequestLimit>,
     },
     /// The engine has none any more, or is gone.
     Ended {
@@ -61,40 +61,40 @@
     }
 
     /// Returns what is to be logged now, where these engines have these limits.
-    pub fn take<'known>(
+    pub fn take<'engine>(
         &mut self,
-        known: impl Iterator<Item = (&'known EngineName, EngineBirth, RequestLimit)>,
+        limits: impl Iterator<Item = (&'engine EngineName, EngineBirth, RequestLimit)>,
         now: ClockMillis,
     ) -> Vec<LimitEvent> {
-        let mut news = Vec::new();
-        let mut present = HashMap::new();
-        for (engine, born, limit) in known {
-            let before = self.logged.remove(engine);
-            let due = before.is_none_or(|(before, logged_at)| {
-                limit.differs(before) && now.since(logged_at) >= NEWS_PAUSE
+        let mut events = Vec::new();
+        let mut still_limited = HashMap::new();
+        for (engine, born, limit) in limits {
+            let previous = self.logged.remove(engine);
+            let due = previous.is_none_or(|(previous, logged_at)| {
+                limit.differs_significantly(previous) && now.since(logged_at) >= MIN_LOG_INTERVAL
             });
             if due {
-                let (engine, before) = (Arc::clone(engine), before.map(|(limit, _)| limit));
-                news.push(LimitEvent::Named { engine, born, limit, before });
+                let (engine, previous) = (Arc::clone(engine), previous.map(|(limit, _)| limit));
+                events.push(LimitEvent::Limited { engine, born, limit, previous });
             }
-            let logged = before.filter(|_| !due).unwrap_or((limit, now));
-            present.insert(Arc::clone(engine), logged);
+            let logged = previous.filter(|_| !due).unwrap_or((limit, now));
+            still_limited.insert(Arc::clone(engine), logged);
         }
         for (engine, (limit, logged_at)) in std::mem::take(&mut self.logged) {
-            if now.since(logged_at) >= NEWS_PAUSE {
-                news.push(LimitEvent::Ended { engine, limit });
+            if now.since(logged_at) >= MIN_LOG_INTERVAL {
+                events.push(LimitEvent::Ended { engine, limit });
             } else {
-                present.insert(engine, (limit, logged_at));
+                still_limited.insert(engine, (limit, logged_at));
             }
         }
-        self.logged = present;
+        self.logged = still_limited;
         for (engine, (answers, logged_at)) in &mut self.unreadable {
-            if *answers > 0 && now.since(*logged_at) >= NEWS_PAUSE {
+            if *answers > 0 && now.since(*logged_at) >= MIN_LOG_INTERVAL {
                 *logged_at = now;
                 let (engine, answers) = (Arc::clone(engine), std::mem::take(answers));
-                news.push(LimitEvent::Unreadable { engine, answers });
+                events.push(LimitEvent::Unreadable { engine, answers });
             }
         }
-        news
+        events
     }
 }
--- a/crates/core/src/fleet/limits/ledger.rs
+++ b/crates/core/src/fleet/limits/ledger.rs
@@ -28,23 +28,23 @@
 
 /// The part of a limit that a host may use or deal which may not be the only one that does. Another host may deal as well, or stand
 /// in by an older word on who should: all together stay within one and a half times the limit.
-pub const ALONE_PART: f64 = 0.5;
+pub const UNCOORDINATED_FRACTION: f64 = 0.5;
 
 /// The first rate of an engine that no longer declares a limit. Unit: requests a second.
-const FIRST_RETURN_RATE: f64 = 1.0;
+const RECOVERY_START_RATE: f64 = 1.0;
 
 /// In what time that rate doubles: what an engine answers within comes before the next step, mostly.
-const RETURN_DOUBLES: Duration = Duration::from_millis(500);
+const RECOVERY_DOUBLING_TIME: Duration = Duration::from_millis(500);
 
 /// For how long that rate rises at a time at the most: a ledger looks at it far more often while it runs.
-const LONGEST_RAISE: Duration = Duration::from_millis(200);
+const MAX_RECOVERY_STEP: Duration = Duration::from_millis(200);
 
 /// The rate from which on the engine counts as any other: ten times what one that names a limit usually takes. Unit: requests a
 /// second.
-const RETURNED_RATE: f64 = 32.0;
+const RECOVERED_RATE: f64 = 32.0;
 
 /// How long a host's demand holds without renewal.
-const DEMAND_HOLDS: Duration = Duration::from_millis(1500);
+const DEMAND_TTL: Duration = Duration::from_millis(1500);
 
 /// One host's demand for one engine.
 #[derive(Debug, Clone, Default)]
@@ -52,25 +52,25 @@
     demand: PermitDemand,
     /// How many permits it was granted by this ledger.
     granted: u64,
-    asked: ClockMillis,
+    received_at: ClockMillis,
     /// Whether its turn has to be reported.
-    reports_wait: bool,
+    wait_report_due: bool,
 }
 
 impl HostDemand {
     /// Returns what it wants beyond the permits that are under way to it: resumed streams, other waiting requests, wishes.
-    fn wants(&self) -> [u32; 3] {
-        let mut under_way =
-            u32::try_from(self.granted.saturating_sub(self.demand.got)).unwrap_or(u32::MAX);
-        [self.demand.resumed, self.demand.waiting, u32::from(self.demand.wished)].map(|wanted| {
-            let covered = wanted.min(under_way);
-            under_way -= covered;
+    fn outstanding(&self) -> [u32; 3] {
+        let mut in_flight =
+            u32::try_from(self.granted.saturating_sub(self.demand.received)).unwrap_or(u32::MAX);
+        [self.demand.resumed, self.demand.waiting, u32::from(self.demand.diverted)].map(|wanted| {
+            let covered = wanted.min(in_flight);
+            in_flight -= covered;
             wanted - covered
         })
     }
 
     fn waiting(&self) -> u32 {
-        let [resumed, waiting, _] = self.wants();
+        let [resumed, waiting, _] = self.outstanding();
         resumed.saturating_add(waiting)
     }
 }
@@ -81,33 +81,33 @@
     born: EngineBirth,
     limit: RequestLimit,
     /// When the response began that declared it last.
-    said: ClockMillis,
+    responded_at: ClockMillis,
     /// When the request of that response was sent.
-    asked: ClockMillis,
+    requested_at: ClockMillis,
     /// The rate at which it returns, where it no longer declares a limit. Unit: requests a second.
-    returning: Option<f64>,
+    recovery_rate: Option<f64>,
     /// When that rate was last raised.
-    raised: ClockMillis,
+    recovery_raised_at: ClockMillis,
     bucket: TokenBucket,
     demands: HashMap<Arc<str>, HostDemand>,
     /// The hosts that demand, those first whose turn comes first.
-    turns: VecDeque<Arc<str>>,
+    round_robin: VecDeque<Arc<str>>,
     /// The limit that was published last.
     published: Option<RequestLimit>,
 }
 
 impl LimitAccount {
-    fn new(report: &LimitReport, said: ClockMillis, now: ClockMillis) -> Self {
+    fn new(report: &LimitReport, responded_at: ClockMillis, now: ClockMillis) -> Self {
         Self {
             born: report.born,
             limit: report.limit,
-            said,
-            asked: now - report.asked_ago,
-            returning: None,
-            raised: now,
+            responded_at,
+            requested_at: now - report.requested_ago,
+            recovery_rate: None,
+            recovery_raised_at: now,
             bucket: TokenBucket::empty(now),
             demands: HashMap::new(),
-            turns: VecDeque::new(),
+            round_robin: VecDeque::new(),
             published: None,
         }
     }
@@ -118,66 +118,66 @@
 
     /// Returns the rate at which requests go there now. Unit: requests a second.
     fn rate(&self) -> f64 {
-        self.returning.unwrap_or_else(|| self.limit.per_second().max(PROBE_RATE))
+        self.recovery_rate.unwrap_or_else(|| self.limit.per_second().max(PROBE_RATE))
     }
 
     /// Returns the rate with which the engine begins to return.
-    fn first_return_rate(&self) -> f64 {
-        self.limit.per_second().max(FIRST_RETURN_RATE)
+    fn recovery_start_rate(&self) -> f64 {
+        self.limit.per_second().max(RECOVERY_START_RATE)
     }
 
-    fn has_returned(&self) -> bool {
-        self.returning.is_some_and(|rate| rate >= RETURNED_RATE)
+    fn has_recovered(&self) -> bool {
+        self.recovery_rate.is_some_and(|rate| rate >= RECOVERED_RATE)
     }
 
     /// Adds what the rate has given since the last call, of which this ledger deals a part.
-    fn refill(&mut self, part: f64, now: ClockMillis) {
+    fn refill(&mut self, fraction: f64, now: ClockMillis) {
         // A ledger that was stopped has dealt nothing meanwhile, so that nothing shows how the engine bears more.
-        let time = now.since(self.raised).min(LONGEST_RAISE);
-        self.raised = now;
-        if let Some(rate) = &mut self.returning {
-            *rate *= time.div_duration_f64(RETURN_DOUBLES).exp2();
+        let time = now.since(self.recovery_raised_at).min(MAX_RECOVERY_STEP);
+        self.recovery_raised_at = now;
+        if let Some(rate) = &mut self.recovery_rate {
+            *rate *= time.div_duration_f64(RECOVERY_DOUBLING_TIME).exp2();
         }
-        let rate = self.rate() * part;
+        let rate = self.rate() * fraction;
         self.bucket.refill(rate, now);
     }
 
-    fn forget_old(&mut self, now: ClockMillis) {
-        self.demands.retain(|_, demand| now.since(demand.asked) < DEMAND_HOLDS);
+    fn drop_expired_demands(&mut self, now: ClockMillis) {
+        self.demands.retain(|_, demand| now.since(demand.received_at) < DEMAND_TTL);
         let demands = &self.demands;
-        self.turns.retain(|host| demands.contains_key(host));
+        self.round_robin.retain(|host| demands.contains_key(host));
     }
 
-    /// Returns whose turn is next in one rank of [`HostDemand::wants`].
-    fn next_turn(&self, rank: usize) -> Option<usize> {
-        self.turns
-            .iter()
-            .position(|host| self.demands.get(host).is_some_and(|demand| demand.wants()[rank] > 0))
+    /// Returns whose turn is next in one rank of [`HostDemand::outstanding`].
+    fn next_host(&self, class: usize) -> Option<usize> {
+        self.round_robin.iter().position(|host| {
+            self.demands.get(host).is_some_and(|demand| demand.outstanding()[class] > 0)
+        })
     }
 
     /// Deals what there is; returns how many permits each host gets.
-    fn deal(&mut self) -> BTreeMap<Arc<str>, u32> {
-        let mut dealt = BTreeMap::new();
-        for rank in 0..3 {
-            while let Some(place) = self.next_turn(rank) {
+    fn grant_permits(&mut self) -> BTreeMap<Arc<str>, u32> {
+        let mut granted_permits = BTreeMap::new();
+        for class in 0..3 {
+            while let Some(position) = self.next_host(class) {
                 if !self.bucket.take() {
-                    return dealt;
+                    return granted_permits;
                 }
-                let Some(host) = self.turns.remove(place) else { return dealt };
+                let Some(host) = self.round_robin.remove(position) else { return granted_permits };
                 if let Some(demand) = self.demands.get_mut(&host) {
                     demand.granted += 1;
                 }
-                *dealt.entry(Arc::clone(&host)).or_default() += 1;
-                self.turns.push_back(host);
+                *granted_permits.entry(Arc::clone(&host)).or_default() += 1;
+                self.round_robin.push_back(host);
             }
         }
-        dealt
+        granted_permits
     }
 
     /// Returns in what time everybody who waits has had a permit of this ledger, which deals a part of the rate.
-    fn wait(&self, part: f64) -> Duration {
+    fn wait(&self, fraction: f64) -> Duration {
         let waiting: u32 = self.demands.values().map(HostDemand::waiting).sum();
-        let seconds = self.bucket.seconds_until(f64::from(waiting.max(1)), self.rate() * part);
+        let seconds = self.bucket.seconds_until(f64::from(waiting.max(1)), self.rate() * fraction);
         Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX)
     }
 }
@@ -190,105 +190,105 @@
     /// has lost its account, and that host would demand for ever.
     unknown: BTreeMap<Arc<str>, BTreeSet<EngineName>>,
     /// Whether another host may deal permits for the same engines.
-    doubted: bool,
+    unconfirmed: bool,
 }
 
 impl LimitLedger {
     /// Takes whether this host is known to be the only one that deals: where it is not, it deals half, as one does that stands in.
-    pub fn confirmed(&mut self, confirmed: bool) {
-        self.doubted = !confirmed;
+    pub fn set_confirmed(&mut self, confirmed: bool) {
+        self.unconfirmed = !confirmed;
     }
 
     /// Returns the part of each limit that this ledger deals.
-    const fn part(&self) -> f64 {
-        if self.doubted { ALONE_PART } else { 1.0 }
+    const fn fraction(&self) -> f64 {
+        if self.unconfirmed { UNCOORDINATED_FRACTION } else { 1.0 }
     }
 
     /// Receives a host's report on an engine's limit; the latest declaration counts.
     pub fn receive(&mut self, report: &LimitReport, now: ClockMillis) {
-        let (said, asked) = (now - report.said_ago, now - report.asked_ago);
-        let (part, ended) = (self.part(), report.state != LimitState::Named);
-        let known = self.accounts.get_mut(&report.engine);
-        let Some(known) =
-            known.filter(|known| known.is_incarnation(report.born) || said < known.said)
-        else {
+        let (responded_at, requested_at) = (now - report.responded_ago, now - report.requested_ago);
+        let (fraction, recovering) = (self.fraction(), report.state != LimitState::Active);
+        let account = self.accounts.get_mut(&report.engine);
+        let Some(account) = account.filter(|account| {
+            account.is_incarnation(report.born) || responded_at < account.responded_at
+        }) else {
             // A limit that ended under the ledger before is not forgotten with it: hosts wait to hear that the engine is back.
-            let mut account = LimitAccount::new(report, said, now);
-            account.returning = ended.then_some(account.first_return_rate());
+            let mut account = LimitAccount::new(report, responded_at, now);
+            account.recovery_rate = recovering.then_some(account.recovery_start_rate());
             self.accounts.insert(Arc::clone(&report.engine), account);
             return;
         };
-        if !known.is_incarnation(report.born) {
+        if !account.is_incarnation(report.born) {
             return;
         }
-        if !ended {
-            if said >= known.said {
-                known.refill(part, now);
-                (known.limit, known.returning) = (report.limit, None);
-                (known.said, known.asked) = (said, asked);
+        if !recovering {
+            if responded_at >= account.responded_at {
+                account.refill(fraction, now);
+                (account.limit, account.recovery_rate) = (report.limit, None);
+                (account.responded_at, account.requested_at) = (responded_at, requested_at);
             }
-        } else if asked > known.said && known.returning.is_none() {
-            known.refill(part, now);
-            known.returning = Some(known.first_return_rate());
-            (known.said, known.asked) = (said, asked);
+        } else if requested_at > account.responded_at && account.recovery_rate.is_none() {
+            account.refill(fraction, now);
+            account.recovery_rate = Some(account.recovery_start_rate());
+            (account.responded_at, account.requested_at) = (responded_at, requested_at);
         }
     }
 
     /// Receives a host's demand for an engine.
-    pub fn demand_received(
+    pub fn receive_demand(
         &mut self,
         host: &Arc<str>,
         engine: &str,
         demand: &PermitDemand,
         now: ClockMillis,
     ) {
-        let part = self.part();
+        let fraction = self.fraction();
         let Some(account) = self.accounts.get_mut(engine) else {
             self.unknown.entry(Arc::clone(host)).or_default().insert(Arc::from(engine));
             return;
         };
-        account.refill(part, now);
+        account.refill(fraction, now);
         let rate = account.rate();
         // An demand that is not known any more had settled what was unused before.
-        let settled = || HostDemand {
+        let settled_demand = || HostDemand {
             demand: PermitDemand { unused: demand.unused, ..PermitDemand::default() },
             ..HostDemand::default()
         };
-        let known = account.demands.entry(Arc::clone(host)).or_insert_with(settled);
-        let before = known.waiting();
-        let unused = demand.unused.saturating_sub(known.demand.unused);
-        (known.demand, known.asked) = (demand.clone(), now);
+        let host_demand = account.demands.entry(Arc::clone(host)).or_insert_with(settled_demand);
+        let waiting_before = host_demand.waiting();
+        let unused = demand.unused.saturating_sub(host_demand.demand.unused);
+        (host_demand.demand, host_demand.received_at) = (demand.clone(), now);
         // What was granted to an demand that is not known any more has come.
-        known.granted = known.granted.max(demand.got);
-        known.reports_wait |= known.waiting() > before;
-        account.bucket.give_back(unused as f64);
+        host_demand.granted = host_demand.granted.max(demand.received);
+        host_demand.wait_report_due |= host_demand.waiting() > waiting_before;
+        account.bucket.refund(unused as f64);
         account.bucket.charge(demand.unpermitted as f64, rate);
-        if !account.turns.contains(host) {
-            account.turns.push_back(Arc::clone(host));
+        if !account.round_robin.contains(host) {
+            account.round_robin.push_back(Arc::clone(host));
         }
     }
 
     /// Takes that a host has subscribed: it counts its permits anew.
-    pub fn subscribed(&mut self, host: &str) {
+    pub fn reset_host(&mut self, host: &str) {
         self.unknown.remove(host);
         for account in self.accounts.values_mut() {
             account.demands.remove(host);
-            account.turns.retain(|asking| &**asking != host);
+            account.round_robin.retain(|other_host| &**other_host != host);
         }
     }
 
     /// Grants the permits that there are; returns the grants by host.
-    pub fn deal(&mut self, now: ClockMillis) -> BTreeMap<Arc<str>, Vec<PermitGrant>> {
+    pub fn grant_permits(&mut self, now: ClockMillis) -> BTreeMap<Arc<str>, Vec<PermitGrant>> {
         let mut grants: BTreeMap<Arc<str>, Vec<PermitGrant>> = BTreeMap::new();
-        let part = self.part();
+        let fraction = self.fraction();
         for (engine, account) in &mut self.accounts {
-            account.refill(part, now);
-            account.forget_old(now);
-            let mut dealt = account.deal();
-            let wait = account.wait(part);
+            account.refill(fraction, now);
+            account.drop_expired_demands(now);
+            let mut granted_permits = account.grant_permits();
+            let wait = account.wait(fraction);
             for (host, demand) in &mut account.demands {
-                let waits = std::mem::take(&mut demand.reports_wait) && demand.waiting() > 0;
-                let permits = dealt.remove(host).unwrap_or_default();
+                let waits = std::mem::take(&mut demand.wait_report_due) && demand.waiting() > 0;
+                let permits = granted_permits.remove(host).unwrap_or_default();
                 if permits > 0 || waits {
                     let (engine, wait) = (Arc::clone(engine), waits.then_some(wait));
                     let grant = PermitGrant { engine, permits, wait, unknown: false };
@@ -310,25 +310,32 @@
 
     /// Returns when the next permit for a pending demand is there.
     pub fn next_due(&self, now: ClockMillis) -> Option<ClockMillis> {
-        let waited = self.accounts.values().filter(|account| {
-            account.demands.values().any(|demand| demand.wants().iter().any(|wanted| *wanted > 0))
+        let accounts_with_demand = self.accounts.values().filter(|account| {
+            account
+                .demands
+                .values()
+                .any(|demand| demand.outstanding().iter().any(|wanted| *wanted > 0))
         });
-        let part = self.part();
-        let next = waited.map(|account| account.bucket.seconds_until(1.0, account.rate() * part));
-        let next = next.min_by(f64::total_cmp)?;
-        Some(now + Duration::try_from_secs_f64(next).unwrap_or(DEMAND_HOLDS))
+        let fraction = self.fraction();
+        let wait_seconds = accounts_with_demand
+            .map(|account| account.bucket.seconds_until(1.0, account.rate() * fraction));
+        let wait_seconds = wait_seconds.min_by(f64::total_cmp)?;
+        Some(now + Duration::try_from_secs_f64(wait_seconds).unwrap_or(DEMAND_TTL))
     }
 
     /// Returns what has to be published: engines that have a limit, another one by a quarter, or none any more.
     pub fn take_changes(&mut self, now: ClockMillis) -> Vec<LimitReport> {
         let mut changes = Vec::new();
         self.accounts.retain(|engine, account| {
-            if account.has_returned() {
+            if account.has_recovered() {
                 changes
-                    .push(LimitReport { state: LimitState::Back, ..account.report(engine, now) });
+                    .push(LimitReport { state: LimitState::Lifted, ..account.report(engine, now) });
                 return false;
             }
-            if account.published.is_none_or(|published| account.limit.differs(published)) {
+            if account
+                .published
+                .is_none_or(|published| account.limit.differs_significantly(published))
+            {
                 account.published = Some(account.limit);
                 changes.push(account.report(engine, now));
             }
@@ -339,28 +346,28 @@
 
     /// Returns the reports for a new subscriber.
     pub fn snapshot(&self, now: ClockMillis) -> Vec<LimitReport> {
-        let words = self.accounts.iter();
-        words.map(|(engine, account)| account.report(engine, now)).collect()
+        let reports = self.accounts.iter();
+        reports.map(|(engine, account)| account.report(engine, now)).collect()
     }
 
-    /// Forgets engines that are listed no more, or in another life; `life` returns the one that is listed.
-    pub fn retain(&mut self, life: impl Fn(&str) -> Option<EngineBirth>) {
+    /// Forgets engines that are listed no more, or in another life; `incarnation_of` returns the one that is listed.
+    pub fn retain(&mut self, incarnation_of: impl Fn(&str) -> Option<EngineBirth>) {
         self.accounts.retain(|engine, account| {
-            life(engine).is_some_and(|born| account.is_incarnation(born))
+            incarnation_of(engine).is_some_and(|born| account.is_incarnation(born))
         });
     }
 }
 
 impl LimitAccount {
     fn report(&self, engine: &EngineName, now: ClockMillis) -> LimitReport {
-        let returns = self.returning.is_some();
+        let recovering = self.recovery_rate.is_some();
         LimitReport {
             engine: Arc::clone(engine),
             born: self.born,
             limit: self.limit,
-            state: if returns { LimitState::Ended } else { LimitState::Named },
-            said_ago: now.since(self.said),
-            asked_ago: now.since(self.asked),
+            state: if recovering { LimitState::Recovering } else { LimitState::Active },
+            responded_ago: now.since(self.responded_at),
+            requested_ago: now.since(self.requested_at),
         }
     }
 }
--- a/crates/core/src/fleet/limits/limit.rs
+++ b/crates/core/src/fleet/limits/limit.rs
@@ -20,10 +20,10 @@
     }
 
     /// Returns whether this differs from `other` by so much that hosts and their operators should know: by a quarter.
-    pub fn differs(self, other: Self) -> bool {
-        const STEP: f64 = 0.25;
+    pub fn differs_significantly(self, other: Self) -> bool {
+        const SIGNIFICANT_CHANGE: f64 = 0.25;
         let larger = self.0.max(other.0);
-        (self.0 - other.0).abs() > larger * STEP
+        (self.0 - other.0).abs() > larger * SIGNIFICANT_CHANGE
     }
 }
 
@@ -35,12 +35,12 @@
 
 /// An answer of an engine, as its word on its limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct AnswerReport {
+pub struct LimitDeclaration {
     /// What it says.
-    pub said: Declared<RequestLimit>,
+    pub limit: Declared<RequestLimit>,
     /// When what it answers was sent: an answer that names no limit ends only one that was named before that.
-    pub asked: ClockMillis,
+    pub requested_at: ClockMillis,
     /// Whether the engine would name a limit in such an answer if it had one. One to a request that it ran is such an answer; of
     /// refusals, orders and reports only what they do say counts.
-    pub would_say: bool,
+    pub absence_is_conclusive: bool,
 }
--- a/crates/core/src/fleet/limits/report.rs
+++ b/crates/core/src/fleet/limits/report.rs
@@ -8,11 +8,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LimitState {
     /// It declares one.
-    Named,
+    Active,
     /// It has declared none since. It gets more and more requests, still by permits.
-    Ended,
+    Recovering,
     /// It is unrestricted again; only the ledger reports this.
-    Back,
+    Lifted,
 }
 
 /// The latest report on one engine's limit.
@@ -27,15 +27,15 @@
     /// Whether that is in force.
     pub state: LimitState,
     /// How long ago the response began that declared it.
-    pub said_ago: Duration,
+    pub responded_ago: Duration,
     /// How long ago the request of that response was sent.
-    pub asked_ago: Duration,
+    pub requested_ago: Duration,
 }
 
 impl LimitReport {
     /// Returns whether the engine is unrestricted again.
-    pub const fn is_back(&self) -> bool {
-        matches!(self.state, LimitState::Back)
+    pub const fn is_lifted(&self) -> bool {
+        matches!(self.state, LimitState::Lifted)
     }
 }
 
@@ -47,9 +47,9 @@
     /// Other requests that wait for a permit.
     pub waiting: u32,
     /// Whether a request went elsewhere only for want of a permit.
-    pub wished: bool,
+    pub diverted: bool,
     /// How many permits the host has received since it subscribed to this ledger.
-    pub got: u64,
+    pub received: u64,
     /// How many of them expired unused.
     pub unused: u64,
     /// How many calls it has made without one since its last report.
--- a/crates/core/src/fleet/quarantine.rs
+++ b/crates/core/src/fleet/quarantine.rs
@@ -7,23 +7,23 @@
 //!
 //! [`mark`] says when two requests are the same, [`book`] what one host knows.
 
-pub mod book;
-mod hold;
+mod completed_runs;
 pub mod mark;
-mod suspect;
-mod whole_runs;
+mod period;
 mod report;
+mod suspect;
+pub mod tracker;
 
-pub(crate) use hold::Hold;
+pub(crate) use period::QuarantinePeriod;
 
-pub use book::{ENDS_UNTIL_HELD, EndedRun, QuarantineBook, QuarantineEvent};
-pub use mark::{MarkedRequest, RequestMark, shown_mark};
-pub use report::{ReportedEnd, SuspectReport};
+pub use mark::{RequestIdentity, RequestMark, format_mark};
+pub use report::{ReportedCrash, SuspectReport};
+pub use tracker::{CRASHES_UNTIL_QUARANTINED, InterruptedRun, QuarantineEvent, QuarantineTracker};
 
 /// Names one life of an engine, on every host alike.
-pub type EngineLife = u64;
+pub type EngineIncarnationId = u64;
 
 /// Returns the life of an engine that began at `born` by the engine's own clock; zero where it does not say.
-pub fn engine_life(engine: &str, born: u64) -> EngineLife {
+pub fn engine_incarnation_id(engine: &str, born: u64) -> EngineIncarnationId {
     xxhash_rust::xxh3::xxh3_64_with_seed(engine.as_bytes(), born)
 }
--- a/crates/core/src/fleet/quarantine/whole_runs.rs
+++ b/crates/core/src/fleet/quarantine/completed_runs.rs
@@ -8,43 +8,43 @@
 use crate::{clock::ClockMillis, fleet::quarantine::RequestMark};
 
 /// How long a whole run is remembered: as long as ends of engines some seconds apart take to be added up, and some.
-const REMEMBERED: Duration = Duration::from_secs(20);
+const RETENTION: Duration = Duration::from_secs(20);
 
 /// How many are remembered: what a host of a fleet of 370 answers in that time at the peak, 81 a second. 100 bytes each
 /// (counted by an allocator).
-const MOST_REMEMBERED: usize = 2048;
+const MAX_COMPLETED_RUNS: usize = 2048;
 
 /// When requests ran whole lately.
 ///
 /// A request that many callers send runs whole at most hosts while it breaks off at a few. These know of no end, and have
 /// to find their own whole runs when they hear of it.
 #[derive(Debug, Default)]
-pub(super) struct WholeRuns {
-    newest: HashMap<RequestMark, ClockMillis>,
+pub(super) struct CompletedRuns {
+    last_completed: HashMap<RequestMark, ClockMillis>,
     order: VecDeque<(ClockMillis, RequestMark)>,
 }
 
-impl WholeRuns {
+impl CompletedRuns {
     /// Takes that a request ran whole.
-    pub(super) fn note(&mut self, mark: RequestMark, now: ClockMillis) {
-        self.newest.insert(mark, now);
+    pub(super) fn record(&mut self, mark: RequestMark, now: ClockMillis) {
+        self.last_completed.insert(mark, now);
         self.order.push_back((now, mark));
-        while self.order.front().is_some_and(|(at, _)| now.since(*at) >= REMEMBERED)
-            || self.order.len() > MOST_REMEMBERED
+        while self.order.front().is_some_and(|(at, _)| now.since(*at) >= RETENTION)
+            || self.order.len() > MAX_COMPLETED_RUNS
         {
-            self.forget_oldest();
+            self.remove_oldest();
         }
     }
 
     /// Returns when a request last ran whole, if that is remembered.
-    pub(super) fn newest(&self, mark: RequestMark) -> Option<ClockMillis> {
-        self.newest.get(&mark).copied()
+    pub(super) fn last_completed(&self, mark: RequestMark) -> Option<ClockMillis> {
+        self.last_completed.get(&mark).copied()
     }
 
-    fn forget_oldest(&mut self) {
+    fn remove_oldest(&mut self) {
         let Some((at, mark)) = self.order.pop_front() else { return };
-        if self.newest.get(&mark) == Some(&at) {
-            self.newest.remove(&mark);
+        if self.last_completed.get(&mark) == Some(&at) {
+            self.last_completed.remove(&mark);
         }
     }
 }
--- a/crates/core/src/fleet/quarantine/mark.rs
+++ b/crates/core/src/fleet/quarantine/mark.rs
@@ -15,7 +15,7 @@
 /// The version of the weights is no part of it: it may be named anew every second, and each name would be as many
 /// further engines that end.
 #[derive(Debug, Clone, Copy)]
-pub struct MarkedRequest<'request> {
+pub struct RequestIdentity<'request> {
     /// The organisation that asks, where keys tell.
     pub organisation: Option<&'request str>,
     /// The method.
@@ -30,7 +30,7 @@
     pub body: &'request [u8],
 }
 
-impl MarkedRequest<'_> {
+impl RequestIdentity<'_> {
     /// Digests the request.
     ///
     /// ```
@@ -70,7 +70,7 @@
 }
 
 /// Returns a mark as logs show it, which gives nothing of the request away.
-pub fn shown_mark(mark: RequestMark) -> String {
+pub fn format_mark(mark: RequestMark) -> String {
     let mut text = String::with_capacity(2 * SHOWN_BYTES);
     for byte in &mark.to_le_bytes()[..SHOWN_BYTES] {
         // Writing to a string can not fail.
--- a/crates/core/src/fleet/quarantine/report.rs
+++ b/crates/core/src/fleet/quarantine/report.rs
@@ -5,20 +5,20 @@
 use crate::{
     fleet::{
         WeightVersion,
-        quarantine::{EngineLife, RequestMark},
+        quarantine::{EngineIncarnationId, RequestMark},
     },
     organisation::OrganisationName,
 };
 
 /// An engine's end while it ran a request, by how long ago that was: hosts' clocks do not agree.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ReportedEnd {
+pub struct ReportedCrash {
     /// The life that ended.
-    pub life: EngineLife,
+    pub incarnation: EngineIncarnationId,
     /// How long ago the request was sent there.
     pub began_ago: Duration,
     /// How long ago the life ended.
-    pub ended_ago: Duration,
+    pub crashed_ago: Duration,
 }
 
 /// What a host knows of one request. Words are merged: in whichever order they come, and however often, the same is known.
@@ -31,9 +31,9 @@
     /// The newest version of what it names at any of the ends.
     pub version: WeightVersion,
     /// The ends since it last ran whole.
-    pub ends: Vec<ReportedEnd>,
+    pub crashes: Vec<ReportedCrash>,
     /// How long ago it last ran whole, if it did.
     pub cleared_ago: Option<Duration>,
     /// How long ago it was last tried after it had been held back.
-    pub tried_ago: Option<Duration>,
+    pub probed_ago: Option<Duration>,
 }
--- a/crates/core/src/limit/fair_queue.rs
+++ b/crates/core/src/limit/fair_queue.rs
@@ -5,7 +5,7 @@
 use crate::id::OrganisationId;
 
 /// Virtual time that one served item of weight 1 takes.
-const UNIT: f64 = 1.0;
+const UNIT_COST: f64 = 1.0;
 
 /// What a fair queue needs to know of an item.
 pub trait QueuedItem {
@@ -13,21 +13,21 @@
     fn organisation(&self) -> OrganisationId;
 
     /// Returns the organisation's weight; more is served sooner.
-    fn share(&self) -> f64;
+    fn weight(&self) -> f64;
 }
 
 /// The organisation already has as many items waiting as it may.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error(
-    "{waiting} requests of this organisation wait already; raise `queue_limit` or come back later"
+    "{queued} requests of this organisation wait already; raise `queue_limit` or come back later"
 )]
 pub struct QueueFull {
     /// How many wait.
-    pub waiting: usize,
+    pub queued: usize,
 }
 
 #[derive(Debug)]
-struct Lane<T> {
+struct Flow<T> {
     items: VecDeque<T>,
     /// Virtual time at which the lane's first item ends.
     finish: f64,
@@ -36,14 +36,14 @@
 /// Start-time fair queueing (Goyal et al., 1996) with one lane per organisation.
 #[derive(Debug)]
 pub struct FairQueue<T> {
-    lanes: BTreeMap<OrganisationId, Lane<T>>,
+    flows: BTreeMap<OrganisationId, Flow<T>>,
     virtual_time: f64,
     len: usize,
 }
 
 impl<T> Default for FairQueue<T> {
     fn default() -> Self {
-        Self { lanes: BTreeMap::new(), virtual_time: 0.0, len: 0 }
+        Self { flows: BTreeMap::new(), virtual_time: 0.0, len: 0 }
     }
 }
 
@@ -64,71 +64,71 @@
     /// Hands the item back when `limit` of them wait there already.
     pub fn push(&mut self, item: T, limit: u32) -> Result<(), (T, QueueFull)> {
         let organisation = item.organisation();
-        let waiting = self.lanes.get(&organisation).map_or(0, |lane| lane.items.len());
-        if waiting >= limit as usize {
-            return Err((item, QueueFull { waiting }));
+        let queued = self.flows.get(&organisation).map_or(0, |flow| flow.items.len());
+        if queued >= limit as usize {
+            return Err((item, QueueFull { queued }));
         }
-        let step = UNIT / item.share().max(f64::MIN_POSITIVE);
+        let virtual_cost = UNIT_COST / item.weight().max(f64::MIN_POSITIVE);
         let start = self.virtual_time;
-        let lane = self
-            .lanes
+        let flow = self
+            .flows
             .entry(organisation)
-            .or_insert_with(|| Lane { items: VecDeque::new(), finish: start });
-        if lane.items.is_empty() {
+            .or_insert_with(|| Flow { items: VecDeque::new(), finish: start });
+        if flow.items.is_empty() {
             // An idle organisation saves nothing up: it starts at the present virtual time.
-            lane.finish = lane.finish.max(start) + step;
+            flow.finish = flow.finish.max(start) + virtual_cost;
         }
-        lane.items.push_back(item);
+        flow.items.push_back(item);
         self.len += 1;
         Ok(())
     }
 
-    /// Takes the item that is due next among those that `ready` lets through.
-    pub fn pop_ready(&mut self, ready: impl Fn(&T) -> bool) -> Option<T> {
-        let due = self
-            .lanes
+    /// Takes the item that is due next among those that `is_ready` lets through.
+    pub fn pop_ready(&mut self, is_ready: impl Fn(&T) -> bool) -> Option<T> {
+        let next = self
+            .flows
             .iter()
-            .filter(|(_, lane)| lane.items.iter().any(&ready))
+            .filter(|(_, flow)| flow.items.iter().any(&is_ready))
             .min_by(|left, right| left.1.finish.total_cmp(&right.1.finish))
             .map(|(organisation, _)| *organisation)?;
-        let lane = self.lanes.get_mut(&due)?;
-        let place = lane.items.iter().position(&ready)?;
-        let item = lane.items.remove(place)?;
-        let step = UNIT / item.share().max(f64::MIN_POSITIVE);
-        self.virtual_time = self.virtual_time.max(lane.finish - step);
-        if lane.items.is_empty() {
+        let flow = self.flows.get_mut(&next)?;
+        let index = flow.items.iter().position(&is_ready)?;
+        let item = flow.items.remove(index)?;
+        let virtual_cost = UNIT_COST / item.weight().max(f64::MIN_POSITIVE);
+        self.virtual_time = self.virtual_time.max(flow.finish - virtual_cost);
+        if flow.items.is_empty() {
             // The lane's finish time is kept only while it lies ahead of the virtual time.
-            if lane.finish <= self.virtual_time {
-                self.lanes.remove(&due);
+            if flow.finish <= self.virtual_time {
+                self.flows.remove(&next);
             }
         } else {
-            lane.finish += step;
+            flow.finish += virtual_cost;
         }
         self.len -= 1;
         Some(item)
     }
 
-    /// Takes out all items that `leaves` picks.
-    pub fn drain_where(&mut self, leaves: impl Fn(&T) -> bool) -> Vec<T> {
+    /// Takes out all items that `should_drain` picks.
+    pub fn drain_where(&mut self, should_drain: impl Fn(&T) -> bool) -> Vec<T> {
         let mut drained = Vec::new();
-        for lane in self.lanes.values_mut() {
-            let items = std::mem::take(&mut lane.items);
+        for flow in self.flows.values_mut() {
+            let items = std::mem::take(&mut flow.items);
             for item in items {
-                if leaves(&item) {
+                if should_drain(&item) {
                     drained.push(item);
                 } else {
-                    lane.items.push_back(item);
+                    flow.items.push_back(item);
                 }
             }
         }
         let now = self.virtual_time;
-        self.lanes.retain(|_, lane| !lane.items.is_empty() || lane.finish > now);
+        self.flows.retain(|_, flow| !flow.items.is_empty() || flow.finish > now);
         self.len -= drained.len();
         drained
     }
 
     /// Looks at all items, lane by lane.
     pub fn iter(&self) -> impl Iterator<Item = &T> {
-        self.lanes.values().flat_map(|lane| &lane.items)
+        self.flows.values().flat_map(|flow| &flow.items)
     }
 }
--- a/crates/core/src/node/arrivals.rs
+++ b/crates/core/src/node/arrivals.rs
@@ -33,7 +33,7 @@
             Ok(open) => {
                 let key = request.key.filter(|_| open.keyed);
                 let (service, organisation) = (open.service, open.organisation);
-                self.retries.note_try(self.now());
+                self.retries.record_attempt(self.now());
                 self.open.insert(id, open);
                 match key {
                     Some(key) => {
--- a/crates/core/src/organisation.rs
+++ b/crates/core/src/organisation.rs
@@ -47,7 +47,7 @@
 /// All organisations of one configuration, found by the digests of their keys.
 #[derive(Debug, Clone, Default)]
 pub struct OrganisationDirectory {
-    holders: HashMap<KeyDigest, Arc<OrganisationEntry>>,
+    owners: HashMap<KeyDigest, Arc<OrganisationEntry>>,
     organisations: Vec<Arc<OrganisationEntry>>,
     ambiguous: BTreeSet<KeyDigest>,
 }
@@ -63,14 +63,14 @@
     ) {
         let organisation = Arc::new(organisation);
         for key in keys {
-            let holder = self.holders.get(&key);
-            let foreign = holder.is_some_and(|holder| holder.name != organisation.name);
-            if foreign || self.ambiguous.contains(&key) {
-                self.holders.remove(&key);
+            let owner = self.owners.get(&key);
+            let is_conflicting = owner.is_some_and(|owner| owner.name != organisation.name);
+            if is_conflicting || self.ambiguous.contains(&key) {
+                self.owners.remove(&key);
                 self.ambiguous.insert(key);
                 continue;
             }
-            self.holders.insert(key, Arc::clone(&organisation));
+            self.owners.insert(key, Arc::clone(&organisation));
         }
         self.organisations.push(organisation);
     }
@@ -83,7 +83,7 @@
         match key {
             PresentedKey::Missing => Err(KeyError::Missing),
             PresentedKey::Unreadable => Err(KeyError::Unreadable),
-            PresentedKey::Digest(digest) => self.holders.get(digest).ok_or(KeyError::Unknown),
+            PresentedKey::Digest(digest) => self.owners.get(digest).ok_or(KeyError::Unknown),
         }
     }
 
--- a/crates/core/src/organisation/key.rs
+++ b/crates/core/src/organisation/key.rs
@@ -4,7 +4,7 @@
 
 /// The longest key that is looked up. Unit: bytes. A client's whole head has some kilobytes; keys in use
 /// have a few dozen bytes.
-const LONGEST_KEY: usize = 256;
+const MAX_KEY_BYTES: usize = 256;
 
 /// How many bytes of a digest are shown, enough to tell keys of one configuration apart.
 const FINGERPRINT_BYTES: usize = 4;
@@ -62,7 +62,7 @@
     /// Reads the values of all fields that carry a key.
     pub fn from_values<'value>(mut values: impl Iterator<Item = &'value [u8]>) -> Self {
         let Some(value) = values.next() else { return Self::Missing };
-        if values.next().is_some() || value.is_empty() || value.len() > LONGEST_KEY {
+        if values.next().is_some() || value.is_empty() || value.len() > MAX_KEY_BYTES {
             return Self::Unreadable;
         }
         Self::Digest(KeyDigest::of(value))
--- a/crates/core/src/organisation/quota.rs
+++ b/crates/core/src/organisation/quota.rs
@@ -9,7 +9,7 @@
 /// The rest covers what hosts grant before they hear of one another: an organisation that asks for three times
 /// its rate uses half a second's worth within the 150 ms that a word takes, and each of its hosts grants one request
 /// too many. With a window of eight seconds and a tolerance of a tenth three quarters of it are 0.7 s.
-const TOLERANCE_GIVEN: f64 = 0.25;
+const BURST_TOLERANCE_FRACTION: f64 = 0.25;
 
 /// What a quota counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -19,7 +19,7 @@
     /// A request counts the tokens of its prompt and the most that its answer may have.
     Tokens {
         /// What a request counts that names no tokens.
-        unstated: u64,
+        default_cost: u64,
     },
 }
 
@@ -39,12 +39,12 @@
     pub fn cost(&self, tokens: Option<u64>) -> u64 {
         match self.unit {
             QuotaUnit::Requests => 1,
-            QuotaUnit::Tokens { unstated } => tokens.unwrap_or(unstated),
+            QuotaUnit::Tokens { default_cost } => tokens.unwrap_or(default_cost),
         }
     }
 
     /// Returns what the rate gives within a time.
-    pub fn refill(&self, time: Duration) -> f64 {
+    pub fn units_within(&self, time: Duration) -> f64 {
         self.per_second * time.as_secs_f64()
     }
 }
@@ -63,8 +63,8 @@
 impl QuotaTolerance {
     /// Returns the most that may be saved up: the limit's burst and a part of the tolerance.
     pub fn capacity(&self, limit: &QuotaLimit) -> f64 {
-        let allowed = limit.refill(self.window) + limit.burst;
-        limit.burst + (allowed * self.overage + self.extra) * TOLERANCE_GIVEN
+        let allowed = limit.units_within(self.window) + limit.burst;
+        limit.burst + (allowed * self.overage + self.extra) * BURST_TOLERANCE_FRACTION
     }
 }
 
@@ -78,7 +78,7 @@
 impl RecentUse {
     /// The time within which use falls to a third of its weight: long enough to hold several requests of a
     /// client, short enough to follow one that moves to another host.
-    const FADES: Duration = Duration::from_secs(1);
+    const TIME_CONSTANT: Duration = Duration::from_secs(1);
 
     /// Counts use.
     pub fn add(&mut self, amount: f64, now: ClockMillis) {
@@ -88,11 +88,11 @@
     /// Returns what counts still.
     pub fn sum_at(&self, now: ClockMillis) -> f64 {
         let age = now.since(self.at).as_secs_f64();
-        self.sum * (-age / Self::FADES.as_secs_f64()).exp()
+        self.sum * (-age / Self::TIME_CONSTANT.as_secs_f64()).exp()
     }
 
     /// Returns the use a second that it shows.
     pub fn rate_at(&self, now: ClockMillis) -> f64 {
-        self.sum_at(now) / Self::FADES.as_secs_f64()
+        self.sum_at(now) / Self::TIME_CONSTANT.as_secs_f64()
     }
 }
--- a/crates/core/src/organisation/share.rs
+++ b/crates/core/src/organisation/share.rs
@@ -21,34 +21,34 @@
 };
 
 /// How long the ledger may be silent and still count as heard: more than half as long again as its longest pause.
-pub const LEDGER_SILENCE: Duration = Duration::from_millis(800);
+pub const LEDGER_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// The part of the capacity below which the ledger names an organisation.
-pub const NAMED_BELOW: f64 = 0.75;
+pub const LOW_LEVEL_FRACTION: f64 = 0.75;
 
 /// How many times its part a host grants that does not hear the ledger any more: few requests a second show a
 /// host's part only roughly. At 1.0 an organisation at half of its quota is refused 4.6% of what it may
 /// use while a hall is cut off and 8.4% while nobody keeps the ledger, at 1.5 3.4% and 6.2% (simulated, 72 hosts); the
 /// most granted in a window stays below 0.96 of the operator's bound.
-const ALONE_PARTS: f64 = 1.5;
+const UNCOORDINATED_SHARE_FACTOR: f64 = 1.5;
 
 /// How many equal parts a host grants that has never heard the ledger: clients are spread unevenly over
 /// hosts, and the ledger is heard within two seconds of a start.
-const UNHEARD_PARTS: f64 = 2.0;
+const STARTUP_SHARE_FACTOR: f64 = 2.0;
 
 /// The part of a request's cost that must be left at a host that does not hear the ledger. Its part of a small quota may
 /// be less than one request; two dozen hosts that each granted one beyond it reached 1.15 of the bound (simulated).
-const NEEDED_ALONE: f64 = 0.5;
+const UNCOORDINATED_COST_FRACTION: f64 = 0.5;
 
 /// The shortest time that a refused client is told to stay away: a few times what a word takes.
-const SHORTEST_WAIT: Duration = Duration::from_millis(250);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(250);
 
 /// The longest time that a refused client is told to stay away: beyond it nothing can be foretold.
-const LONGEST_WAIT: Duration = Duration::from_secs(10);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(10);
 
 /// What the ledger says of an organisation that has little left.
 #[derive(Debug, Clone, PartialEq)]
-pub struct QuotaWord {
+pub struct QuotaLevel {
     /// The organisation.
     pub organisation: OrganisationName,
     /// What it has left; below zero when hosts granted too much. Unit: as its limit counts.
@@ -59,7 +59,7 @@
 
 /// What a host granted and has not told the ledger yet.
 #[derive(Debug, Clone, PartialEq)]
-pub struct QuotaUse {
+pub struct QuotaUsage {
     /// The organisation.
     pub organisation: OrganisationName,
     /// What was granted, less what was given back.
@@ -70,7 +70,7 @@
 
 /// What the ledger said last of an organisation that it named.
 #[derive(Debug, Clone, Copy)]
-struct NamedLevel {
+struct LowLevel {
     level: f64,
     /// What other hosts had granted lately.
     others: f64,
@@ -82,17 +82,17 @@
     /// What this host granted lately.
     recent: RecentUse,
     /// What it granted since the ledger was last told.
-    untold: f64,
+    unreported: f64,
     /// What it granted since the ledger was last heard, as far as the ledger can not know it.
     granted: f64,
-    named: Option<NamedLevel>,
+    low: Option<LowLevel>,
     /// What the host may grant a second while it does not hear the ledger; set when that begins.
-    alone_rate: Option<f64>,
+    uncoordinated_rate: Option<f64>,
 }
 
 /// What a host must know to decide.
 #[derive(Debug, Clone, Copy)]
-pub struct QuotaTerms<'limit> {
+pub struct QuotaContext<'limit> {
     /// The organisation's limit.
     pub limit: &'limit QuotaLimit,
     /// How far the sum of all hosts may exceed it.
@@ -106,9 +106,9 @@
 pub struct QuotaShare {
     organisations: HashMap<OrganisationName, OrganisationShare>,
     /// When the ledger was last heard.
-    heard: Option<ClockMillis>,
+    last_heard: Option<ClockMillis>,
     /// When this host first decided anything, while it has never heard the ledger.
-    began: Option<ClockMillis>,
+    started_at: Option<ClockMillis>,
     /// Whether nothing was granted before this process began.
     unspent: bool,
 }
@@ -123,7 +123,7 @@
     /// Returns whether a ledger that this host begins to keep may take it that nothing was granted before it knows more: a host that has
     /// heard a ledger hears from others what was left, or nothing was granted at all.
     pub const fn opens_full(&self) -> bool {
-        self.unspent || self.heard.is_some()
+        self.unspent || self.last_heard.is_some()
     }
 
     /// Takes what a request counts from what the organisation may use.
@@ -134,109 +134,118 @@
         &mut self,
         organisation: &OrganisationName,
         cost: u64,
-        terms: &QuotaTerms<'_>,
+        context: &QuotaContext<'_>,
         now: ClockMillis,
     ) -> Result<(), Duration> {
-        let allowance = self.allowance(organisation, terms, now);
-        let needed = if allowance.alone { cost as f64 * NEEDED_ALONE } else { 0.0 };
+        let allowance = self.allowance(organisation, context, now);
+        let needed =
+            if allowance.uncoordinated { cost as f64 * UNCOORDINATED_COST_FRACTION } else { 0.0 };
         if allowance.left <= needed {
-            return Err(allowance.wait());
+            return Err(allowance.retry_after());
         }
         self.charge(organisation, cost as f64, now);
         Ok(())
     }
 
     /// Counts what was used without a decision: a further send of a request that may have run.
-    pub fn use_again(&mut self, organisation: &OrganisationName, cost: u64, now: ClockMillis) {
+    pub fn charge_retry(&mut self, organisation: &OrganisationName, cost: u64, now: ClockMillis) {
         self.charge(organisation, cost as f64, now);
     }
 
     /// Gives back what was taken for a request that did not run.
-    pub fn give_back(&mut self, organisation: &OrganisationName, cost: u64, now: ClockMillis) {
+    pub fn refund(&mut self, organisation: &OrganisationName, cost: u64, now: ClockMillis) {
         self.charge(organisation, -(cost as f64), now);
     }
 
     fn charge(&mut self, organisation: &OrganisationName, amount: f64, now: ClockMillis) {
         let share = self.organisations.entry(Arc::clone(organisation)).or_default();
         share.recent.add(amount, now);
-        share.untold += amount;
+        share.unreported += amount;
         share.granted += amount;
     }
 
     fn allowance(
         &mut self,
         organisation: &OrganisationName,
-        terms: &QuotaTerms<'_>,
+        context: &QuotaContext<'_>,
         now: ClockMillis,
     ) -> QuotaAllowance {
-        let began = *self.began.get_or_insert(now);
-        let capacity = terms.tolerance.capacity(terms.limit);
-        let equal = 1.0 / f64::from(terms.hosts.max(1));
+        let started_at = *self.started_at.get_or_insert(now);
+        let capacity = context.tolerance.capacity(context.limit);
+        let equal_fraction = 1.0 / f64::from(context.hosts.max(1));
         let share = self.organisations.entry(Arc::clone(organisation)).or_default();
-        let alone = self.heard.is_none_or(|heard| now.since(heard) >= LEDGER_SILENCE);
-        let (part, saved, since) = match self.heard {
+        let uncoordinated =
+            self.last_heard.is_none_or(|last_heard| now.since(last_heard) >= LEDGER_TIMEOUT);
+        let (fraction, saved, since) = match self.last_heard {
             None => {
                 let saved = if self.unspent { capacity } else { 0.0 };
-                ((UNHEARD_PARTS * equal).min(1.0), saved, began)
+                ((STARTUP_SHARE_FACTOR * equal_fraction).min(1.0), saved, started_at)
             }
-            Some(heard) if now.since(heard) >= LEDGER_SILENCE => {
-                let rate = share.rate_alone(now);
-                let part = (rate / terms.limit.per_second).max(equal) * ALONE_PARTS;
-                let part = part.min(1.0);
-                let known = share.named.map_or(capacity, |named| named.level.min(capacity));
-                (part, known, heard)
+            Some(last_heard) if now.since(last_heard) >= LEDGER_TIMEOUT => {
+                let rate = share.uncoordinated_rate_at(now);
+                let fraction = (rate / context.limit.per_second).max(equal_fraction)
+                    * UNCOORDINATED_SHARE_FACTOR;
+                let fraction = fraction.min(1.0);
+                let level = share.low.map_or(capacity, |low| low.level.min(capacity));
+                (fraction, level, last_heard)
             }
-            Some(heard) => match share.named {
+            Some(last_heard) => match share.low {
                 None => {
-                    let left = capacity * NAMED_BELOW - share.granted;
-                    return QuotaAllowance { left, rate: terms.limit.per_second, alone: false };
+                    let left = capacity * LOW_LEVEL_FRACTION - share.granted;
+                    return QuotaAllowance {
+                        left,
+                        rate: context.limit.per_second,
+                        uncoordinated: false,
+                    };
+                }
+                Some(low) => {
+                    (share.usage_fraction(&low, equal_fraction, now), low.level, last_heard)
                 }
-                Some(named) => (share.part(&named, equal, now), named.level, heard),
             },
         };
-        let saved = (saved + terms.limit.refill(now.since(since))).min(capacity);
-        let left = part * saved - share.granted;
-        QuotaAllowance { left, rate: part * terms.limit.per_second, alone }
+        let saved = (saved + context.limit.units_within(now.since(since))).min(capacity);
+        let left = fraction * saved - share.granted;
+        QuotaAllowance { left, rate: fraction * context.limit.per_second, uncoordinated }
     }
 
     /// Takes what the ledger says: every organisation that has little left, and no other.
-    pub fn ledger_received(&mut self, words: &[QuotaWord], now: ClockMillis) {
-        self.heard = Some(now);
+    pub fn apply_ledger_levels(&mut self, levels: &[QuotaLevel], now: ClockMillis) {
+        self.last_heard = Some(now);
         for share in self.organisations.values_mut() {
-            share.named = None;
-            share.alone_rate = None;
-            share.granted = share.untold;
+            share.low = None;
+            share.uncoordinated_rate = None;
+            share.granted = share.unreported;
         }
-        for word in words {
-            let share = self.organisations.entry(Arc::clone(&word.organisation)).or_default();
-            let others = (word.used - share.recent.sum_at(now)).max(0.0);
-            share.named = Some(NamedLevel { level: word.level, others });
+        for level in levels {
+            let share = self.organisations.entry(Arc::clone(&level.organisation)).or_default();
+            let others = (level.used - share.recent.sum_at(now)).max(0.0);
+            share.low = Some(LowLevel { level: level.level, others });
         }
         self.organisations.retain(|_, share| share.is_needed(now));
     }
 
     /// Returns whether the ledger was ever heard.
     pub const fn receives_ledger(&self) -> bool {
-        self.heard.is_some()
+        self.last_heard.is_some()
     }
 
     /// Returns what was granted and not told yet.
-    pub fn untold(&self) -> Vec<QuotaUse> {
-        let untold = self.organisations.iter().filter(|(_, share)| share.untold != 0.0);
-        untold
-            .map(|(organisation, share)| QuotaUse {
+    pub fn unreported(&self) -> Vec<QuotaUsage> {
+        let unreported = self.organisations.iter().filter(|(_, share)| share.unreported != 0.0);
+        unreported
+            .map(|(organisation, share)| QuotaUsage {
                 organisation: Arc::clone(organisation),
-                amount: share.untold,
-                level: share.named.map(|named| named.level),
+                amount: share.unreported,
+                level: share.low.map(|low| low.level),
             })
             .collect()
     }
 
     /// Takes that the ledger was told this.
-    pub fn acknowledge(&mut self, told: &[QuotaUse]) {
-        for word in told {
-            if let Some(share) = self.organisations.get_mut(&word.organisation) {
-                share.untold -= word.amount;
+    pub fn acknowledge(&mut self, usages: &[QuotaUsage]) {
+        for usage in usages {
+            if let Some(share) = self.organisations.get_mut(&usage.organisation) {
+                share.unreported -= usage.amount;
             }
         }
     }
@@ -244,22 +253,22 @@
 
 impl OrganisationShare {
     /// Returns this host's part of the recent use, never less than a small part of an equal one.
-    fn part(&self, named: &NamedLevel, equal: f64, now: ClockMillis) -> f64 {
+    fn usage_fraction(&self, low: &LowLevel, equal_fraction: f64, now: ClockMillis) -> f64 {
         let own = self.recent.sum_at(now);
-        let all = own + named.others;
-        if all > 0.0 { (own / all).max(equal / 8.0) } else { equal }
+        let all = own + low.others;
+        if all > 0.0 { (own / all).max(equal_fraction / 8.0) } else { equal_fraction }
     }
 
     /// Returns what this host may grant a second while it does not hear the ledger: what it granted lately when
     /// that began.
-    fn rate_alone(&mut self, now: ClockMillis) -> f64 {
-        *self.alone_rate.get_or_insert(self.recent.rate_at(now))
+    fn uncoordinated_rate_at(&mut self, now: ClockMillis) -> f64 {
+        *self.uncoordinated_rate.get_or_insert(self.recent.rate_at(now))
     }
 
     fn is_needed(&self, now: ClockMillis) -> bool {
         /// What is too little to count for anything, in tokens as in requests.
-        const NOTHING: f64 = 0.01;
-        self.named.is_some() || self.untold != 0.0 || self.recent.sum_at(now) > NOTHING
+        const NEGLIGIBLE: f64 = 0.01;
+        self.low.is_some() || self.unreported != 0.0 || self.recent.sum_at(now) > NEGLIGIBLE
     }
 }
 
@@ -270,7 +279,7 @@
     /// What comes back a second.
     rate: f64,
     /// Whether the host decides without the ledger.
-    alone: bool,
+    uncoordinated: bool,
 }
 
 impl QuotaAllowance {
@@ -278,9 +287,9 @@
     ///
     /// Not later: who comes back after a surge is late already, and takes from the quota what the organisation's new
     /// requests would be answered in time with.
-    fn wait(&self) -> Duration {
+    fn retry_after(&self) -> Duration {
         let seconds = -self.left / self.rate;
-        let wait = Duration::try_from_secs_f64(seconds).unwrap_or(LONGEST_WAIT);
-        wait.clamp(SHORTEST_WAIT, LONGEST_WAIT)
+        let wait = Duration::try_from_secs_f64(seconds).unwrap_or(MAX_RETRY_AFTER);
+        wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
     }
 }
--- a/crates/core/src/placement/load_suspects.rs
+++ b/crates/core/src/placement/load_suspects.rs
@@ -14,7 +14,7 @@
     clock::ClockMillis,
     fleet::{
         EngineBirth, EngineEntry, EngineName, ModelKey, WeightVersion,
-        quarantine::{ENDS_UNTIL_HELD, Hold},
+        quarantine::{CRASHES_UNTIL_QUARANTINED, QuarantinePeriod},
     },
     placement::inventory::PendingLoad,
 };
@@ -69,8 +69,8 @@
         let silent = SilentLoad { born, version, began, noted: now, ended };
         loads.insert(Arc::clone(&engine.name), silent);
         let ends = ends_in_a_row(loads);
-        if let Some(hold) = Hold::after(ends, ENDS_UNTIL_HELD) {
-            let (key, time) = (Arc::clone(&load.key), hold.time(false));
+        if let Some(hold) = QuarantinePeriod::after(ends, CRASHES_UNTIL_QUARANTINED) {
+            let (key, time) = (Arc::clone(&load.key), hold.duration(false));
             self.news.push(HeldLoad { key, ends, time });
         }
     }
@@ -98,17 +98,17 @@
     /// Returns for how long an adapter is not to be loaded, if it is held back; `version` is the one that is named now.
     pub fn held(&self, key: &str, version: WeightVersion, now: ClockMillis) -> Option<Duration> {
         let loads = self.by_key.get(key)?;
-        let hold = Hold::after(ends_in_a_row(loads), ENDS_UNTIL_HELD)?;
+        let hold = QuarantinePeriod::after(ends_in_a_row(loads), CRASHES_UNTIL_QUARANTINED)?;
         let last = loads.values().max_by_key(|load| load.noted)?;
-        let until = last.noted + hold.time(version > last.version);
+        let until = last.noted + hold.duration(version > last.version);
         (now < until).then(|| until.since(now))
     }
 
     /// Forgets adapters of which nothing was seen for long.
     pub fn forget_old(&mut self, now: ClockMillis) {
         self.by_key.retain(|_, loads| {
-            let hold = Hold::after(ends_in_a_row(loads), ENDS_UNTIL_HELD);
-            let remembered = hold.map_or(KEPT, Hold::remembered);
+            let hold = QuarantinePeriod::after(ends_in_a_row(loads), CRASHES_UNTIL_QUARANTINED);
+            let remembered = hold.map_or(KEPT, QuarantinePeriod::retention);
             loads.values().any(|load| now.since(load.noted) < remembered)
         });
     }
--- a/crates/core/tests/engine_limits/fleet.rs
+++ b/crates/core/tests/engine_limits/fleet.rs
@@ -11,7 +11,7 @@
         announcement::Declared,
         limits::{
             ledger::LimitLedger,
-            limit::{AnswerReport, RequestLimit},
+            limit::{LimitDeclaration, RequestLimit},
             report::{LimitReport, PermitGrant},
             share::{LimitShare, LimitUpdate, PermitUse},
         },
@@ -171,8 +171,8 @@
         self.hosts[host].share.is_limited(&self.engine)
     }
 
-    pub(crate) fn names_limit(&self, host: usize) -> bool {
-        self.hosts[host].share.names_limit(&self.engine)
+    pub(crate) fn declares_limit(&self, host: usize) -> bool {
+        self.hosts[host].share.declares_limit(&self.engine)
     }
 
     /// Takes an answer of one life of the engine.
@@ -191,7 +191,12 @@
         }
         let said = limit.map_or(Declared::Absent, Declared::Present);
         let was_limited = host.share.is_limited(&engine);
-        host.share.answered(&engine, born, AnswerReport { said, asked, would_say: true }, now);
+        host.share.receive_declaration(
+            &engine,
+            born,
+            LimitDeclaration { limit: said, requested_at: asked, absence_is_conclusive: true },
+            now,
+        );
         if !was_limited && host.share.is_limited(&engine) {
             for _ in 0..host.waiting.len() {
                 host.share.wait_began(&engine, PermitUse::Waiting);
@@ -240,11 +245,11 @@
                 if host.listens != sent.ledger {
                     continue;
                 }
-                host.share.ledger_received(now);
+                host.share.note_ledger_frame(now);
                 for word in words {
                     host.share.receive(word, now);
                 }
-                host.share.granted(grants, now);
+                host.share.receive_grants(grants, now);
                 host.woken = true;
             }
         }
@@ -261,9 +266,9 @@
         let ledger = &mut self.ledgers[keeper].ledger;
         match message {
             LimitMessage::Greet => {
-                ledger.subscribed(&name);
+                ledger.reset_host(&name);
                 if self.mutation == Some(FleetMutation::StartsFull) {
-                    self.hosts[host].share.granted(&full, now);
+                    self.hosts[host].share.receive_grants(&full, now);
                 }
                 let words = ledger.snapshot(now);
                 let number = self.ledgers[keeper].number;
@@ -274,7 +279,7 @@
                     ledger.receive(word, now);
                 }
                 for (engine, ask) in &told.demands {
-                    ledger.demand_received(&name, engine, ask, now);
+                    ledger.receive_demand(&name, engine, ask, now);
                 }
             }
             LimitMessage::Sums(..) => {}
@@ -317,7 +322,7 @@
             }
             let all_alone = self.mutation == Some(FleetMutation::AllAlone);
             let stands_in = all_alone || self.stands_in == host;
-            self.hosts[host].share.stand_alone(|_| stands_in, now);
+            self.hosts[host].share.grant_fallback_permits(|_| stands_in, now);
         }
     }
 
@@ -328,7 +333,7 @@
                 continue;
             }
             let number = ledger.number;
-            let mut grants = ledger.ledger.deal(now);
+            let mut grants = ledger.ledger.grant_permits(now);
             let words = ledger.ledger.take_changes(now);
             let alive = now.since(ledger.told) >= ALIVE;
             if alive {
--- a/crates/core/tests/engine_limits/hearing.rs
+++ b/crates/core/tests/engine_limits/hearing.rs
@@ -9,7 +9,7 @@
         announcement::Declared,
         limits::{
             events::LimitEvent,
-            limit::{AnswerReport, RequestLimit},
+            limit::{LimitDeclaration, RequestLimit},
             share::LimitShare,
         },
     },
@@ -72,13 +72,17 @@
     let engine: EngineName = Arc::from("e1");
     for case in cases {
         let mut share = LimitShare::default();
-        for ((began, asked, born, said, would_say), limited) in
+        for ((began, asked, born, said, absence_is_conclusive), limited) in
             case.answers.iter().zip(case.limited)
         {
             let said = said.map_or(Declared::Absent, named);
-            let word = AnswerReport { said, asked: at(*asked), would_say: *would_say };
-            share.answered(&engine, *born, word, at(*began));
-            assert_eq!(share.names_limit(&engine), *limited, "{}, at {began}", case.name);
+            let word = LimitDeclaration {
+                limit: said,
+                requested_at: at(*asked),
+                absence_is_conclusive: *absence_is_conclusive,
+            };
+            share.receive_declaration(&engine, *born, word, at(*began));
+            assert_eq!(share.declares_limit(&engine), *limited, "{}, at {began}", case.name);
         }
     }
 }
@@ -96,7 +100,12 @@
             _ => Declared::Unreadable,
         };
         let asked = now - Duration::from_millis(5);
-        share.answered(&engine, 1, AnswerReport { said, asked, would_say: true }, now);
+        share.receive_declaration(
+            &engine,
+            1,
+            LimitDeclaration { limit: said, requested_at: asked, absence_is_conclusive: true },
+            now,
+        );
         news.extend(share.take_events(now));
     }
     // Ten seconds: a line a second on the limit, and one on what can not be read.
--- a/crates/core/tests/engine_limits/telling.rs
+++ b/crates/core/tests/engine_limits/telling.rs
@@ -9,7 +9,7 @@
         announcement::Declared,
         limits::{
             ledger::LimitLedger,
-            limit::{AnswerReport, RequestLimit},
+            limit::{LimitDeclaration, RequestLimit},
             share::{LimitShare, PermitUse},
         },
     },
@@ -27,26 +27,31 @@
     let (mut share, mut ledger) = (LimitShare::default(), LimitLedger::default());
     let start = ClockMillis::from_millis(1000);
     let said = Declared::Present(RequestLimit::new(4.0).expect("a limit"));
-    share.answered(&engine, 7, AnswerReport { said, asked: start, would_say: true }, start);
+    share.receive_declaration(
+        &engine,
+        7,
+        LimitDeclaration { limit: said, requested_at: start, absence_is_conclusive: true },
+        start,
+    );
     share.wait_began(&engine, PermitUse::Waiting);
     let mut first = None;
     for tick in 0..100u32 {
         let now = start + TICK * tick;
-        share.ledger_received(now);
+        share.note_ledger_frame(now);
         let told = share.take_pending(now);
         for word in &told.reports {
             ledger.receive(word, now);
         }
         for (engine, ask) in &told.demands {
-            ledger.demand_received(&host, engine, ask, now);
+            ledger.receive_demand(&host, engine, ask, now);
         }
         let listed = now >= start + Duration::from_millis(LISTED);
         ledger.retain(|_| listed.then_some(7));
         for word in ledger.take_changes(now) {
             share.receive(&word, now);
         }
-        let grants = ledger.deal(now).remove(&host).unwrap_or_default();
-        share.granted(&grants, now);
+        let grants = ledger.grant_permits(now).remove(&host).unwrap_or_default();
+        share.receive_grants(&grants, now);
         if share.take(&engine, PermitUse::Waiting, now) {
             first.get_or_insert(now.since(start));
         }
@@ -62,15 +67,19 @@
     let (mut share, mut ledger) = (LimitShare::default(), LimitLedger::default());
     let at = ClockMillis::from_millis;
     let named = Declared::Present(RequestLimit::new(4.0).expect("a limit"));
-    share.answered(
+    share.receive_declaration(
         &engine,
         7,
-        AnswerReport { said: named, asked: at(900), would_say: true },
+        LimitDeclaration { limit: named, requested_at: at(900), absence_is_conclusive: true },
         at(1000),
     );
-    let none = AnswerReport { said: Declared::Absent, asked: at(1200), would_say: true };
-    share.answered(&engine, 7, none, at(1210));
-    assert!(!share.names_limit(&engine));
+    let none = LimitDeclaration {
+        limit: Declared::Absent,
+        requested_at: at(1200),
+        absence_is_conclusive: true,
+    };
+    share.receive_declaration(&engine, 7, none, at(1210));
+    assert!(!share.declares_limit(&engine));
     // Words are under way for a while, which nobody counts.
     for word in share.take_pending(at(1210)).reports {
         ledger.receive(&word, at(1240));
@@ -84,7 +93,7 @@
     {
         assert!(share.is_limited(&engine), "{name} sends by permits until the engine is back");
         assert!(
-            !share.names_limit(&engine),
+            !share.declares_limit(&engine),
             "{name} is told that the engine names no limit any more"
         );
     }
@@ -95,9 +104,9 @@
         next.receive(&word, at(1430));
     }
     let mut seconds = 0u64;
-    while next.take_changes(at(1430 + seconds * 1000)).iter().all(|word| !word.is_back()) {
+    while next.take_changes(at(1430 + seconds * 1000)).iter().all(|word| !word.is_lifted()) {
         for tick in 0..20 {
-            next.deal(at(1430 + seconds * 1000 + tick * 50));
+            next.grant_permits(at(1430 + seconds * 1000 + tick * 50));
         }
         seconds += 1;
         assert!(seconds < 10, "the next ledger lets the engine come back");
@@ -111,14 +120,19 @@
     let said = Declared::Present(RequestLimit::new(2.0).expect("a limit"));
     for (confirmed, expected) in [(true, 500), (false, 1000)] {
         let (mut share, mut ledger) = (LimitShare::default(), LimitLedger::default());
-        ledger.confirmed(confirmed);
-        share.answered(&engine, 7, AnswerReport { said, asked: start, would_say: true }, start);
+        ledger.set_confirmed(confirmed);
+        share.receive_declaration(
+            &engine,
+            7,
+            LimitDeclaration { limit: said, requested_at: start, absence_is_conclusive: true },
+            start,
+        );
         share.wait_began(&engine, PermitUse::Waiting);
         let told = share.take_pending(start);
         ledger.receive(&told.reports[0], start);
-        ledger.demand_received(&host, &engine, &told.demands[0].1, start);
+        ledger.receive_demand(&host, &engine, &told.demands[0].1, start);
         assert_eq!(ledger.next_due(start), Some(start + Duration::from_millis(expected)));
-        let grants = ledger.deal(start).remove(&host).expect("a word on the wait");
+        let grants = ledger.grant_permits(start).remove(&host).expect("a word on the wait");
         assert_eq!(grants[0].wait, Some(Duration::from_millis(expected)), "confirmed: {confirmed}");
     }
 }
--- a/crates/core/tests/engine_limits/ways.rs
+++ b/crates/core/tests/engine_limits/ways.rs
@@ -91,7 +91,7 @@
         sends.retain(|host| {
             let bucket = self.buckets[*host].get_or_insert_with(|| {
                 let mut full = TokenBucket::empty(now);
-                full.give_back(1.0);
+                full.refund(1.0);
                 full
             });
             bucket.refill(rate, now);
@@ -215,7 +215,7 @@
             LimitLoad { hosts, limit: 5.0, demand: 20.0, at_one: false, seconds: 10, seed: 9 };
         let mut fleet = PermitFleet::new(hosts, 9);
         let figures = play(&load, &mut fleet);
-        let known = (0..hosts).filter(|host| fleet.names_limit(*host)).count();
+        let known = (0..hosts).filter(|host| fleet.declares_limit(*host)).count();
         assert_eq!(known, hosts);
         // Between the first answer and a quarter of a second later some are under way still; then none without a permit.
         let named = ClockMillis::from_millis(1) + NAMES_AT + Duration::from_millis(100);
--- a/crates/core/tests/limits.rs
+++ b/crates/core/tests/limits.rs
@@ -21,7 +21,7 @@
         self.organisation
     }
 
-    fn share(&self) -> f64 {
+    fn weight(&self) -> f64 {
         self.share
     }
 }
@@ -99,8 +99,8 @@
     for number in 0..3 {
         queue.push(item(1, 1.0, number), 3).expect("room for three");
     }
-    let (back, full) = queue.push(item(1, 1.0, 3), 3).expect_err("the lane is full");
-    assert_eq!((back.number, full.waiting), (3, 3));
+    let (back, error) = queue.push(item(1, 1.0, 3), 3).expect_err("the lane is full");
+    assert_eq!((back.number, error.queued), (3, 3));
     queue.push(item(2, 1.0, 0), 3).expect("another lane has room");
 }
 
@@ -141,7 +141,7 @@
     let mut taken = 0;
     for millis in 0..20_000u64 {
         let now = ClockMillis::from_millis(millis) + Duration::from_millis(1);
-        budget.note_try(now);
+        budget.record_attempt(now);
         taken += u32::from(budget.take(0.1, now));
     }
     assert!((1_900..2_200).contains(&taken), "{taken} retries for 20000 tries");
--- a/crates/core/tests/organisations.rs
+++ b/crates/core/tests/organisations.rs
@@ -74,8 +74,8 @@
     let cases = [
         CostCase { unit: QuotaUnit::Requests, tokens: Some(1540), cost: 1 },
         CostCase { unit: QuotaUnit::Requests, tokens: None, cost: 1 },
-        CostCase { unit: QuotaUnit::Tokens { unstated: 200 }, tokens: Some(1540), cost: 1540 },
-        CostCase { unit: QuotaUnit::Tokens { unstated: 200 }, tokens: None, cost: 200 },
+        CostCase { unit: QuotaUnit::Tokens { default_cost: 200 }, tokens: Some(1540), cost: 1540 },
+        CostCase { unit: QuotaUnit::Tokens { default_cost: 200 }, tokens: None, cost: 200 },
     ];
     for case in cases {
         let limit = QuotaLimit { per_second: 1.0, burst: 1.0, unit: case.unit };
--- a/crates/core/tests/quarantine/book.rs
+++ b/crates/core/tests/quarantine/book.rs
@@ -6,8 +6,8 @@
 use reelreel_core::{
     ClockMillis,
     fleet::quarantine::{
-        ENDS_UNTIL_HELD, EndedRun, QuarantineBook, QuarantineEvent, RequestMark, SuspectReport,
-        engine_life,
+        CRASHES_UNTIL_QUARANTINED, InterruptedRun, QuarantineEvent, QuarantineTracker, RequestMark,
+        SuspectReport, engine_incarnation_id,
     },
 };
 
@@ -17,12 +17,12 @@
     ClockMillis::from_millis(10_000_000 + millis)
 }
 
-fn book(host: &str) -> QuarantineBook {
-    QuarantineBook::new(host, ENDS_UNTIL_HELD)
+fn book(host: &str) -> QuarantineTracker {
+    QuarantineTracker::new(host, CRASHES_UNTIL_QUARANTINED)
 }
 
-fn run(mark: RequestMark, began: u64) -> EndedRun {
-    EndedRun { mark, organisation: Some(Arc::from("north")), began: at(began), version: 1 }
+fn run(mark: RequestMark, began: u64) -> InterruptedRun {
+    InterruptedRun { mark, organisation: Some(Arc::from("north")), began: at(began), version: 1 }
 }
 
 /// One thing that happens to the bad request.
@@ -155,22 +155,36 @@
         for step in case.steps {
             match *step {
                 Step::Ends(engine, began, ended) => {
-                    book.engine_ended(engine_life(engine, 0), &[run(BAD, began)], at(ended));
+                    book.record_crash(
+                        engine_incarnation_id(engine, 0),
+                        &[run(BAD, began)],
+                        at(ended),
+                    );
                 }
-                Step::Whole(now) => book.ran_whole(BAD, at(now)),
+                Step::Whole(now) => book.record_completion(BAD, at(now)),
                 Step::Tried(now) => {
-                    assert!(book.run_begins(BAD, at(now)), "{}: a try is told", case.name);
+                    assert!(book.record_start(BAD, at(now)), "{}: a try is told", case.name);
                 }
             }
         }
         let (look, version) = case.look;
-        assert_eq!(book.held(BAD, version, at(look)).is_some(), case.held, "{}", case.name);
-        assert_eq!(book.held(BAD + 1, version, at(look)), None, "{}: another request", case.name);
+        assert_eq!(
+            book.quarantine_left(BAD, version, at(look)).is_some(),
+            case.held,
+            "{}",
+            case.name
+        );
+        assert_eq!(
+            book.quarantine_left(BAD + 1, version, at(look)),
+            None,
+            "{}: another request",
+            case.name
+        );
     }
 }
 
 /// Brings the ends of two engines under one request to a host, by the words of two others through the one that adds up.
-fn told_through(adding: &mut QuarantineBook, to: &mut QuarantineBook, now: ClockMillis) {
+fn told_through(adding: &mut QuarantineTracker, to: &mut QuarantineTracker, now: ClockMillis) {
     let words = adding.take_unpublished(now);
     to.receive(&words, false, now);
 }
@@ -179,30 +193,31 @@
 fn hosts_that_saw_one_end_each_know_it_together() {
     let (mut one, mut two, mut three, mut late) =
         (book("one"), book("two"), book("three"), book("late"));
-    one.engine_ended(engine_life("a", 0), &[run(BAD, 0)], at(50));
-    two.engine_ended(engine_life("b", 0), &[run(BAD, 60)], at(90));
+    one.record_crash(engine_incarnation_id("a", 0), &[run(BAD, 0)], at(50));
+    two.record_crash(engine_incarnation_id("b", 0), &[run(BAD, 60)], at(90));
     for host in [&mut one, &mut two] {
-        assert_eq!(host.held(BAD, 1, at(95)), None, "no host knows it alone");
+        assert_eq!(host.quarantine_left(BAD, 1, at(95)), None, "no host knows it alone");
     }
     three.receive(&one.take_pending(at(100)), true, at(110));
     assert!(three.take_unpublished(at(110)).is_empty(), "one end concerns nobody else");
     three.receive(&two.take_pending(at(100)), true, at(120));
-    assert!(three.held(BAD, 1, at(120)).is_some());
+    assert!(three.quarantine_left(BAD, 1, at(120)).is_some());
     told_through(&mut three, &mut one, at(130));
-    assert!(one.held(BAD, 1, at(140)).is_some());
+    assert!(one.quarantine_left(BAD, 1, at(140)).is_some());
     // Who begins to listen later hears it at once.
     late.receive(&three.snapshot(at(200)), false, at(210));
-    assert!(late.held(BAD, 1, at(210)).is_some());
+    assert!(late.quarantine_left(BAD, 1, at(210)).is_some());
     let news = late.take_events();
-    let [QuarantineEvent::Held { mark: BAD, organisation, ends: 2, .. }] = &news[..] else {
+    let [QuarantineEvent::Quarantined { mark: BAD, organisation, crashes: 2, .. }] = &news[..]
+    else {
         panic!("{news:?}");
     };
     assert_eq!(organisation.as_deref(), Some("north"));
     // A whole run at any host clears it at all.
-    one.ran_whole(BAD, at(300));
+    one.record_completion(BAD, at(300));
     three.receive(&one.take_pending(at(300)), true, at(310));
     told_through(&mut three, &mut late, at(320));
-    assert_eq!(late.held(BAD, 1, at(330)), None);
+    assert_eq!(late.quarantine_left(BAD, 1, at(330)), None);
     assert_eq!(late.take_events(), [QuarantineEvent::Cleared { mark: BAD }]);
 }
 
@@ -212,18 +227,18 @@
 fn a_common_request_is_cleared_by_hosts_that_saw_no_end() {
     let (mut one, mut two, mut adding, mut other) =
         (book("one"), book("two"), book("adding"), book("other"));
-    one.engine_ended(engine_life("a", 0), &[run(BAD, 0)], at(50));
-    other.ran_whole(BAD, at(500));
-    two.engine_ended(engine_life("b", 0), &[run(BAD, 600)], at(900));
+    one.record_crash(engine_incarnation_id("a", 0), &[run(BAD, 0)], at(50));
+    other.record_completion(BAD, at(500));
+    two.record_crash(engine_incarnation_id("b", 0), &[run(BAD, 600)], at(900));
     for host in [&mut one, &mut two] {
         adding.receive(&host.take_pending(at(1000)), true, at(1000));
     }
     told_through(&mut adding, &mut other, at(1000));
-    assert_eq!(other.held(BAD, 1, at(1001)), None);
+    assert_eq!(other.quarantine_left(BAD, 1, at(1001)), None);
     adding.receive(&other.take_pending(at(1010)), true, at(1010));
-    assert_eq!(adding.held(BAD, 1, at(1010)), None, "one end is left");
+    assert_eq!(adding.quarantine_left(BAD, 1, at(1010)), None, "one end is left");
     told_through(&mut adding, &mut one, at(1020));
-    assert_eq!(one.held(BAD, 1, at(1020)), None);
+    assert_eq!(one.quarantine_left(BAD, 1, at(1020)), None);
 }
 
 /// Another host adds up by the time the request is cleared: it tells those who were told of the ends by the one before.
@@ -231,23 +246,23 @@
 fn a_clearing_is_told_to_all_by_whoever_adds_up_then() {
     let (mut first, mut next, mut other) = (book("first"), book("next"), book("other"));
     for (engine, began) in [("a", 0), ("b", 100)] {
-        first.engine_ended(engine_life(engine, 0), &[run(BAD, began)], at(began + 50));
+        first.record_crash(engine_incarnation_id(engine, 0), &[run(BAD, began)], at(began + 50));
     }
     first.publish_own();
     let words = first.take_unpublished(at(200));
     next.receive(&words, false, at(200));
     other.receive(&words, false, at(200));
-    assert!(other.held(BAD, 1, at(210)).is_some());
-    next.ran_whole(BAD, at(300));
+    assert!(other.quarantine_left(BAD, 1, at(210)).is_some());
+    next.record_completion(BAD, at(300));
     next.publish_own();
     told_through(&mut next, &mut other, at(310));
-    assert_eq!(other.held(BAD, 1, at(310)), None);
+    assert_eq!(other.quarantine_left(BAD, 1, at(310)), None);
 }
 
 #[test]
 fn a_host_that_has_nobody_to_tell_says_it_all_again_later() {
     let mut host = book("one");
-    host.engine_ended(engine_life("a", 0), &[run(BAD, 0)], at(50));
+    host.record_crash(engine_incarnation_id("a", 0), &[run(BAD, 0)], at(50));
     let lost = host.take_pending(at(60));
     host.resend(&lost);
     assert_eq!(host.take_pending(at(60)), lost);
@@ -260,19 +275,19 @@
 #[test]
 fn a_flood_of_bodies_is_bounded_and_frees_nothing_that_is_held_back() {
     let mut host = book("one");
-    host.engine_ended(engine_life("a", 0), &[run(BAD, 0)], at(50));
-    host.engine_ended(engine_life("b", 0), &[run(BAD, 60)], at(90));
+    host.record_crash(engine_incarnation_id("a", 0), &[run(BAD, 0)], at(50));
+    host.record_crash(engine_incarnation_id("b", 0), &[run(BAD, 60)], at(90));
     for number in 0..20_000_u64 {
         let mark = 1000 + RequestMark::from(number);
-        let life = engine_life(&number.to_string(), 0);
-        host.engine_ended(life, &[run(mark, 100)], at(100 + number / 10));
+        let life = engine_incarnation_id(&number.to_string(), 0);
+        host.record_crash(life, &[run(mark, 100)], at(100 + number / 10));
     }
     let (suspects, held) = host.counts();
     assert!(suspects <= 2048, "{suspects} suspects");
     assert_eq!(held, 1);
-    assert!(host.held(BAD, 1, at(2200)).is_some());
+    assert!(host.quarantine_left(BAD, 1, at(2200)).is_some());
     assert!(host.is_suspect(1000 + 19_999), "the newest is known");
-    host.forget_old(at(2200 + 700_000));
+    host.evict_expired(at(2200 + 700_000));
     assert_eq!(host.counts(), (0, 0), "nothing is known for ever");
 }
 
@@ -297,13 +312,13 @@
             let mut host = book("saw");
             // One life ends once, whoever saw it.
             let ended = 2400 + engine * 10;
-            host.engine_ended(engine_life("e", *engine), &[run(BAD, *began)], at(ended));
+            host.record_crash(engine_incarnation_id("e", *engine), &[run(BAD, *began)], at(ended));
             words.extend(host.take_pending(now));
         }
         if let Some(cleared) = cleared {
             let mut host = book("whole");
             host.receive(&words, false, now);
-            host.ran_whole(BAD, at(cleared));
+            host.record_completion(BAD, at(cleared));
             words.extend(host.take_pending(now));
         }
         let (mut straight, mut shuffled) = (book("host"), book("host"));
@@ -316,7 +331,7 @@
         for word in &words {
             shuffled.receive(std::slice::from_ref(word), false, now);
         }
-        prop_assert_eq!(straight.held(BAD, 1, now), shuffled.held(BAD, 1, now));
+        prop_assert_eq!(straight.quarantine_left(BAD, 1, now), shuffled.quarantine_left(BAD, 1, now));
         prop_assert_eq!(straight.is_suspect(BAD), shuffled.is_suspect(BAD));
     }
 }
--- a/crates/core/tests/quarantine/main.rs
+++ b/crates/core/tests/quarantine/main.rs
@@ -5,14 +5,17 @@
 #[path = "../random/mod.rs"]
 mod random;
 
-use reelreel_core::fleet::quarantine::ENDS_UNTIL_HELD;
+use reelreel_core::fleet::quarantine::CRASHES_UNTIL_QUARANTINED;
 
 use play::{HoldWay, Outcome, Sharing, Storm, play};
 
 const SEEDS: [u64; 9] = [0x51, 0x52, 0x53, 0x54, 0x55, 0x56, 0x57, 0x58, 0x59];
 
-const KEPT: HoldWay =
-    HoldWay { name: "told, two ends", sharing: Sharing::Told, ends_until_held: ENDS_UNTIL_HELD };
+const KEPT: HoldWay = HoldWay {
+    name: "told, two ends",
+    sharing: Sharing::Told,
+    ends_until_held: CRASHES_UNTIL_QUARANTINED,
+};
 
 const WAYS: &[HoldWay] = &[
     HoldWay { name: "nothing remembered", sharing: Sharing::None, ..KEPT },
--- a/crates/core/tests/quarantine/play.rs
+++ b/crates/core/tests/quarantine/play.rs
@@ -5,7 +5,8 @@
 use reelreel_core::{
     ClockMillis,
     fleet::quarantine::{
-        EndedRun, EngineLife, QuarantineBook, RequestMark, SuspectReport, engine_life,
+        EngineIncarnationId, InterruptedRun, QuarantineTracker, RequestMark, SuspectReport,
+        engine_incarnation_id,
     },
 };
 
@@ -123,7 +124,7 @@
     storm: &'storm Storm,
     way: &'storm HoldWay,
     random: Random,
-    books: Vec<QuarantineBook>,
+    books: Vec<QuarantineTracker>,
     engines: Vec<Engine>,
     runs: Vec<Run>,
     arrivals: Vec<Arrival>,
@@ -143,7 +144,7 @@
 /// Plays a storm.
 pub(crate) fn play(storm: &Storm, way: &HoldWay, seed: u64) -> Outcome {
     let books = (0..storm.hosts)
-        .map(|host| QuarantineBook::new(&format!("host-{host}"), way.ends_until_held))
+        .map(|host| QuarantineTracker::new(&format!("host-{host}"), way.ends_until_held))
         .collect();
     let engines = (0..storm.engines).map(|_| Engine { life: 0, away_until: 0 }).collect();
     let mut play = Play {
@@ -228,7 +229,7 @@
     }
 
     fn arrive(&mut self, arrival: &Arrival, now: u64) {
-        let held = self.books[arrival.host].held(arrival.mark, 0, at(now));
+        let held = self.books[arrival.host].quarantine_left(arrival.mark, 0, at(now));
         if held.is_some() && self.way.sharing != Sharing::None {
             self.refuse(arrival);
         } else {
@@ -264,7 +265,7 @@
             let third = self.ends[bad].get(2);
             self.late_runs[bad] += u32::from(third.is_some_and(|third| now > third + 3000));
         }
-        let _ = self.books[arrival.host].run_begins(arrival.mark, at(now));
+        let _ = self.books[arrival.host].record_start(arrival.mark, at(now));
         self.runs.push(Run {
             mark: arrival.mark,
             host: arrival.host,
@@ -280,7 +281,7 @@
         let due: Vec<Run> =
             self.runs.extract_if(.., |run| !run.deadly && run.ends <= now).collect();
         for run in due {
-            self.books[run.host].ran_whole(run.mark, at(now));
+            self.books[run.host].record_completion(run.mark, at(now));
         }
         while let Some(run) = self.runs.iter().find(|run| run.deadly && run.ends <= now) {
             let (engine, bad) = (run.engine, usize::try_from(run.mark).unwrap_or_default());
@@ -292,7 +293,7 @@
 
     fn end_engine(&mut self, engine: usize, now: u64) {
         let state = &mut self.engines[engine];
-        let life = engine_life(&format!("engine-{engine}"), state.life);
+        let life = engine_incarnation_id(&format!("engine-{engine}"), state.life);
         state.life += 1;
         state.away_until = now + AWAY;
         let lost: Vec<Run> = self.runs.extract_if(.., |run| run.engine == engine).collect();
@@ -314,20 +315,20 @@
     fn end_at<'run>(
         &mut self,
         host: usize,
-        life: EngineLife,
+        life: EngineIncarnationId,
         lost: impl Iterator<Item = &'run Run>,
         now: u64,
     ) {
         let book = &mut self.books[host];
-        let ended: Vec<EndedRun> = lost
-            .map(|run| EndedRun {
+        let ended: Vec<InterruptedRun> = lost
+            .map(|run| InterruptedRun {
                 mark: run.mark,
                 organisation: None,
                 began: at(run.sent),
                 version: 0,
             })
             .collect();
-        book.engine_ended(life, &ended, at(now));
+        book.record_crash(life, &ended, at(now));
     }
 
     /// Host 0 adds up what all say.
@@ -364,7 +365,7 @@
         let most = self.books.iter().map(|book| book.counts().0).max();
         self.outcome.suspects = self.outcome.suspects.max(most.unwrap_or_default());
         let Some(third) = self.ends.first().and_then(|ends| ends.get(2)) else { return };
-        let held = |book: &QuarantineBook| book.held(0, 0, at(now)).is_some();
+        let held = |book: &QuarantineTracker| book.quarantine_left(0, 0, at(now)).is_some();
         if self.outcome.known_after.is_none() && self.books.iter().all(held) {
             self.outcome.known_after = Some(now - third);
         }
--- a/crates/core/tests/quotas/play.rs
+++ b/crates/core/tests/quotas/play.rs
@@ -23,7 +23,7 @@
 pub(crate) fn limit_at(scenario: &Scenario, now: u64) -> QuotaLimit {
     let halved = scenario.halved.is_some_and(|from| now >= from);
     let per_second = if halved { scenario.rate / 2.0 } else { scenario.rate };
-    QuotaLimit { per_second, burst: per_second, unit: QuotaUnit::Tokens { unstated: 200 } }
+    QuotaLimit { per_second, burst: per_second, unit: QuotaUnit::Tokens { default_cost: 200 } }
 }
 
 pub(crate) fn host_for(scenario: &Scenario, random: &mut Random, now: u64) -> usize {
@@ -100,7 +100,8 @@
             sum -= granted.pop_front().map_or(0.0, |(_, cost)| cost);
         }
         let binding = scenario.halved.is_none_or(|from| now < from || now >= from + 8000);
-        let allowed = (limit.refill(TOLERANCE.window) + limit.burst) * (1.0 + TOLERANCE.overage);
+        let allowed =
+            (limit.units_within(TOLERANCE.window) + limit.burst) * (1.0 + TOLERANCE.overage);
         if binding {
             worst = worst.max(sum / (allowed + TOLERANCE.extra));
         }
--- a/crates/core/tests/quotas/ways.rs
+++ b/crates/core/tests/quotas/ways.rs
@@ -6,7 +6,7 @@
     OrganisationDirectory, OrganisationEntry,
     ledger::QuotaLedger,
     quota::QuotaLimit,
-    share::{QuotaShare, QuotaTerms, QuotaUse, QuotaWord},
+    share::{QuotaContext, QuotaLevel, QuotaShare, QuotaUsage},
 };
 
 use crate::scenario::{COST, CUT_SERVES, TOLERANCE, at, name};
@@ -49,8 +49,8 @@
 pub(crate) struct ToldSums {
     shares: Vec<QuotaShare>,
     ledger: Option<QuotaLedger>,
-    reports: VecDeque<(u64, usize, Vec<QuotaUse>)>,
-    words: VecDeque<(u64, Vec<QuotaWord>)>,
+    reports: VecDeque<(u64, usize, Vec<QuotaUsage>)>,
+    words: VecDeque<(u64, Vec<QuotaLevel>)>,
     opens_full: bool,
     was_cut: bool,
     was_lost: bool,
@@ -79,9 +79,9 @@
         if network.cut_noticed != self.was_cut {
             for host in 0..network.hosts / 3 {
                 if network.cut_noticed {
-                    ledger.host_silent(&Self::host_name(host), hosts, at(now));
+                    ledger.mark_unreachable(&Self::host_name(host), hosts, at(now));
                 } else {
-                    ledger.host_heard(&Self::host_name(host), at(now));
+                    ledger.mark_reachable(&Self::host_name(host), at(now));
                 }
             }
         }
@@ -92,7 +92,7 @@
 impl GrantWay for ToldSums {
     fn ask(&mut self, host: usize, limit: &QuotaLimit, now: u64) -> bool {
         let hosts = u32::try_from(self.shares.len()).expect("few hosts");
-        let terms = QuotaTerms { limit, tolerance: &TOLERANCE, hosts };
+        let terms = QuotaContext { limit, tolerance: &TOLERANCE, hosts };
         self.shares[host].take(&name(), COST, &terms, at(now)).is_ok()
     }
 
@@ -116,13 +116,13 @@
             .ledger
             .get_or_insert_with(|| QuotaLedger::new(TOLERANCE, silent_serves, self.opens_full));
         if now.is_multiple_of(1000) || std::mem::take(&mut self.was_lost) {
-            ledger.limits_known(&directory(*limit), at(now));
+            ledger.set_limits(&directory(*limit), at(now));
         }
         self.links_changed(network, now);
         if now.is_multiple_of(50) {
             for (host, share) in self.shares.iter_mut().enumerate() {
                 if network.reaches_ledger(host) {
-                    let told = share.untold();
+                    let told = share.unreported();
                     share.acknowledge(&told);
                     self.reports.push_back((now + 10, host, told));
                 }
@@ -131,9 +131,9 @@
         let ledger = self.ledger.as_mut().expect("a ledger");
         while self.reports.front().is_some_and(|(due, ..)| *due <= now) {
             let Some((_, host, told)) = self.reports.pop_front() else { break };
-            ledger.host_used(&Self::host_name(host), &told, at(now));
+            ledger.record_usage(&Self::host_name(host), &told, at(now));
         }
-        let named = ledger.named(at(now));
+        let named = ledger.low_levels(at(now));
         let pause = if named.is_empty() { 250 } else { 60 };
         if now.is_multiple_of(pause) {
             self.words.push_back((now + 20, named));
@@ -142,7 +142,7 @@
             let Some((_, words)) = self.words.pop_front() else { break };
             for (host, share) in self.shares.iter_mut().enumerate() {
                 if network.reaches_ledger(host) {
-                    share.ledger_received(&words, at(now));
+                    share.apply_ledger_levels(&words, at(now));
                 }
             }
         }
--- a/crates/core/tests/suspended.rs
+++ b/crates/core/tests/suspended.rs
@@ -7,12 +7,14 @@
     chart::TenureState,
     fleet::{
         freshness::ConfigurationFreshness,
-        quarantine::{ENDS_UNTIL_HELD, EndedRun, QuarantineBook, engine_life},
+        quarantine::{
+            CRASHES_UNTIL_QUARANTINED, InterruptedRun, QuarantineTracker, engine_incarnation_id,
+        },
         retry_share::{RetryAllowance, RetryShare},
     },
     organisation::{
         quota::{QuotaLimit, QuotaTolerance, QuotaUnit},
-        share::{QuotaShare, QuotaTerms},
+        share::{QuotaContext, QuotaShare},
     },
     placement::{LeaseRules, PlacerTenure},
 };
@@ -65,9 +67,9 @@
     let limit = QuotaLimit { per_second: 10.0, burst: 10.0, unit: QuotaUnit::Requests };
     let tolerance = QuotaTolerance { window: Duration::from_secs(8), overage: 0.1, extra: 1.0 };
     let (north, hosts) = (Arc::from("north"), 10);
-    let terms = QuotaTerms { limit: &limit, tolerance: &tolerance, hosts };
+    let terms = QuotaContext { limit: &limit, tolerance: &tolerance, hosts };
     let mut share = QuotaShare::unspent();
-    share.ledger_received(&[], BEFORE);
+    share.apply_ledger_levels(&[], BEFORE);
     let granted = (0..200).filter(|_| share.take(&north, 1, &terms, BACK).is_ok()).count();
     // Of a quota of 90 in a window and 10 hosts.
     assert!(granted <= 20, "{granted} granted at once");
@@ -86,12 +88,16 @@
 
 #[test]
 fn a_request_is_held_back_until_its_time_is_over() {
-    let mut book = QuarantineBook::new("host", ENDS_UNTIL_HELD);
+    let mut book = QuarantineTracker::new("host", CRASHES_UNTIL_QUARANTINED);
     for (engine, began) in [("a", 0), ("b", 200)] {
         let began = BEFORE + Duration::from_millis(began);
-        let run = EndedRun { mark: 1, organisation: None, began, version: 0 };
-        book.engine_ended(engine_life(engine, 0), &[run], began + Duration::from_millis(50));
+        let run = InterruptedRun { mark: 1, organisation: None, began, version: 0 };
+        book.record_crash(
+            engine_incarnation_id(engine, 0),
+            &[run],
+            began + Duration::from_millis(50),
+        );
     }
-    assert!(book.held(1, 0, BEFORE + Duration::from_secs(1)).is_some());
-    assert_eq!(book.held(1, 0, BACK), None);
+    assert!(book.quarantine_left(1, 0, BEFORE + Duration::from_secs(1)).is_some());
+    assert_eq!(book.quarantine_left(1, 0, BACK), None);
 }
--- a/crates/gateway/src/control/placing.rs
+++ b/crates/gateway/src/control/placing.rs
@@ -186,7 +186,7 @@
             }
         }
         planner.versions_named(&versions);
-        planner.limits_known(self.shared.limits().known());
+        planner.limits_known(self.shared.limits().limits());
         planner.cooldowns_known(self.shared.cooldowns().closed(now).cloned().collect());
         if let Some(speed) = self.shared.reading().get(service) {
             planner.reading_learnt(speed);
--- a/crates/gateway/src/control/sums/limits.rs
+++ b/crates/gateway/src/control/sums/limits.rs
@@ -81,20 +81,20 @@
             ledger.receive(report, context.now);
         }
         for (engine, demand) in &demands {
-            ledger.demand_received(host, engine, demand, context.now);
+            ledger.receive_demand(host, engine, demand, context.now);
         }
     }
 
     fn snapshot(&mut self, host: &Arc<str>, frame: &mut SumFrame, context: &SumContext<'_>) {
         if let Some(ledger) = &mut self.ledger {
-            ledger.subscribed(host);
+            ledger.reset_host(host);
             frame.limits = ledger.snapshot(context.now).iter().map(Into::into).collect();
         }
     }
 
     fn unsubscribed(&mut self, listener: &RemovedSubscriber, _: &SumContext<'_>) {
         if let Some(ledger) = &mut self.ledger {
-            ledger.subscribed(&listener.host);
+            ledger.reset_host(&listener.host);
         }
         self.granted.remove(&listener.host);
     }
@@ -103,18 +103,18 @@
         let Some(ledger) = &mut self.ledger else { return };
         let now = context.now;
         ledger.retain(|engine| context.active_life(engine));
-        ledger.confirmed(context.confirmed);
+        ledger.set_confirmed(context.confirmed);
         let changes = ledger.take_changes(now);
         frame.limits = changes.iter().map(Into::into).collect();
-        let mut granted = ledger.deal(now);
+        let mut granted = ledger.grant_permits(now);
         let own = granted.remove(context.host).unwrap_or_default();
         self.granted.append(&mut granted);
         let mut share = self.shared.limits();
-        share.ledger_received(now);
+        share.note_ledger_frame(now);
         for report in &changes {
             share.receive(report, now);
         }
-        let events = share.granted(&own, now) || !changes.is_empty();
+        let events = share.receive_grants(&own, now) || !changes.is_empty();
         drop(share);
         if events {
             self.shared.permits_changed();
@@ -133,11 +133,11 @@
     fn receive(&mut self, frame: &SumFrame, context: &SumContext<'_>) {
         let grants: Vec<PermitGrant> = frame.grants.iter().map(Into::into).collect();
         let mut share = self.shared.limits();
-        share.ledger_received(context.now);
+        share.note_ledger_frame(context.now);
         for report in read_limits(&frame.limits) {
             share.receive(&report, context.now);
         }
-        let changed = share.granted(&grants, context.now) || !frame.limits.is_empty();
+        let changed = share.receive_grants(&grants, context.now) || !frame.limits.is_empty();
         drop(share);
         if changed {
             self.shared.permits_changed();
@@ -147,8 +147,8 @@
     fn tick(&mut self, context: &SumContext<'_>) {
         let mut share = self.shared.limits();
         share.retain(|engine| context.active_life(engine));
-        let changed = share.stand_alone(|engine| context.stands_in(engine), context.now);
-        let limited = i64::try_from(share.limited()).unwrap_or(i64::MAX);
+        let changed = share.grant_fallback_permits(|engine| context.stands_in(engine), context.now);
+        let limited = i64::try_from(share.limited_count()).unwrap_or(i64::MAX);
         let events = share.take_events(context.now);
         drop(share);
         self.shared.metrics.limited_engines.set(limited);
@@ -168,11 +168,11 @@
 impl From<LimitEvent> for HostEvent {
     fn from(event: LimitEvent) -> Self {
         match event {
-            LimitEvent::Named { engine, born, limit, before } => Self::EngineLimited {
+            LimitEvent::Limited { engine, born, limit, previous } => Self::EngineLimited {
                 engine: engine.to_string(),
                 born,
                 limit: limit.per_second(),
-                before: before.map(RequestLimit::per_second),
+                before: previous.map(RequestLimit::per_second),
             },
             LimitEvent::Ended { engine, limit } => {
                 Self::LimitEnded { engine: engine.to_string(), limit: limit.per_second() }
--- a/crates/gateway/src/control/sums/quotas.rs
+++ b/crates/gateway/src/control/sums/quotas.rs
@@ -7,7 +7,7 @@
     fleet::routes::{ConfigRevision, RouteTable},
     organisation::{
         ledger::QuotaLedger,
-        share::{QuotaUse, QuotaWord},
+        share::{QuotaLevel, QuotaUsage},
     },
 };
 
@@ -50,7 +50,7 @@
         }
         self.revision = revision;
         if let Some(organisations) = routes.and_then(RouteTable::organisations) {
-            self.quotas.limits_known(organisations, now);
+            self.quotas.set_limits(organisations, now);
         }
     }
 }
@@ -94,7 +94,7 @@
         if !has_quotas(context) {
             return false;
         }
-        frame.usage = self.shared.quotas().untold().iter().map(Into::into).collect();
+        frame.usage = self.shared.quotas().unreported().iter().map(Into::into).collect();
         let due = !frame.usage.is_empty() || context.now.since(self.told) >= LEDGER_WORD;
         if due {
             self.told = context.now;
@@ -104,21 +104,21 @@
 
     fn acknowledge(&mut self, frame: &CountFrame, sent: bool) {
         if sent {
-            let told: Vec<QuotaUse> = frame.usage.iter().map(Into::into).collect();
+            let told: Vec<QuotaUsage> = frame.usage.iter().map(Into::into).collect();
             self.shared.quotas().acknowledge(&told);
         }
     }
 
     fn count(&mut self, host: &Arc<str>, frame: &CountFrame, context: &SumContext<'_>) {
         if let Some(ledger) = &mut self.ledger {
-            let used: Vec<QuotaUse> = frame.usage.iter().map(Into::into).collect();
-            ledger.quotas.host_used(host, &used, context.now);
+            let used: Vec<QuotaUsage> = frame.usage.iter().map(Into::into).collect();
+            ledger.quotas.record_usage(host, &used, context.now);
         }
     }
 
     fn snapshot(&mut self, host: &Arc<str>, _: &mut SumFrame, context: &SumContext<'_>) {
         if let Some(ledger) = &mut self.ledger {
-            ledger.quotas.host_heard(host, context.now);
+            ledger.quotas.mark_reachable(host, context.now);
         }
     }
 
@@ -126,16 +126,16 @@
         let Some(ledger) = &mut self.ledger else { return };
         match listener.silent_among {
             // It may go on serving: what it grants is set aside.
-            Some(hosts) => ledger.quotas.host_silent(&listener.host, hosts, context.now),
-            None => ledger.quotas.host_left(&listener.host),
+            Some(hosts) => ledger.quotas.mark_unreachable(&listener.host, hosts, context.now),
+            None => ledger.quotas.remove_host(&listener.host),
         }
     }
 
     fn publish(&mut self, frame: &mut SumFrame, due: bool, context: &SumContext<'_>) {
         let Some(ledger) = self.ledger.as_mut().filter(|_| has_quotas(context)) else { return };
         ledger.follow(context.routes, context.now);
-        let named = ledger.quotas.named(context.now);
-        self.shared.quotas().ledger_received(&named, context.now);
+        let named = ledger.quotas.low_levels(context.now);
+        self.shared.quotas().apply_ledger_levels(&named, context.now);
         let soon = !named.is_empty() && context.now.since(self.spread) >= QUOTA_PAUSE;
         if due || soon {
             self.spread = context.now;
@@ -145,8 +145,8 @@
 
     fn receive(&mut self, frame: &SumFrame, context: &SumContext<'_>) {
         if let Some(quotas) = &frame.quotas {
-            let words: Vec<QuotaWord> = quotas.named.iter().map(Into::into).collect();
-            self.shared.quotas().ledger_received(&words, context.now);
+            let words: Vec<QuotaLevel> = quotas.named.iter().map(Into::into).collect();
+            self.shared.quotas().apply_ledger_levels(&words, context.now);
         }
     }
 }
--- a/crates/gateway/src/control/sums/suspects.rs
+++ b/crates/gateway/src/control/sums/suspects.rs
@@ -4,7 +4,7 @@
 
 use reelreel_core::{
     clock::duration_millis,
-    fleet::quarantine::{QuarantineEvent, shown_mark},
+    fleet::quarantine::{QuarantineEvent, format_mark},
 };
 
 use crate::{
@@ -86,16 +86,16 @@
         let news = self.shared.quarantine().take_events();
         for news in news {
             self.shared.events.write(match news {
-                QuarantineEvent::Held { mark, organisation, ends, time } => {
+                QuarantineEvent::Quarantined { mark, organisation, crashes, duration } => {
                     HostEvent::RequestHeld {
-                        mark: shown_mark(mark),
+                        mark: format_mark(mark),
                         organisation: organisation.map(|name| name.to_string()),
-                        ends,
-                        millis: duration_millis(time),
+                        ends: crashes,
+                        millis: duration_millis(duration),
                     }
                 }
                 QuarantineEvent::Cleared { mark } => {
-                    HostEvent::RequestCleared { mark: shown_mark(mark) }
+                    HostEvent::RequestCleared { mark: format_mark(mark) }
                 }
             });
         }
--- a/crates/gateway/src/engines/ends.rs
+++ b/crates/gateway/src/engines/ends.rs
@@ -8,7 +8,7 @@
 
 use reelreel_core::fleet::{
     EngineEntry, EngineName,
-    quarantine::{EndedRun, engine_life, shown_mark},
+    quarantine::{InterruptedRun, engine_incarnation_id, format_mark},
 };
 use tokio::sync::watch;
 
@@ -20,7 +20,7 @@
 /// The runs that broke off at an engine which is being connected to.
 #[derive(Debug)]
 struct PendingEnd {
-    runs: Vec<EndedRun>,
+    runs: Vec<InterruptedRun>,
     /// Dropped once it is known whether the engine ended.
     known: watch::Sender<()>,
 }
@@ -33,7 +33,7 @@
 
 impl EndWatch {
     /// Adds a run; returns whether it is the first one at its engine, and what closes once it is known whether that ended.
-    fn add(&mut self, engine: &EngineName, run: EndedRun) -> (bool, watch::Receiver<()>) {
+    fn add(&mut self, engine: &EngineName, run: InterruptedRun) -> (bool, watch::Receiver<()>) {
         let new = || PendingEnd { runs: Vec::new(), known: watch::Sender::new(()) };
         let pending = self.pending.entry(Arc::clone(engine)).or_insert_with(new);
         pending.runs.push(run);
@@ -45,7 +45,7 @@
 pub fn run_broke(
     traffic: &Rc<TrafficState>,
     entry: &Arc<EngineEntry>,
-    run: EndedRun,
+    run: InterruptedRun,
 ) -> impl Future<Output = ()> + use<> {
     let (first, mut known) = traffic.ends.borrow_mut().add(&entry.name, run);
     if first {
@@ -63,15 +63,15 @@
     }
 }
 
-fn note_end(traffic: &TrafficState, entry: &EngineEntry, runs: &[EndedRun]) {
+fn note_end(traffic: &TrafficState, entry: &EngineEntry, runs: &[InterruptedRun]) {
     let shared = &traffic.shared;
-    let life = engine_life(&entry.name, entry.born);
-    shared.quarantine().engine_ended(life, runs, traffic.now());
+    let life = engine_incarnation_id(&entry.name, entry.born);
+    shared.quarantine().record_crash(life, runs, traffic.now());
     shared.wake_control.notify_one();
     shared.metrics.engines_ended.inc();
     shared.events.write(HostEvent::EngineEnded {
         engine: entry.name.to_string(),
         runs: runs.len(),
-        marks: runs.iter().take(MOST_SHOWN).map(|run| shown_mark(run.mark)).collect(),
+        marks: runs.iter().take(MOST_SHOWN).map(|run| format_mark(run.mark)).collect(),
     });
 }
--- a/crates/gateway/src/entry.rs
+++ b/crates/gateway/src/entry.rs
@@ -226,7 +226,7 @@
     /// Forgets suspects that are old, and counts the others.
     fn count_suspects(&self, now: ClockMillis) {
         let mut book = self.shared.quarantine();
-        book.forget_old(now);
+        book.evict_expired(now);
         let (suspects, held) = book.counts();
         drop(book);
         let metrics = &self.shared.metrics;
--- a/crates/gateway/src/entry/attempt.rs
+++ b/crates/gateway/src/entry/attempt.rs
@@ -234,7 +234,7 @@
     fn count_further_run(&self) {
         if let Some(organisation) = self.organisation.as_ref().filter(|_| self.may_have_run) {
             let now = self.traffic.now();
-            self.traffic.shared.quotas().use_again(&organisation.name, self.quota_cost, now);
+            self.traffic.shared.quotas().charge_retry(&organisation.name, self.quota_cost, now);
         }
     }
 
--- a/crates/gateway/src/entry/exchange.rs
+++ b/crates/gateway/src/entry/exchange.rs
@@ -12,7 +12,7 @@
     clock::duration_millis,
     fleet::{
         EngineEntry, EngineName, ServiceName, WeightVersion,
-        quarantine::{EndedRun, RequestMark},
+        quarantine::{InterruptedRun, RequestMark},
         routes::{ConfigRevision, RouteEntry},
     },
     organisation::OrganisationEntry,
@@ -130,7 +130,7 @@
     /// When it was sent the last time. Unit: milliseconds after the arrival.
     pub sent: u64,
     /// The run under way, as it is known if its engine ends.
-    pub run: Option<EndedRun>,
+    pub run: Option<InterruptedRun>,
     /// What its engine had to read before its prompt when it was sent the last time. Unit: tokens.
     pub ahead: u64,
     /// The longest pause between two events that were passed on.
@@ -393,7 +393,7 @@
         };
         if !self.may_have_run {
             let now = self.traffic.now();
-            self.traffic.shared.quotas().give_back(&organisation.name, self.quota_cost, now);
+            self.traffic.shared.quotas().refund(&organisation.name, self.quota_cost, now);
         }
     }
 
--- a/crates/gateway/src/entry/permit.rs
+++ b/crates/gateway/src/entry/permit.rs
@@ -57,7 +57,7 @@
 impl Drop for HeldPermit {
     fn drop(&mut self) {
         if self.held {
-            self.traffic.shared.limits().give_back(&self.engine, self.traffic.now());
+            self.traffic.shared.limits().refund(&self.engine, self.traffic.now());
         }
     }
 }
@@ -102,14 +102,14 @@
     /// Returns in what time this request may have a permit, where it waits for one and that is known.
     pub(super) fn expected_permit(&self) -> Option<Duration> {
         let wait = self.permit_wait.as_ref()?;
-        self.traffic.shared.limits().expected(&wait.engine, self.traffic.now())
+        self.traffic.shared.limits().expected_wait(&wait.engine, self.traffic.now())
     }
 
     /// Returns when the client should come back where it is refused while it waits for a permit.
     pub(super) fn permit_return(&self) -> Option<Duration> {
         let wait = self.permit_wait.as_ref()?;
         let hosts = self.traffic.table().hosts;
-        self.traffic.shared.limits().return_time(&wait.engine, hosts, self.traffic.now())
+        self.traffic.shared.limits().retry_after(&wait.engine, hosts, self.traffic.now())
     }
 
     /// Returns where a stream that broke off goes on; it waits for a moment where only engines with a limit or within a cooldown
--- a/crates/gateway/src/entry/pick.rs
+++ b/crates/gateway/src/entry/pick.rs
@@ -91,7 +91,7 @@
     };
     if !able[preferred].permitted {
         // It goes elsewhere where it can; that it would have gone there brings a permit for the next one.
-        traffic.shared.limits().wish(&able[preferred].entry.name, now);
+        traffic.shared.limits().note_diverted(&able[preferred].entry.name, now);
         let (permitted, limited): (Vec<_>, Vec<_>) =
             able.into_iter().partition(|able| able.permitted);
         able = permitted;
@@ -211,7 +211,9 @@
 fn by_turn(traffic: &TrafficState, limited: Vec<AbleEngine>) -> Vec<Arc<EngineEntry>> {
     let limits = traffic.shared.limits();
     let mut entries: Vec<Arc<EngineEntry>> = limited.into_iter().map(|able| able.entry).collect();
-    entries.sort_by(|left, right| limits.queue(&left.name).total_cmp(&limits.queue(&right.name)));
+    entries.sort_by(|left, right| {
+        limits.queued_seconds(&left.name).total_cmp(&limits.queued_seconds(&right.name))
+    });
     entries
 }
 
--- a/crates/gateway/src/entry/prepare.rs
+++ b/crates/gateway/src/entry/prepare.rs
@@ -5,10 +5,10 @@
 use reelreel_core::{
     fleet::{
         ServiceName,
-        quarantine::{MarkedRequest, RequestMark},
+        quarantine::{RequestIdentity, RequestMark},
         routes::{ConfigRevision, RouteEntry},
     },
-    organisation::{OrganisationEntry, OrganisationName, share::QuotaTerms},
+    organisation::{OrganisationEntry, OrganisationName, share::QuotaContext},
 };
 use reelreel_http::HttpStream;
 use xxhash_rust::xxh3::xxh3_64;
@@ -115,8 +115,8 @@
     request: &'request ClientRequest,
     facts: &'request RequestFacts,
     organisation: Option<&'request OrganisationEntry>,
-) -> MarkedRequest<'request> {
-    MarkedRequest {
+) -> RequestIdentity<'request> {
+    RequestIdentity {
         organisation: organisation.map(|organisation| &*organisation.name),
         method: &request.head.method,
         host: request.head.fields.text("host").unwrap_or_default(),
@@ -135,7 +135,7 @@
 ) -> Result<u64, EarlyRefusal> {
     let Some(limit) = &organisation.quota else { return Ok(0) };
     let cost = limit.cost(tokens);
-    let terms = QuotaTerms { limit, tolerance: &traffic.shared.profile.bounds.quota, hosts };
+    let terms = QuotaContext { limit, tolerance: &traffic.shared.profile.bounds.quota, hosts };
     let taken = traffic.shared.quotas().take(&organisation.name, cost, &terms, traffic.now());
     match taken {
         Ok(()) => Ok(cost),
--- a/crates/gateway/src/entry/quarantine.rs
+++ b/crates/gateway/src/entry/quarantine.rs
@@ -4,7 +4,7 @@
 
 use reelreel_core::fleet::{
     EngineEntry, WeightVersion, base_model, choice::NamedVersions, condition::EngineOutcome,
-    quarantine::EndedRun,
+    quarantine::InterruptedRun,
 };
 
 use crate::{engines::ends::run_broke, entry::exchange::Exchange};
@@ -18,7 +18,7 @@
     pub(super) fn held_back(&self) -> Option<Duration> {
         let now = self.traffic.now();
         let version = self.named_version();
-        self.traffic.shared.quarantine().held(self.mark, version, now)
+        self.traffic.shared.quarantine().quarantine_left(self.mark, version, now)
     }
 
     /// Returns whether engines ended under the request since it last ran whole.
@@ -30,10 +30,10 @@
     pub(super) fn run_begins(&mut self) {
         let now = self.traffic.now();
         let shared = &self.traffic.shared;
-        if shared.quarantine().run_begins(self.mark, now) {
+        if shared.quarantine().record_start(self.mark, now) {
             shared.wake_control.notify_one();
         }
-        self.run = Some(EndedRun {
+        self.run = Some(InterruptedRun {
             mark: self.mark,
             organisation: self.organisation.as_ref().map(|entry| Arc::clone(&entry.name)),
             began: now,
@@ -45,7 +45,7 @@
     pub(super) fn ran_whole(&mut self) {
         self.run = None;
         let now = self.traffic.now();
-        self.traffic.shared.quarantine().ran_whole(self.mark, now);
+        self.traffic.shared.quarantine().record_completion(self.mark, now);
     }
 
     /// Takes that the run under way broke off, and finds out whether its engine ended.
--- a/crates/gateway/src/entry/record.rs
+++ b/crates/gateway/src/entry/record.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use reelreel_core::{clock::duration_millis, fleet::quarantine::shown_mark};
+use reelreel_core::{clock::duration_millis, fleet::quarantine::format_mark};
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::{
@@ -37,7 +37,7 @@
             late,
             organisation: self.organisation.as_ref().map(|entry| entry.name.to_string()),
             fingerprint: None,
-            mark: (outcome != "answered").then(|| shown_mark(self.mark)),
+            mark: (outcome != "answered").then(|| format_mark(self.mark)),
             status: self.status,
             key: self.facts.model.as_ref().map(ToString::to_string),
             engine: self.sent_to.last().map(ToString::to_string),
--- a/crates/gateway/src/gate.rs
+++ b/crates/gateway/src/gate.rs
@@ -10,7 +10,7 @@
         EngineEntry,
         cooldown::{CooldownStanding, CooldownTable},
         departures::DepartureRegistry,
-        limits::share::{LimitShare, LimitStanding, PermitUse},
+        limits::share::{LimitShare, LimitStatus, PermitUse},
     },
 };
 
@@ -52,9 +52,9 @@
         if verdict != GateVerdict::Open {
             return verdict;
         }
-        match self.limits.standing(&entry.name, wanted, self.now) {
-            LimitStanding::Used => GateVerdict::Limited,
-            LimitStanding::Free | LimitStanding::Permitted => GateVerdict::Open,
+        match self.limits.limit_status(&entry.name, wanted, self.now) {
+            LimitStatus::Exhausted => GateVerdict::Limited,
+            LimitStatus::Unlimited | LimitStatus::Permitted => GateVerdict::Open,
         }
     }
 
--- a/crates/gateway/src/host.rs
+++ b/crates/gateway/src/host.rs
@@ -16,8 +16,8 @@
         announcement::{Declared, EngineAnnouncements},
         cooldown::CooldownTable,
         departures::DepartureRegistry,
-        limits::{limit::AnswerReport, share::LimitShare},
-        quarantine::{ENDS_UNTIL_HELD, QuarantineBook},
+        limits::{limit::LimitDeclaration, share::LimitShare},
+        quarantine::{CRASHES_UNTIL_QUARANTINED, QuarantineTracker},
         reading::ReadingSpeed,
     },
     organisation::share::QuotaShare,
@@ -82,7 +82,7 @@
     shared_work: Mutex<SharedWork>,
     reading: Mutex<HashMap<ServiceName, ReadingSpeed>>,
     quotas: Mutex<QuotaShare>,
-    quarantine: Mutex<QuarantineBook>,
+    quarantine: Mutex<QuarantineTracker>,
     limits: Mutex<LimitShare>,
     departures: Mutex<DepartureRegistry>,
     cooldowns: Mutex<CooldownTable>,
@@ -100,7 +100,7 @@
     ) -> Self {
         let quotas =
             if profile.first_start { QuotaShare::unspent() } else { QuotaShare::default() };
-        let quarantine = QuarantineBook::new(&profile.name, ENDS_UNTIL_HELD);
+        let quarantine = QuarantineTracker::new(&profile.name, CRASHES_UNTIL_QUARANTINED);
         Self {
             profile,
             dialects,
@@ -159,7 +159,7 @@
     }
 
     /// Locks what this host knows of requests under which engines ended for a moment.
-    pub fn quarantine(&self) -> MutexGuard<'_, QuarantineBook> {
+    pub fn quarantine(&self) -> MutexGuard<'_, QuarantineTracker> {
         self.quarantine.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -198,9 +198,13 @@
             wake |= self.departures().announced(engine, born, now);
         }
         if !self.departures().is_departing(engine, born) {
-            let would_say = kind == ResponseKind::Accepted;
-            let word = AnswerReport { said: announcements.limit, asked: sent, would_say };
-            wake |= self.limits().answered(engine, born, word, now);
+            let absence_is_conclusive = kind == ResponseKind::Accepted;
+            let word = LimitDeclaration {
+                limit: announcements.limit,
+                requested_at: sent,
+                absence_is_conclusive,
+            };
+            wake |= self.limits().receive_declaration(engine, born, word, now);
         }
         let mut cooldowns = self.cooldowns();
         match announcements.cooldown {
--- a/crates/gateway/src/peers/limit_lines.rs
+++ b/crates/gateway/src/peers/limit_lines.rs
@@ -88,10 +88,10 @@
             engine: word.engine.to_string(),
             born: word.born,
             limit: word.limit.per_second(),
-            ended: word.state != LimitState::Named,
-            back: word.is_back(),
-            said_ago: duration_millis(word.said_ago),
-            asked_ago: duration_millis(word.asked_ago),
+            ended: word.state != LimitState::Active,
+            back: word.is_lifted(),
+            said_ago: duration_millis(word.responded_ago),
+            asked_ago: duration_millis(word.requested_ago),
         }
     }
 }
@@ -108,12 +108,12 @@
             born: line.born,
             limit,
             state: match (line.back, line.ended) {
-                (true, _) => LimitState::Back,
-                (false, true) => LimitState::Ended,
-                (false, false) => LimitState::Named,
+                (true, _) => LimitState::Lifted,
+                (false, true) => LimitState::Recovering,
+                (false, false) => LimitState::Active,
             },
-            said_ago: Duration::from_millis(line.said_ago),
-            asked_ago: Duration::from_millis(line.asked_ago),
+            responded_ago: Duration::from_millis(line.said_ago),
+            requested_ago: Duration::from_millis(line.asked_ago),
         })
     });
     read.collect()
@@ -121,16 +121,32 @@
 
 impl From<&(EngineName, PermitDemand)> for AskLine {
     fn from((engine, demand): &(EngineName, PermitDemand)) -> Self {
-        let PermitDemand { resumed, waiting, wished, got, unused, unpermitted } = *demand;
+        let PermitDemand { resumed, waiting, diverted, received, unused, unpermitted } = *demand;
         let engine = engine.to_string();
-        Self { engine, resumed, waiting, wished, got, unused, unasked: unpermitted }
+        Self {
+            engine,
+            resumed,
+            waiting,
+            wished: diverted,
+            got: received,
+            unused,
+            unasked: unpermitted,
+        }
     }
 }
 
 impl From<&AskLine> for (EngineName, PermitDemand) {
     fn from(line: &AskLine) -> Self {
-        let AskLine { resumed, waiting, wished, got, unused, unasked: unpermitted, .. } = *line;
-        let demand = PermitDemand { resumed, waiting, wished, got, unused, unpermitted };
+        let AskLine {
+            resumed,
+            waiting,
+            wished: diverted,
+            got: received,
+            unused,
+            unasked: unpermitted,
+            ..
+        } = *line;
+        let demand = PermitDemand { resumed, waiting, diverted, received, unused, unpermitted };
         (Arc::from(line.engine.as_str()), demand)
     }
 }
--- a/crates/gateway/src/peers/sum_frames.rs
+++ b/crates/gateway/src/peers/sum_frames.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use reelreel_core::organisation::share::{QuotaUse, QuotaWord};
+use reelreel_core::organisation::share::{QuotaLevel, QuotaUsage};
 
 use crate::peers::{
     departure_lines::DepartureLine,
@@ -109,8 +109,8 @@
     amount.round() as i64
 }
 
-impl From<&QuotaUse> for UsageLine {
-    fn from(used: &QuotaUse) -> Self {
+impl From<&QuotaUsage> for UsageLine {
+    fn from(used: &QuotaUsage) -> Self {
         Self {
             organisation: used.organisation.to_string(),
             amount: whole(used.amount),
@@ -119,7 +119,7 @@
     }
 }
 
-impl From<&UsageLine> for QuotaUse {
+impl From<&UsageLine> for QuotaUsage {
     fn from(line: &UsageLine) -> Self {
         Self {
             organisation: Arc::from(line.organisation.as_str()),
@@ -129,8 +129,8 @@
     }
 }
 
-impl From<&QuotaWord> for QuotaLine {
-    fn from(word: &QuotaWord) -> Self {
+impl From<&QuotaLevel> for QuotaLine {
+    fn from(word: &QuotaLevel) -> Self {
         Self {
             organisation: word.organisation.to_string(),
             level: whole(word.level),
@@ -139,7 +139,7 @@
     }
 }
 
-impl From<&QuotaLine> for QuotaWord {
+impl From<&QuotaLine> for QuotaLevel {
     fn from(line: &QuotaLine) -> Self {
         Self {
             organisation: Arc::from(line.organisation.as_str()),
--- a/crates/gateway/src/peers/suspect_lines.rs
+++ b/crates/gateway/src/peers/suspect_lines.rs
@@ -4,7 +4,7 @@
 
 use reelreel_core::{
     clock::duration_millis,
-    fleet::quarantine::{ReportedEnd, RequestMark, SuspectReport},
+    fleet::quarantine::{ReportedCrash, RequestMark, SuspectReport},
 };
 
 /// What a host knows of one request under which engines ended.
@@ -50,18 +50,18 @@
 }
 
 fn write_suspect(word: &SuspectReport) -> SuspectLine {
-    let end = |end: &ReportedEnd| EndLine {
-        life: end.life,
+    let end = |end: &ReportedCrash| EndLine {
+        life: end.incarnation,
         began_ago: duration_millis(end.began_ago),
-        ended_ago: duration_millis(end.ended_ago),
+        ended_ago: duration_millis(end.crashed_ago),
     };
     SuspectLine {
         mark: bytes::Bytes::copy_from_slice(&word.mark.to_le_bytes()),
         organisation: word.organisation.as_ref().map(ToString::to_string),
         version: word.version,
-        ends: word.ends.iter().map(end).collect(),
+        ends: word.crashes.iter().map(end).collect(),
         cleared_ago: word.cleared_ago.map(duration_millis),
-        tried_ago: word.tried_ago.map(duration_millis),
+        tried_ago: word.probed_ago.map(duration_millis),
     }
 }
 
@@ -78,17 +78,17 @@
 }
 
 fn read_suspect(line: &SuspectLine) -> Option<SuspectReport> {
-    let end = |end: &EndLine| ReportedEnd {
-        life: end.life,
+    let end = |end: &EndLine| ReportedCrash {
+        incarnation: end.life,
         began_ago: Duration::from_millis(end.began_ago),
-        ended_ago: Duration::from_millis(end.ended_ago),
+        crashed_ago: Duration::from_millis(end.ended_ago),
     };
     Some(SuspectReport {
         mark: RequestMark::from_le_bytes((*line.mark).try_into().ok()?),
         organisation: line.organisation.as_deref().map(Arc::from),
         version: line.version,
-        ends: line.ends.iter().map(end).collect(),
+        crashes: line.ends.iter().map(end).collect(),
         cleared_ago: line.cleared_ago.map(Duration::from_millis),
-        tried_ago: line.tried_ago.map(Duration::from_millis),
+        probed_ago: line.tried_ago.map(Duration::from_millis),
     })
 }
--- a/crates/gateway/tests/host/before_sending.rs
+++ b/crates/gateway/tests/host/before_sending.rs
@@ -9,7 +9,7 @@
     time::{Duration, Instant},
 };
 
-use reelreel_core::fleet::quarantine::{EndedRun, MarkedRequest, RequestMark};
+use reelreel_core::fleet::quarantine::{InterruptedRun, RequestIdentity, RequestMark};
 
 use crate::{
     engine::{EngineMood, StandInEngine},
@@ -69,7 +69,7 @@
 
 fn mark(body: &str) -> RequestMark {
     let model = format!("{MODEL_NAME}/late");
-    let request = MarkedRequest {
+    let request = RequestIdentity {
         organisation: None,
         method: "POST",
         host: "site.example",
@@ -84,8 +84,8 @@
 fn hold_back(host: &TestHost, mark: RequestMark) {
     let now = host.shared.clock.now();
     for life in 1..=2 {
-        let run = EndedRun { mark, organisation: None, began: now, version: 0 };
-        host.shared.quarantine().engine_ended(life, &[run], now);
+        let run = InterruptedRun { mark, organisation: None, began: now, version: 0 };
+        host.shared.quarantine().record_crash(life, &[run], now);
     }
 }
 
--- a/crates/gateway/tests/host/limits.rs
+++ b/crates/gateway/tests/host/limits.rs
@@ -132,7 +132,7 @@
     let last = limited.calls_since(ended + Duration::from_secs(4));
     assert!(last >= 15, "{last} of some 60 calls in the last second go there");
     for host in &fleet.hosts {
-        assert_eq!(host.shared.limits().limited(), 0, "nobody counts it as limited");
+        assert_eq!(host.shared.limits().limited_count(), 0, "nobody counts it as limited");
     }
 }
 
@@ -143,7 +143,7 @@
     fleet.engines[0].name_limit(Some("few"));
     let (served, asked) = fleet.load(20, Duration::from_secs(2));
     assert_eq!(served, asked);
-    assert_eq!(fleet.hosts[0].shared.limits().limited(), 0);
+    assert_eq!(fleet.hosts[0].shared.limits().limited_count(), 0);
 }
 
 /// The same at a service whose engines hold no models: nobody places anything there, and the word holds as well.
--- a/crates/gateway/tests/suspect_lines.rs
+++ b/crates/gateway/tests/suspect_lines.rs
@@ -4,7 +4,7 @@
 
 use proptest::{prelude::*, test_runner::RngSeed};
 use prost::Message as _;
-use reelreel_core::fleet::quarantine::{ReportedEnd, RequestMark, SuspectReport};
+use reelreel_core::fleet::quarantine::{ReportedCrash, RequestMark, SuspectReport};
 use reelreel_gateway::peers::{
     frame::PeerFrame,
     sum_frames::CountFrame,
@@ -13,19 +13,21 @@
 
 fn any_word() -> impl Strategy<Value = SuspectReport> {
     let millis = || (0..u64::from(u32::MAX)).prop_map(Duration::from_millis);
-    let end = (any::<u64>(), millis(), millis())
-        .prop_map(|(life, began_ago, ended_ago)| ReportedEnd { life, began_ago, ended_ago });
+    let end =
+        (any::<u64>(), millis(), millis()).prop_map(|(incarnation, began_ago, crashed_ago)| {
+            ReportedCrash { incarnation, began_ago, crashed_ago }
+        });
     let times = (proptest::option::of(millis()), proptest::option::of(millis()));
     let ends = proptest::collection::vec(end, 0..8);
     let organisation = proptest::option::of("[a-z]{1,8}");
     (any::<RequestMark>(), organisation, any::<u64>(), ends, times).prop_map(
-        |(mark, organisation, version, ends, (cleared_ago, tried_ago))| SuspectReport {
+        |(mark, organisation, version, ends, (cleared_ago, probed_ago))| SuspectReport {
             mark,
             organisation: organisation.map(Arc::from),
             version,
-            ends,
+            crashes: ends,
             cleared_ago,
-            tried_ago,
+            probed_ago,
         },
     )
 }
@@ -58,18 +60,18 @@
 /// What a host is told of one request is less than a hundredth of what it may hear for control in a second.
 #[test]
 fn a_word_takes_less_than_a_hundred_bytes() {
-    let end = ReportedEnd {
-        life: u64::MAX,
+    let end = ReportedCrash {
+        incarnation: u64::MAX,
         began_ago: Duration::from_mins(15),
-        ended_ago: Duration::from_mins(15),
+        crashed_ago: Duration::from_mins(15),
     };
     let word = SuspectReport {
         mark: RequestMark::MAX,
         organisation: Some(Arc::from("hule930")),
         version: 4,
-        ends: vec![end; 3],
+        crashes: vec![end; 3],
         cleared_ago: None,
-        tried_ago: Some(Duration::from_mins(15)),
+        probed_ago: Some(Duration::from_mins(15)),
     };
     let bytes = write_suspects(&[word])[0].encoded_len();
     assert!(bytes < 100, "{bytes} bytes");
