--- a/crates/core/tests/engine_limits/fleet.rs
+++ b/crates/core/tests/engine_limits/fleet.rs
@@ -18,29 +18,29 @@
     },
 };
 
-use crate::play::LimitWay;
+use crate::simulation::LimitStrategy;
 
 /// How long a request waits for a permit.
-pub(crate) const PATIENCE: Duration = Duration::from_millis(500);
+pub(crate) const PERMIT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// How often a host looks at what it has to tell when nothing wakes it.
 const TICK: Duration = Duration::from_millis(50);
 
 /// How often the ledger says that it is there.
-const ALIVE: Duration = Duration::from_millis(400);
+const LEDGER_HEARTBEAT: Duration = Duration::from_millis(400);
 
 /// How long a message takes, from one hall to the next at the most.
-const DELAYS: std::ops::Range<u64> = 1..30;
+const MESSAGE_DELAYS_MS: std::ops::Range<u64> = 1..30;
 
 /// A message between a host and the ledger.
 #[derive(Debug, Clone)]
 enum LimitMessage {
     /// A host listens to a ledger from now on.
-    Greet,
+    Subscribe,
     /// To the ledger.
-    Told(LimitUpdate),
+    Update(LimitUpdate),
     /// To a host: words for all, and what it is granted.
-    Sums(Vec<LimitReport>, Vec<PermitGrant>),
+    Publish(Vec<LimitReport>, Vec<PermitGrant>),
 }
 
 struct SentMessage {
@@ -56,22 +56,22 @@
     share: LimitShare,
     /// Since when each request waits.
     waiting: VecDeque<ClockMillis>,
-    looked: ClockMillis,
-    woken: bool,
+    polled_at: ClockMillis,
+    is_woken: bool,
     /// The ledger that it listens to; zero for none.
-    listens: u64,
+    subscribed_to: u64,
     down_until: ClockMillis,
-    stopped_until: ClockMillis,
-    cut_until: ClockMillis,
+    paused_until: ClockMillis,
+    partitioned_until: ClockMillis,
 }
 
 impl SimHost {
-    fn runs(&self, now: ClockMillis) -> bool {
-        now >= self.down_until && now >= self.stopped_until
+    fn is_running(&self, now: ClockMillis) -> bool {
+        now >= self.down_until && now >= self.paused_until
     }
 
-    fn hears(&self, now: ClockMillis) -> bool {
-        self.runs(now) && now >= self.cut_until
+    fn is_connected(&self, now: ClockMillis) -> bool {
+        self.is_running(now) && now >= self.partitioned_until
     }
 }
 
@@ -79,23 +79,23 @@
 struct SimLedger {
     ledger: LimitLedger,
     host: usize,
-    number: u64,
-    told: ClockMillis,
+    id: u64,
+    heartbeat_at: ClockMillis,
     /// From when on it exists.
-    begins: ClockMillis,
+    starts_at: ClockMillis,
     /// Until when its host believes that it keeps it.
-    until: ClockMillis,
+    ends_at: ClockMillis,
 }
 
 /// A mistake that the check must see.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum FleetMutation {
     /// One in three requests goes without a permit, as one that is sent again uncounted would.
-    SomeNotCounted,
+    SkipsPermits,
     /// A host that begins to keep the ledger deals at once what ten seconds would give.
-    StartsFull,
+    LedgerStartsFull,
     /// Hosts that hear no ledger all permit themselves the whole limit.
-    AllAlone,
+    AllHostsFallback,
 }
 
 /// Hosts that deal permits among themselves.
@@ -107,13 +107,13 @@
     messages: VecDeque<SentMessage>,
     random: Pcg64Mcg,
     /// The host that the group names for the engine while no ledger is heard.
-    stands_in: usize,
+    fallback_host: usize,
     /// Requests that got no permit in time.
     pub(crate) refused: usize,
     pub(crate) mutation: Option<FleetMutation>,
 }
 
-const FOR_EVER: ClockMillis = ClockMillis::from_millis(u64::MAX);
+const FOREVER: ClockMillis = ClockMillis::from_millis(u64::MAX);
 
 impl PermitFleet {
     pub(crate) fn new(hosts: usize, seed: u64) -> Self {
@@ -124,30 +124,37 @@
             ledgers: Vec::new(),
             messages: VecDeque::new(),
             random: Pcg64Mcg::seed_from_u64(seed),
-            stands_in: hosts - 1,
+            fallback_host: hosts - 1,
             refused: 0,
             mutation: None,
         };
-        fleet.begin_ledger(0, ClockMillis::from_millis(0));
+        fleet.start_ledger(0, ClockMillis::from_millis(0));
         fleet
     }
 
     /// Makes a host keep the ledger from `at` on.
-    pub(crate) fn begin_ledger(&mut self, host: usize, at: ClockMillis) {
-        let number = self.ledgers.last().map_or(1, |last| last.number + 1);
-        let (ledger, told) = (LimitLedger::default(), ClockMillis::default());
-        self.ledgers.push(SimLedger { ledger, host, number, told, begins: at, until: FOR_EVER });
+    pub(crate) fn start_ledger(&mut self, host: usize, at: ClockMillis) {
+        let id = self.ledgers.last().map_or(1, |last| last.id + 1);
+        let (ledger, heartbeat_at) = (LimitLedger::default(), ClockMillis::default());
+        self.ledgers.push(SimLedger {
+            ledger,
+            host,
+            id,
+            heartbeat_at,
+            starts_at: at,
+            ends_at: FOREVER,
+        });
     }
 
     /// Ends the present ledger's time at `at`: its host gives it up then, whatever it hears.
     pub(crate) fn end_ledger(&mut self, at: ClockMillis) {
         if let Some(last) = self.ledgers.last_mut() {
-            last.until = at;
+            last.ends_at = at;
         }
     }
 
     /// Returns who keeps the newest ledger.
-    pub(crate) fn keeper(&self) -> usize {
+    pub(crate) fn ledger_host(&self) -> usize {
         self.ledgers.last().map_or(0, |last| last.host)
     }
 
@@ -157,17 +164,17 @@
     }
 
     /// Stops a host for a while.
-    pub(crate) fn stop(&mut self, host: usize, until: ClockMillis) {
-        self.hosts[host].stopped_until = until;
+    pub(crate) fn pause(&mut self, host: usize, until: ClockMillis) {
+        self.hosts[host].paused_until = until;
     }
 
     /// Cuts a host off from all others for a while; engine and clients reach it.
-    pub(crate) fn cut(&mut self, host: usize, until: ClockMillis) {
-        self.hosts[host].cut_until = until;
+    pub(crate) fn partition(&mut self, host: usize, until: ClockMillis) {
+        self.hosts[host].partitioned_until = until;
     }
 
     /// Returns whether a host knows that the engine has a limit.
-    pub(crate) fn knows_limit(&self, host: usize) -> bool {
+    pub(crate) fn is_limited(&self, host: usize) -> bool {
         self.hosts[host].share.is_limited(&self.engine)
     }
 
@@ -176,25 +183,25 @@
     }
 
     /// Takes an answer of one life of the engine.
-    pub(crate) fn answered_by(
+    pub(crate) fn receive_response(
         &mut self,
         host: usize,
         born: u64,
         limit: Option<RequestLimit>,
-        asked: ClockMillis,
+        requested_at: ClockMillis,
         now: ClockMillis,
     ) {
         let engine = Arc::clone(&self.engine);
         let host = &mut self.hosts[host];
-        if !host.runs(now) {
+        if !host.is_running(now) {
             return;
         }
-        let said = limit.map_or(Declared::Absent, Declared::Present);
+        let limit = limit.map_or(Declared::Absent, Declared::Present);
         let was_limited = host.share.is_limited(&engine);
         host.share.receive_declaration(
             &engine,
             born,
-            LimitDeclaration { limit: said, requested_at: asked, absence_is_conclusive: true },
+            LimitDeclaration { limit, requested_at, absence_is_conclusive: true },
             now,
         );
         if !was_limited && host.share.is_limited(&engine) {
@@ -202,7 +209,7 @@
                 host.share.wait_began(&engine, PermitUse::Waiting);
             }
         }
-        host.woken = true;
+        host.is_woken = true;
     }
 
     fn send(
@@ -213,189 +220,208 @@
         message: LimitMessage,
         now: ClockMillis,
     ) {
-        let due = now + Duration::from_millis(self.random.random_range(DELAYS));
+        let due = now + Duration::from_millis(self.random.random_range(MESSAGE_DELAYS_MS));
         // A connection keeps the order of what is sent on it.
-        let before =
+        let previous =
             self.messages.iter().rev().find(|sent| {
                 sent.host == host && sent.to_ledger == to_ledger && sent.ledger == ledger
             });
-        let due = before.map_or(due, |before| due.max(before.due));
+        let due = previous.map_or(due, |previous| due.max(previous.due));
         self.messages.push_back(SentMessage { due, host, ledger, to_ledger, message });
     }
 
     fn deliver(&mut self, now: ClockMillis) {
-        let (due, later): (Vec<_>, Vec<_>) =
+        let (arrived, in_flight): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.messages).into_iter().partition(|sent| sent.due <= now);
-        self.messages = later.into();
-        for sent in due {
-            let keeper = self.ledgers.iter().position(|ledger| ledger.number == sent.ledger);
-            let Some(keeper) = keeper else { continue };
-            let keeper_hears = self.hosts[self.ledgers[keeper].host].hears(now);
-            let own = self.ledgers[keeper].host == sent.host;
-            let heard = own || (keeper_hears && self.hosts[sent.host].hears(now));
-            if !heard {
+        self.messages = in_flight.into();
+        for sent in arrived {
+            let position = self.ledgers.iter().position(|ledger| ledger.id == sent.ledger);
+            let Some(position) = position else { continue };
+            let ledger_connected = self.hosts[self.ledgers[position].host].is_connected(now);
+            let is_local = self.ledgers[position].host == sent.host;
+            let delivered =
+                is_local || (ledger_connected && self.hosts[sent.host].is_connected(now));
+            if !delivered {
                 // What does not come through breaks the connection.
-                self.hosts[sent.host].listens = 0;
+                self.hosts[sent.host].subscribed_to = 0;
                 continue;
             }
             if sent.to_ledger {
-                self.take_told(keeper, sent.host, &sent.message, now);
-            } else if let LimitMessage::Sums(words, grants) = &sent.message {
+                self.deliver_to_ledger(position, sent.host, &sent.message, now);
+            } else if let LimitMessage::Publish(reports, grants) = &sent.message {
                 let host = &mut self.hosts[sent.host];
-                if host.listens != sent.ledger {
+                if host.subscribed_to != sent.ledger {
                     continue;
                 }
                 host.share.note_ledger_frame(now);
-                for word in words {
-                    host.share.receive(word, now);
+                for report in reports {
+                    host.share.receive(report, now);
                 }
                 host.share.receive_grants(grants, now);
-                host.woken = true;
+                host.is_woken = true;
             }
         }
     }
 
-    fn take_told(&mut self, keeper: usize, host: usize, message: &LimitMessage, now: ClockMillis) {
+    fn deliver_to_ledger(
+        &mut self,
+        position: usize,
+        host: usize,
+        message: &LimitMessage,
+        now: ClockMillis,
+    ) {
         let name: Arc<str> = Arc::from(host.to_string());
-        let full = [PermitGrant {
+        let extra_grant = [PermitGrant {
             engine: Arc::clone(&self.engine),
             permits: 3,
             wait: None,
             unknown: false,
         }];
-        let ledger = &mut self.ledgers[keeper].ledger;
+        let ledger = &mut self.ledgers[position].ledger;
         match message {
-            LimitMessage::Greet => {
+            LimitMessage::Subscribe => {
                 ledger.reset_host(&name);
-                if self.mutation == Some(FleetMutation::StartsFull) {
-                    self.hosts[host].share.receive_grants(&full, now);
+                if self.mutation == Some(FleetMutation::LedgerStartsFull) {
+                    self.hosts[host].share.receive_grants(&extra_grant, now);
                 }
-                let words = ledger.snapshot(now);
-                let number = self.ledgers[keeper].number;
-                self.send(host, number, false, LimitMessage::Sums(words, Vec::new()), now);
+                let reports = ledger.snapshot(now);
+                let ledger_id = self.ledgers[position].id;
+                self.send(host, ledger_id, false, LimitMessage::Publish(reports, Vec::new()), now);
             }
-            LimitMessage::Told(told) => {
-                for word in &told.reports {
-                    ledger.receive(word, now);
+            LimitMessage::Update(update) => {
+                for report in &update.reports {
+                    ledger.receive(report, now);
                 }
-                for (engine, ask) in &told.demands {
-                    ledger.receive_demand(&name, engine, ask, now);
+                for (engine, demand) in &update.demands {
+                    ledger.receive_demand(&name, engine, demand, now);
                 }
             }
-            LimitMessage::Sums(..) => {}
+            LimitMessage::Publish(..) => {}
         }
     }
 
     /// Returns the newest ledger whose host a host can reach.
     fn reachable_ledger(&self, host: usize, now: ClockMillis) -> u64 {
         let reaches = |ledger: &&SimLedger| {
-            let own = ledger.host == host;
-            let both = self.hosts[host].hears(now) && self.hosts[ledger.host].hears(now);
-            now >= ledger.begins && now < ledger.until && (own || both)
+            let is_local = ledger.host == host;
+            let both_connected =
+                self.hosts[host].is_connected(now) && self.hosts[ledger.host].is_connected(now);
+            now >= ledger.starts_at && now < ledger.ends_at && (is_local || both_connected)
         };
-        self.ledgers.iter().rev().find(reaches).map_or(0, |ledger| ledger.number)
+        self.ledgers.iter().rev().find(reaches).map_or(0, |ledger| ledger.id)
     }
 
     fn tick_hosts(&mut self, now: ClockMillis) {
         for host in 0..self.hosts.len() {
-            if !self.hosts[host].runs(now) {
+            if !self.hosts[host].is_running(now) {
                 continue;
             }
-            let due = now.since(self.hosts[host].looked) >= TICK;
-            if !due && !std::mem::take(&mut self.hosts[host].woken) {
+            let poll_due = now.since(self.hosts[host].polled_at) >= TICK;
+            if !poll_due && !std::mem::take(&mut self.hosts[host].is_woken) {
                 continue;
             }
-            self.hosts[host].looked = now;
+            self.hosts[host].polled_at = now;
             let ledger = self.reachable_ledger(host, now);
-            if ledger != self.hosts[host].listens {
-                self.hosts[host].listens = ledger;
+            if ledger != self.hosts[host].subscribed_to {
+                self.hosts[host].subscribed_to = ledger;
                 if ledger > 0 {
                     self.hosts[host].share.resend_all();
-                    self.send(host, ledger, true, LimitMessage::Greet, now);
+                    self.send(host, ledger, true, LimitMessage::Subscribe, now);
                 }
             }
             if ledger > 0 {
-                let told = self.hosts[host].share.take_pending(now);
-                if told != LimitUpdate::default() {
-                    self.send(host, ledger, true, LimitMessage::Told(told), now);
+                let update = self.hosts[host].share.take_pending(now);
+                if update != LimitUpdate::default() {
+                    self.send(host, ledger, true, LimitMessage::Update(update), now);
                 }
             }
-            let all_alone = self.mutation == Some(FleetMutation::AllAlone);
-            let stands_in = all_alone || self.stands_in == host;
-            self.hosts[host].share.grant_fallback_permits(|_| stands_in, now);
+            let all_fallback = self.mutation == Some(FleetMutation::AllHostsFallback);
+            let is_fallback = all_fallback || self.fallback_host == host;
+            self.hosts[host].share.grant_fallback_permits(|_| is_fallback, now);
         }
     }
 
     fn tick_ledgers(&mut self, now: ClockMillis) {
-        for place in 0..self.ledgers.len() {
-            let ledger = &mut self.ledgers[place];
-            if now < ledger.begins || now >= ledger.until || !self.hosts[ledger.host].runs(now) {
+        for position in 0..self.ledgers.len() {
+            let ledger = &mut self.ledgers[position];
+            if now < ledger.starts_at
+                || now >= ledger.ends_at
+                || !self.hosts[ledger.host].is_running(now)
+            {
                 continue;
             }
-            let number = ledger.number;
+            let ledger_id = ledger.id;
             let mut grants = ledger.ledger.grant_permits(now);
-            let words = ledger.ledger.take_changes(now);
-            let alive = now.since(ledger.told) >= ALIVE;
-            if alive {
-                ledger.told = now;
+            let reports = ledger.ledger.take_changes(now);
+            let heartbeat_due = now.since(ledger.heartbeat_at) >= LEDGER_HEARTBEAT;
+            if heartbeat_due {
+                ledger.heartbeat_at = now;
             }
-            let for_all = alive || !words.is_empty();
+            let publishes = heartbeat_due || !reports.is_empty();
             for host in 0..self.hosts.len() {
-                let own = grants.remove(&*host.to_string()).unwrap_or_default();
-                if self.hosts[host].listens == number && (for_all || !own.is_empty()) {
-                    self.send(host, number, false, LimitMessage::Sums(words.clone(), own), now);
+                let host_grants = grants.remove(&*host.to_string()).unwrap_or_default();
+                if self.hosts[host].subscribed_to == ledger_id
+                    && (publishes || !host_grants.is_empty())
+                {
+                    self.send(
+                        host,
+                        ledger_id,
+                        false,
+                        LimitMessage::Publish(reports.clone(), host_grants),
+                        now,
+                    );
                 }
             }
         }
     }
 }
 
-impl LimitWay for PermitFleet {
-    fn arrives(&mut self, host: usize, now: ClockMillis) {
+impl LimitStrategy for PermitFleet {
+    fn on_arrival(&mut self, host: usize, now: ClockMillis) {
         let engine = Arc::clone(&self.engine);
         let host = &mut self.hosts[host];
-        if host.runs(now) {
+        if host.is_running(now) {
             host.waiting.push_back(now);
             host.share.wait_began(&engine, PermitUse::Waiting);
-            host.woken = true;
+            host.is_woken = true;
         }
     }
 
-    fn answered(
+    fn on_response(
         &mut self,
         host: usize,
         limit: Option<RequestLimit>,
-        asked: ClockMillis,
+        requested_at: ClockMillis,
         now: ClockMillis,
     ) {
-        self.answered_by(host, self.born, limit, asked, now);
+        self.receive_response(host, self.born, limit, requested_at, now);
     }
 
-    fn sends(&mut self, now: ClockMillis) -> Vec<usize> {
+    fn hosts_to_send(&mut self, now: ClockMillis) -> Vec<usize> {
         self.deliver(now);
         self.tick_hosts(now);
         self.tick_ledgers(now);
-        let mut sends = Vec::new();
-        for (number, host) in self.hosts.iter_mut().enumerate() {
-            if !host.runs(now) {
+        let mut hosts_to_send = Vec::new();
+        for (index, host) in self.hosts.iter_mut().enumerate() {
+            if !host.is_running(now) {
                 continue;
             }
             while let Some(since) = host.waiting.front().copied() {
-                let uncounted = self.mutation == Some(FleetMutation::SomeNotCounted)
+                let skips_permit = self.mutation == Some(FleetMutation::SkipsPermits)
                     && self.random.random_range(0..3) == 0;
-                let sent = uncounted || host.share.take(&self.engine, PermitUse::Waiting, now);
+                let sent = skips_permit || host.share.take(&self.engine, PermitUse::Waiting, now);
                 if sent {
-                    sends.push(number);
-                } else if now.since(since) < PATIENCE {
+                    hosts_to_send.push(index);
+                } else if now.since(since) < PERMIT_TIMEOUT {
                     break;
                 } else {
                     self.refused += 1;
                 }
                 host.waiting.pop_front();
                 host.share.wait_ended(&self.engine, PermitUse::Waiting);
-                host.woken = true;
+                host.is_woken = true;
             }
         }
-        sends
+        hosts_to_send
     }
 }
--- a/crates/core/tests/engine_limits/telling.rs
+++ b/crates/core/tests/engine_limits/host_ledger.rs
@@ -19,77 +19,81 @@
 const TICK: Duration = Duration::from_millis(50);
 
 /// From when on the ledger's host lists the engine. Unit: milliseconds.
-const LISTED: u64 = 2000;
+const LISTED_AFTER_MS: u64 = 2000;
 
 #[test]
-fn a_ledger_whose_host_lists_the_engine_late_deals_permits_from_then_on() {
+fn a_ledger_that_lists_the_engine_late_grants_permits_from_then_on() {
     let (engine, host): (EngineName, Arc<str>) = (Arc::from("e1"), Arc::from("h1"));
     let (mut share, mut ledger) = (LimitShare::default(), LimitLedger::default());
     let start = ClockMillis::from_millis(1000);
-    let said = Declared::Present(RequestLimit::new(4.0).expect("a limit"));
+    let limit = Declared::Present(RequestLimit::new(4.0).expect("a limit"));
     share.receive_declaration(
         &engine,
         7,
-        LimitDeclaration { limit: said, requested_at: start, absence_is_conclusive: true },
+        LimitDeclaration { limit, requested_at: start, absence_is_conclusive: true },
         start,
     );
     share.wait_began(&engine, PermitUse::Waiting);
-    let mut first = None;
+    let mut first_permit = None;
     for tick in 0..100u32 {
         let now = start + TICK * tick;
         share.note_ledger_frame(now);
-        let told = share.take_pending(now);
-        for word in &told.reports {
-            ledger.receive(word, now);
+        let update = share.take_pending(now);
+        for report in &update.reports {
+            ledger.receive(report, now);
         }
-        for (engine, ask) in &told.demands {
-            ledger.receive_demand(&host, engine, ask, now);
+        for (engine, demand) in &update.demands {
+            ledger.receive_demand(&host, engine, demand, now);
         }
-        let listed = now >= start + Duration::from_millis(LISTED);
-        ledger.retain(|_| listed.then_some(7));
-        for word in ledger.take_changes(now) {
-            share.receive(&word, now);
+        let is_listed = now >= start + Duration::from_millis(LISTED_AFTER_MS);
+        ledger.retain(|_| is_listed.then_some(7));
+        for report in ledger.take_changes(now) {
+            share.receive(&report, now);
         }
         let grants = ledger.grant_permits(now).remove(&host).unwrap_or_default();
         share.receive_grants(&grants, now);
         if share.take(&engine, PermitUse::Waiting, now) {
-            first.get_or_insert(now.since(start));
+            first_permit.get_or_insert(now.since(start));
         }
     }
-    let first = first.expect("a permit");
+    let first_permit = first_permit.expect("a permit");
     // A permit of four a second takes a quarter of a second; the host's next ask and the ledger's answer come before.
-    assert!(first <= Duration::from_millis(LISTED + 1000), "the first permit after {first:?}");
+    assert!(
+        first_permit <= Duration::from_millis(LISTED_AFTER_MS + 1000),
+        "the first permit after {first_permit:?}"
+    );
 }
 
 #[test]
-fn who_begins_to_listen_while_an_engine_returns_knows_that_it_does() {
+fn a_host_that_subscribes_during_recovery_learns_of_it() {
     let engine: EngineName = Arc::from("e1");
     let (mut share, mut ledger) = (LimitShare::default(), LimitLedger::default());
     let at = ClockMillis::from_millis;
-    let named = Declared::Present(RequestLimit::new(4.0).expect("a limit"));
+    let declared = Declared::Present(RequestLimit::new(4.0).expect("a limit"));
     share.receive_declaration(
         &engine,
         7,
-        LimitDeclaration { limit: named, requested_at: at(900), absence_is_conclusive: true },
+        LimitDeclaration { limit: declared, requested_at: at(900), absence_is_conclusive: true },
         at(1000),
     );
-    let none = LimitDeclaration {
+    let absent = LimitDeclaration {
         limit: Declared::Absent,
         requested_at: at(1200),
         absence_is_conclusive: true,
     };
-    share.receive_declaration(&engine, 7, none, at(1210));
+    share.receive_declaration(&engine, 7, absent, at(1210));
     assert!(!share.declares_limit(&engine));
     // Words are under way for a while, which nobody counts.
-    for word in share.take_pending(at(1210)).reports {
-        ledger.receive(&word, at(1240));
+    for report in share.take_pending(at(1210)).reports {
+        ledger.receive(&report, at(1240));
     }
-    let mut begins = LimitShare::default();
-    for word in ledger.snapshot(at(1300)) {
-        share.receive(&word, at(1330));
-        begins.receive(&word, at(1330));
+    let mut new_subscriber = LimitShare::default();
+    for report in ledger.snapshot(at(1300)) {
+        share.receive(&report, at(1330));
+        new_subscriber.receive(&report, at(1330));
     }
-    for (name, share) in [("a host that heard the end", &share), ("one that knew nothing", &begins)]
+    for (name, share) in
+        [("a host that heard the end", &share), ("one that knew nothing", &new_subscriber)]
     {
         assert!(share.is_limited(&engine), "{name} sends by permits until the engine is back");
         assert!(
@@ -98,15 +102,19 @@
         );
     }
     // Another ledger hears from them that the engine returns, and need not begin at the limit.
-    let mut next = LimitLedger::default();
-    begins.resend_all();
-    for word in begins.take_pending(at(1400)).reports {
-        next.receive(&word, at(1430));
+    let mut next_ledger = LimitLedger::default();
+    new_subscriber.resend_all();
+    for report in new_subscriber.take_pending(at(1400)).reports {
+        next_ledger.receive(&report, at(1430));
     }
     let mut seconds = 0u64;
-    while next.take_changes(at(1430 + seconds * 1000)).iter().all(|word| !word.is_lifted()) {
+    while next_ledger
+        .take_changes(at(1430 + seconds * 1000))
+        .iter()
+        .all(|report| !report.is_lifted())
+    {
         for tick in 0..20 {
-            next.grant_permits(at(1430 + seconds * 1000 + tick * 50));
+            next_ledger.grant_permits(at(1430 + seconds * 1000 + tick * 50));
         }
         seconds += 1;
         assert!(seconds < 10, "the next ledger lets the engine come back");
@@ -114,23 +122,23 @@
 }
 
 #[test]
-fn who_deals_half_says_so_to_those_that_wait() {
+fn an_unconfirmed_ledger_reports_the_longer_wait() {
     let (engine, host): (EngineName, Arc<str>) = (Arc::from("e1"), Arc::from("h1"));
     let start = ClockMillis::from_millis(1000);
-    let said = Declared::Present(RequestLimit::new(2.0).expect("a limit"));
+    let limit = Declared::Present(RequestLimit::new(2.0).expect("a limit"));
     for (confirmed, expected) in [(true, 500), (false, 1000)] {
         let (mut share, mut ledger) = (LimitShare::default(), LimitLedger::default());
         ledger.set_confirmed(confirmed);
         share.receive_declaration(
             &engine,
             7,
-            LimitDeclaration { limit: said, requested_at: start, absence_is_conclusive: true },
+            LimitDeclaration { limit, requested_at: start, absence_is_conclusive: true },
             start,
         );
         share.wait_began(&engine, PermitUse::Waiting);
-        let told = share.take_pending(start);
-        ledger.receive(&told.reports[0], start);
-        ledger.receive_demand(&host, &engine, &told.demands[0].1, start);
+        let update = share.take_pending(start);
+        ledger.receive(&update.reports[0], start);
+        ledger.receive_demand(&host, &engine, &update.demands[0].1, start);
         assert_eq!(ledger.next_due(start), Some(start + Duration::from_millis(expected)));
         let grants = ledger.grant_permits(start).remove(&host).expect("a word on the wait");
         assert_eq!(grants[0].wait, Some(Duration::from_millis(expected)), "confirmed: {confirmed}");
--- a/crates/core/tests/engine_limits/main.rs
+++ b/crates/core/tests/engine_limits/main.rs
@@ -1,8 +1,8 @@
 //! How all hosts together keep the limits that engines name, without sockets.
 
+mod declarations;
 mod faults;
 mod fleet;
-mod hearing;
-mod play;
-mod telling;
-mod ways;
+mod host_ledger;
+mod simulation;
+mod strategies;
--- a/crates/core/tests/limits.rs
+++ b/crates/core/tests/limits.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, PartialEq)]
 struct Item {
     organisation: OrganisationId,
-    share: f64,
+    weight: f64,
     number: u32,
 }
 
@@ -22,62 +22,62 @@
     }
 
     fn weight(&self) -> f64 {
-        self.share
+        self.weight
     }
 }
 
-fn item(organisation: OrganisationId, share: f64, number: u32) -> Item {
-    Item { organisation, share, number }
+fn item(organisation: OrganisationId, weight: f64, number: u32) -> Item {
+    Item { organisation, weight, number }
 }
 
-struct ShareCase {
+struct WeightCase {
     name: &'static str,
     /// Organisation, share and how many items it queues.
-    lanes: &'static [(OrganisationId, f64, u32)],
+    flows: &'static [(OrganisationId, f64, u32)],
     taken: usize,
     /// How many items of the first organisation are among those taken.
-    first: std::ops::RangeInclusive<usize>,
+    first_count: std::ops::RangeInclusive<usize>,
 }
 
-const SHARES: &[ShareCase] = &[
-    ShareCase {
+const WEIGHTS: &[WeightCase] = &[
+    WeightCase {
         name: "equal shares, unequal demand",
-        lanes: &[(1, 1.0, 5), (2, 1.0, 500)],
+        flows: &[(1, 1.0, 5), (2, 1.0, 500)],
         taken: 10,
-        first: 4..=5,
+        first_count: 4..=5,
     },
-    ShareCase {
+    WeightCase {
         name: "a double share",
-        lanes: &[(1, 2.0, 500), (2, 1.0, 500)],
+        flows: &[(1, 2.0, 500), (2, 1.0, 500)],
         taken: 300,
-        first: 199..=201,
+        first_count: 199..=201,
     },
-    ShareCase { name: "alone", lanes: &[(1, 0.1, 50)], taken: 50, first: 50..=50 },
-    ShareCase {
+    WeightCase { name: "alone", flows: &[(1, 0.1, 50)], taken: 50, first_count: 50..=50 },
+    WeightCase {
         name: "three organisations",
-        lanes: &[(1, 1.0, 100), (2, 1.0, 100), (3, 1.0, 100)],
+        flows: &[(1, 1.0, 100), (2, 1.0, 100), (3, 1.0, 100)],
         taken: 99,
-        first: 32..=34,
+        first_count: 32..=34,
     },
 ];
 
 #[test]
-fn organisations_are_served_by_their_shares() {
-    for case in SHARES {
+fn organisations_are_served_by_their_weights() {
+    for case in WEIGHTS {
         let mut queue = FairQueue::default();
-        for (organisation, share, count) in case.lanes {
+        for (organisation, weight, count) in case.flows {
             for number in 0..*count {
-                queue.push(item(*organisation, *share, number), u32::MAX).expect("no limit");
+                queue.push(item(*organisation, *weight, number), u32::MAX).expect("no limit");
             }
         }
         let taken: Vec<Item> = (0..case.taken).filter_map(|_| queue.pop_ready(|_| true)).collect();
-        let first = taken.iter().filter(|item| item.organisation == case.lanes[0].0).count();
-        assert!(case.first.contains(&first), "{}: {first}", case.name);
+        let first_count = taken.iter().filter(|item| item.organisation == case.flows[0].0).count();
+        assert!(case.first_count.contains(&first_count), "{}: {first_count}", case.name);
     }
 }
 
 #[test]
-fn an_organisation_that_was_idle_has_saved_nothing_up() {
+fn an_idle_organisation_accumulates_no_credit() {
     let mut queue = FairQueue::default();
     for number in 0..1000 {
         queue.push(item(1, 1.0, number), u32::MAX).expect("no limit");
@@ -89,18 +89,18 @@
         queue.push(item(2, 1.0, number), u32::MAX).expect("no limit");
     }
     let next: Vec<Item> = (0..100).filter_map(|_| queue.pop_ready(|_| true)).collect();
-    let late = next.iter().filter(|item| item.organisation == 2).count();
-    assert!((49..=51).contains(&late), "{late}");
+    let late_count = next.iter().filter(|item| item.organisation == 2).count();
+    assert!((49..=51).contains(&late_count), "{late_count}");
 }
 
 #[test]
-fn a_full_lane_refuses_and_leaves_the_others_alone() {
+fn a_full_flow_rejects_items_and_others_still_accept_them() {
     let mut queue = FairQueue::default();
     for number in 0..3 {
         queue.push(item(1, 1.0, number), 3).expect("room for three");
     }
-    let (back, error) = queue.push(item(1, 1.0, 3), 3).expect_err("the lane is full");
-    assert_eq!((back.number, error.queued), (3, 3));
+    let (rejected, error) = queue.push(item(1, 1.0, 3), 3).expect_err("the lane is full");
+    assert_eq!((rejected.number, error.queued), (3, 3));
     queue.push(item(2, 1.0, 0), 3).expect("another lane has room");
 }
 
@@ -114,29 +114,29 @@
 
     /// Nothing is lost or doubled, and an organisation's own items keep their order.
     #[test]
-    fn a_queue_gives_back_what_it_took(
+    fn a_queue_returns_every_item_once_and_in_order(
         items in prop::collection::vec((0..5u32, 1..40u32), 0..120),
         drained in 0..5u32,
     ) {
         let mut queue = FairQueue::default();
-        for (number, (organisation, share)) in (0..).zip(&items) {
-            let item = item(*organisation, f64::from(*share) / 10.0, number);
+        for (number, (organisation, weight)) in (0..).zip(&items) {
+            let item = item(*organisation, f64::from(*weight) / 10.0, number);
             queue.push(item, u32::MAX).expect("no limit");
         }
-        let mut seen = queue.drain_where(|item| item.organisation == drained);
+        let mut popped = queue.drain_where(|item| item.organisation == drained);
         prop_assert!(queue.iter().all(|item| item.organisation != drained));
         while let Some(item) = queue.pop_ready(|_| true) {
-            let earlier = seen.iter().filter(|known| known.organisation == item.organisation);
+            let earlier = popped.iter().filter(|known| known.organisation == item.organisation);
             prop_assert!(earlier.clone().all(|known| known.number < item.number));
-            seen.push(item);
+            popped.push(item);
         }
         prop_assert!(queue.is_empty());
-        prop_assert_eq!(seen.len(), items.len());
+        prop_assert_eq!(popped.len(), items.len());
     }
 }
 
 #[test]
-fn retries_stay_a_share_of_the_tries_whatever_fails() {
+fn retries_stay_a_fixed_fraction_of_first_attempts() {
     let mut budget = RetryBudget::default();
     let mut taken = 0;
     for millis in 0..20_000u64 {
--- a/crates/core/tests/organisations.rs
+++ b/crates/core/tests/organisations.rs
@@ -16,47 +16,47 @@
     keys.iter().map(|key| KeyDigest::of(key.as_bytes())).collect()
 }
 
-fn shown(key: &str) -> PresentedKey {
+fn presented(key: &str) -> PresentedKey {
     PresentedKey::from_values([key.as_bytes()].into_iter())
 }
 
-struct HolderCase {
+struct OwnerCase {
     name: &'static str,
     key: PresentedKey,
-    holder: Result<&'static str, KeyError>,
+    owner: Result<&'static str, KeyError>,
 }
 
 #[test]
-fn a_key_leads_to_the_one_organisation_that_lists_it() {
+fn a_key_identifies_the_one_organisation_that_lists_it() {
     let mut directory = OrganisationDirectory::default();
     directory.insert(organisation("north"), digests(&["n1", "n2", "n1", "all"]));
     directory.insert(organisation("south"), digests(&["s1", "both", "all"]));
     directory.insert(organisation("west"), digests(&["both", "all"]));
     directory.insert(organisation("keyless"), digests(&[]));
     let cases = [
-        HolderCase { name: "a key", key: shown("n2"), holder: Ok("north") },
-        HolderCase { name: "listed twice by one", key: shown("n1"), holder: Ok("north") },
-        HolderCase { name: "of the second", key: shown("s1"), holder: Ok("south") },
-        HolderCase { name: "of two", key: shown("both"), holder: Err(KeyError::Unknown) },
-        HolderCase { name: "of three", key: shown("all"), holder: Err(KeyError::Unknown) },
-        HolderCase { name: "of nobody", key: shown("x"), holder: Err(KeyError::Unknown) },
-        HolderCase { name: "empty", key: shown(""), holder: Err(KeyError::Unreadable) },
-        HolderCase { name: "none", key: PresentedKey::Missing, holder: Err(KeyError::Missing) },
+        OwnerCase { name: "a key", key: presented("n2"), owner: Ok("north") },
+        OwnerCase { name: "listed twice by one", key: presented("n1"), owner: Ok("north") },
+        OwnerCase { name: "of the second", key: presented("s1"), owner: Ok("south") },
+        OwnerCase { name: "of two", key: presented("both"), owner: Err(KeyError::Unknown) },
+        OwnerCase { name: "of three", key: presented("all"), owner: Err(KeyError::Unknown) },
+        OwnerCase { name: "of nobody", key: presented("x"), owner: Err(KeyError::Unknown) },
+        OwnerCase { name: "empty", key: presented(""), owner: Err(KeyError::Unreadable) },
+        OwnerCase { name: "none", key: PresentedKey::Missing, owner: Err(KeyError::Missing) },
     ];
     for case in cases {
-        let holder = directory.identify(&case.key).map(|entry| entry.name.to_string());
-        assert_eq!(holder, case.holder.map(ToOwned::to_owned), "{}", case.name);
+        let owner = directory.identify(&case.key).map(|entry| entry.name.to_string());
+        assert_eq!(owner, case.owner.map(ToOwned::to_owned), "{}", case.name);
     }
     assert_eq!(directory.ambiguous_keys().len(), 2);
 }
 
 #[test]
-fn no_key_is_shown_by_what_holds_it() {
+fn keys_never_appear_in_debug_output_or_errors() {
     let secret = "asnmgkcuyj8pjbvk9m68";
     let mut directory = OrganisationDirectory::default();
     directory.insert(organisation("north"), digests(&[secret]));
-    let key = shown(secret);
-    let error = directory.identify(&shown("x")).expect_err("an unknown key");
+    let key = presented(secret);
+    let error = directory.identify(&presented("x")).expect_err("an unknown key");
     for text in [format!("{directory:?}"), format!("{key:?}"), format!("{error} {error:?}")] {
         assert!(!text.contains(secret), "{text}");
     }
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn requests_count_by_the_unit_of_the_quota() {
+fn requests_are_charged_in_the_unit_of_the_quota() {
     let cases = [
         CostCase { unit: QuotaUnit::Requests, tokens: Some(1540), cost: 1 },
         CostCase { unit: QuotaUnit::Requests, tokens: None, cost: 1 },
--- a/crates/core/tests/quarantine/main.rs
+++ b/crates/core/tests/quarantine/main.rs
@@ -1,96 +1,113 @@
 //! Requests under which engines end: how many engines they take, who suffers beside them, and the ways that were compared.
 
-mod book;
-mod play;
 #[path = "../random/mod.rs"]
 mod random;
+mod simulation;
+mod tracker;
 
 use reelreel_core::fleet::quarantine::CRASHES_UNTIL_QUARANTINED;
 
-use play::{HoldWay, Outcome, Sharing, Storm, play};
+use simulation::{Outcome, QuarantineStrategy, Sharing, Workload, simulate};
 
 const SEEDS: [u64; 9] = [0x51, 0x52, 0x53, 0x54, 0x55, 0x56, 0x57, 0x58, 0x59];
 
-const KEPT: HoldWay = HoldWay {
+const PRODUCTION: QuarantineStrategy = QuarantineStrategy {
     name: "told, two ends",
-    sharing: Sharing::Told,
-    ends_until_held: CRASHES_UNTIL_QUARANTINED,
+    sharing: Sharing::Fleet,
+    crashes_until_quarantined: CRASHES_UNTIL_QUARANTINED,
 };
 
-const WAYS: &[HoldWay] = &[
-    HoldWay { name: "nothing remembered", sharing: Sharing::None, ..KEPT },
-    HoldWay { name: "each host for itself", sharing: Sharing::OwnOnly, ..KEPT },
-    HoldWay { name: "told, three ends", ends_until_held: 3, ..KEPT },
-    KEPT,
+const STRATEGIES: &[QuarantineStrategy] = &[
+    QuarantineStrategy { name: "nothing remembered", sharing: Sharing::Disabled, ..PRODUCTION },
+    QuarantineStrategy { name: "each host for itself", sharing: Sharing::PerHost, ..PRODUCTION },
+    QuarantineStrategy { name: "told, three ends", crashes_until_quarantined: 3, ..PRODUCTION },
+    PRODUCTION,
 ];
 
-const USUAL: Storm = Storm {
+const BASELINE: Workload = Workload {
     name: "twelve engines, seven hosts",
     hosts: 7,
     engines: 12,
     rate: 80.0,
-    bad: 1,
-    bad_rate: 3.0,
-    one_holder: true,
-    most_ended: 5,
-    crashes: None,
-    bodies: 0,
+    poison_requests: 1,
+    poison_rate: 3.0,
+    single_resident: true,
+    max_crashes: 5,
+    independent_crashes: None,
+    distinct_bodies: 0,
 };
 
-const STORMS: &[Storm] = &[
-    USUAL,
-    Storm { name: "ten times a second", bad_rate: 10.0, ..USUAL },
-    Storm { name: "any engine", bad_rate: 10.0, one_holder: false, most_ended: 10, ..USUAL },
-    Storm { name: "three bad requests", bad: 3, most_ended: 14, ..USUAL },
-    Storm { name: "twenty bad requests", bad: 20, bad_rate: 1.0, most_ended: 60, ..USUAL },
-    Storm {
+const POISON_WORKLOADS: &[Workload] = &[
+    BASELINE,
+    Workload { name: "ten times a second", poison_rate: 10.0, ..BASELINE },
+    Workload {
+        name: "any engine",
+        poison_rate: 10.0,
+        single_resident: false,
+        max_crashes: 10,
+        ..BASELINE
+    },
+    Workload { name: "three bad requests", poison_requests: 3, max_crashes: 14, ..BASELINE },
+    Workload {
+        name: "twenty bad requests",
+        poison_requests: 20,
+        poison_rate: 1.0,
+        max_crashes: 60,
+        ..BASELINE
+    },
+    Workload {
         name: "300 hosts, 300 engines",
         hosts: 300,
         engines: 300,
         rate: 1500.0,
-        bad_rate: 20.0,
-        ..USUAL
+        poison_rate: 20.0,
+        ..BASELINE
     },
 ];
 
 /// Loads without a bad request: engines end for reasons of their own, a few together every four seconds.
-const CALM: &[Storm] = &[
-    Storm { name: "engines crash, own bodies", bad: 0, crashes: Some((4000, 3)), ..USUAL },
-    Storm {
+const CRASH_ONLY_WORKLOADS: &[Workload] = &[
+    Workload {
+        name: "engines crash, own bodies",
+        poison_requests: 0,
+        independent_crashes: Some((4000, 3)),
+        ..BASELINE
+    },
+    Workload {
         name: "engines crash, ten bodies",
-        bad: 0,
-        crashes: Some((4000, 3)),
-        bodies: 10,
-        ..USUAL
+        poison_requests: 0,
+        independent_crashes: Some((4000, 3)),
+        distinct_bodies: 10,
+        ..BASELINE
     },
-    Storm {
+    Workload {
         name: "two of three crash, one body",
         engines: 3,
-        bad: 0,
-        crashes: Some((4000, 2)),
-        bodies: 1,
-        ..USUAL
+        poison_requests: 0,
+        independent_crashes: Some((4000, 2)),
+        distinct_bodies: 1,
+        ..BASELINE
     },
-    Storm {
+    Workload {
         name: "all crash, one body",
         engines: 3,
-        bad: 0,
-        crashes: Some((4000, 3)),
-        bodies: 1,
-        ..USUAL
+        poison_requests: 0,
+        independent_crashes: Some((4000, 3)),
+        distinct_bodies: 1,
+        ..BASELINE
     },
 ];
 
-fn all(storm: &Storm, way: &HoldWay) -> Vec<Outcome> {
-    SEEDS.iter().map(|seed| play(storm, way, *seed)).collect()
+fn all(workload: &Workload, strategy: &QuarantineStrategy) -> Vec<Outcome> {
+    SEEDS.iter().map(|seed| simulate(workload, strategy, *seed)).collect()
 }
 
 fn sum(outcomes: &[Outcome], of: fn(&Outcome) -> u32) -> u32 {
     outcomes.iter().map(of).sum()
 }
 
-fn median_ended(outcomes: &[Outcome]) -> u32 {
-    let mut values: Vec<u32> = outcomes.iter().map(|outcome| outcome.ended).collect();
+fn median_crashes(outcomes: &[Outcome]) -> u32 {
+    let mut values: Vec<u32> = outcomes.iter().map(|outcome| outcome.crashed_engines).collect();
     values.sort_unstable();
     values[values.len() / 2]
 }
@@ -98,16 +115,22 @@
 /// Nothing remembered, one bad request three times a second ended 76 engines of twelve in 40 seconds, and 2,527 of 28,923
 /// innocent requests failed with them.
 #[test]
-fn a_storm_of_bad_requests_ends_few_engines_and_holds_nobody_else_back() {
-    for storm in STORMS {
+fn poison_requests_crash_few_engines_and_no_healthy_request_is_quarantined() {
+    for workload in POISON_WORKLOADS {
         for seed in SEEDS {
-            let outcome = play(storm, &KEPT, seed);
-            let name = storm.name;
-            assert!(outcome.ended <= storm.most_ended, "{name}, seed {seed:x}: {outcome:?}");
+            let outcome = simulate(workload, &PRODUCTION, seed);
+            let name = workload.name;
+            assert!(
+                outcome.crashed_engines <= workload.max_crashes,
+                "{name}, seed {seed:x}: {outcome:?}"
+            );
             assert!(outcome.late_runs <= 3, "{name}, seed {seed:x}: {outcome:?}");
-            assert_eq!(outcome.held, 0, "{name}, seed {seed:x}: {outcome:?}");
-            let known = outcome.known_after.is_some_and(|millis| millis <= 3000);
-            assert!(known || !outcome.third_ended, "{name}, seed {seed:x}: {outcome:?}");
+            assert_eq!(outcome.quarantined, 0, "{name}, seed {seed:x}: {outcome:?}");
+            let detected_in_time = outcome.detected_after.is_some_and(|millis| millis <= 3000);
+            assert!(
+                detected_in_time || !outcome.reached_third_crash,
+                "{name}, seed {seed:x}: {outcome:?}"
+            );
         }
     }
 }
@@ -115,15 +138,19 @@
 /// Requests with a body of their own are never held back for engines that end by themselves, and where the same bodies come
 /// again and again few are.
 #[test]
-fn engines_that_end_by_themselves_make_nobody_suffer() {
-    for storm in CALM {
-        let (kept, before) = (all(storm, &KEPT), all(storm, &WAYS[0]));
-        let innocents = f64::from(sum(&kept, |outcome| outcome.innocents));
+fn independent_crashes_fail_few_requests() {
+    for workload in CRASH_ONLY_WORKLOADS {
+        let (production, disabled) = (all(workload, &PRODUCTION), all(workload, &STRATEGIES[0]));
+        let healthy_requests = f64::from(sum(&production, |outcome| outcome.healthy_requests));
         let failed = |outcomes: &[Outcome]| f64::from(sum(outcomes, |outcome| outcome.failed));
-        let more = (failed(&kept) - failed(&before)) / innocents;
-        assert!(more <= 0.015, "{}: {more} more of all requests fail", storm.name);
-        if storm.bodies == 0 {
-            assert_eq!(sum(&kept, |outcome| outcome.held), 0, "{}", storm.name);
+        let extra_failures = (failed(&production) - failed(&disabled)) / healthy_requests;
+        assert!(
+            extra_failures <= 0.015,
+            "{}: {extra_failures} more of all requests fail",
+            workload.name
+        );
+        if workload.distinct_bodies == 0 {
+            assert_eq!(sum(&production, |outcome| outcome.quarantined), 0, "{}", workload.name);
         }
     }
 }
@@ -131,27 +158,34 @@
 /// A host that counts for itself meets the same request too seldom, and with three ends in a row instead of two more innocent
 /// requests fail; `--nocapture` prints all figures.
 #[test]
-fn the_other_ways_end_more_engines() {
+fn other_strategies_crash_more_engines() {
     println!("| load | way | engines ended, median | innocent requests | failed | held | words |");
-    for storm in STORMS.iter().chain(CALM) {
-        let ways: Vec<Vec<Outcome>> = WAYS.iter().map(|way| all(storm, way)).collect();
-        for (way, outcomes) in WAYS.iter().zip(&ways) {
+    for workload in POISON_WORKLOADS.iter().chain(CRASH_ONLY_WORKLOADS) {
+        let results: Vec<Vec<Outcome>> =
+            STRATEGIES.iter().map(|strategy| all(workload, strategy)).collect();
+        for (strategy, outcomes) in STRATEGIES.iter().zip(&results) {
             println!(
                 "| {} | {} | {} | {} | {} | {} | {} |",
-                storm.name,
-                way.name,
-                median_ended(outcomes),
-                sum(outcomes, |outcome| outcome.innocents),
+                workload.name,
+                strategy.name,
+                median_crashes(outcomes),
+                sum(outcomes, |outcome| outcome.healthy_requests),
                 sum(outcomes, |outcome| outcome.failed),
-                sum(outcomes, |outcome| outcome.held),
-                outcomes.iter().map(|outcome| outcome.words).sum::<usize>(),
+                sum(outcomes, |outcome| outcome.quarantined),
+                outcomes.iter().map(|outcome| outcome.reports).sum::<usize>(),
             );
         }
-        let [nothing, own, three, kept] = &ways[..] else { panic!("four ways") };
-        if storm.bad > 0 {
-            assert!(median_ended(nothing) > 2 * median_ended(kept), "{}", storm.name);
-            assert!(median_ended(own) > 2 * median_ended(kept), "{}", storm.name);
-            assert!(median_ended(three) > median_ended(kept), "{}", storm.name);
+        let [disabled, per_host, three_crashes, production] = &results[..] else {
+            panic!("four ways")
+        };
+        if workload.poison_requests > 0 {
+            assert!(median_crashes(disabled) > 2 * median_crashes(production), "{}", workload.name);
+            assert!(median_crashes(per_host) > 2 * median_crashes(production), "{}", workload.name);
+            assert!(
+                median_crashes(three_crashes) > median_crashes(production),
+                "{}",
+                workload.name
+            );
         }
     }
 }
--- a/crates/core/tests/quotas/main.rs
+++ b/crates/core/tests/quotas/main.rs
@@ -1,17 +1,17 @@
 //! Quotas that hosts grant together: never beyond the operator's bound, and hardly anything refused below
 //! it, compared with two other ways on the same requests.
 
-mod play;
 #[path = "../random/mod.rs"]
 mod random;
 mod scenario;
-mod ways;
+mod simulation;
+mod strategies;
 
 use proptest::{prelude::*, test_runner::RngSeed};
 
-use play::{Outcome, play};
-use scenario::{RESTART_SCENARIOS, SCENARIOS, SILENT_SCENARIOS, Scenario, Spread, USUAL};
-use ways::{EqualParts, GrantWay, LentBudgets, ToldSums};
+use scenario::{BASELINE, RESTART_SCENARIOS, SCENARIOS, SILENT_SCENARIOS, Scenario, Spread};
+use simulation::{Outcome, simulate};
+use strategies::{EqualShares, GrantStrategy, LeasedBudgets, LedgerQuotas};
 
 const SEEDS: [u64; 3] = [0x5eed_0001, 0x5eed_0002, 0x5eed_0003];
 
@@ -19,10 +19,10 @@
 fn no_load_gets_more_than_the_bound_or_much_less_than_the_quota() {
     for scenario in SCENARIOS {
         for seed in SEEDS {
-            let outcome = play(scenario, &mut ToldSums::new(scenario.hosts), seed);
+            let outcome = simulate(scenario, &mut LedgerQuotas::new(scenario.hosts), seed);
             let name = scenario.name;
             assert!(outcome.worst_window <= 1.0, "{name}, seed {seed:x}: {outcome:?}");
-            assert!(outcome.refused <= scenario.most_refused, "{name}, seed {seed:x}: {outcome:?}");
+            assert!(outcome.refused <= scenario.max_refused, "{name}, seed {seed:x}: {outcome:?}");
         }
     }
 }
@@ -34,18 +34,18 @@
 fn hosts_that_start_again_or_fall_silent_keep_the_quotas() {
     for scenario in RESTART_SCENARIOS.iter().chain(SILENT_SCENARIOS) {
         for seed in SEEDS {
-            let outcome = play(scenario, &mut ToldSums::new(scenario.hosts), seed);
+            let outcome = simulate(scenario, &mut LedgerQuotas::new(scenario.hosts), seed);
             let name = scenario.name;
             println!("{name}, seed {seed:x}: {outcome:?}");
             assert!(outcome.worst_window <= 1.0, "{name}, seed {seed:x}: {outcome:?}");
-            assert!(outcome.refused <= scenario.most_refused, "{name}, seed {seed:x}: {outcome:?}");
+            assert!(outcome.refused <= scenario.max_refused, "{name}, seed {seed:x}: {outcome:?}");
         }
     }
 }
 
 /// Plays a scenario with each seed; returns the mean part that was refused and the worst window of all.
-fn play_all(scenario: &Scenario, way: fn(usize) -> Box<dyn GrantWay>) -> Outcome {
-    let outcomes = SEEDS.map(|seed| play(scenario, &mut *way(scenario.hosts), seed));
+fn simulate_all(scenario: &Scenario, strategy: fn(usize) -> Box<dyn GrantStrategy>) -> Outcome {
+    let outcomes = SEEDS.map(|seed| simulate(scenario, &mut *strategy(scenario.hosts), seed));
     Outcome {
         refused: outcomes.iter().map(|outcome| outcome.refused).sum::<f64>() / SEEDS.len() as f64,
         worst_window: outcomes.iter().map(|outcome| outcome.worst_window).fold(0.0, f64::max),
@@ -54,19 +54,26 @@
 
 /// With equal parts most lie idle, and budgets that are lent come too late; `--nocapture` prints all figures.
 #[test]
-fn equal_parts_and_lent_budgets_refuse_more_of_what_is_allowed() {
+fn equal_shares_and_leased_budgets_refuse_more_of_the_quota() {
     println!("| load | equal parts | lent budgets | told sums |");
     for scenario in SCENARIOS {
-        let equal = play_all(scenario, |hosts| Box::new(EqualParts { levels: vec![0.0; hosts] }));
-        let lent = play_all(scenario, |hosts| Box::new(LentBudgets::new(hosts)));
-        let told = play_all(scenario, |hosts| Box::new(ToldSums::new(hosts)));
+        let equal =
+            simulate_all(scenario, |hosts| Box::new(EqualShares { levels: vec![0.0; hosts] }));
+        let leased = simulate_all(scenario, |hosts| Box::new(LeasedBudgets::new(hosts)));
+        let ledger = simulate_all(scenario, |hosts| Box::new(LedgerQuotas::new(hosts)));
         let cell =
             |outcome: &Outcome| format!("{:.3}, {:.2}", outcome.refused, outcome.worst_window);
-        println!("| {} | {} | {} | {} |", scenario.name, cell(&equal), cell(&lent), cell(&told));
+        println!(
+            "| {} | {} | {} | {} |",
+            scenario.name,
+            cell(&equal),
+            cell(&leased),
+            cell(&ledger)
+        );
         if matches!(scenario.name, "uneven" | "moving" | "small and uneven" | "370 hosts") {
-            let least = told.refused + 0.1;
-            assert!(equal.refused > least, "{}: equal parts, {equal:?}", scenario.name);
-            assert!(lent.refused > least, "{}: lent budgets, {lent:?}", scenario.name);
+            let threshold = ledger.refused + 0.1;
+            assert!(equal.refused > threshold, "{}: equal parts, {equal:?}", scenario.name);
+            assert!(leased.refused > threshold, "{}: lent budgets, {leased:?}", scenario.name);
         }
     }
 }
@@ -84,15 +91,15 @@
         seed in 1..u64::MAX,
         hosts in 6..80_usize,
         rate in 2000.0..400_000.0_f64,
-        hot in 0.5..4.2_f64,
-        cut in (2000..9000_u64, 500..9000_u64),
-        lost in (2000..9000_u64, 100..3000_u64),
+        peak in 0.5..4.2_f64,
+        partition in (2000..9000_u64, 500..9000_u64),
+        ledger_loss in (2000..9000_u64, 100..3000_u64),
         kind in 0..3_u8,
     ) {
         let spread = [Spread::Even, Spread::Uneven, Spread::Moving][usize::from(kind)];
-        let demand: &'static [(u64, f64)] = match hot {
-            hot if hot < 1.5 => &[(0, 0.55), (4000, 1.2)],
-            hot if hot < 2.5 => &[(0, 0.55), (4000, 2.2)],
+        let demand: &'static [(u64, f64)] = match peak {
+            peak if peak < 1.5 => &[(0, 0.55), (4000, 1.2)],
+            peak if peak < 2.5 => &[(0, 0.55), (4000, 2.2)],
             _ => &[(0, 0.55), (4000, 3.3)],
         };
         let scenario = Scenario {
@@ -100,11 +107,11 @@
             rate,
             demand,
             spread,
-            cut: kind.is_multiple_of(2).then_some((cut.0, cut.0 + cut.1)),
-            ledger_lost: (kind == 1).then_some((lost.0, lost.0 + lost.1)),
-            ..USUAL
+            partition: kind.is_multiple_of(2).then_some((partition.0, partition.0 + partition.1)),
+            ledger_lost: (kind == 1).then_some((ledger_loss.0, ledger_loss.0 + ledger_loss.1)),
+            ..BASELINE
         };
-        let outcome = play(&scenario, &mut ToldSums::new(hosts), seed);
+        let outcome = simulate(&scenario, &mut LedgerQuotas::new(hosts), seed);
         prop_assert!(outcome.worst_window <= 1.0, "{:?}", outcome);
     }
 }
--- a/crates/core/tests/quotas/scenario.rs
+++ b/crates/core/tests/quotas/scenario.rs
@@ -11,10 +11,10 @@
     QuotaTolerance { window: Duration::from_secs(8), overage: 0.1, extra: 11_000.0 };
 
 /// What one request counts. Unit: tokens.
-pub(crate) const COST: u64 = 1500;
+pub(crate) const REQUEST_COST: u64 = 1500;
 
 /// How long a host that is cut off from all goes on serving: what the operator gives withdrawn keys.
-pub(crate) const CUT_SERVES: u64 = 5000;
+pub(crate) const PARTITION_GRACE_MS: u64 = 5000;
 
 pub(crate) const fn at(millis: u64) -> ClockMillis {
     ClockMillis::from_millis(millis + 1)
@@ -45,107 +45,118 @@
     pub(crate) demand: &'static [(u64, f64)],
     pub(crate) spread: Spread,
     /// From when to when a third of the hosts is cut off from all others.
-    pub(crate) cut: Option<(u64, u64)>,
+    pub(crate) partition: Option<(u64, u64)>,
     /// How long after the cut the ledger's host notices that these hosts are silent. Unit: milliseconds.
-    pub(crate) silence_noticed: u64,
+    pub(crate) silence_noticed_after: u64,
     /// When the ledger's host is lost, for how long nobody keeps one.
     pub(crate) ledger_lost: Option<(u64, u64)>,
     /// Whether another host takes the ledger over every two seconds, knowing nothing.
-    pub(crate) ledger_moves: bool,
+    pub(crate) ledger_moves_often: bool,
     /// When all hosts begin anew, knowing nothing, and the ledger with them.
-    pub(crate) restarts: &'static [u64],
+    pub(crate) restart_times: &'static [u64],
     /// When the limit is halved.
     pub(crate) halved: Option<u64>,
     /// The most of what the quota allows that may be refused.
-    pub(crate) most_refused: f64,
+    pub(crate) max_refused: f64,
 }
 
-pub(crate) const USUAL: Scenario = Scenario {
+pub(crate) const BASELINE: Scenario = Scenario {
     name: "even, half of the limit",
     hosts: 72,
     rate: 230_000.0,
     demand: &[(0, 0.55)],
     spread: Spread::Even,
-    cut: None,
-    silence_noticed: 0,
+    partition: None,
+    silence_noticed_after: 0,
     ledger_lost: None,
-    ledger_moves: false,
-    restarts: &[],
+    ledger_moves_often: false,
+    restart_times: &[],
     halved: None,
-    most_refused: 0.005,
+    max_refused: 0.005,
 };
 
 pub(crate) const SCENARIOS: &[Scenario] = &[
-    USUAL,
-    Scenario { name: "uneven", spread: Spread::Uneven, ..USUAL },
-    Scenario { name: "moving", spread: Spread::Moving, ..USUAL },
-    Scenario { name: "near the limit", demand: &[(0, 0.95)], most_refused: 0.03, ..USUAL },
+    BASELINE,
+    Scenario { name: "uneven", spread: Spread::Uneven, ..BASELINE },
+    Scenario { name: "moving", spread: Spread::Moving, ..BASELINE },
+    Scenario { name: "near the limit", demand: &[(0, 0.95)], max_refused: 0.03, ..BASELINE },
     Scenario {
         name: "small and uneven",
         rate: 2700.0,
         spread: Spread::Uneven,
-        most_refused: 0.04,
-        ..USUAL
+        max_refused: 0.04,
+        ..BASELINE
     },
     Scenario {
         name: "six times the usual at once",
         demand: &[(0, 0.55), (5000, 3.3), (13_000, 0.55)],
-        most_refused: 0.08,
-        ..USUAL
+        max_refused: 0.08,
+        ..BASELINE
     },
     Scenario {
         name: "six times the usual, uneven and moving",
         demand: &[(0, 0.55), (5000, 3.3), (13_000, 0.55)],
         spread: Spread::Moving,
-        most_refused: 0.12,
-        ..USUAL
+        max_refused: 0.12,
+        ..BASELINE
     },
     Scenario {
         name: "six times the usual of a small one",
         rate: 2700.0,
         demand: &[(0, 0.55), (5000, 3.3), (13_000, 0.55)],
-        most_refused: 0.12,
-        ..USUAL
+        max_refused: 0.12,
+        ..BASELINE
+    },
+    Scenario {
+        name: "a hall cut off",
+        partition: Some((6000, 13_000)),
+        max_refused: 0.05,
+        ..BASELINE
     },
-    Scenario { name: "a hall cut off", cut: Some((6000, 13_000)), most_refused: 0.05, ..USUAL },
     Scenario {
         name: "six times the usual, then a hall cut off",
         demand: &[(0, 0.55), (5000, 3.3)],
-        cut: Some((7000, 14_000)),
-        most_refused: 0.15,
-        ..USUAL
+        partition: Some((7000, 14_000)),
+        max_refused: 0.15,
+        ..BASELINE
     },
     Scenario {
         name: "a hall cut off, then six times the usual",
         demand: &[(0, 0.55), (7500, 3.3)],
-        cut: Some((7000, 14_000)),
-        most_refused: 0.15,
-        ..USUAL
+        partition: Some((7000, 14_000)),
+        max_refused: 0.15,
+        ..BASELINE
     },
     Scenario {
         name: "the ledger lost",
         spread: Spread::Uneven,
         ledger_lost: Some((6000, 9000)),
-        most_refused: 0.08,
-        ..USUAL
+        max_refused: 0.08,
+        ..BASELINE
     },
     Scenario {
         name: "the ledger lost under six times the usual",
         demand: &[(0, 0.55), (5000, 3.3)],
         ledger_lost: Some((7000, 10_000)),
-        most_refused: 0.2,
-        ..USUAL
+        max_refused: 0.2,
+        ..BASELINE
     },
-    Scenario { name: "the ledger moves", ledger_moves: true, most_refused: 0.05, ..USUAL },
+    Scenario { name: "the ledger moves", ledger_moves_often: true, max_refused: 0.05, ..BASELINE },
     Scenario {
         name: "the ledger moves under six times the usual",
         demand: &[(0, 3.3)],
-        ledger_moves: true,
-        most_refused: 0.25,
-        ..USUAL
+        ledger_moves_often: true,
+        max_refused: 0.25,
+        ..BASELINE
+    },
+    Scenario {
+        name: "370 hosts",
+        hosts: 370,
+        spread: Spread::Uneven,
+        max_refused: 0.01,
+        ..BASELINE
     },
-    Scenario { name: "370 hosts", hosts: 370, spread: Spread::Uneven, most_refused: 0.01, ..USUAL },
-    Scenario { name: "the limit halved", halved: Some(9000), most_refused: 0.08, ..USUAL },
+    Scenario { name: "the limit halved", halved: Some(9000), max_refused: 0.08, ..BASELINE },
 ];
 
 /// Loads while hosts begin anew.
@@ -153,25 +164,25 @@
     Scenario {
         name: "all killed under six times the usual",
         demand: &[(0, 0.55), (5000, 3.3)],
-        restarts: &[7000],
+        restart_times: &[7000],
         ledger_lost: Some((7000, 8500)),
-        most_refused: 0.15,
-        ..USUAL
+        max_refused: 0.15,
+        ..BASELINE
     },
     Scenario {
         name: "all killed three times under six times the usual",
         demand: &[(0, 0.55), (5000, 3.3)],
-        restarts: &[7000, 9500, 12_000],
-        most_refused: 0.15,
-        ..USUAL
+        restart_times: &[7000, 9500, 12_000],
+        max_refused: 0.15,
+        ..BASELINE
     },
     Scenario {
         name: "all killed near the limit",
         demand: &[(0, 0.95)],
-        restarts: &[7000],
+        restart_times: &[7000],
         ledger_lost: Some((7000, 8500)),
-        most_refused: 0.15,
-        ..USUAL
+        max_refused: 0.15,
+        ..BASELINE
     },
 ];
 
@@ -180,26 +191,26 @@
     Scenario {
         name: "six times the usual, then a hall cut off, noticed after 3 s",
         demand: &[(0, 0.55), (5000, 3.3)],
-        cut: Some((7000, 14_000)),
-        silence_noticed: 3000,
-        most_refused: 0.16,
-        ..USUAL
+        partition: Some((7000, 14_000)),
+        silence_noticed_after: 3000,
+        max_refused: 0.16,
+        ..BASELINE
     },
     Scenario {
         name: "six times the usual, then a hall cut off, not noticed",
         demand: &[(0, 0.55), (5000, 3.3)],
-        cut: Some((9000, 14_000)),
-        silence_noticed: 5000,
-        most_refused: 0.15,
-        ..USUAL
+        partition: Some((9000, 14_000)),
+        silence_noticed_after: 5000,
+        max_refused: 0.15,
+        ..BASELINE
     },
     Scenario {
         name: "eight times the usual of a small one, then a hall cut off, not noticed",
         rate: 2700.0,
         demand: &[(0, 0.55), (5000, 4.4)],
-        cut: Some((9000, 14_000)),
-        silence_noticed: 5000,
-        most_refused: 0.35,
-        ..USUAL
+        partition: Some((9000, 14_000)),
+        silence_noticed_after: 5000,
+        max_refused: 0.35,
+        ..BASELINE
     },
 ];
