--- a/crates/core/src/fleet/limits/events.rs
+++ b/crates/core/src/fleet/limits/events.rs
@@ -36,7 +36,7 @@
         /// The engine.
         engine: EngineName,
         /// How many such answers there were since the last line on them.
-        answers: u64,
+        responses: u64,
     },
 }
 
@@ -56,8 +56,8 @@
     }
 
     /// Forgets what engines said that are listed no more.
-    pub fn retain(&mut self, listed: impl Fn(&str) -> bool) {
-        self.unreadable.retain(|engine, _| listed(engine));
+    pub fn retain(&mut self, is_listed: impl Fn(&str) -> bool) {
+        self.unreadable.retain(|engine, _| is_listed(engine));
     }
 
     /// Returns what is to be logged now, where these engines have these limits.
@@ -88,11 +88,11 @@
             }
         }
         self.logged = still_limited;
-        for (engine, (answers, logged_at)) in &mut self.unreadable {
-            if *answers > 0 && now.since(*logged_at) >= MIN_LOG_INTERVAL {
+        for (engine, (responses, logged_at)) in &mut self.unreadable {
+            if *responses > 0 && now.since(*logged_at) >= MIN_LOG_INTERVAL {
                 *logged_at = now;
-                let (engine, answers) = (Arc::clone(engine), std::mem::take(answers));
-                events.push(LimitEvent::Unreadable { engine, answers });
+                let (engine, responses) = (Arc::clone(engine), std::mem::take(responses));
+                events.push(LimitEvent::Unreadable { engine, responses });
             }
         }
         events
--- a/crates/core/src/fleet/limits/ledger.rs
+++ b/crates/core/src/fleet/limits/ledger.rs
@@ -175,7 +175,7 @@
     }
 
     /// Returns in what time everybody who waits has had a permit of this ledger, which deals a part of the rate.
-    fn wait(&self, fraction: f64) -> Duration {
+    fn expected_wait(&self, fraction: f64) -> Duration {
         let waiting: u32 = self.demands.values().map(HostDemand::waiting).sum();
         let seconds = self.bucket.seconds_until(f64::from(waiting.max(1)), self.rate() * fraction);
         Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX)
@@ -188,7 +188,7 @@
     accounts: BTreeMap<EngineName, LimitAccount>,
     /// Engines for which hosts have asked and that have no account. One that is listed here later than at the host that named its limit
     /// has lost its account, and that host would demand for ever.
-    unknown: BTreeMap<Arc<str>, BTreeSet<EngineName>>,
+    unknown_engines: BTreeMap<Arc<str>, BTreeSet<EngineName>>,
     /// Whether another host may deal permits for the same engines.
     unconfirmed: bool,
 }
@@ -244,7 +244,7 @@
     ) {
         let fraction = self.fraction();
         let Some(account) = self.accounts.get_mut(engine) else {
-            self.unknown.entry(Arc::clone(host)).or_default().insert(Arc::from(engine));
+            self.unknown_engines.entry(Arc::clone(host)).or_default().insert(Arc::from(engine));
             return;
         };
         account.refill(fraction, now);
@@ -270,7 +270,7 @@
 
     /// Takes that a host has subscribed: it counts its permits anew.
     pub fn reset_host(&mut self, host: &str) {
-        self.unknown.remove(host);
+        self.unknown_engines.remove(host);
         for account in self.accounts.values_mut() {
             account.demands.remove(host);
             account.round_robin.retain(|other_host| &**other_host != host);
@@ -285,7 +285,7 @@
             account.refill(fraction, now);
             account.drop_expired_demands(now);
             let mut granted_permits = account.grant_permits();
-            let wait = account.wait(fraction);
+            let wait = account.expected_wait(fraction);
             for (host, demand) in &mut account.demands {
                 let waits = std::mem::take(&mut demand.wait_report_due) && demand.waiting() > 0;
                 let permits = granted_permits.remove(host).unwrap_or_default();
@@ -296,7 +296,7 @@
                 }
             }
         }
-        for (host, engines) in std::mem::take(&mut self.unknown) {
+        for (host, engines) in std::mem::take(&mut self.unknown_engines) {
             let unknown = engines.into_iter().map(|engine| PermitGrant {
                 engine,
                 permits: 0,
--- a/crates/core/src/fleet/quarantine/suspect.rs
+++ b/crates/core/src/fleet/quarantine/suspect.rs
@@ -98,8 +98,8 @@
         {
             return false;
         }
-        let place = self.crashes.partition_point(|other| other.at <= crash.at);
-        self.crashes.insert(place, crash);
+        let index = self.crashes.partition_point(|other| other.at <= crash.at);
+        self.crashes.insert(index, crash);
         if self.crashes.len() > MAX_CRASHES {
             self.crashes.remove(0);
         }
--- a/crates/core/src/fleet/quarantine/tracker.rs
+++ b/crates/core/src/fleet/quarantine/tracker.rs
@@ -157,13 +157,13 @@
     ) {
         for run in runs {
             let crash = SuspectCrash { incarnation, began: run.began, at: now };
-            let previous_crashes = self.crashes(run.mark);
+            let previous_crashes = self.crash_count(run.mark);
             let suspect = self.suspects.entry(run.mark).or_insert_with(|| Suspect::new(now));
             suspect.version = suspect.version.max(run.version);
             suspect.organisation = suspect.organisation.take().or_else(|| run.organisation.clone());
             if suspect.add_crash(crash) {
                 self.pending.insert(run.mark);
-                self.count_crashes(run.mark, previous_crashes, now);
+                self.update_quarantine(run.mark, previous_crashes, now);
             }
         }
         self.evict_excess();
@@ -172,7 +172,7 @@
     /// Applies another host's reports; `is_coordinator` tells whether this host publishes them to all.
     pub fn receive(&mut self, reports: &[SuspectReport], is_coordinator: bool, now: ClockMillis) {
         for report in reports {
-            let previous_crashes = self.crashes(report.mark);
+            let previous_crashes = self.crash_count(report.mark);
             let suspect = self.suspects.entry(report.mark).or_insert_with(|| Suspect::new(now));
             let changed = suspect.merge(report, now);
             if suspect.consecutive_crashes() == 0
@@ -181,7 +181,7 @@
                 self.events.push(QuarantineEvent::Cleared { mark: report.mark });
             }
             self.clear_by_local_run(report.mark);
-            self.count_crashes(report.mark, previous_crashes, now);
+            self.update_quarantine(report.mark, previous_crashes, now);
             if changed && is_coordinator {
                 self.unpublished.insert(report.mark);
             }
@@ -202,8 +202,9 @@
 
     /// Marks everything as pending for another coordinator.
     pub fn resend_all(&mut self) {
-        let known = self.suspects.iter().filter(|(_, suspect)| suspect.consecutive_crashes() > 0);
-        self.pending.extend(known.map(|(mark, _)| *mark));
+        let reportable =
+            self.suspects.iter().filter(|(_, suspect)| suspect.consecutive_crashes() > 0);
+        self.pending.extend(reportable.map(|(mark, _)| *mark));
     }
 
     /// Publishes this host's own pending reports, where it is the coordinator.
@@ -221,8 +222,8 @@
     /// Returns the reports for a new subscriber.
     pub fn snapshot(&self, now: ClockMillis) -> Vec<SuspectReport> {
         let mut marks: Vec<RequestMark> = self.suspects.keys().copied().collect();
-        marks.retain(|mark| self.crashes(*mark) >= CRASHES_UNTIL_PUBLISHED);
-        marks.sort_by_key(|mark| std::cmp::Reverse(self.crashes(*mark)));
+        marks.retain(|mark| self.crash_count(*mark) >= CRASHES_UNTIL_PUBLISHED);
+        marks.sort_by_key(|mark| std::cmp::Reverse(self.crash_count(*mark)));
         marks.truncate(MAX_REPORTS_PER_FRAME);
         self.reports(&marks, now)
     }
@@ -249,7 +250,7 @@
         (suspects, crashes.filter(|crashes| *crashes >= self.crashes_until_quarantined).count())
     }
 
-    fn crashes(&self, mark: RequestMark) -> usize {
+    fn crash_count(&self, mark: RequestMark) -> usize {
         self.suspects.get(&mark).map_or(0, Suspect::consecutive_crashes)
     }
 
@@ -259,7 +260,7 @@
 
     /// Takes that a request ran whole at a moment: the ends before are not its doing, and others hear of it.
     fn clear(&mut self, mark: RequestMark, at: ClockMillis) {
-        let previous_crashes = self.crashes(mark);
+        let previous_crashes = self.crash_count(mark);
         let Some(suspect) = self.suspects.get_mut(&mark) else { return };
         suspect.clear(at);
         self.pending.insert(mark);
@@ -281,7 +282,7 @@
     }
 
     /// Takes that engines ended under a suspect that was known with `before` ends.
-    fn count_crashes(&mut self, mark: RequestMark, previous_crashes: usize, now: ClockMillis) {
+    fn update_quarantine(&mut self, mark: RequestMark, previous_crashes: usize, now: ClockMillis) {
         let Some(suspect) = self.suspects.get_mut(&mark) else { return };
         let crashes = suspect.consecutive_crashes();
         // Whoever adds up next has to tell all that it is cleared, as they were told of the ends.
@@ -303,15 +304,15 @@
     }
 
     fn reports(&self, marks: &[RequestMark], now: ClockMillis) -> Vec<SuspectReport> {
-        let known = marks.iter().filter_map(|mark| Some((*mark, self.suspects.get(mark)?)));
-        known.map(|(mark, suspect)| suspect.report(mark, now)).collect()
+        let reportable = marks.iter().filter_map(|mark| Some((*mark, self.suspects.get(mark)?)));
+        reportable.map(|(mark, suspect)| suspect.report(mark, now)).collect()
     }
 
     /// Keeps the bound on suspects: those under which the fewest engines ended go first, the oldest of them before others,
     /// so that a flood of bad requests drives out its own first.
     fn evict_excess(&mut self) {
-        let surplus = self.suspects.len().saturating_sub(MAX_SUSPECTS);
-        if surplus == 0 {
+        let excess = self.suspects.len().saturating_sub(MAX_SUSPECTS);
+        if excess == 0 {
             return;
         }
         let rank_of = |(mark, suspect): (&RequestMark, &Suspect)| {
@@ -319,7 +320,7 @@
         };
         let mut ranked: Vec<_> = self.suspects.iter().map(rank_of).collect();
         ranked.sort_unstable();
-        for (_, _, mark) in ranked.iter().take(surplus) {
+        for (_, _, mark) in ranked.iter().take(excess) {
             self.suspects.remove(mark);
             self.pending.remove(mark);
             self.unpublished.remove(mark);
--- a/crates/core/src/organisation/ledger.rs
+++ b/crates/core/src/organisation/ledger.rs
@@ -15,7 +15,7 @@
     clock::ClockMillis,
     organisation::{
         OrganisationDirectory, OrganisationName,
-        quota::{QuotaLimit, QuotaTolerance, RecentUse},
+        quota::{QuotaLimit, QuotaTolerance, RecentUsage},
         share::{LOW_LEVEL_FRACTION, QuotaLevel, QuotaUsage},
     },
 };
@@ -31,8 +31,8 @@
 
 /// What one host granted of one organisation's quota lately.
 #[derive(Debug, Clone, Copy, Default)]
-struct HostUse {
-    recent: RecentUse,
+struct HostUsage {
+    recent: RecentUsage,
     /// Until when something is set aside for it, and how much of the rate: it fell silent, but may serve.
     reserved: Option<(ClockMillis, f64)>,
 }
@@ -45,7 +45,7 @@
     level: f64,
     refilled_at: ClockMillis,
     opened_at: ClockMillis,
-    hosts: HashMap<Arc<str>, HostUse>,
+    hosts: HashMap<Arc<str>, HostUsage>,
 }
 
 impl QuotaAccount {
@@ -88,7 +88,7 @@
     /// For how long a host that can not be heard may go on granting.
     partition_grace: Duration,
     /// When each host last said anything, while it counts as one that can be heard.
-    last_heard: HashMap<Arc<str>, ClockMillis>,
+    last_reported: HashMap<Arc<str>, ClockMillis>,
     accounts: BTreeMap<OrganisationName, QuotaAccount>,
     /// Whether accounts open with all that may be saved up.
     opens_full: bool,
@@ -101,33 +101,33 @@
     /// what was granted before opens its first accounts with nothing, unless it `opens_full`: all hosts that were killed
     /// three times within a window granted 1.17 of the bound (simulated).
     pub fn new(tolerance: QuotaTolerance, partition_grace: Duration, opens_full: bool) -> Self {
-        let (last_heard, accounts) = (HashMap::new(), BTreeMap::new());
-        Self { tolerance, partition_grace, last_heard, accounts, opens_full }
+        let (last_reported, accounts) = (HashMap::new(), BTreeMap::new());
+        Self { tolerance, partition_grace, last_reported, accounts, opens_full }
     }
 
     /// Takes the limits of a configuration; what is left under a lower limit is cut down to it.
     pub fn set_limits(&mut self, directory: &OrganisationDirectory, now: ClockMillis) {
-        let mut known = BTreeMap::new();
+        let mut accounts = BTreeMap::new();
         for organisation in directory.organisations() {
             let Some(limit) = organisation.quota else { continue };
             let capacity = self.tolerance.capacity(&limit);
-            let before = self.accounts.remove(&organisation.name);
+            let existing = self.accounts.remove(&organisation.name);
             let level = if self.opens_full { capacity } else { 0.0 };
             let mut account =
-                before.unwrap_or_else(|| QuotaAccount::new(limit, capacity, level, now));
+                existing.unwrap_or_else(|| QuotaAccount::new(limit, capacity, level, now));
             account.refill(now);
             (account.limit, account.capacity) = (limit, capacity);
             account.level = account.level.min(capacity);
-            known.insert(Arc::clone(&organisation.name), account);
+            accounts.insert(Arc::clone(&organisation.name), account);
         }
-        self.accounts = known;
+        self.accounts = accounts;
         // An organisation that comes later has used nothing.
         self.opens_full = true;
     }
 
     /// Takes what a host granted, or that it granted nothing.
     pub fn record_usage(&mut self, host: &Arc<str>, usages: &[QuotaUsage], now: ClockMillis) {
-        if self.last_heard.insert(Arc::clone(host), now).is_none() {
+        if self.last_reported.insert(Arc::clone(host), now).is_none() {
             self.mark_reachable(host, now);
         }
         for usage in usages {
@@ -147,18 +147,18 @@
 
     /// Takes that a host has closed its connection: it stops, or listens to another ledger, and is not cut off.
     pub fn remove_host(&mut self, host: &Arc<str>) {
-        self.last_heard.remove(host);
+        self.last_reported.remove(host);
     }
 
     /// Sets something aside for each host that has said nothing for too long.
     fn mark_timed_out_hosts(&mut self, now: ClockMillis) {
-        let hosts = u32::try_from(self.last_heard.len()).unwrap_or(u32::MAX);
-        let silent = self
-            .last_heard
+        let hosts = u32::try_from(self.last_reported.len()).unwrap_or(u32::MAX);
+        let silent_hosts = self
+            .last_reported
             .iter()
-            .filter(|(_, last_heard)| now.since(**last_heard) >= HOST_TIMEOUT);
-        let silent: Vec<Arc<str>> = silent.map(|(host, _)| Arc::clone(host)).collect();
-        for host in silent {
+            .filter(|(_, last_reported)| now.since(**last_reported) >= HOST_TIMEOUT);
+        let silent_hosts: Vec<Arc<str>> = silent_hosts.map(|(host, _)| Arc::clone(host)).collect();
+        for host in silent_hosts {
             self.mark_unreachable(&host, hosts, now);
         }
     }
@@ -166,7 +166,7 @@
     /// Takes that a host can not be heard any more, though it may go on serving: what it granted lately is
     /// set aside, at least an equal part of each quota.
     pub fn mark_unreachable(&mut self, host: &Arc<str>, hosts: u32, now: ClockMillis) {
-        self.last_heard.remove(host);
+        self.last_reported.remove(host);
         let equal_fraction = 1.0 / f64::from(hosts.max(1));
         let until = now + self.partition_grace.min(self.tolerance.window);
         for account in self.accounts.values_mut() {
--- a/crates/core/src/organisation/quota.rs
+++ b/crates/core/src/organisation/quota.rs
@@ -70,12 +70,12 @@
 
 /// What was used lately, older use counting less.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct RecentUse {
+pub struct RecentUsage {
     sum: f64,
     at: ClockMillis,
 }
 
-impl RecentUse {
+impl RecentUsage {
     /// The time within which use falls to a third of its weight: long enough to hold several requests of a
     /// client, short enough to follow one that moves to another host.
     const TIME_CONSTANT: Duration = Duration::from_secs(1);
--- a/crates/core/src/organisation/share.rs
+++ b/crates/core/src/organisation/share.rs
@@ -16,7 +16,7 @@
     clock::ClockMillis,
     organisation::{
         OrganisationName,
-        quota::{QuotaLimit, QuotaTolerance, RecentUse},
+        quota::{QuotaLimit, QuotaTolerance, RecentUsage},
     },
 };
 
@@ -53,7 +53,7 @@
     pub organisation: OrganisationName,
     /// What it has left; below zero when hosts granted too much. Unit: as its limit counts.
     pub level: f64,
-    /// What all hosts granted lately, as [`RecentUse`] sums it.
+    /// What all hosts granted lately, as [`RecentUsage`] sums it.
     pub used: f64,
 }
 
@@ -73,14 +73,14 @@
 struct LowLevel {
     level: f64,
     /// What other hosts had granted lately.
-    others: f64,
+    used_by_others: f64,
 }
 
 /// What a host knows of one organisation.
 #[derive(Debug, Clone, Default)]
 struct OrganisationShare {
     /// What this host granted lately.
-    recent: RecentUse,
+    recent: RecentUsage,
     /// What it granted since the ledger was last told.
     unreported: f64,
     /// What it granted since the ledger was last heard, as far as the ledger can not know it.
@@ -106,7 +106,7 @@
 pub struct QuotaShare {
     organisations: HashMap<OrganisationName, OrganisationShare>,
     /// When the ledger was last heard.
-    last_heard: Option<ClockMillis>,
+    ledger_received_at: Option<ClockMillis>,
     /// When this host first decided anything, while it has never heard the ledger.
     started_at: Option<ClockMillis>,
     /// Whether nothing was granted before this process began.
@@ -123,7 +123,7 @@
     /// Returns whether a ledger that this host begins to keep may take it that nothing was granted before it knows more: a host that has
     /// heard a ledger hears from others what was left, or nothing was granted at all.
     pub const fn opens_full(&self) -> bool {
-        self.unspent || self.last_heard.is_some()
+        self.unspent || self.ledger_received_at.is_some()
     }
 
     /// Takes what a request counts from what the organisation may use.
@@ -174,22 +174,23 @@
         let capacity = context.tolerance.capacity(context.limit);
         let equal_fraction = 1.0 / f64::from(context.hosts.max(1));
         let share = self.organisations.entry(Arc::clone(organisation)).or_default();
-        let uncoordinated =
-            self.last_heard.is_none_or(|last_heard| now.since(last_heard) >= LEDGER_TIMEOUT);
-        let (fraction, saved, since) = match self.last_heard {
+        let uncoordinated = self
+            .ledger_received_at
+            .is_none_or(|ledger_received_at| now.since(ledger_received_at) >= LEDGER_TIMEOUT);
+        let (fraction, available, since) = match self.ledger_received_at {
             None => {
-                let saved = if self.unspent { capacity } else { 0.0 };
-                ((STARTUP_SHARE_FACTOR * equal_fraction).min(1.0), saved, started_at)
+                let available = if self.unspent { capacity } else { 0.0 };
+                ((STARTUP_SHARE_FACTOR * equal_fraction).min(1.0), available, started_at)
             }
-            Some(last_heard) if now.since(last_heard) >= LEDGER_TIMEOUT => {
+            Some(ledger_received_at) if now.since(ledger_received_at) >= LEDGER_TIMEOUT => {
                 let rate = share.uncoordinated_rate_at(now);
                 let fraction = (rate / context.limit.per_second).max(equal_fraction)
                     * UNCOORDINATED_SHARE_FACTOR;
                 let fraction = fraction.min(1.0);
                 let level = share.low.map_or(capacity, |low| low.level.min(capacity));
-                (fraction, level, last_heard)
+                (fraction, level, ledger_received_at)
             }
-            Some(last_heard) => match share.low {
+            Some(ledger_received_at) => match share.low {
                 None => {
                     let left = capacity * LOW_LEVEL_FRACTION - share.granted;
                     return QuotaAllowance {
@@ -199,18 +200,18 @@
                     };
                 }
                 Some(low) => {
-                    (share.usage_fraction(&low, equal_fraction, now), low.level, last_heard)
+                    (share.usage_fraction(&low, equal_fraction, now), low.level, ledger_received_at)
                 }
             },
         };
-        let saved = (saved + context.limit.units_within(now.since(since))).min(capacity);
-        let left = fraction * saved - share.granted;
+        let available = (available + context.limit.units_within(now.since(since))).min(capacity);
+        let left = fraction * available - share.granted;
         QuotaAllowance { left, rate: fraction * context.limit.per_second, uncoordinated }
     }
 
     /// Takes what the ledger says: every organisation that has little left, and no other.
     pub fn apply_ledger_levels(&mut self, levels: &[QuotaLevel], now: ClockMillis) {
-        self.last_heard = Some(now);
+        self.ledger_received_at = Some(now);
         for share in self.organisations.values_mut() {
             share.low = None;
             share.uncoordinated_rate = None;
@@ -218,15 +219,15 @@
         }
         for level in levels {
             let share = self.organisations.entry(Arc::clone(&level.organisation)).or_default();
-            let others = (level.used - share.recent.sum_at(now)).max(0.0);
-            share.low = Some(LowLevel { level: level.level, others });
+            let used_by_others = (level.used - share.recent.sum_at(now)).max(0.0);
+            share.low = Some(LowLevel { level: level.level, used_by_others });
         }
         self.organisations.retain(|_, share| share.is_needed(now));
     }
 
     /// Returns whether the ledger was ever heard.
-    pub const fn receives_ledger(&self) -> bool {
-        self.last_heard.is_some()
+    pub const fn has_received_ledger(&self) -> bool {
+        self.ledger_received_at.is_some()
     }
 
     /// Returns what was granted and not told yet.
@@ -255,7 +256,7 @@
     /// Returns this host's part of the recent use, never less than a small part of an equal one.
     fn usage_fraction(&self, low: &LowLevel, equal_fraction: f64, now: ClockMillis) -> f64 {
         let own = self.recent.sum_at(now);
-        let all = own + low.others;
+        let all = own + low.used_by_others;
         if all > 0.0 { (own / all).max(equal_fraction / 8.0) } else { equal_fraction }
     }
 
--- a/crates/core/tests/engine_limits/declarations.rs
+++ b/crates/core/tests/engine_limits/declarations.rs
@@ -111,7 +111,7 @@
     // Ten seconds: a line a second on the limit, and one on what can not be read.
     assert!((2..=22).contains(&events.len()), "{} lines", events.len());
     let unreadable = events.iter().filter_map(|event| match event {
-        LimitEvent::Unreadable { answers, .. } => Some(*answers),
+        LimitEvent::Unreadable { responses, .. } => Some(*responses),
         _ => None,
     });
     assert!(unreadable.sum::<u64>() > 300, "what was left out is counted");
--- a/crates/core/tests/engine_limits/fleet.rs
+++ b/crates/core/tests/engine_limits/fleet.rs
@@ -206,7 +206,7 @@
         );
         if !was_limited && host.share.is_limited(&engine) {
             for _ in 0..host.waiting.len() {
-                host.share.wait_began(&engine, PermitUse::Waiting);
+                host.share.begin_wait(&engine, PermitUse::Waiting);
             }
         }
         host.is_woken = true;
@@ -253,7 +253,7 @@
                 if host.subscribed_to != sent.ledger {
                     continue;
                 }
-                host.share.note_ledger_frame(now);
+                host.share.record_ledger_frame(now);
                 for report in reports {
                     host.share.receive(report, now);
                 }
@@ -382,7 +382,7 @@
         let host = &mut self.hosts[host];
         if host.is_running(now) {
             host.waiting.push_back(now);
-            host.share.wait_began(&engine, PermitUse::Waiting);
+            host.share.begin_wait(&engine, PermitUse::Waiting);
             host.is_woken = true;
         }
     }
@@ -418,7 +418,7 @@
                     self.refused += 1;
                 }
                 host.waiting.pop_front();
-                host.share.wait_ended(&self.engine, PermitUse::Waiting);
+                host.share.end_wait(&self.engine, PermitUse::Waiting);
                 host.is_woken = true;
             }
         }
--- a/crates/core/tests/engine_limits/host_ledger.rs
+++ b/crates/core/tests/engine_limits/host_ledger.rs
@@ -33,11 +33,11 @@
         LimitDeclaration { limit, requested_at: start, absence_is_conclusive: true },
         start,
     );
-    share.wait_began(&engine, PermitUse::Waiting);
+    share.begin_wait(&engine, PermitUse::Waiting);
     let mut first_permit = None;
     for tick in 0..100u32 {
         let now = start + TICK * tick;
-        share.note_ledger_frame(now);
+        share.record_ledger_frame(now);
         let update = share.take_pending(now);
         for report in &update.reports {
             ledger.receive(report, now);
@@ -135,7 +135,7 @@
             LimitDeclaration { limit, requested_at: start, absence_is_conclusive: true },
             start,
         );
-        share.wait_began(&engine, PermitUse::Waiting);
+        share.begin_wait(&engine, PermitUse::Waiting);
         let update = share.take_pending(start);
         ledger.receive(&update.reports[0], start);
         ledger.receive_demand(&host, &engine, &update.demands[0].1, start);
--- a/crates/gateway/src/control/sums/limits.rs
+++ b/crates/gateway/src/control/sums/limits.rs
@@ -110,7 +110,7 @@
         let own = granted.remove(context.host).unwrap_or_default();
         self.granted.append(&mut granted);
         let mut share = self.shared.limits();
-        share.note_ledger_frame(now);
+        share.record_ledger_frame(now);
         for report in &changes {
             share.receive(report, now);
         }
@@ -133,7 +133,7 @@
     fn receive(&mut self, frame: &SumFrame, context: &SumContext<'_>) {
         let grants: Vec<PermitGrant> = frame.grants.iter().map(Into::into).collect();
         let mut share = self.shared.limits();
-        share.note_ledger_frame(context.now);
+        share.record_ledger_frame(context.now);
         for report in read_limits(&frame.limits) {
             share.receive(&report, context.now);
         }
@@ -177,8 +177,8 @@
             LimitEvent::Ended { engine, limit } => {
                 Self::LimitEnded { engine: engine.to_string(), limit: limit.per_second() }
             }
-            LimitEvent::Unreadable { engine, answers } => {
-                Self::LimitUnreadable { engine: engine.to_string(), answers }
+            LimitEvent::Unreadable { engine, responses } => {
+                Self::LimitUnreadable { engine: engine.to_string(), answers: responses }
             }
         }
     }
--- a/crates/gateway/src/entry/permit.rs
+++ b/crates/gateway/src/entry/permit.rs
@@ -25,7 +25,7 @@
 
 impl PermitWait {
     fn new(traffic: &Rc<TrafficState>, engine: &EngineName, wanted: PermitUse) -> Self {
-        traffic.shared.limits().wait_began(engine, wanted);
+        traffic.shared.limits().begin_wait(engine, wanted);
         traffic.shared.wake_control.notify_one();
         Self { traffic: Rc::clone(traffic), engine: Arc::clone(engine), wanted }
     }
@@ -33,7 +33,7 @@
 
 impl Drop for PermitWait {
     fn drop(&mut self) {
-        self.traffic.shared.limits().wait_ended(&self.engine, self.wanted);
+        self.traffic.shared.limits().end_wait(&self.engine, self.wanted);
     }
 }
 
--- a/crates/gateway/src/entry/pick.rs
+++ b/crates/gateway/src/entry/pick.rs
@@ -91,7 +91,7 @@
     };
     if !able[preferred].permitted {
         // It goes elsewhere where it can; that it would have gone there brings a permit for the next one.
-        traffic.shared.limits().note_diverted(&able[preferred].entry.name, now);
+        traffic.shared.limits().record_diversion(&able[preferred].entry.name, now);
         let (permitted, limited): (Vec<_>, Vec<_>) =
             able.into_iter().partition(|able| able.permitted);
         able = permitted;
--- a/crates/gateway/tests/host/organisations.rs
+++ b/crates/gateway/tests/host/organisations.rs
@@ -336,7 +336,7 @@
 fn hosts_grant_one_quota_together_and_other_organisations_feel_nothing() {
     let site = site_with_keys();
     let hosts = ["one", "two", "three"].map(|name| site.host(name));
-    let hear = || hosts.iter().all(|host| host.shared.quotas().receives_ledger());
+    let hear = || hosts.iter().all(|host| host.shared.quotas().has_received_ledger());
     wait_until("all hear the ledger", hear);
     let began = Instant::now();
     let all: Vec<&TestHost> = hosts.iter().collect();
@@ -358,7 +358,7 @@
 fn what_did_not_run_is_given_back() {
     let site = site_with_keys();
     let host = site.host("given-back");
-    wait_until("it hears the ledger", || host.shared.quotas().receives_ledger());
+    wait_until("it hears the ledger", || host.shared.quotas().has_received_ledger());
     site.plain.treat(&[EngineMood::NotRun]);
     for number in 0..300 {
         let answer = ask(&host, &format!("g{number}"), "/single/a", "key-q");
