--- a/crates/core/tests/engine_limits/declarations.rs
+++ b/crates/core/tests/engine_limits/declarations.rs
@@ -1,4 +1,4 @@
-//! Limits that engines name, as one host hears them.
+//! Limits that engines declare, as seen by one host.
 
 use std::{sync::Arc, time::Duration};
 
@@ -23,10 +23,11 @@
     Declared::Present(RequestLimit::new(per_second).expect("a limit"))
 }
 
-/// Answers that one host hears of one engine, and whether the engine counts as limited after each.
+/// Responses of one engine to one host, and whether the engine counts as limited after each.
 struct DeclarationCase {
     name: &'static str,
-    /// When the answer began, when what it answers was sent, the life, what it says, whether it would say a limit.
+    /// When the response began, when its request was sent, the incarnation, the declared limit, and whether its
+    /// absence is conclusive.
     responses: &'static [(u64, u64, u64, Option<f64>, bool)],
     limited: &'static [bool],
 }
@@ -35,17 +36,17 @@
 fn the_latest_declaration_of_an_incarnation_counts() {
     let cases = [
         DeclarationCase {
-            name: "an answer to what was sent before the word does not end it",
+            name: "a response to an earlier request does not end a limit",
             responses: &[(100, 90, 1, Some(1.5), true), (120, 95, 1, None, true)],
             limited: &[true, true],
         },
         DeclarationCase {
-            name: "one to what was sent after it does",
+            name: "a response to a later request ends it",
             responses: &[(100, 90, 1, Some(1.5), true), (130, 110, 1, None, true)],
             limited: &[true, false],
         },
         DeclarationCase {
-            name: "refusals, orders and reports without a word end none, with one they name it",
+            name: "rejections, orders and reports can declare a limit but not end one",
             responses: &[
                 (100, 90, 1, Some(1.5), false),
                 (130, 110, 1, None, false),
@@ -59,7 +60,7 @@
             limited: &[true],
         },
         DeclarationCase {
-            name: "a later life has no limit of the one before to end, and names its own",
+            name: "a later incarnation does not end the limit of the earlier one and declares its own",
             responses: &[
                 (100, 90, 1, Some(1.5), true),
                 (130, 110, 2, None, true),
@@ -108,11 +109,11 @@
         );
         events.extend(share.take_events(now));
     }
-    // Ten seconds: a line a second on the limit, and one on what can not be read.
+    // At most one line per second on the limit and one on unreadable values, over ten seconds.
     assert!((2..=22).contains(&events.len()), "{} lines", events.len());
     let unreadable = events.iter().filter_map(|event| match event {
         LimitEvent::Unreadable { responses, .. } => Some(*responses),
         _ => None,
     });
-    assert!(unreadable.sum::<u64>() > 300, "what was left out is counted");
+    assert!(unreadable.sum::<u64>() > 300, "throttled events are counted");
 }
--- a/crates/core/tests/engine_limits/faults.rs
+++ b/crates/core/tests/engine_limits/faults.rs
@@ -1,4 +1,5 @@
-//! Any series of words, ends, lives, kills, stops, cuts and changes of who keeps the ledger, over the real shares and ledgers.
+//! Random histories of declarations, engine restarts, host failures, partitions and ledger handovers, on the real
+//! shares and ledgers.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -15,40 +16,40 @@
     simulation::{LimitStrategy, STEP, WINDOW, sample_events},
 };
 
-/// How many hosts there are.
+/// The number of hosts.
 const HOSTS: usize = 7;
 
-/// For how long things happen.
+/// How long faults occur.
 const FAULT_PERIOD: Duration = Duration::from_secs(20);
 
-/// For how long nothing does then: a lease passes on in three seconds, and an engine that had named next to nothing is tried once in
-/// five; what is measured_from comes after both.
+/// How long no fault occurs afterwards: longer than a lease handover and the next probe of an engine that had
+/// declared almost nothing, and the measured period.
 const QUIET_PERIOD: Duration = Duration::from_secs(15);
 
-/// How much of the calm is measured_from, at its end.
+/// How much of the quiet period is measured, at its end.
 const MEASURED_PERIOD: Duration = Duration::from_secs(5);
 
-/// How long hosts may go on by an older word: the users give half a second, and what was permitted may be under way.
+/// How long hosts may act on an earlier declaration, including permits in flight.
 const DECLARATION_LAG: Duration = Duration::from_millis(900);
 
-/// What a lease takes to pass on: a holder that can not confirm it gives it up, and the next one begins.
+/// When a holder that cannot renew its lease gives it up, and when the next holder starts.
 const LEASE_TTL: Duration = Duration::from_secs(2);
 const LEASE_HANDOVER: Duration = Duration::from_millis(2600);
 
-/// Something that happens.
+/// An event of a history.
 #[derive(Debug, Clone, Copy)]
 enum LimitEvent {
-    /// The engine names another limit, in tenths of a request a second, or none.
+    /// The engine declares another limit, in tenths of a request per second, or none.
     Declare(Option<u32>),
-    /// The engine begins another life, and names what it names.
+    /// The engine restarts and declares the same limit.
     Restart,
-    /// A host is killed and starts again, or the one that keeps the ledger.
+    /// A host is killed and restarts; `on_ledger` picks the ledger's host.
     Kill { on_ledger: bool, host: usize, millis: u64 },
-    /// A host is stopped and goes on later.
+    /// A host is paused and resumes.
     Pause { on_ledger: bool, host: usize, millis: u64 },
-    /// A host is cut off from the others.
+    /// A host is partitioned from the others.
     Partition { on_ledger: bool, host: usize, millis: u64 },
-    /// The ledger passes on though nobody is down.
+    /// The ledger moves to another host without a failure.
     HandOver,
 }
 
@@ -65,11 +66,11 @@
     (0..u64::try_from(FAULT_PERIOD.as_millis()).unwrap_or(u64::MAX), event)
 }
 
-/// What is drawn of one history.
+/// A random history.
 #[derive(Debug, Clone)]
 struct LimitHistory {
     events: Vec<(u64, LimitEvent)>,
-    /// What wants to go to the engine. Unit: requests a second.
+    /// The requests to the engine. Unit: requests per second.
     demand: f64,
     single_host: bool,
     seed: u64,
@@ -85,19 +86,19 @@
     )
 }
 
-/// What the engine sees.
+/// The engine's view.
 struct SimEngine {
     limit: Option<RequestLimit>,
-    /// When each limit began to be named, and which.
+    /// When each limit was first declared.
     declared: Vec<(ClockMillis, Option<RequestLimit>)>,
-    /// When each request reached it.
+    /// When each request reached the engine.
     received: Vec<ClockMillis>,
     responses: VecDeque<(ClockMillis, ClockMillis, usize, Option<RequestLimit>, u64)>,
 }
 
 impl SimEngine {
-    /// Returns the most that may reach it in a window that ends at `until`, by the users' bound; `None` where some of the window is
-    /// not bound.
+    /// Returns the most requests allowed in the window that ends at `until`; `None` if a part of the window has no
+    /// limit.
     fn allowed(&self, until: ClockMillis) -> Option<f64> {
         let from = until - WINDOW;
         let mut max_rate: f64 = 0.0;
@@ -107,7 +108,7 @@
             if applies_until <= from || *at >= until {
                 continue;
             }
-            // Until the word is known everywhere nothing is bound by it.
+            // The first declaration binds no host until it has propagated.
             let binding_from = *at + DECLARATION_LAG;
             if binding_from > from && index == 0 {
                 return None;
@@ -117,7 +118,7 @@
         Some(1.5 * max_rate * WINDOW.as_secs_f64() + 5.0)
     }
 
-    /// Returns the first window with more than is allowed.
+    /// Returns the first window with more requests than allowed.
     fn violation(&self) -> Option<(ClockMillis, usize, f64)> {
         self.received.iter().enumerate().find_map(|(index, until)| {
             let first = self.received.partition_point(|at| *at + WINDOW <= *until);
@@ -130,13 +131,13 @@
 
 struct HistoryOutcome {
     violation: Option<(ClockMillis, usize, f64)>,
-    /// How much of the limit is used in the end, and by one host that had all requests; none where the engine names none, or so
-    /// little that a part says nothing.
+    /// How many requests reached the engine in the measured period, and how many could have; `None` if the limit is
+    /// too small to tell.
     used: Option<(usize, usize)>,
 }
 
 impl HistoryOutcome {
-    /// Returns whether as much of the limit is used in the end as can be, but for a tenth and one request at each edge.
+    /// Returns whether nine tenths of the limit are used, less one request at each edge.
     fn uses_limit(&self) -> bool {
         self.used.is_none_or(|(received, achievable_count)| {
             received as f64 >= 0.9 * achievable_count as f64 - 2.0
@@ -144,11 +145,11 @@
     }
 }
 
-/// What a permit takes from the moment at which somebody wants one: a look at what is to be told, two messages, a look at what was
-/// asked.
+/// The time from a demand to its permit: two poll intervals and two messages.
 const PERMIT_ROUND_TRIP: Duration = Duration::from_millis(115);
 
-/// Returns how many of the requests from `measured_from` on one host would send that had them all, and permits as far away as others have.
+/// Returns how many of the requests from `measured_from` on a single host could send, with the same delay of
+/// permits.
 fn achievable_count(
     limit: RequestLimit,
     arrived: &[ClockMillis],
@@ -202,7 +203,7 @@
             fleet.receive_response(host, born, limit, requested_at, now);
         }
         for host in fleet.hosts_to_send(now) {
-            // A host that knows of no limit has passed on no such answer.
+            // Requests of a host that has received no declaration are not restricted.
             if fleet.is_limited(host) {
                 engine.received.push(now);
             }
@@ -275,16 +276,16 @@
     fn no_fault_history_exceeds_the_limit_or_leaves_it_unused(history in any_history()) {
         let outcome = run_history(&history, None);
         prop_assert!(outcome.violation.is_none(), "{:?}", outcome.violation);
-        prop_assert!(outcome.uses_limit(), "{:?} of the limit is used in the end", outcome.used);
+        prop_assert!(outcome.uses_limit(), "requests sent and possible in the measured period: {:?}", outcome.used);
     }
 }
 
-/// How many histories are played; `LIMIT_CASES` names another number, for a run by hand.
+/// The number of histories; the variable `LIMIT_CASES` overrides it.
 fn cases(default_cases: u32) -> u32 {
     std::env::var("LIMIT_CASES").ok().and_then(|cases| cases.parse().ok()).unwrap_or(default_cases)
 }
 
-/// Returns in how many of so many histories a mutation breaks the bound.
+/// Returns in how many histories a mutation breaks the bound.
 fn count_violations(mutation: FleetMutation, histories: u64) -> usize {
     let mut runner = proptest::test_runner::TestRunner::new(config(1, 0x0044));
     let violations = (0..histories).filter(|_| {
@@ -304,16 +305,13 @@
     ] {
         let violations = count_violations(mutation, HISTORIES);
         println!("{mutation:?}: {violations} of {HISTORIES}");
-        assert!(
-            violations >= 3,
-            "{mutation:?}: the bound is broken in {violations} of {HISTORIES}"
-        );
+        assert!(violations >= 3, "{mutation:?}: detected in {violations} of {HISTORIES} histories");
     }
 }
 
-/// A history that failed once, and why.
+/// A history that failed before.
 struct RegressionHistory {
-    /// What went wrong.
+    /// The cause of the failure.
     cause: &'static str,
     events: &'static [(u64, LimitEvent)],
     demand: f64,
@@ -323,8 +321,7 @@
 
 const REGRESSIONS: &[RegressionHistory] = &[
     RegressionHistory {
-        cause: "what could be used was measured_from as if permits took no time; 32 requests of 38 were sent, at seven hosts that are asked for \
-                as much as the limit",
+        cause: "the achievable count ignored the delay of permits",
         events: &[
             (116, LimitEvent::Kill { on_ledger: false, host: 1, millis: 100 }),
             (911, LimitEvent::Pause { on_ledger: false, host: 0, millis: 1656 }),
@@ -335,8 +332,8 @@
         seed: 4_185_508_476_295_779_237,
     },
     RegressionHistory {
-        cause: "an engine that had named zero when three hosts in turn began to deal its permits was tried again eight seconds after the \
-                last fault; a calm of ten seconds was too short to see its limit used",
+        cause: "a quiet period of ten seconds was too short for the probe of an engine that \
+                had declared zero",
         events: &[
             (2491, LimitEvent::Declare(Some(0))),
             (5186, LimitEvent::Partition { on_ledger: true, host: 0, millis: 2001 }),
@@ -349,8 +346,8 @@
         seed: 1_624_332_032_915_806_871,
     },
     RegressionHistory {
-        cause: "permits that came for requests which had just given up lay unused for 0.4 s at their hosts while others waited elsewhere: \
-                15 of 19 that could be used",
+        cause: "permits for requests that had given up stayed unused until they expired, while \
+                other hosts waited",
         events: &[
             (6366, LimitEvent::Partition { on_ledger: false, host: 5, millis: 100 }),
             (11_846, LimitEvent::Partition { on_ledger: true, host: 0, millis: 906 }),
@@ -361,8 +358,8 @@
         seed: 2_389_485_265_816_039_151,
     },
     RegressionHistory {
-        cause: "a limit ended under one ledger; the next one was told that it had, knew nothing of it, and never let hosts know that the \
-                engine was back: it got nothing any more",
+        cause: "a new ledger had no account of a limit that had ended under the previous one, \
+                and never reported it as lifted",
         events: &[
             (0, LimitEvent::Declare(Some(19))),
             (1851, LimitEvent::Kill { on_ledger: false, host: 0, millis: 2336 }),
@@ -376,8 +373,8 @@
         seed: 1_142_955_557_312_509_383,
     },
     RegressionHistory {
-        cause: "a ledger that was stopped while an engine returned raised its rate for all of that time, and dealt six requests at once \
-                to an engine that had named zero since",
+        cause: "a paused ledger raised the recovery rate for the whole pause and granted a \
+                burst to an engine that had declared zero since",
         events: &[
             (721, LimitEvent::Declare(Some(39))),
             (821, LimitEvent::Pause { on_ledger: false, host: 4, millis: 4101 }),
@@ -397,8 +394,8 @@
         seed: 11_627_355_943_420_055_328,
     },
     RegressionHistory {
-        cause: "a host that began to listen while an engine returned took the ledger's word for newer than it was, and so did not believe \
-                the later one that the engine was back: it asked a ledger that knew of no limit for permits, and sent nothing any more",
+        cause: "a host that subscribed during recovery took the report for newer than it was \
+                and ignored the later one that the limit was lifted",
         events: &[
             (2396, LimitEvent::Partition { on_ledger: true, host: 0, millis: 4636 }),
             (3671, LimitEvent::Declare(None)),
--- a/crates/core/tests/engine_limits/fleet.rs
+++ b/crates/core/tests/engine_limits/fleet.rs
@@ -1,4 +1,4 @@
-//! Hosts with their shares, the host that keeps the ledger, and the messages between them, for one engine.
+//! A simulated fleet for one engine: hosts with their shares, the ledger's host, and the messages between them.
 
 use std::{collections::VecDeque, sync::Arc, time::Duration};
 
@@ -23,23 +23,23 @@
 /// How long a request waits for a permit.
 pub(crate) const PERMIT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How often a host looks at what it has to tell when nothing wakes it.
+/// The poll interval of a host that is not woken.
 const TICK: Duration = Duration::from_millis(50);
 
-/// How often the ledger says that it is there.
+/// The longest interval between two messages of the ledger.
 const LEDGER_HEARTBEAT: Duration = Duration::from_millis(400);
 
-/// How long a message takes, from one hall to the next at the most.
+/// The delay of a message, also between halls.
 const MESSAGE_DELAYS_MS: std::ops::Range<u64> = 1..30;
 
 /// A message between a host and the ledger.
 #[derive(Debug, Clone)]
 enum LimitMessage {
-    /// A host listens to a ledger from now on.
+    /// From a host that subscribes.
     Subscribe,
-    /// To the ledger.
+    /// From a host to the ledger.
     Update(LimitUpdate),
-    /// To a host: words for all, and what it is granted.
+    /// From the ledger to a host: reports for all hosts, and this host's grants.
     Publish(Vec<LimitReport>, Vec<PermitGrant>),
 }
 
@@ -54,11 +54,11 @@
 #[derive(Default)]
 struct SimHost {
     share: LimitShare,
-    /// Since when each request waits.
+    /// When each waiting request arrived.
     waiting: VecDeque<ClockMillis>,
     polled_at: ClockMillis,
     is_woken: bool,
-    /// The ledger that it listens to; zero for none.
+    /// The ledger that it is subscribed to; zero for none.
     subscribed_to: u64,
     down_until: ClockMillis,
     paused_until: ClockMillis,
@@ -81,24 +81,24 @@
     host: usize,
     id: u64,
     heartbeat_at: ClockMillis,
-    /// From when on it exists.
+    /// When its host starts to keep it.
     starts_at: ClockMillis,
-    /// Until when its host believes that it keeps it.
+    /// When its host gives it up.
     ends_at: ClockMillis,
 }
 
-/// A mistake that the check must see.
+/// A defect that the checks have to detect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum FleetMutation {
-    /// One in three requests goes without a permit, as one that is sent again uncounted would.
+    /// One in three requests is sent without a permit, like an uncounted retry.
     SkipsPermits,
-    /// A host that begins to keep the ledger deals at once what ten seconds would give.
+    /// Each host gets extra permits when it subscribes, as from a ledger whose buckets start full.
     LedgerStartsFull,
-    /// Hosts that hear no ledger all permit themselves the whole limit.
+    /// Every host without a ledger acts as the fallback.
     AllHostsFallback,
 }
 
-/// Hosts that deal permits among themselves.
+/// Hosts that share permits through a ledger.
 pub(crate) struct PermitFleet {
     pub(crate) engine: EngineName,
     pub(crate) born: u64,
@@ -106,7 +106,7 @@
     ledgers: Vec<SimLedger>,
     messages: VecDeque<SentMessage>,
     random: Pcg64Mcg,
-    /// The host that the group names for the engine while no ledger is heard.
+    /// The host that is the engine's fallback while no ledger is received.
     fallback_host: usize,
     /// Requests that got no permit in time.
     pub(crate) refused: usize,
@@ -132,7 +132,7 @@
         fleet
     }
 
-    /// Makes a host keep the ledger from `at` on.
+    /// Starts a ledger on a host at `at`.
     pub(crate) fn start_ledger(&mut self, host: usize, at: ClockMillis) {
         let id = self.ledgers.last().map_or(1, |last| last.id + 1);
         let (ledger, heartbeat_at) = (LimitLedger::default(), ClockMillis::default());
@@ -146,29 +146,29 @@
         });
     }
 
-    /// Ends the present ledger's time at `at`: its host gives it up then, whatever it hears.
+    /// Ends the newest ledger at `at`, whether its host is reachable or not.
     pub(crate) fn end_ledger(&mut self, at: ClockMillis) {
         if let Some(last) = self.ledgers.last_mut() {
             last.ends_at = at;
         }
     }
 
-    /// Returns who keeps the newest ledger.
+    /// Returns the host of the newest ledger.
     pub(crate) fn ledger_host(&self) -> usize {
         self.ledgers.last().map_or(0, |last| last.host)
     }
 
-    /// Kills a host, which starts again after a while and knows nothing.
+    /// Kills a host until `until`; it restarts without state.
     pub(crate) fn kill(&mut self, host: usize, until: ClockMillis) {
         self.hosts[host] = SimHost { down_until: until, ..SimHost::default() };
     }
 
-    /// Stops a host for a while.
+    /// Pauses a host until `until`.
     pub(crate) fn pause(&mut self, host: usize, until: ClockMillis) {
         self.hosts[host].paused_until = until;
     }
 
-    /// Cuts a host off from all others for a while; engine and clients reach it.
+    /// Partitions a host from all others until `until`; the engine and clients still reach it.
     pub(crate) fn partition(&mut self, host: usize, until: ClockMillis) {
         self.hosts[host].partitioned_until = until;
     }
@@ -182,7 +182,7 @@
         self.hosts[host].share.declares_limit(&self.engine)
     }
 
-    /// Takes an answer of one life of the engine.
+    /// Delivers a response of one incarnation of the engine.
     pub(crate) fn receive_response(
         &mut self,
         host: usize,
@@ -221,7 +221,7 @@
         now: ClockMillis,
     ) {
         let due = now + Duration::from_millis(self.random.random_range(MESSAGE_DELAYS_MS));
-        // A connection keeps the order of what is sent on it.
+        // Messages on one connection stay in order.
         let previous =
             self.messages.iter().rev().find(|sent| {
                 sent.host == host && sent.to_ledger == to_ledger && sent.ledger == ledger
@@ -242,7 +242,7 @@
             let delivered =
                 is_local || (ledger_connected && self.hosts[sent.host].is_connected(now));
             if !delivered {
-                // What does not come through breaks the connection.
+                // A lost message breaks the connection.
                 self.hosts[sent.host].subscribed_to = 0;
                 continue;
             }
@@ -300,7 +300,7 @@
         }
     }
 
-    /// Returns the newest ledger whose host a host can reach.
+    /// Returns the newest ledger that a host can reach.
     fn reachable_ledger(&self, host: usize, now: ClockMillis) -> u64 {
         let reaches = |ledger: &&SimLedger| {
             let is_local = ledger.host == host;
--- a/crates/core/tests/engine_limits/host_ledger.rs
+++ b/crates/core/tests/engine_limits/host_ledger.rs
@@ -1,4 +1,4 @@
-//! What a host and the ledger tell each other, where the ledger has forgotten an engine that the host still counts as limited.
+//! The exchange between a host and the ledger, in particular on engines that only one of them knows as limited.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,10 +15,10 @@
     },
 };
 
-/// How often a host tells and the ledger deals.
+/// The interval of the host's updates and the ledger's grants.
 const TICK: Duration = Duration::from_millis(50);
 
-/// From when on the ledger's host lists the engine. Unit: milliseconds.
+/// When the ledger's host lists the engine.
 const LISTED_AFTER_MS: u64 = 2000;
 
 #[test]
@@ -57,10 +57,10 @@
         }
     }
     let first_permit = first_permit.expect("a permit");
-    // A permit of four a second takes a quarter of a second; the host's next ask and the ledger's answer come before.
+    // One permit takes 250 ms at this rate, and the host's next demand and the ledger's reply come before it.
     assert!(
         first_permit <= Duration::from_millis(LISTED_AFTER_MS + 1000),
-        "the first permit after {first_permit:?}"
+        "first permit after {first_permit:?}"
     );
 }
 
@@ -83,7 +83,7 @@
     };
     share.receive_declaration(&engine, 7, absent, at(1210));
     assert!(!share.declares_limit(&engine));
-    // Words are under way for a while, which nobody counts.
+    // The transit time of the reports is not part of the reported ages.
     for report in share.take_pending(at(1210)).reports {
         ledger.receive(&report, at(1240));
     }
@@ -93,15 +93,12 @@
         new_subscriber.receive(&report, at(1330));
     }
     for (name, share) in
-        [("a host that heard the end", &share), ("one that knew nothing", &new_subscriber)]
+        [("a host that received the end", &share), ("a new subscriber", &new_subscriber)]
     {
-        assert!(share.is_limited(&engine), "{name} sends by permits until the engine is back");
-        assert!(
-            !share.declares_limit(&engine),
-            "{name} is told that the engine names no limit any more"
-        );
+        assert!(share.is_limited(&engine), "{name} needs permits until the limit is lifted");
+        assert!(!share.declares_limit(&engine), "{name} knows that the engine declares no limit");
     }
-    // Another ledger hears from them that the engine returns, and need not begin at the limit.
+    // Another ledger learns from their reports that the engine recovers, and continues from there.
     let mut next_ledger = LimitLedger::default();
     new_subscriber.resend_all();
     for report in new_subscriber.take_pending(at(1400)).reports {
@@ -117,7 +114,7 @@
             next_ledger.grant_permits(at(1430 + seconds * 1000 + tick * 50));
         }
         seconds += 1;
-        assert!(seconds < 10, "the next ledger lets the engine come back");
+        assert!(seconds < 10, "the next ledger lifts the limit");
     }
 }
 
@@ -140,7 +137,7 @@
         ledger.receive(&update.reports[0], start);
         ledger.receive_demand(&host, &engine, &update.demands[0].1, start);
         assert_eq!(ledger.next_due(start), Some(start + Duration::from_millis(expected)));
-        let grants = ledger.grant_permits(start).remove(&host).expect("a word on the wait");
+        let grants = ledger.grant_permits(start).remove(&host).expect("a grant with the wait");
         assert_eq!(grants[0].wait, Some(Duration::from_millis(expected)), "confirmed: {confirmed}");
     }
 }
--- a/crates/core/tests/engine_limits/main.rs
+++ b/crates/core/tests/engine_limits/main.rs
@@ -1,4 +1,4 @@
-//! How all hosts together keep the limits that engines name, without sockets.
+//! How all hosts together keep the limits that engines declare, without sockets.
 
 mod declarations;
 mod faults;
--- a/crates/core/tests/engine_limits/simulation.rs
+++ b/crates/core/tests/engine_limits/simulation.rs
@@ -1,4 +1,4 @@
-//! One engine that names a limit, requests that want to go there at many hosts, and what reaches it.
+//! A simulated engine that declares a limit, and the requests that arrive for it at many hosts.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -6,42 +6,41 @@
 use rand_pcg::Pcg64Mcg;
 use reelreel_core::{ClockMillis, fleet::limits::limit::RequestLimit};
 
-/// How often everything is looked at.
+/// The time step of a simulation.
 pub(crate) const STEP: Duration = Duration::from_millis(5);
 
-/// Over which time what reaches the engine is counted.
+/// The window in which requests are counted.
 pub(crate) const WINDOW: Duration = Duration::from_secs(4);
 
-/// How long the engine takes until its answer begins.
+/// The time until the engine's response begins.
 const RESPONSE_TIME: Duration = Duration::from_millis(100);
 
-/// When the engine begins to name its limit.
+/// When the engine starts to declare its limit.
 pub(crate) const DECLARED_AT: Duration = Duration::from_secs(2);
 
-/// Within which time all hosts are to keep it.
+/// How soon after that all hosts have to keep the limit.
 pub(crate) const CONVERGENCE_TIME: Duration = Duration::from_secs(1);
 
-/// What one play is made of.
+/// The parameters of a simulation.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct LimitWorkload {
-    /// How many hosts there are.
     pub(crate) hosts: usize,
-    /// What the engine names. Unit: requests a second.
+    /// The declared limit. Unit: requests per second.
     pub(crate) limit: f64,
-    /// What wants to go there, at all hosts together. Unit: requests a second.
+    /// The requests at all hosts together. Unit: requests per second.
     pub(crate) demand: f64,
-    /// Whether all of it comes to one host.
+    /// Whether all requests arrive at one host.
     pub(crate) single_host: bool,
     pub(crate) seconds: u64,
     pub(crate) seed: u64,
 }
 
-/// How hosts decide what they send.
+/// How hosts decide which requests they send.
 pub(crate) trait LimitStrategy {
-    /// Takes a request at a host.
+    /// Handles a request that arrives at a host.
     fn on_arrival(&mut self, host: usize, now: ClockMillis);
 
-    /// Takes an answer at a host to what was sent at `requested_at`.
+    /// Handles the response to a request that was sent at `requested_at`.
     fn on_response(
         &mut self,
         host: usize,
@@ -50,38 +49,38 @@
         now: ClockMillis,
     );
 
-    /// Returns the hosts that send a request now, once for each request.
+    /// Returns the hosts that send a request now, once per request.
     fn hosts_to_send(&mut self, now: ClockMillis) -> Vec<usize>;
 }
 
-/// What reached the engine.
+/// The requests that reached the engine.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct SentRequests {
-    /// When each request reached it.
+    /// When each of them was sent.
     pub(crate) sent: Vec<ClockMillis>,
 }
 
 impl SentRequests {
-    /// Returns the most that reached it in a window that begins at `from` or later.
+    /// Returns the largest number of requests in a window that starts at `from` or later.
     pub(crate) fn max_in_window(&self, from: ClockMillis) -> usize {
         let sent = &self.sent[self.sent.partition_point(|at| *at < from)..];
         let until = |first: ClockMillis| sent.partition_point(|at| *at < first + WINDOW);
         sent.iter().enumerate().map(|(index, first)| until(*first) - index).max().unwrap_or(0)
     }
 
-    /// Returns how many reached it from `from` on until `until`.
+    /// Returns the number of requests between `from` and `until`.
     pub(crate) fn count(&self, from: ClockMillis, until: ClockMillis) -> usize {
         self.sent.iter().filter(|at| **at >= from && **at < until).count()
     }
 }
 
-/// Returns how many events of a rate come within a step.
+/// Returns how many events of a rate occur in a step.
 pub(crate) fn sample_events(rate: f64, step: Duration, random: &mut Pcg64Mcg) -> usize {
-    // Steps are short, so that two or more in one are as good as left out.
+    // Steps are short enough to neglect two events in one.
     usize::from(random.random::<f64>() < rate * step.as_secs_f64())
 }
 
-/// Plays a load under one way.
+/// Runs a workload under a strategy.
 pub(crate) fn simulate(workload: &LimitWorkload, strategy: &mut dyn LimitStrategy) -> SentRequests {
     let mut random = Pcg64Mcg::seed_from_u64(workload.seed);
     let limit = RequestLimit::new(workload.limit);
--- a/crates/core/tests/engine_limits/strategies.rs
+++ b/crates/core/tests/engine_limits/strategies.rs
@@ -1,4 +1,4 @@
-//! Ways to keep a limit, on the same workloads.
+//! Strategies for keeping a limit, compared on the same workloads.
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
     },
 };
 
-/// Nobody reads the word.
+/// Ignores the limit.
 #[derive(Default)]
 struct Unlimited(Vec<usize>);
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// A limit that all hosts know a tenth of a second after one has heard it.
+/// A limit that reaches all hosts 100 ms after its first declaration.
 #[derive(Default)]
 struct PropagatedLimit(Option<(RequestLimit, ClockMillis)>);
 
@@ -49,10 +49,9 @@
     }
 }
 
-/// Some hosts have a part of the limit each, in a bucket that begins full; each learns the word by its own answers or, at the
-/// latest, a tenth of a second after the first one.
+/// Divides the limit equally among some of the hosts, each with a bucket that starts full.
 struct StaticShares {
-    /// How many hosts share the limit.
+    /// The number of hosts that share the limit.
     sharing_hosts: usize,
     propagated: PropagatedLimit,
     buckets: Vec<Option<TokenBucket>>,
@@ -102,7 +101,7 @@
     }
 }
 
-/// Each request is sent by chance, with the limit's part of what all hosts have asked for lately.
+/// Admits each request with the probability of the limit over the recent demand.
 struct RandomAdmission {
     propagated: PropagatedLimit,
     arrived: Vec<usize>,
@@ -168,7 +167,7 @@
     ClockMillis::from_millis(1) + Duration::from_secs(workload.seconds)
 }
 
-/// Returns the most in a window against what the limit allows, and how much of the limit is used.
+/// Returns the largest number of requests in a window, and the used fraction of the limit.
 fn measure(workload: &LimitWorkload, requests: &SentRequests) -> (usize, f64) {
     let seconds = measured_until(workload).since(measured_from()).as_secs_f64();
     let used = requests.count(measured_from(), measured_until(workload)) as f64
@@ -176,8 +175,8 @@
     (requests.max_in_window(measured_from()), used)
 }
 
-/// What may reach an engine in a window by its own word: what the limit gives, and a quarter of a second of it or two requests
-/// that were saved up, one request at the edge, or those that find out whether its need is over.
+/// Returns the most requests allowed in a window: the limit or the probe rate, a full bucket, and one request at
+/// the edge.
 fn allowed_in_window(limit: f64) -> f64 {
     let rate = limit.max(0.2);
     rate * WINDOW.as_secs_f64() + (rate * 0.25).max(2.0) + 1.0
@@ -186,7 +185,7 @@
 #[test]
 fn permits_enforce_every_limit_and_use_it_fully() {
     println!(
-        "| hosts | limit | at one host | aim | unread | equal parts | one host | chance | permits |"
+        "| hosts | limit | single host | allowed | unlimited | equal shares | one host | random admission | permits |"
     );
     println!("|---|---|---|---|---|---|---|---|---|");
     for workload in workloads() {
@@ -219,16 +218,16 @@
         let (max_in_window, used) = results[results.len() - 1];
         assert!(
             max_in_window as f64 <= allowed_in_window(limit),
-            "{workload:?}: {max_in_window} in a window, aim {}",
+            "{workload:?}: {max_in_window} in a window, allowed {}",
             allowed_in_window(limit)
         );
         if limit >= 0.3 {
-            assert!(used >= 0.9, "{workload:?}: {used} of the limit is used");
+            assert!(used >= 0.9, "{workload:?}: uses {used} of the limit");
         }
     }
 }
 
-/// What all hosts know, and how soon, is what one message takes: well below what is allowed until they keep a limit.
+/// A declaration reaches all hosts with one message to the ledger and one back.
 #[test]
 fn all_hosts_learn_a_limit_within_250_ms() {
     for hosts in HOSTS {
@@ -244,7 +243,7 @@
         let requests = simulate(&workload, &mut fleet);
         let informed_hosts = (0..hosts).filter(|host| fleet.declares_limit(*host)).count();
         assert_eq!(informed_hosts, hosts);
-        // Between the first answer and a quarter of a second later some are under way still; then none without a permit.
+        // Requests sent before the declaration has propagated are in flight until then; later ones need a permit.
         let declared_at = ClockMillis::from_millis(1) + DECLARED_AT + Duration::from_millis(100);
         let from = declared_at + Duration::from_millis(250);
         let sent = requests.count(from, from + Duration::from_secs(2));
--- a/crates/core/tests/limits.rs
+++ b/crates/core/tests/limits.rs
@@ -32,27 +32,32 @@
 
 struct WeightCase {
     name: &'static str,
-    /// Organisation, share and how many items it queues.
+    /// The organisation, its weight and the number of items that it queues.
     flows: &'static [(OrganisationId, f64, u32)],
     taken: usize,
-    /// How many items of the first organisation are among those taken.
+    /// How many of the popped items belong to the first organisation.
     first_count: std::ops::RangeInclusive<usize>,
 }
 
 const WEIGHTS: &[WeightCase] = &[
     WeightCase {
-        name: "equal shares, unequal demand",
+        name: "equal weights, unequal demand",
         flows: &[(1, 1.0, 5), (2, 1.0, 500)],
         taken: 10,
         first_count: 4..=5,
     },
     WeightCase {
-        name: "a double share",
+        name: "a double weight",
         flows: &[(1, 2.0, 500), (2, 1.0, 500)],
         taken: 300,
         first_count: 199..=201,
     },
-    WeightCase { name: "alone", flows: &[(1, 0.1, 50)], taken: 50, first_count: 50..=50 },
+    WeightCase {
+        name: "one organisation",
+        flows: &[(1, 0.1, 50)],
+        taken: 50,
+        first_count: 50..=50,
+    },
     WeightCase {
         name: "three organisations",
         flows: &[(1, 1.0, 100), (2, 1.0, 100), (3, 1.0, 100)],
@@ -99,9 +104,9 @@
     for number in 0..3 {
         queue.push(item(1, 1.0, number), 3).expect("room for three");
     }
-    let (rejected, error) = queue.push(item(1, 1.0, 3), 3).expect_err("the lane is full");
+    let (rejected, error) = queue.push(item(1, 1.0, 3), 3).expect_err("the flow is full");
     assert_eq!((rejected.number, error.queued), (3, 3));
-    queue.push(item(2, 1.0, 0), 3).expect("another lane has room");
+    queue.push(item(2, 1.0, 0), 3).expect("another flow has room");
 }
 
 proptest! {
@@ -112,7 +117,7 @@
         ..ProptestConfig::default()
     })]
 
-    /// Nothing is lost or doubled, and an organisation's own items keep their order.
+    /// No item is lost or duplicated, and each organisation's items keep their order.
     #[test]
     fn a_queue_returns_every_item_once_and_in_order(
         items in prop::collection::vec((0..5u32, 1..40u32), 0..120),
@@ -144,5 +149,5 @@
         budget.record_attempt(now);
         taken += u32::from(budget.take(0.1, now));
     }
-    assert!((1_900..2_200).contains(&taken), "{taken} retries for 20000 tries");
+    assert!((1_900..2_200).contains(&taken), "{taken} retries for 20000 attempts");
 }
--- a/crates/core/tests/organisations.rs
+++ b/crates/core/tests/organisations.rs
@@ -1,4 +1,4 @@
-//! Organisations and their keys: who holds which, and that no key is ever shown.
+//! Organisations and their keys: which organisation owns a key, and that keys never appear in output.
 
 use std::sync::Arc;
 
--- a/crates/core/tests/quarantine/main.rs
+++ b/crates/core/tests/quarantine/main.rs
@@ -1,4 +1,5 @@
-//! Requests under which engines end: how many engines they take, who suffers beside them, and the ways that were compared.
+//! Poison requests, which crash the engines that run them: how many engines crash, how many other requests fail,
+//! and a comparison of strategies.
 
 #[path = "../random/mod.rs"]
 mod random;
@@ -12,15 +13,19 @@
 const SEEDS: [u64; 9] = [0x51, 0x52, 0x53, 0x54, 0x55, 0x56, 0x57, 0x58, 0x59];
 
 const PRODUCTION: QuarantineStrategy = QuarantineStrategy {
-    name: "told, two ends",
+    name: "shared, two crashes",
     sharing: Sharing::Fleet,
     crashes_until_quarantined: CRASHES_UNTIL_QUARANTINED,
 };
 
 const STRATEGIES: &[QuarantineStrategy] = &[
-    QuarantineStrategy { name: "nothing remembered", sharing: Sharing::Disabled, ..PRODUCTION },
-    QuarantineStrategy { name: "each host for itself", sharing: Sharing::PerHost, ..PRODUCTION },
-    QuarantineStrategy { name: "told, three ends", crashes_until_quarantined: 3, ..PRODUCTION },
+    QuarantineStrategy { name: "disabled", sharing: Sharing::Disabled, ..PRODUCTION },
+    QuarantineStrategy { name: "per host", sharing: Sharing::PerHost, ..PRODUCTION },
+    QuarantineStrategy {
+        name: "shared, three crashes",
+        crashes_until_quarantined: 3,
+        ..PRODUCTION
+    },
     PRODUCTION,
 ];
 
@@ -47,9 +52,9 @@
         max_crashes: 10,
         ..BASELINE
     },
-    Workload { name: "three bad requests", poison_requests: 3, max_crashes: 14, ..BASELINE },
+    Workload { name: "three poison requests", poison_requests: 3, max_crashes: 14, ..BASELINE },
     Workload {
-        name: "twenty bad requests",
+        name: "twenty poison requests",
         poison_requests: 20,
         poison_rate: 1.0,
         max_crashes: 60,
@@ -65,10 +70,10 @@
     },
 ];
 
-/// Loads without a bad request: engines end for reasons of their own, a few together every four seconds.
+/// Workloads without a poison request: engines crash for other reasons, several at once every four seconds.
 const CRASH_ONLY_WORKLOADS: &[Workload] = &[
     Workload {
-        name: "engines crash, own bodies",
+        name: "engines crash, distinct bodies",
         poison_requests: 0,
         independent_crashes: Some((4000, 3)),
         ..BASELINE
@@ -112,8 +117,8 @@
     values[values.len() / 2]
 }
 
-/// Nothing remembered, one bad request three times a second ended 76 engines of twelve in 40 seconds, and 2,527 of 28,923
-/// innocent requests failed with them.
+/// Guards against poison requests that crash engine after engine, and against quarantining requests that ran beside
+/// them.
 #[test]
 fn poison_requests_crash_few_engines_and_no_healthy_request_is_quarantined() {
     for workload in POISON_WORKLOADS {
@@ -135,8 +140,7 @@
     }
 }
 
-/// Requests with a body of their own are never held back for engines that end by themselves, and where the same bodies come
-/// again and again few are.
+/// Requests with distinct bodies are never quarantined for independent crashes, and few are that share bodies.
 #[test]
 fn independent_crashes_fail_few_requests() {
     for workload in CRASH_ONLY_WORKLOADS {
@@ -146,7 +150,7 @@
         let extra_failures = (failed(&production) - failed(&disabled)) / healthy_requests;
         assert!(
             extra_failures <= 0.015,
-            "{}: {extra_failures} more of all requests fail",
+            "{}: {extra_failures} more of the healthy requests fail",
             workload.name
         );
         if workload.distinct_bodies == 0 {
@@ -155,11 +159,13 @@
     }
 }
 
-/// A host that counts for itself meets the same request too seldom, and with three ends in a row instead of two more innocent
-/// requests fail; `--nocapture` prints all figures.
+/// Without sharing, a host sees each request too seldom; with a threshold of three, more engines crash.
+/// `--nocapture` prints all figures.
 #[test]
 fn other_strategies_crash_more_engines() {
-    println!("| load | way | engines ended, median | innocent requests | failed | held | words |");
+    println!(
+        "| workload | strategy | crashed engines, median | healthy requests | failed | quarantined | reports |"
+    );
     for workload in POISON_WORKLOADS.iter().chain(CRASH_ONLY_WORKLOADS) {
         let results: Vec<Vec<Outcome>> =
             STRATEGIES.iter().map(|strategy| all(workload, strategy)).collect();
@@ -176,7 +182,7 @@
             );
         }
         let [disabled, per_host, three_crashes, production] = &results[..] else {
-            panic!("four ways")
+            panic!("four strategies")
         };
         if workload.poison_requests > 0 {
             assert!(median_crashes(disabled) > 2 * median_crashes(production), "{}", workload.name);
--- a/crates/core/tests/quarantine/simulation.rs
+++ b/crates/core/tests/quarantine/simulation.rs
@@ -1,4 +1,4 @@
-//! Plays a storm of requests under which engines end against a way to hold them back, and sums what came of it.
+//! Simulates a workload with poison requests under a quarantine strategy.
 
 use std::collections::BTreeSet;
 
@@ -12,40 +12,40 @@
 
 use crate::random::Random;
 
-/// One step of the play. Unit: milliseconds.
+/// The time step.
 const STEP_MS: u64 = 10;
 
-/// How long a play lasts. Unit: milliseconds.
+/// The duration of a simulation.
 const DURATION_MS: u64 = 40_000;
 
-/// How long an innocent request waits in its engine's queue at most, and runs at most. Unit: milliseconds.
+/// The longest time that a healthy request is queued at its engine, and the longest time that it runs.
 const MAX_QUEUE_MS: usize = 300;
 const MAX_RUN_MS: usize = 4000;
 
-/// How long an engine runs a bad request until it ends. Unit: milliseconds.
+/// How long an engine runs a poison request until it crashes.
 const POISON_RUN_MS: u64 = 80;
 
-/// How long an engine that has ended is away. Unit: milliseconds.
+/// How long a crashed engine is down.
 const RESTART_MS: u64 = 3000;
 
-/// After what time a client tries once more. Unit: milliseconds.
+/// The delay after which a client retries.
 const CLIENT_RETRY_MS: u64 = 100;
 
-/// How long a word is on its way. Unit: milliseconds.
+/// The delay of a report.
 const REPORT_DELAY_MS: u64 = 60;
 
-/// How much hosts know of what the others know.
+/// How hosts share what they know.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Sharing {
     /// Nothing is remembered.
     Disabled,
-    /// Each host remembers for itself.
+    /// Each host keeps its own state.
     PerHost,
-    /// Hosts add up what they know.
+    /// Hosts share their reports.
     Fleet,
 }
 
-/// A way to hold requests back.
+/// A quarantine strategy.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct QuarantineStrategy {
     pub(crate) name: &'static str,
@@ -53,47 +53,49 @@
     pub(crate) crashes_until_quarantined: usize,
 }
 
-/// A load.
+/// A workload.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Workload {
     pub(crate) name: &'static str,
     pub(crate) hosts: usize,
     pub(crate) engines: usize,
-    /// Innocent requests a second.
+    /// Healthy requests per second.
     pub(crate) rate: f64,
-    /// How many bad requests there are, each with its own body.
+    /// The number of poison requests, each with its own body.
     pub(crate) poison_requests: u64,
-    /// How often each of them comes a second.
+    /// How often each of them arrives per second.
     pub(crate) poison_rate: f64,
-    /// Whether equal requests of one moment go to one engine, as where one engine holds their adapter.
+    /// Whether equal requests go to the same engine, as if it were the only one with their adapter.
     pub(crate) single_resident: bool,
-    /// How many engines may end.
+    /// The most engines that may crash.
     pub(crate) max_crashes: u32,
-    /// Every so often that many engines end at the same moment, with nobody to blame. Unit: milliseconds.
+    /// The interval of crashes without a poison request, and how many engines crash at a time. Unit: milliseconds.
     pub(crate) independent_crashes: Option<(u64, usize)>,
-    /// How many bodies innocent requests have; zero where each has its own.
+    /// The number of bodies of healthy requests; zero if each has its own.
     pub(crate) distinct_bodies: u64,
 }
 
-/// What came of a play.
+/// The outcome of a simulation.
 #[derive(Debug, Default, Clone, Copy)]
 pub(crate) struct Outcome {
-    /// Engines that ended under bad requests.
+    /// Engines that poison requests crashed.
     pub(crate) crashed_engines: u32,
-    /// Runs of the most often run bad request that began later than three seconds after the third engine had ended under it.
+    /// Runs of a poison request more than three seconds after the third engine had crashed under it; the maximum
+    /// over all of them.
     pub(crate) late_runs: u32,
-    /// Innocent requests, and those of them that failed in the end.
+    /// Healthy requests, and those that failed after all attempts.
     pub(crate) healthy_requests: u32,
     pub(crate) failed: u32,
-    /// Innocent requests that were held back.
+    /// Healthy requests that were rejected by a quarantine.
     pub(crate) quarantined: u32,
-    /// Whether three engines ended under the first bad request.
+    /// Whether three engines crashed under the first poison request.
     pub(crate) reached_third_crash: bool,
-    /// Until all hosts held the first bad request back, from its third end on. Unit: milliseconds.
+    /// The time from the third crash under the first poison request until all hosts had quarantined it. Unit:
+    /// milliseconds.
     pub(crate) detected_after: Option<u64>,
-    /// The most suspects that a host knew.
+    /// The most suspects of any host.
     pub(crate) max_suspects: usize,
-    /// Words that were sent, by any host to any other.
+    /// The number of reports sent.
     pub(crate) reports: usize,
 }
 
@@ -128,9 +130,9 @@
     engines: Vec<Engine>,
     runs: Vec<Run>,
     arrivals: Vec<Arrival>,
-    /// Words on their way: when they arrive, to whom, and whether that host adds up.
+    /// Reports in flight: arrival time, receiving host, reports.
     reports: Vec<(u64, usize, Vec<SuspectReport>)>,
-    /// When engines ended under each bad request.
+    /// When engines crashed under each poison request.
     crash_times: Vec<Vec<u64>>,
     late_runs: Vec<u32>,
     outcome: Outcome,
@@ -141,7 +143,7 @@
     ClockMillis::from_millis(1_000_000 + millis)
 }
 
-/// Plays a storm.
+/// Runs a simulation.
 pub(crate) fn simulate(workload: &Workload, strategy: &QuarantineStrategy, seed: u64) -> Outcome {
     let trackers = (0..workload.hosts)
         .map(|host| {
@@ -346,7 +348,7 @@
         tracker.record_crash(incarnation, &interrupted_runs, at(now));
     }
 
-    /// Host 0 adds up what all say.
+    /// Host 0 is the coordinator.
     fn publish_reports(&mut self, now: u64) {
         if self.strategy.sharing != Sharing::Fleet {
             return;
--- a/crates/core/tests/quarantine/tracker.rs
+++ b/crates/core/tests/quarantine/tracker.rs
@@ -1,4 +1,4 @@
-//! What one host's book says after each kind of thing that can happen, and that words are merged in whichever order they come.
+//! One host's tracker: quarantine after each kind of event, and merging of reports in any order.
 
 use std::sync::Arc;
 
@@ -25,46 +25,46 @@
     InterruptedRun { mark, organisation: Some(Arc::from("north")), began: at(sent_at), version: 1 }
 }
 
-/// One thing that happens to the bad request.
+/// An event of the poison request.
 #[derive(Debug, Clone, Copy)]
 enum Step {
-    /// Its engine ends: which, when the run began, and when the engine ended.
+    /// Its engine crashes: the engine, when the run was sent, and when the engine crashed.
     Crash(&'static str, u64, u64),
-    /// It runs whole at this time.
+    /// It completes.
     Complete(u64),
-    /// It is tried at this time.
+    /// It is probed.
     Probe(u64),
 }
 
 struct TrackerCase {
     name: &'static str,
     steps: &'static [Step],
-    /// When it is looked at, and with which version named.
+    /// When the quarantine is checked, and the current version of the model.
     checked_at: (u64, u64),
     is_quarantined: bool,
 }
 
 const CASES: &[TrackerCase] = &[
     TrackerCase {
-        name: "one end",
+        name: "one crash",
         steps: &[Step::Crash("a", 0, 50)],
         checked_at: (60, 1),
         is_quarantined: false,
     },
     TrackerCase {
-        name: "two ends, one after the other",
+        name: "two consecutive crashes",
         steps: &[Step::Crash("a", 0, 50), Step::Crash("b", 60, 90)],
         checked_at: (100, 1),
         is_quarantined: true,
     },
     TrackerCase {
-        name: "two engines end together",
+        name: "two engines crash together",
         steps: &[Step::Crash("a", 0, 50), Step::Crash("b", 10, 50)],
         checked_at: (60, 1),
         is_quarantined: false,
     },
     TrackerCase {
-        name: "a rack goes while the same request runs at four engines, twice",
+        name: "a rack fails while the same request runs at four engines",
         steps: &[
             Step::Crash("a", 0, 50),
             Step::Crash("b", 10, 51),
@@ -75,43 +75,43 @@
         is_quarantined: false,
     },
     TrackerCase {
-        name: "the same life is heard of twice",
+        name: "the same crash is reported twice",
         steps: &[Step::Crash("a", 0, 50), Step::Crash("a", 60, 90)],
         checked_at: (100, 1),
         is_quarantined: false,
     },
     TrackerCase {
-        name: "the next life of an engine whose entry has not come yet",
+        name: "the next incarnation of an engine whose entry is not updated yet",
         steps: &[Step::Crash("a", 0, 50), Step::Crash("a", 2050, 2100)],
         checked_at: (2200, 1),
         is_quarantined: true,
     },
     TrackerCase {
-        name: "a whole run between the ends",
+        name: "a completed run between the crashes",
         steps: &[Step::Crash("a", 0, 50), Step::Complete(55), Step::Crash("b", 60, 90)],
         checked_at: (100, 1),
         is_quarantined: false,
     },
     TrackerCase {
-        name: "a whole run after the ends",
+        name: "a completed run after the crashes",
         steps: &[Step::Crash("a", 0, 50), Step::Crash("b", 60, 90), Step::Complete(95)],
         checked_at: (100, 1),
         is_quarantined: false,
     },
     TrackerCase {
-        name: "the hold is over",
+        name: "the quarantine is over",
         steps: &[Step::Crash("a", 0, 50), Step::Crash("b", 60, 90)],
         checked_at: (10_100, 1),
         is_quarantined: false,
     },
     TrackerCase {
-        name: "it is being tried",
+        name: "it is being probed",
         steps: &[Step::Crash("a", 0, 50), Step::Crash("b", 60, 90), Step::Probe(10_100)],
         checked_at: (10_150, 1),
         is_quarantined: true,
     },
     TrackerCase {
-        name: "the try ended an engine",
+        name: "the probe crashed an engine",
         steps: &[
             Step::Crash("a", 0, 50),
             Step::Crash("b", 60, 90),
@@ -122,7 +122,7 @@
         is_quarantined: true,
     },
     TrackerCase {
-        name: "five ends hold for eight minutes",
+        name: "five crashes quarantine for eight minutes",
         steps: &[
             Step::Crash("a", 0, 50),
             Step::Crash("b", 60, 90),
@@ -134,7 +134,7 @@
         is_quarantined: true,
     },
     TrackerCase {
-        name: "a newer version is tried sooner",
+        name: "a newer version is probed sooner",
         steps: &[
             Step::Crash("a", 0, 50),
             Step::Crash("b", 60, 90),
@@ -146,7 +146,7 @@
         is_quarantined: false,
     },
     TrackerCase {
-        name: "but not at once",
+        name: "a newer version is not probed at once",
         steps: &[Step::Crash("a", 0, 50), Step::Crash("b", 60, 90), Step::Crash("c", 100, 150)],
         checked_at: (30_000, 2),
         is_quarantined: true,
@@ -168,7 +168,11 @@
                 }
                 Step::Complete(now) => tracker.record_completion(POISON, at(now)),
                 Step::Probe(now) => {
-                    assert!(tracker.record_start(POISON, at(now)), "{}: a try is told", case.name);
+                    assert!(
+                        tracker.record_start(POISON, at(now)),
+                        "{}: a probe is reported",
+                        case.name
+                    );
                 }
             }
         }
@@ -188,7 +192,7 @@
     }
 }
 
-/// Brings the ends of two engines under one request to a host, by the words of two others through the one that adds up.
+/// Delivers the coordinator's publications to a host.
 fn publish_to(coordinator: &mut QuarantineTracker, to: &mut QuarantineTracker, now: ClockMillis) {
     let reports = coordinator.take_unpublished(now);
     to.receive(&reports, false, now);
@@ -201,15 +205,15 @@
     one.record_crash(engine_incarnation_id("a", 0), &[run(POISON, 0)], at(50));
     two.record_crash(engine_incarnation_id("b", 0), &[run(POISON, 60)], at(90));
     for host in [&mut one, &mut two] {
-        assert_eq!(host.quarantine_left(POISON, 1, at(95)), None, "no host knows it alone");
+        assert_eq!(host.quarantine_left(POISON, 1, at(95)), None, "no host quarantines it alone");
     }
     three.receive(&one.take_pending(at(100)), true, at(110));
-    assert!(three.take_unpublished(at(110)).is_empty(), "one end concerns nobody else");
+    assert!(three.take_unpublished(at(110)).is_empty(), "one crash is not published");
     three.receive(&two.take_pending(at(100)), true, at(120));
     assert!(three.quarantine_left(POISON, 1, at(120)).is_some());
     publish_to(&mut three, &mut one, at(130));
     assert!(one.quarantine_left(POISON, 1, at(140)).is_some());
-    // Who begins to listen later hears it at once.
+    // A new subscriber receives the snapshot.
     late.receive(&three.snapshot(at(200)), false, at(210));
     assert!(late.quarantine_left(POISON, 1, at(210)).is_some());
     let events = late.take_events();
@@ -218,7 +222,7 @@
         panic!("{events:?}");
     };
     assert_eq!(organisation.as_deref(), Some("north"));
-    // A whole run at any host clears it at all.
+    // A completed run at any host clears the request on all.
     one.record_completion(POISON, at(300));
     three.receive(&one.take_pending(at(300)), true, at(310));
     publish_to(&mut three, &mut late, at(320));
@@ -226,12 +230,12 @@
     assert_eq!(late.take_events(), [QuarantineEvent::Cleared { mark: POISON }]);
 }
 
-/// A request that many callers send breaks off at the hosts that had it at engines which ended, and runs whole at all others:
-/// these know of no end until they hear of two, and say at once that it is not the one.
+/// A common request is interrupted at a few hosts and completes at many. Hosts that saw no crash clear it once two
+/// crashes are published.
 #[test]
 fn a_common_request_is_cleared_by_hosts_that_saw_no_crash() {
     let (mut one, mut two, mut coordinator, mut other) =
-        (tracker("one"), tracker("two"), tracker("adding"), tracker("other"));
+        (tracker("one"), tracker("two"), tracker("coordinator"), tracker("other"));
     one.record_crash(engine_incarnation_id("a", 0), &[run(POISON, 0)], at(50));
     other.record_completion(POISON, at(500));
     two.record_crash(engine_incarnation_id("b", 0), &[run(POISON, 600)], at(900));
@@ -241,12 +245,12 @@
     publish_to(&mut coordinator, &mut other, at(1000));
     assert_eq!(other.quarantine_left(POISON, 1, at(1001)), None);
     coordinator.receive(&other.take_pending(at(1010)), true, at(1010));
-    assert_eq!(coordinator.quarantine_left(POISON, 1, at(1010)), None, "one end is left");
+    assert_eq!(coordinator.quarantine_left(POISON, 1, at(1010)), None, "one crash is left");
     publish_to(&mut coordinator, &mut one, at(1020));
     assert_eq!(one.quarantine_left(POISON, 1, at(1020)), None);
 }
 
-/// Another host adds up by the time the request is cleared: it tells those who were told of the ends by the one before.
+/// A coordinator that did not publish the crashes still publishes that the request is cleared.
 #[test]
 fn a_later_coordinator_publishes_that_a_request_is_cleared() {
     let (mut first, mut next, mut other) = (tracker("first"), tracker("next"), tracker("other"));
@@ -280,7 +284,7 @@
     assert_eq!(host.take_pending(at(60)).len(), 1);
 }
 
-/// A flood of bad bodies drives out what is known least, never what is held back, and the bound holds.
+/// A flood of bad bodies evicts the suspects with the fewest crashes, and the bound holds.
 #[test]
 fn a_flood_of_bodies_is_bounded_and_releases_no_quarantined_request() {
     let mut host = tracker("one");
@@ -295,9 +299,9 @@
     assert!(suspects <= 2048, "{suspects} suspects");
     assert_eq!(quarantined, 1);
     assert!(host.quarantine_left(POISON, 1, at(2200)).is_some());
-    assert!(host.is_suspect(1000 + 19_999), "the newest is known");
+    assert!(host.is_suspect(1000 + 19_999), "the newest is kept");
     host.evict_expired(at(2200 + 700_000));
-    assert_eq!(host.counts(), (0, 0), "nothing is known for ever");
+    assert_eq!(host.counts(), (0, 0), "all suspects expire");
 }
 
 proptest! {
@@ -308,7 +312,7 @@
         ..ProptestConfig::default()
     })]
 
-    /// Words that come in another order, or twice, say the same.
+    /// Reports that arrive in another order or twice have the same effect.
     #[test]
     fn reports_in_any_order_have_the_same_effect(
         crashes in proptest::collection::vec((0..6_u64, 0..2000_u64), 1..8),
@@ -318,14 +322,14 @@
         let mut reports: Vec<SuspectReport> = Vec::new();
         let now = at(3000);
         for (engine, sent_at) in &crashes {
-            let mut host = tracker("saw");
-            // One life ends once, whoever saw it.
+            let mut host = tracker("crashed");
+            // Each incarnation crashes once, whichever host reports it.
             let crashed_at = 2400 + engine * 10;
             host.record_crash(engine_incarnation_id("e", *engine), &[run(POISON, *sent_at)], at(crashed_at));
             reports.extend(host.take_pending(now));
         }
         if let Some(cleared_at) = cleared_at {
-            let mut host = tracker("whole");
+            let mut host = tracker("completed");
             host.receive(&reports, false, now);
             host.record_completion(POISON, at(cleared_at));
             reports.extend(host.take_pending(now));
--- a/crates/core/tests/quotas/main.rs
+++ b/crates/core/tests/quotas/main.rs
@@ -1,5 +1,5 @@
-//! Quotas that hosts grant together: never beyond the operator's bound, and hardly anything refused below
-//! it, compared with two other ways on the same requests.
+//! Quotas that hosts grant together: never beyond the operator's bound, and hardly any rejections below it,
+//! compared with two other strategies on the same requests.
 
 #[path = "../random/mod.rs"]
 mod random;
@@ -27,9 +27,8 @@
     }
 }
 
-/// A ledger that began anew opened each account full, and a host that had heard no ledger yet had a part of a full account: killed three
-/// times within one window, all hosts together granted 1.17 of the bound. A hall that was cut off was noticed by its
-/// connections only, seconds late: 1.00 to 1.23.
+/// Guards against full accounts after restarts, and against partitions that are detected late: both let all hosts
+/// together exceed the bound.
 #[test]
 fn hosts_that_start_again_or_fall_silent_keep_the_quotas() {
     for scenario in RESTART_SCENARIOS.iter().chain(SILENT_SCENARIOS) {
@@ -43,7 +42,7 @@
     }
 }
 
-/// Plays a scenario with each seed; returns the mean part that was refused and the worst window of all.
+/// Simulates a scenario with each seed; returns the mean of the rejected fractions and the worst window.
 fn simulate_all(scenario: &Scenario, strategy: fn(usize) -> Box<dyn GrantStrategy>) -> Outcome {
     let outcomes = SEEDS.map(|seed| simulate(scenario, &mut *strategy(scenario.hosts), seed));
     Outcome {
@@ -52,10 +51,10 @@
     }
 }
 
-/// With equal parts most lie idle, and budgets that are lent come too late; `--nocapture` prints all figures.
+/// Equal shares are mostly idle, and leased budgets arrive too late. `--nocapture` prints all figures.
 #[test]
 fn equal_shares_and_leased_budgets_refuse_more_of_the_quota() {
-    println!("| load | equal parts | lent budgets | told sums |");
+    println!("| workload | equal shares | leased budgets | ledger |");
     for scenario in SCENARIOS {
         let equal =
             simulate_all(scenario, |hosts| Box::new(EqualShares { levels: vec![0.0; hosts] }));
@@ -72,8 +71,8 @@
         );
         if matches!(scenario.name, "uneven" | "moving" | "small and uneven" | "370 hosts") {
             let threshold = ledger.refused + 0.1;
-            assert!(equal.refused > threshold, "{}: equal parts, {equal:?}", scenario.name);
-            assert!(leased.refused > threshold, "{}: lent budgets, {leased:?}", scenario.name);
+            assert!(equal.refused > threshold, "{}: equal shares, {equal:?}", scenario.name);
+            assert!(leased.refused > threshold, "{}: leased budgets, {leased:?}", scenario.name);
         }
     }
 }
--- a/crates/core/tests/quotas/scenario.rs
+++ b/crates/core/tests/quotas/scenario.rs
@@ -1,4 +1,4 @@
-//! Loads on the quota of one organisation, and what the operator allows.
+//! Workloads on the quota of one organisation, and the operator's bound.
 
 use std::{sync::Arc, time::Duration};
 
@@ -10,10 +10,10 @@
 pub(crate) const TOLERANCE: QuotaTolerance =
     QuotaTolerance { window: Duration::from_secs(8), overage: 0.1, extra: 11_000.0 };
 
-/// What one request counts. Unit: tokens.
+/// The cost of one request. Unit: tokens.
 pub(crate) const REQUEST_COST: u64 = 1500;
 
-/// How long a host that is cut off from all goes on serving: what the operator gives withdrawn keys.
+/// How long a host that is partitioned from all others goes on serving keys.
 pub(crate) const PARTITION_GRACE_MS: u64 = 5000;
 
 pub(crate) const fn at(millis: u64) -> ClockMillis {
@@ -24,39 +24,39 @@
     Arc::from("north")
 }
 
-/// How demand is spread over hosts.
+/// How demand is spread over the hosts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Spread {
     Even,
     /// A tenth of the hosts has nine tenths of the demand.
     Uneven,
-    /// As uneven, and other hosts have it after each three seconds.
+    /// Uneven, on other hosts every three seconds.
     Moving,
 }
 
-/// One load on a quota.
+/// A workload on a quota.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Scenario {
     pub(crate) name: &'static str,
     pub(crate) hosts: usize,
-    /// The rate of the limit. Unit: tokens a second.
+    /// The rate of the limit. Unit: tokens per second.
     pub(crate) rate: f64,
-    /// Demand in parts of the rate, from each second on.
+    /// The demand as a fraction of the rate, each from a time on. Unit of time: milliseconds.
     pub(crate) demand: &'static [(u64, f64)],
     pub(crate) spread: Spread,
-    /// From when to when a third of the hosts is cut off from all others.
+    /// From when until when a third of the hosts is partitioned from all others.
     pub(crate) partition: Option<(u64, u64)>,
-    /// How long after the cut the ledger's host notices that these hosts are silent. Unit: milliseconds.
+    /// How long after the partition the ledger's host notices it. Unit: milliseconds.
     pub(crate) silence_noticed_after: u64,
-    /// When the ledger's host is lost, for how long nobody keeps one.
+    /// From when until when there is no ledger.
     pub(crate) ledger_lost: Option<(u64, u64)>,
-    /// Whether another host takes the ledger over every two seconds, knowing nothing.
+    /// Whether another host takes over the ledger every two seconds, without its state.
     pub(crate) ledger_moves_often: bool,
-    /// When all hosts begin anew, knowing nothing, and the ledger with them.
+    /// When all hosts and the ledger restart without state.
     pub(crate) restart_times: &'static [u64],
     /// When the limit is halved.
     pub(crate) halved: Option<u64>,
-    /// The most of what the quota allows that may be refused.
+    /// The largest fraction of the quota that may be rejected.
     pub(crate) max_refused: f64,
 }
 
@@ -88,54 +88,54 @@
         ..BASELINE
     },
     Scenario {
-        name: "six times the usual at once",
+        name: "six times the usual load at once",
         demand: &[(0, 0.55), (5000, 3.3), (13_000, 0.55)],
         max_refused: 0.08,
         ..BASELINE
     },
     Scenario {
-        name: "six times the usual, uneven and moving",
+        name: "six times the usual load, uneven and moving",
         demand: &[(0, 0.55), (5000, 3.3), (13_000, 0.55)],
         spread: Spread::Moving,
         max_refused: 0.12,
         ..BASELINE
     },
     Scenario {
-        name: "six times the usual of a small one",
+        name: "six times the usual load on a small quota",
         rate: 2700.0,
         demand: &[(0, 0.55), (5000, 3.3), (13_000, 0.55)],
         max_refused: 0.12,
         ..BASELINE
     },
     Scenario {
-        name: "a hall cut off",
+        name: "a hall partitioned",
         partition: Some((6000, 13_000)),
         max_refused: 0.05,
         ..BASELINE
     },
     Scenario {
-        name: "six times the usual, then a hall cut off",
+        name: "six times the usual load, then a hall partitioned",
         demand: &[(0, 0.55), (5000, 3.3)],
         partition: Some((7000, 14_000)),
         max_refused: 0.15,
         ..BASELINE
     },
     Scenario {
-        name: "a hall cut off, then six times the usual",
+        name: "a hall partitioned, then six times the usual load",
         demand: &[(0, 0.55), (7500, 3.3)],
         partition: Some((7000, 14_000)),
         max_refused: 0.15,
         ..BASELINE
     },
     Scenario {
-        name: "the ledger lost",
+        name: "the ledger is lost",
         spread: Spread::Uneven,
         ledger_lost: Some((6000, 9000)),
         max_refused: 0.08,
         ..BASELINE
     },
     Scenario {
-        name: "the ledger lost under six times the usual",
+        name: "the ledger is lost under six times the usual load",
         demand: &[(0, 0.55), (5000, 3.3)],
         ledger_lost: Some((7000, 10_000)),
         max_refused: 0.2,
@@ -143,7 +143,7 @@
     },
     Scenario { name: "the ledger moves", ledger_moves_often: true, max_refused: 0.05, ..BASELINE },
     Scenario {
-        name: "the ledger moves under six times the usual",
+        name: "the ledger moves under six times the usual load",
         demand: &[(0, 3.3)],
         ledger_moves_often: true,
         max_refused: 0.25,
@@ -156,13 +156,13 @@
         max_refused: 0.01,
         ..BASELINE
     },
-    Scenario { name: "the limit halved", halved: Some(9000), max_refused: 0.08, ..BASELINE },
+    Scenario { name: "the limit is halved", halved: Some(9000), max_refused: 0.08, ..BASELINE },
 ];
 
-/// Loads while hosts begin anew.
+/// Workloads during restarts.
 pub(crate) const RESTART_SCENARIOS: &[Scenario] = &[
     Scenario {
-        name: "all killed under six times the usual",
+        name: "all killed under six times the usual load",
         demand: &[(0, 0.55), (5000, 3.3)],
         restart_times: &[7000],
         ledger_lost: Some((7000, 8500)),
@@ -170,7 +170,7 @@
         ..BASELINE
     },
     Scenario {
-        name: "all killed three times under six times the usual",
+        name: "all killed three times under six times the usual load",
         demand: &[(0, 0.55), (5000, 3.3)],
         restart_times: &[7000, 9500, 12_000],
         max_refused: 0.15,
@@ -186,10 +186,10 @@
     },
 ];
 
-/// Loads while a hall is cut off, which the ledger's host notices by its connections only, seconds later.
+/// Workloads with a partitioned hall, which the ledger's host notices seconds later by its connections.
 pub(crate) const SILENT_SCENARIOS: &[Scenario] = &[
     Scenario {
-        name: "six times the usual, then a hall cut off, noticed after 3 s",
+        name: "six times the usual load, then a hall partitioned, noticed after 3 s",
         demand: &[(0, 0.55), (5000, 3.3)],
         partition: Some((7000, 14_000)),
         silence_noticed_after: 3000,
@@ -197,7 +197,7 @@
         ..BASELINE
     },
     Scenario {
-        name: "six times the usual, then a hall cut off, not noticed",
+        name: "six times the usual load, then a hall partitioned, not noticed",
         demand: &[(0, 0.55), (5000, 3.3)],
         partition: Some((9000, 14_000)),
         silence_noticed_after: 5000,
@@ -205,7 +205,7 @@
         ..BASELINE
     },
     Scenario {
-        name: "eight times the usual of a small one, then a hall cut off, not noticed",
+        name: "eight times the usual load on a small quota, then a hall partitioned, not noticed",
         rate: 2700.0,
         demand: &[(0, 0.55), (5000, 4.4)],
         partition: Some((9000, 14_000)),
--- a/crates/core/tests/quotas/simulation.rs
+++ b/crates/core/tests/quotas/simulation.rs
@@ -1,4 +1,4 @@
-//! Plays a load against a way to grant, and sums what came of it.
+//! Simulates a workload under a strategy for granting quotas.
 
 use std::collections::VecDeque;
 
@@ -10,13 +10,13 @@
     strategies::{GrantStrategy, Network},
 };
 
-/// What came of a scenario.
+/// The outcome of a scenario.
 #[derive(Debug)]
 pub(crate) struct Outcome {
-    /// By how much less was granted than the quota allows, second by second, in parts of what it allows. Which of
-    /// many requests beyond a quota are granted makes no difference to the organisation.
+    /// The shortfall of the grants against the quota, per second, as a fraction of the quota. Which of many
+    /// requests beyond a quota are granted does not matter.
     pub(crate) refused: f64,
-    /// The most granted in a window, in parts of what the operator allows in it.
+    /// The most granted in a window, as a fraction of the operator's bound.
     pub(crate) worst_window: f64,
 }
 
--- a/crates/core/tests/quotas/strategies.rs
+++ b/crates/core/tests/quotas/strategies.rs
@@ -1,4 +1,4 @@
-//! Ways to grant a quota over all hosts: the product's own, equal parts, and budgets that are lent.
+//! Strategies for granting a quota on all hosts: the production ledger, equal shares, and leased budgets.
 
 use std::{collections::VecDeque, sync::Arc, time::Duration};
 
@@ -18,24 +18,24 @@
     directory
 }
 
-/// A way to grant a quota over all hosts.
+/// A strategy for granting a quota on all hosts.
 pub(crate) trait GrantStrategy {
-    /// Decides on a request that came to a host.
+    /// Decides on a request that arrives at a host.
     fn try_grant(&mut self, host: usize, limit: &QuotaLimit, now: u64) -> bool;
-    /// Ten milliseconds have passed.
+    /// Advances the time by ten milliseconds.
     fn tick(&mut self, limit: &QuotaLimit, network: &Network, now: u64);
 }
 
-/// Who reaches whom.
+/// The state of the network.
 #[expect(clippy::struct_excessive_bools, reason = "things that happen to hosts, each by itself")]
 pub(crate) struct Network {
     pub(crate) hosts: usize,
     pub(crate) is_partitioned: bool,
-    /// Whether the ledger's host knows of the cut.
+    /// Whether the ledger's host knows of the partition.
     pub(crate) partition_noticed: bool,
     pub(crate) ledger_lost: bool,
     pub(crate) ledger_moves: bool,
-    /// Whether all hosts begin anew now.
+    /// Whether all hosts restart now.
     pub(crate) restarts: bool,
 }
 
@@ -45,7 +45,7 @@
     }
 }
 
-/// The way that the product goes: hosts decide, a ledger tells of who has little left.
+/// The production strategy: hosts decide, and a ledger publishes which organisations have little left.
 pub(crate) struct LedgerQuotas {
     shares: Vec<QuotaShare>,
     ledger: Option<QuotaLedger>,
@@ -149,7 +149,7 @@
     }
 }
 
-/// Each host grants an equal part.
+/// Each host grants an equal share.
 pub(crate) struct EqualShares {
     pub(crate) levels: Vec<f64>,
 }
@@ -172,8 +172,7 @@
     }
 }
 
-/// A holder lends budgets that lapse: a host asks for as much as it was asked for in the last quarter of a
-/// second and one request more.
+/// A coordinator leases budgets that expire: a host asks for its demand in the last 250 ms and one more request.
 pub(crate) struct LeasedBudgets {
     level: f64,
     budgets: Vec<f64>,
@@ -209,7 +208,7 @@
             if !renewal_due || !network.reaches_ledger(host) {
                 continue;
             }
-            // What was not used goes back, and what is wanted next is lent.
+            // What was not used is returned, and the next demand is leased.
             self.level += self.budgets[host].max(0.0);
             let wanted = std::mem::take(&mut self.requested[host]) + REQUEST_COST as f64;
             let leased = wanted.min(self.level.max(0.0));
