--- a/crates/core/tests/engine_limits/strategies.rs
+++ b/crates/core/tests/engine_limits/strategies.rs
@@ -44,8 +44,8 @@
         }
     }
 
-    fn known(&self, now: ClockMillis) -> Option<RequestLimit> {
-        self.0.filter(|(_, known)| now >= *known).map(|(limit, _)| limit)
+    fn effective_limit(&self, now: ClockMillis) -> Option<RequestLimit> {
+        self.0.filter(|(_, effective_at)| now >= *effective_at).map(|(limit, _)| limit)
     }
 }
 
@@ -86,7 +86,7 @@
 
     fn hosts_to_send(&mut self, now: ClockMillis) -> Vec<usize> {
         let mut hosts_to_send = std::mem::take(&mut self.arrived);
-        let Some(limit) = self.propagated.known(now) else { return hosts_to_send };
+        let Some(limit) = self.propagated.effective_limit(now) else { return hosts_to_send };
         let rate = limit.per_second() / self.sharing_hosts as f64;
         hosts_to_send.retain(|host| {
             let bucket = self.buckets[*host].get_or_insert_with(|| {
@@ -128,7 +128,7 @@
         let mut hosts_to_send = std::mem::take(&mut self.arrived);
         let step = STEP.as_secs_f64();
         self.rate += step * (hosts_to_send.len() as f64 / step - self.rate);
-        let Some(limit) = self.propagated.known(now) else { return hosts_to_send };
+        let Some(limit) = self.propagated.effective_limit(now) else { return hosts_to_send };
         let probability = limit.per_second() / self.rate.max(limit.per_second());
         hosts_to_send.retain(|_| self.random.random::<f64>() < probability);
         hosts_to_send
--- a/crates/core/tests/limits.rs
+++ b/crates/core/tests/limits.rs
@@ -131,8 +131,8 @@
         let mut popped = queue.drain_where(|item| item.organisation == drained);
         prop_assert!(queue.iter().all(|item| item.organisation != drained));
         while let Some(item) = queue.pop_ready(|_| true) {
-            let earlier = popped.iter().filter(|known| known.organisation == item.organisation);
-            prop_assert!(earlier.clone().all(|known| known.number < item.number));
+            let earlier = popped.iter().filter(|other| other.organisation == item.organisation);
+            prop_assert!(earlier.clone().all(|other| other.number < item.number));
             popped.push(item);
         }
         prop_assert!(queue.is_empty());
--- a/crates/core/tests/quarantine/simulation.rs
+++ b/crates/core/tests/quarantine/simulation.rs
@@ -379,8 +379,8 @@
     }
 
     fn observe(&mut self, now: u64) {
-        let most = self.trackers.iter().map(|tracker| tracker.counts().0).max();
-        self.outcome.max_suspects = self.outcome.max_suspects.max(most.unwrap_or_default());
+        let max = self.trackers.iter().map(|tracker| tracker.counts().0).max();
+        self.outcome.max_suspects = self.outcome.max_suspects.max(max.unwrap_or_default());
         let Some(third_crash) = self.crash_times.first().and_then(|crash_times| crash_times.get(2))
         else {
             return;
--- a/crates/core/tests/quarantine/tracker.rs
+++ b/crates/core/tests/quarantine/tracker.rs
@@ -200,21 +200,21 @@
 
 #[test]
 fn hosts_combine_crashes_that_each_saw_once() {
-    let (mut one, mut two, mut three, mut late) =
+    let (mut one, mut two, mut coordinator, mut late) =
         (tracker("one"), tracker("two"), tracker("three"), tracker("late"));
     one.record_crash(engine_incarnation_id("a", 0), &[run(POISON, 0)], at(50));
     two.record_crash(engine_incarnation_id("b", 0), &[run(POISON, 60)], at(90));
     for host in [&mut one, &mut two] {
         assert_eq!(host.quarantine_left(POISON, 1, at(95)), None, "no host quarantines it alone");
     }
-    three.receive(&one.take_pending(at(100)), true, at(110));
-    assert!(three.take_unpublished(at(110)).is_empty(), "one crash is not published");
-    three.receive(&two.take_pending(at(100)), true, at(120));
-    assert!(three.quarantine_left(POISON, 1, at(120)).is_some());
-    publish_to(&mut three, &mut one, at(130));
+    coordinator.receive(&one.take_pending(at(100)), true, at(110));
+    assert!(coordinator.take_unpublished(at(110)).is_empty(), "one crash is not published");
+    coordinator.receive(&two.take_pending(at(100)), true, at(120));
+    assert!(coordinator.quarantine_left(POISON, 1, at(120)).is_some());
+    publish_to(&mut coordinator, &mut one, at(130));
     assert!(one.quarantine_left(POISON, 1, at(140)).is_some());
     // A new subscriber receives the snapshot.
-    late.receive(&three.snapshot(at(200)), false, at(210));
+    late.receive(&coordinator.snapshot(at(200)), false, at(210));
     assert!(late.quarantine_left(POISON, 1, at(210)).is_some());
     let events = late.take_events();
     let [QuarantineEvent::Quarantined { mark: POISON, organisation, crashes: 2, .. }] = &events[..]
@@ -224,8 +224,8 @@
     assert_eq!(organisation.as_deref(), Some("north"));
     // A completed run at any host clears the request on all.
     one.record_completion(POISON, at(300));
-    three.receive(&one.take_pending(at(300)), true, at(310));
-    publish_to(&mut three, &mut late, at(320));
+    coordinator.receive(&one.take_pending(at(300)), true, at(310));
+    publish_to(&mut coordinator, &mut late, at(320));
     assert_eq!(late.quarantine_left(POISON, 1, at(330)), None);
     assert_eq!(late.take_events(), [QuarantineEvent::Cleared { mark: POISON }]);
 }
--- a/crates/core/tests/quotas/main.rs
+++ b/crates/core/tests/quotas/main.rs
@@ -16,7 +16,7 @@
 const SEEDS: [u64; 3] = [0x5eed_0001, 0x5eed_0002, 0x5eed_0003];
 
 #[test]
-fn no_load_gets_more_than_the_bound_or_much_less_than_the_quota() {
+fn no_workload_exceeds_the_bound_or_gets_much_less_than_the_quota() {
     for scenario in SCENARIOS {
         for seed in SEEDS {
             let outcome = simulate(scenario, &mut LedgerQuotas::new(scenario.hosts), seed);
@@ -30,7 +30,7 @@
 /// Guards against full accounts after restarts, and against partitions that are detected late: both let all hosts
 /// together exceed the bound.
 #[test]
-fn hosts_that_start_again_or_fall_silent_keep_the_quotas() {
+fn hosts_that_restart_or_fall_silent_keep_the_quotas() {
     for scenario in RESTART_SCENARIOS.iter().chain(SILENT_SCENARIOS) {
         for seed in SEEDS {
             let outcome = simulate(scenario, &mut LedgerQuotas::new(scenario.hosts), seed);
@@ -86,7 +86,7 @@
     })]
 
     #[test]
-    fn no_mix_of_cuts_and_lost_ledgers_gets_more_than_the_bound(
+    fn no_mix_of_partitions_and_lost_ledgers_exceeds_the_bound(
         seed in 1..u64::MAX,
         hosts in 6..80_usize,
         rate in 2000.0..400_000.0_f64,
--- a/crates/core/tests/quotas/simulation.rs
+++ b/crates/core/tests/quotas/simulation.rs
@@ -28,9 +28,9 @@
 
 pub(crate) fn host_for(scenario: &Scenario, random: &mut Random, now: u64) -> usize {
     let hosts = scenario.hosts;
-    let uniform = |random: &mut Random, most: usize| {
+    let uniform = |random: &mut Random, bound: usize| {
         #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "below one")]
-        let host = (random.next() * most as f64) as usize;
+        let host = (random.next() * bound as f64) as usize;
         host
     };
     let busy_hosts = (hosts / 10).max(1);
@@ -38,8 +38,8 @@
         Spread::Even => uniform(random, hosts),
         Spread::Uneven if random.next() < 0.9 => uniform(random, busy_hosts),
         Spread::Moving if random.next() < 0.9 => {
-            let turn = usize::try_from(now / 3000).expect("a short time");
-            (uniform(random, busy_hosts) + turn * busy_hosts) % hosts
+            let period = usize::try_from(now / 3000).expect("a short time");
+            (uniform(random, busy_hosts) + period * busy_hosts) % hosts
         }
         _ => uniform(random, hosts),
     }
