--- a/crates/core/tests/organisations.rs
+++ b/crates/core/tests/organisations.rs
@@ -34,14 +34,26 @@
     directory.insert(organisation("west"), digests(&["both", "all"]));
     directory.insert(organisation("keyless"), digests(&[]));
     let cases = [
-        OwnerCase { name: "a key", key: presented("n2"), owner: Ok("north") },
-        OwnerCase { name: "listed twice by one", key: presented("n1"), owner: Ok("north") },
-        OwnerCase { name: "of the second", key: presented("s1"), owner: Ok("south") },
-        OwnerCase { name: "of two", key: presented("both"), owner: Err(KeyError::Unknown) },
-        OwnerCase { name: "of three", key: presented("all"), owner: Err(KeyError::Unknown) },
-        OwnerCase { name: "of nobody", key: presented("x"), owner: Err(KeyError::Unknown) },
-        OwnerCase { name: "empty", key: presented(""), owner: Err(KeyError::Unreadable) },
-        OwnerCase { name: "none", key: PresentedKey::Missing, owner: Err(KeyError::Missing) },
+        OwnerCase { name: "unique key", key: presented("n2"), owner: Ok("north") },
+        OwnerCase {
+            name: "listed twice by one organisation",
+            key: presented("n1"),
+            owner: Ok("north"),
+        },
+        OwnerCase { name: "of another organisation", key: presented("s1"), owner: Ok("south") },
+        OwnerCase {
+            name: "listed by two organisations",
+            key: presented("both"),
+            owner: Err(KeyError::Unknown),
+        },
+        OwnerCase {
+            name: "listed by three organisations",
+            key: presented("all"),
+            owner: Err(KeyError::Unknown),
+        },
+        OwnerCase { name: "unlisted key", key: presented("x"), owner: Err(KeyError::Unknown) },
+        OwnerCase { name: "empty key", key: presented(""), owner: Err(KeyError::Unreadable) },
+        OwnerCase { name: "no key", key: PresentedKey::Missing, owner: Err(KeyError::Missing) },
     ];
     for case in cases {
         let owner = directory.identify(&case.key).map(|entry| entry.name.to_string());
