--- a/crates/cli/src/bench/scenario.rs
+++ b/crates/cli/src/bench/scenario.rs
@@ -147,13 +147,13 @@
             action: EditAction::Set(key, value),
         };
         let version =
-            |index| set(&self.adapter(index), SettingKey::Version, SettingValue::Number(1));
+            |index| set(&self.adapter(index), SettingKey::Version, SettingValue::Integer(1));
         let mut edits: Vec<SettingsEdit> = (0..self.adapters).map(version).collect();
-        let worth = SettingValue::Fraction(self.first_worth);
+        let worth = SettingValue::Float(self.first_worth);
         edits.push(set("assist/firm-0", SettingKey::Worth, worth));
-        let rate = SettingValue::Fraction(self.loads_per_second);
+        let rate = SettingValue::Float(self.loads_per_second);
         edits.push(set("/", SettingKey::StoreLoadsPerSecond, rate));
-        edits.push(set("/", SettingKey::QueueLimit, SettingValue::Number(256)));
+        edits.push(set("/", SettingKey::QueueLimit, SettingValue::Integer(256)));
         ChangeRecord {
             format: RECORD_FORMAT,
             change_id: self.name.clone(),
--- a/crates/cli/src/capacity/decisions.rs
+++ b/crates/cli/src/capacity/decisions.rs
@@ -2,7 +2,7 @@
 
 use reelreel_core::{
     ClockMillis, NodeConfig, NodeCore, NodeEvent,
-    clock::HybridStamp,
+    clock::HybridTimestamp,
     engine::EngineFacts,
     gossip::EngineDigest,
     id::{AdapterKey, EngineId, RequestId, request_id},
@@ -76,7 +76,7 @@
     let arrived = ArrivedRequest {
         id,
         target: RequestTarget::Model(model),
-        patience: None,
+        max_wait: None,
         repeatable: None,
         key: None,
         max_tokens: None,
@@ -119,7 +119,7 @@
     };
     let digests = (1..=engines).map(digest).collect();
     let reply = SyncReply { digests, ..SyncReply::default() };
-    let stamp = HybridStamp::default();
+    let stamp = HybridTimestamp::default();
     let event = NodeEvent::Peer { from: 1, stamp, message: PeerMessage::SyncReply(reply) };
     let (sync, _) = micros_each(engines as usize, || core.handle(reading(3_001), event));
     table.add("core: full exchange taken in, per engine", &size, sync, "us");
--- a/crates/cli/src/capacity/hosts.rs
+++ b/crates/cli/src/capacity/hosts.rs
@@ -6,7 +6,7 @@
 use reelreel_core::{
     ClockMillis,
     chart::EngineState,
-    clock::HybridStamp,
+    clock::HybridTimestamp,
     id::{AdapterKey, takeover_token},
     message::{PeerMessage, PermitAsk, PermitDone, PermitGranted},
     request::PermitRequest,
@@ -26,7 +26,7 @@
 
 fn frame_bytes(message: &PeerMessage) -> u64 {
     let mut bytes = BytesMut::new();
-    let stamp = HybridStamp { wall_millis: 1_800_000_000_000, counter: 7 };
+    let stamp = HybridTimestamp { wall_millis: 1_800_000_000_000, counter: 7 };
     let frame = PeerFrame { from: 370, stamp, message: message.clone() };
     // A message that can not be written is no message; none is that large here.
     drop(FrameCodec::default().encode(frame, &mut bytes));
@@ -72,7 +72,7 @@
     let ask = PeerMessage::PermitAsk(PermitAsk {
         engine,
         attempt,
-        patience: Duration::from_secs(10),
+        max_wait: Duration::from_secs(10),
         request: permit,
         may_load: false,
         replica: false,
@@ -149,7 +149,7 @@
     let path = SettingsPath::site().child("assist");
     let mut record = adapters_record(0);
     record.base_revision = 1;
-    let value = SettingValue::Fraction(2.0);
+    let value = SettingValue::Float(2.0);
     record.edits = vec![SettingsEdit { path, action: EditAction::Set(SettingKey::Worth, value) }];
     fakes.publish(&record);
     fakes.run_until(SETTLED + 15_000);
--- a/crates/cli/src/capacity/tree.rs
+++ b/crates/cli/src/capacity/tree.rs
@@ -22,7 +22,7 @@
 pub(super) fn adapters_record(count: usize) -> ChangeRecord {
     let adapter = |index: usize| SettingsEdit {
         path: SettingsPath::parse(&adapter_path(index)).unwrap_or_default(),
-        action: EditAction::Set(SettingKey::Version, SettingValue::Number(1)),
+        action: EditAction::Set(SettingKey::Version, SettingValue::Integer(1)),
     };
     ChangeRecord {
         format: RECORD_FORMAT,
@@ -65,7 +65,7 @@
         );
         let before = live_bytes();
         let mut fresh = SettingsFold::default();
-        let (adopt_micros, adopted) = micros_each(count, || fresh.adopt(snapshot));
+        let (adopt_micros, adopted) = micros_each(count, || fresh.install_snapshot(snapshot));
         adopted?;
         table.add("settings: snapshot taken over, per adapter", &size, adopt_micros, "us");
         let held = (live_bytes() - before) / count as f64;
@@ -86,7 +86,7 @@
         let mut change = adapters_record(0);
         change.edits = vec![SettingsEdit {
             path: place,
-            action: EditAction::Set(SettingKey::Version, SettingValue::Number(2)),
+            action: EditAction::Set(SettingKey::Version, SettingValue::Integer(2)),
         }];
         change.base_revision = 1;
         let one = log_record(fresh.next_offset(), &change)?;
--- a/crates/cli/src/dev/site.rs
+++ b/crates/cli/src/dev/site.rs
@@ -128,7 +128,7 @@
         base_revision: 0,
         author: String::from("dev"),
         message: String::from("first tree"),
-        edits: SettingsTree::default().edits_towards(tree),
+        edits: SettingsTree::default().diff_edits(tree),
     };
     let log = LogSource { platform: platform.to_owned(), host: None };
     PlatformLog::new(&log).publish(&record)?.result?;
--- a/crates/cli/src/platform_log.rs
+++ b/crates/cli/src/platform_log.rs
@@ -38,7 +38,7 @@
         if let Some(host) = &self.host {
             // A host that can not be asked is no loss while the log still has the records.
             if let Ok(snapshot) = watch::fetch::<SettingsSnapshot>(host, "settings") {
-                fold.adopt(snapshot)?;
+                fold.install_snapshot(snapshot)?;
             }
         }
         self.read_on(&mut fold, Duration::ZERO)?;
@@ -49,13 +49,13 @@
         let end = self.border.read(LogStream::Snapshots, u64::MAX, Duration::ZERO)?.end;
         let last = end.saturating_sub(1);
         let batch = self.border.read(LogStream::Snapshots, last, Duration::ZERO)?;
-        fold.enter(batch.era);
+        fold.enter_era(batch.era);
         let newest = batch.records.last().map(|record| record.payload.clone());
         if let Some(payload) = newest {
             let snapshot = SettingsSnapshot::from_json(&payload);
             // A snapshot that can not be trusted is no loss while the log still has the records.
             if let Ok(snapshot) = snapshot {
-                drop(fold.adopt(snapshot));
+                drop(fold.install_snapshot(snapshot));
             }
         }
         Ok(())
@@ -68,7 +68,7 @@
             let from = fold.next_offset();
             let batch = self.border.read(LogStream::Settings, from, wait)?;
             wait = Duration::ZERO;
-            if fold.enter(batch.era) {
+            if fold.enter_era(batch.era) {
                 // The log came back from an older copy: what it has now is folded from the start.
                 self.adopt_snapshot(fold)?;
                 continue;
--- a/crates/cli/src/settings/publish.rs
+++ b/crates/cli/src/settings/publish.rs
@@ -51,7 +51,7 @@
 pub(super) fn diff(log: &LogSource, file: &Path, output: OutputFormat) -> eyre::Result<ExitCode> {
     let wanted = read_file(file)?;
     let fold = PlatformLog::new(log).fold()?;
-    let edits = fold.tree().edits_towards(&wanted);
+    let edits = fold.tree().diff_edits(&wanted);
     print(output, &edits, || edits_text(&edits))?;
     Ok(ExitCode::SUCCESS)
 }
@@ -62,7 +62,7 @@
     let wanted = read_file(&options.file)?;
     let log = PlatformLog::new(&options.log);
     let fold = log.fold()?;
-    let mut edits = fold.tree().edits_towards(&wanted);
+    let mut edits = fold.tree().diff_edits(&wanted);
     if let Some(at) = &options.at {
         let at = SettingsPath::parse(at).map_err(|reason| eyre!(reason))?;
         edits.retain(|edit| edit.path.segments().starts_with(at.segments()));
--- a/crates/cli/src/settings/show.rs
+++ b/crates/cli/src/settings/show.rs
@@ -4,7 +4,7 @@
 
 use eyre::{bail, eyre};
 use reelreel_core::settings::{
-    SettingKey, SettingOrigin, SettingsPath, SettingsTree, source::closest,
+    SettingKey, SettingOrigin, SettingsPath, SettingsTree, source::closest_match,
 };
 use reelreel_node::settings::{FIELDS, FieldSpec, describe};
 use serde::Serialize;
@@ -29,10 +29,10 @@
 pub(super) fn keys(output: OutputFormat) -> eyre::Result<ExitCode> {
     let row = |key: &SettingKey| KeyRow {
         key: key.name(),
-        kind: key.kind().to_string(),
+        kind: key.constraint().to_string(),
         levels: key.levels().iter().map(|level| level.name()).collect(),
         default: key.default_text(),
-        meaning: key.meaning(),
+        meaning: key.description(),
     };
     let rows: Vec<KeyRow> = SettingKey::ALL.iter().map(row).collect();
     print(output, &rows, || {
@@ -123,11 +123,11 @@
 }
 
 fn check_exists(tree: &SettingsTree, path: &SettingsPath) -> eyre::Result<()> {
-    let lineage = tree.lineage(path);
-    let depth = lineage.len() - 1;
+    let path_nodes = tree.nodes_along(path);
+    let depth = path_nodes.len() - 1;
     let Some(missing) = path.segments().get(depth) else { return Ok(()) };
-    let known = lineage[depth].children.keys().map(|name| &**name);
-    match closest(missing, known) {
+    let known = path_nodes[depth].children.keys().map(|name| &**name);
+    match closest_match(missing, known) {
         Some(known) => bail!("there is no `{missing}` in the tree; did you mean `{known}`?"),
         None => bail!("there is no `{missing}` in the tree at {path}"),
     }
--- a/crates/core/src/clock.rs
+++ b/crates/core/src/clock.rs
@@ -126,14 +126,14 @@
 /// Readings order events over all processes so that a cause comes before its effect, even when the
 /// hosts' wall clocks differ (Kulkarni et al., "Logical Physical Clocks", 2014).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
-pub struct HybridStamp {
+pub struct HybridTimestamp {
     /// Milliseconds since the Unix epoch, the highest seen so far.
     pub wall_millis: u64,
     /// Orders events within one `wall_millis`.
     pub counter: u32,
 }
 
-impl HybridStamp {
+impl HybridTimestamp {
     /// Returns the next reading at wall time `wall_millis`.
     #[must_use]
     pub const fn next(self, wall_millis: u64) -> Self {
--- a/crates/core/src/engine/permits.rs
+++ b/crates/core/src/engine/permits.rs
@@ -60,8 +60,8 @@
 impl EngineControl {
     /// Takes an ask for a permit; one that comes twice is answered as before.
     pub fn ask(&mut self, from: HostId, ask: PermitAsk, now: ClockMillis, out: &mut ControlOutput) {
-        let PermitAsk { attempt, patience, mut request, may_load, .. } = ask;
-        request.deadline = now + patience;
+        let PermitAsk { attempt, max_wait, mut request, may_load, .. } = ask;
+        request.deadline = now + max_wait;
         if self.answered_before(from, request.request, attempt, out) {
             return;
         }
@@ -163,8 +163,8 @@
             return None;
         }
         let wait = self.drain_time();
-        let patience = waiting.request.deadline.since(now);
-        let late = wait > patience.mul_f64(QUEUED_PART);
+        let max_wait = waiting.request.deadline.since(now);
+        let late = wait > max_wait.mul_f64(QUEUED_PART);
         late.then_some((PermitRefusal::Final(RefusalKind::Overloaded), Some(wait)))
     }
 
--- a/crates/core/src/gossip.rs
+++ b/crates/core/src/gossip.rs
@@ -87,7 +87,7 @@
 
     /// Notes that a peer passed on an item that is known here already, which counts like passing
     /// it on: the more hosts know of a change, the sooner they fall silent about it.
-    pub fn heard_again(&mut self, item: K) {
+    pub fn record_duplicate(&mut self, item: K) {
         self.pass(item);
     }
 
--- a/crates/core/src/load.rs
+++ b/crates/core/src/load.rs
@@ -25,21 +25,21 @@
 
 /// The store's limits, from the settings tree.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct StoreLimits {
+pub struct WeightStoreLimits {
     /// Loads a second for the whole site.
-    pub per_second: f64,
+    pub loads_per_second: f64,
     /// Loads at once at full speed.
-    pub parallel: usize,
+    pub parallel_loads: usize,
     /// The part of both that this host may give out: below one while halls are out of reach.
-    pub part: f64,
+    pub fraction: f64,
 }
 
-impl StoreLimits {
+impl WeightStoreLimits {
     fn parallel_now(&self) -> usize {
-        let parallel = (self.parallel as f64 * self.part).floor();
+        let parallel_loads = (self.parallel_loads as f64 * self.fraction).floor();
         #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "small count")]
-        let parallel = parallel as usize;
-        parallel.max(1)
+        let parallel_loads = parallel_loads as usize;
+        parallel_loads.max(1)
     }
 }
 
@@ -60,7 +60,7 @@
 
 /// A turn that was just given, and to whom.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct GivenTurn {
+pub struct TurnGrant {
     /// The engine's owner.
     pub owner: HostId,
     /// The turn.
@@ -69,7 +69,7 @@
 
 /// The turns as the host that gives them sees them.
 #[derive(Debug)]
-pub struct StoreTurns {
+pub struct LoadScheduler {
     loads: BTreeMap<LoadName, AskedLoad>,
     /// Loads that may start at once, refilled at the store's rate.
     allowance: f64,
@@ -77,7 +77,7 @@
     turn_seconds: f64,
 }
 
-impl Default for StoreTurns {
+impl Default for LoadScheduler {
     fn default() -> Self {
         // Three loads a second, one at a time: the brief's store, until one has been measured.
         let turn_seconds = 1.0 / 3.0;
@@ -90,9 +90,9 @@
     }
 }
 
-impl StoreTurns {
+impl LoadScheduler {
     /// Takes an ask, first or repeated.
-    pub fn ask(&mut self, from: HostId, ask: &LoadAsk, now: ClockMillis) {
+    pub fn request_turn(&mut self, from: HostId, ask: &LoadAsk, now: ClockMillis) {
         let load = self.loads.entry((ask.engine, ask.adapter)).or_insert_with(|| AskedLoad {
             // A load that runs already was granted by a host that gave the turns before.
             state: if ask.running { LoadState::Running } else { LoadState::initial() },
@@ -109,7 +109,7 @@
     }
 
     /// Takes the end of a load, or of the wish for it.
-    pub fn end(&mut self, turn: LoadTurn, now: ClockMillis) {
+    pub fn release_turn(&mut self, turn: LoadTurn, now: ClockMillis) {
         let Some(load) = self.loads.get_mut(&(turn.engine, turn.adapter)) else { return };
         if load.state == LoadState::Running {
             let took = now.since(load.granted).as_secs_f64();
@@ -120,7 +120,7 @@
     }
 
     /// Forgets what nobody asks for any more and gives the turns that are due.
-    pub fn give(&mut self, limits: StoreLimits, now: ClockMillis) -> Vec<GivenTurn> {
+    pub fn grant_turns(&mut self, limits: WeightStoreLimits, now: ClockMillis) -> Vec<TurnGrant> {
         self.forget_silent(now);
         self.refill(limits, now);
         let mut given = Vec::new();
@@ -133,21 +133,21 @@
             let (owner, asked) = (load.owner, load.asked);
             self.pass_over(asked);
             let turn = LoadTurn { engine: name.0, adapter: name.1 };
-            given.push(GivenTurn { owner, turn });
+            given.push(TurnGrant { owner, turn });
         }
         given
     }
 
     /// Returns the turn again to an owner that repeats its ask although it has the turn: the
     /// message that gave it was lost.
-    pub fn given_again(&self, ask: &LoadAsk) -> Option<LoadTurn> {
+    pub fn lost_grant(&self, ask: &LoadAsk) -> Option<LoadTurn> {
         let load = self.loads.get(&(ask.engine, ask.adapter))?;
         let lost = load.state == LoadState::Running && !ask.running;
         lost.then_some(LoadTurn { engine: ask.engine, adapter: ask.adapter })
     }
 
     /// Says how many loads go before one that was asked for.
-    pub fn place(&self, engine: EngineId, adapter: AdapterKey) -> LoadPlace {
+    pub fn queue_position(&self, engine: EngineId, adapter: AdapterKey) -> LoadPlace {
         let value = self.loads.get(&(engine, adapter)).map_or(0.0, |load| load.value);
         let before = |(name, load): &(&LoadName, &AskedLoad)| {
             let ahead = load.state == LoadState::Running || load.value > value;
@@ -211,10 +211,11 @@
         self.loads.retain(|_, load| load.state != LoadState::Ended);
     }
 
-    fn refill(&mut self, limits: StoreLimits, now: ClockMillis) {
+    fn refill(&mut self, limits: WeightStoreLimits, now: ClockMillis) {
         let seconds = now.since(self.refilled).as_secs_f64();
         let most = limits.parallel_now() as f64;
-        self.allowance = (self.allowance + seconds * limits.per_second * limits.part).min(most);
+        self.allowance =
+            (self.allowance + seconds * limits.loads_per_second * limits.fraction).min(most);
         self.refilled = now;
     }
 }
--- a/crates/core/src/member.rs
+++ b/crates/core/src/member.rs
@@ -59,13 +59,13 @@
 
 /// The times that membership goes by.
 #[derive(Debug, Clone, Copy)]
-pub struct MemberTimes {
+pub struct MemberTimeouts {
     /// How long an answer may take before the host is suspected.
-    pub answer_within: Duration,
+    pub ack_timeout: Duration,
     /// How long a suspected host has to refute.
-    pub refute_within: Duration,
+    pub suspicion_timeout: Duration,
     /// How long a dead host is remembered, so that old news of it is recognised.
-    pub forget_after: Duration,
+    pub dead_retention: Duration,
 }
 
 /// The table of hosts of the site.
@@ -73,12 +73,12 @@
 pub struct MemberTable {
     own: MemberUpdate,
     members: BTreeMap<HostId, MemberEntry>,
-    times: MemberTimes,
+    times: MemberTimeouts,
 }
 
 impl MemberTable {
     /// Starts with nobody but the host itself.
-    pub const fn new(own: MemberUpdate, times: MemberTimes) -> Self {
+    pub const fn new(own: MemberUpdate, times: MemberTimeouts) -> Self {
         Self { own, members: BTreeMap::new(), times }
     }
 
@@ -104,7 +104,7 @@
     }
 
     /// Lists the hosts that may own things, the host itself included: alive or only suspected.
-    pub fn owners(&self, hall: Option<HallId>) -> impl Iterator<Item = HostId> {
+    pub fn eligible_owners(&self, hall: Option<HallId>) -> impl Iterator<Item = HostId> {
         let fits = move |update: &&MemberUpdate| {
             let live = matches!(update.state, MemberState::Alive | MemberState::Suspect);
             live && hall.is_none_or(|hall| hall == update.hall)
@@ -124,7 +124,7 @@
     /// Takes in what a peer or the host list says of a host; says whether it changed the table.
     ///
     /// A claim against the host itself is refuted: its count of refutations is raised.
-    pub fn hear(&mut self, update: &MemberUpdate, now: ClockMillis) -> bool {
+    pub fn apply_update(&mut self, update: &MemberUpdate, now: ClockMillis) -> bool {
         if update.host == self.own.host {
             return self.refute(update);
         }
@@ -159,7 +159,7 @@
     }
 
     /// Notes an answer or any other message straight from a host; says whether its state changed.
-    pub fn heard_from(&mut self, host: HostId, now: ClockMillis) -> bool {
+    pub fn record_contact(&mut self, host: HostId, now: ClockMillis) -> bool {
         let Some(entry) = self.members.get_mut(&host) else { return false };
         entry.awaiting = None;
         // A dead host is alive again only by its own word, which carries its incarnation.
@@ -170,7 +170,7 @@
     }
 
     /// Notes that a heartbeat went out to a host.
-    pub fn asked(&mut self, host: HostId, now: ClockMillis) {
+    pub fn record_heartbeat_sent(&mut self, host: HostId, now: ClockMillis) {
         if let Some(entry) = self.members.get_mut(&host) {
             entry.awaiting.get_or_insert(now);
         }
@@ -181,15 +181,15 @@
         let times = self.times;
         let mut changed = Vec::new();
         for (host, entry) in &mut self.members {
-            let missed = entry.awaiting.is_some_and(|asked| now.since(asked) > times.answer_within);
+            let missed = entry.awaiting.is_some_and(|asked| now.since(asked) > times.ack_timeout);
             if missed {
                 entry.awaiting = None;
             }
             let in_state = now.since(entry.since);
             let event = match entry.update.state {
                 MemberState::Alive if missed => MemberEvent::Missed,
-                MemberState::Suspect if in_state > times.refute_within => MemberEvent::TimedOut,
-                MemberState::Leaving if missed && in_state > times.refute_within => {
+                MemberState::Suspect if in_state > times.suspicion_timeout => MemberEvent::TimedOut,
+                MemberState::Leaving if missed && in_state > times.suspicion_timeout => {
                     MemberEvent::TimedOut
                 }
                 _ => continue,
@@ -200,7 +200,7 @@
         }
         self.members.retain(|_, entry| {
             let dead = entry.update.state == MemberState::Dead;
-            !dead || now.since(entry.since) <= times.forget_after
+            !dead || now.since(entry.since) <= times.dead_retention
         });
         changed
     }
--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -104,8 +104,8 @@
     /// Counts the request's asks; an answer to an earlier one is ignored.
     pub attempt: u32,
     /// How long the request can still wait; hosts' clocks are not compared.
-    pub patience: Duration,
-    /// The request; its `deadline` is filled in by the receiver from `patience`.
+    pub max_wait: Duration,
+    /// The request; its `deadline` is filled in by the receiver from `max_wait`.
     pub request: PermitRequest,
     /// Whether the owner may load the adapter for it; otherwise it only serves what is resident.
     pub may_load: bool,
--- a/crates/core/src/node/arrivals.rs
+++ b/crates/core/src/node/arrivals.rs
@@ -158,7 +158,7 @@
         route: RequestRoute,
     ) -> OpenRequest {
         let settings = self.fold.tree().effective(path);
-        let patience = request.patience.unwrap_or(settings.deadline);
+        let max_wait = request.max_wait.unwrap_or(settings.deadline);
         let max_tokens =
             request.max_tokens.map_or(settings.max_tokens, |asked| asked.min(settings.max_tokens));
         let base_model = self.fold.tree().text(path, SettingKey::BaseModel).unwrap_or_default();
@@ -170,7 +170,7 @@
             service_name,
             organisation: 0,
             route,
-            deadline: self.now() + patience,
+            deadline: self.now() + max_wait,
             max_tokens,
             settings,
             repeatable: false,
--- a/crates/core/src/node/config.rs
+++ b/crates/core/src/node/config.rs
@@ -5,7 +5,7 @@
 use crate::{
     engine::{EngineTimes, ResidencyPolicy, ValuePolicy},
     id::{HallId, HostId, Incarnation},
-    member::MemberTimes,
+    member::MemberTimeouts,
 };
 
 /// The times a host goes by. The defaults suit halls a few milliseconds apart.
@@ -16,11 +16,11 @@
     /// To how many hosts each time.
     pub fanout: usize,
     /// How long the answer to a heartbeat may take.
-    pub answer_within: Duration,
+    pub ack_timeout: Duration,
     /// How long a suspected host has to refute.
-    pub refute_within: Duration,
+    pub suspicion_timeout: Duration,
     /// How long a dead host is remembered.
-    pub forget_after: Duration,
+    pub dead_retention: Duration,
     /// How long an owner may take to answer an ask for a permit.
     pub ask_within: Duration,
     /// How often a request that waits at an owner makes sure that it still does.
@@ -59,9 +59,9 @@
         Self {
             heartbeat: Duration::from_secs(1),
             fanout: 3,
-            answer_within: Duration::from_millis(800),
-            refute_within: Duration::from_secs(3),
-            forget_after: Duration::from_mins(10),
+            ack_timeout: Duration::from_millis(800),
+            suspicion_timeout: Duration::from_secs(3),
+            dead_retention: Duration::from_mins(10),
             ask_within: Duration::from_millis(500),
             ask_again: Duration::from_secs(2),
             reroute_after: Duration::from_millis(100),
@@ -82,11 +82,11 @@
 }
 
 impl NodeTimes {
-    pub(super) const fn member(&self) -> MemberTimes {
-        MemberTimes {
-            answer_within: self.answer_within,
-            refute_within: self.refute_within,
-            forget_after: self.forget_after,
+    pub(super) const fn member(&self) -> MemberTimeouts {
+        MemberTimeouts {
+            ack_timeout: self.ack_timeout,
+            suspicion_timeout: self.suspicion_timeout,
+            dead_retention: self.dead_retention,
         }
     }
 
--- a/crates/core/src/node/dispatch.rs
+++ b/crates/core/src/node/dispatch.rs
@@ -39,7 +39,7 @@
             token: 0,
             priority: open.settings.priority,
             max_tokens: 0,
-            patience: open.deadline.since(now),
+            max_wait: open.deadline.since(now),
             issued: now,
         };
         self.set_timer(id, None);
--- a/crates/core/src/node/event.rs
+++ b/crates/core/src/node/event.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::{
-    clock::{ClockMillis, HybridStamp},
+    clock::{ClockMillis, HybridTimestamp},
     engine::{EngineFacts, EngineOrder, EngineReport, OrderResult},
     id::{EngineId, FenceToken, HallId, HostId, Incarnation, LogOffset, RequestId, StoreEra},
     message::PeerMessage,
@@ -168,7 +168,7 @@
         /// The sender.
         from: HostId,
         /// The sender's stamp.
-        stamp: HybridStamp,
+        stamp: HybridTimestamp,
         /// The message.
         message: PeerMessage,
     },
@@ -232,7 +232,7 @@
     /// The most tokens of the answer; zero for a plain server.
     pub max_tokens: u32,
     /// How long the caller still waits for the first byte of the answer.
-    pub patience: Duration,
+    pub max_wait: Duration,
     /// When the order was given. Whoever carries it out later than [`SEND_WITHIN`] must not.
     pub issued: ClockMillis,
 }
@@ -251,7 +251,7 @@
         /// Where it is reached.
         address: String,
         /// The sender's stamp.
-        stamp: HybridStamp,
+        stamp: HybridTimestamp,
         /// The message.
         message: PeerMessage,
     },
--- a/crates/core/src/node/inbox.rs
+++ b/crates/core/src/node/inbox.rs
@@ -9,7 +9,7 @@
 
 impl NodeCore {
     pub(super) fn take_message(&mut self, from: HostId, message: PeerMessage) {
-        if self.members.heard_from(from, self.now()) {
+        if self.members.record_contact(from, self.now()) {
             self.member_changed(from);
         }
         match message {
--- a/crates/core/src/node/log.rs
+++ b/crates/core/src/node/log.rs
@@ -22,7 +22,7 @@
 impl NodeCore {
     /// Takes in which era of the log something was read; returns whether that is the present one.
     pub(super) fn in_era(&mut self, era: StoreEra) -> bool {
-        if self.fold.enter(era) {
+        if self.fold.enter_era(era) {
             self.era_began(era);
         }
         era == self.fold.era()
@@ -38,14 +38,14 @@
         self.claims.begin_again();
         self.refuse_claiming();
         let own = self.config.host;
-        let members: Vec<HostId> = self.members.owners(None).collect();
+        let members: Vec<HostId> = self.members.eligible_owners(None).collect();
         // Claims of a host that is gone are written again by one that every host picks.
         let teller = |key: KeyHash, request: RequestId| {
             let host = request_host(request);
             if members.contains(&host) {
                 return Some(host);
             }
-            let role = role_key(OwnedRole::Snapshots, xxh3_64(&key.to_le_bytes()));
+            let role = role_key(OwnedRole::SnapshotWriter, xxh3_64(&key.to_le_bytes()));
             rendezvous(role, members.iter().copied())
         };
         let told =
@@ -119,7 +119,7 @@
 
     fn ask_any_peer_for_settings(&mut self) {
         use rand::seq::IndexedRandom;
-        let peers: Vec<HostId> = self.members.owners(None).collect();
+        let peers: Vec<HostId> = self.members.eligible_owners(None).collect();
         let Some(peer) = peers.choose(&mut self.rng).copied() else { return };
         if peer != self.config.host {
             let pull = SettingsPull { era: self.fold.era(), next_offset: self.fold.next_offset() };
@@ -144,7 +144,7 @@
                     return Err(crate::settings::SnapshotError::WrongDigest(revision));
                 }
             }
-            self.fold.adopt(snapshot)
+            self.fold.install_snapshot(snapshot)
         });
         match adopted {
             Ok(true) => {
@@ -252,8 +252,8 @@
         if !due || self.progress.snapshot_ticket.is_some() || !self.is_ready() {
             return;
         }
-        let key = role_key(OwnedRole::Snapshots, 0);
-        if rendezvous(key, self.members.owners(None)) != Some(self.config.host) {
+        let key = role_key(OwnedRole::SnapshotWriter, 0);
+        if rendezvous(key, self.members.eligible_owners(None)) != Some(self.config.host) {
             return;
         }
         self.progress.snapshot_at = self.now();
--- a/crates/core/src/node/owning.rs
+++ b/crates/core/src/node/owning.rs
@@ -227,8 +227,8 @@
     }
 
     fn settle_turns_host(&mut self) {
-        let key = role_key(OwnedRole::StoreTurns, 0);
-        let host = rendezvous(key, self.members.owners(None)).unwrap_or(self.config.host);
+        let key = role_key(OwnedRole::LoadScheduler, 0);
+        let host = rendezvous(key, self.members.eligible_owners(None)).unwrap_or(self.config.host);
         if host == self.turns_host {
             return;
         }
--- a/crates/core/src/node/peers.rs
+++ b/crates/core/src/node/peers.rs
@@ -42,7 +42,7 @@
         self.heartbeat_sequence += 1;
         self.greet_seeds();
         for host in self.pick_peers() {
-            self.members.asked(host, now);
+            self.members.record_heartbeat_sent(host, now);
             let heartbeat = self.heartbeat(self.heartbeat_sequence);
             self.send(host, PeerMessage::Heartbeat(heartbeat));
         }
@@ -163,7 +163,7 @@
     pub(super) fn hear_member(&mut self, update: &MemberUpdate) {
         let now = self.now();
         let known_life = self.members.find(update.host).map(|entry| entry.update.incarnation);
-        if !self.members.hear(update, now) {
+        if !self.members.apply_update(update, now) {
             return;
         }
         self.member_changed(update.host);
@@ -191,7 +191,7 @@
         let owner = digest.owner;
         let (token, incarnation) = (digest.token, digest.incarnation);
         if !self.backends.put_digest(digest) {
-            self.digest_gossip.heard_again(engine);
+            self.digest_gossip.record_duplicate(engine);
             return;
         }
         let hosts = self.members.live_count();
--- a/crates/core/src/node/permits.rs
+++ b/crates/core/src/node/permits.rs
@@ -174,7 +174,7 @@
 
     pub(super) fn owner_in(&self, engine: EngineId, hall: HallId) -> Option<HostId> {
         let key = role_key(OwnedRole::Engine, u64::from(engine));
-        rendezvous(key, self.members.owners(Some(hall)))
+        rendezvous(key, self.members.eligible_owners(Some(hall)))
     }
 
     /// Lets a request rest before it is routed again, longer with each attempt: a take-over takes
@@ -241,7 +241,7 @@
             token: granted.token,
             priority: open.settings.priority,
             max_tokens: open.max_tokens,
-            patience: open.deadline.since(now),
+            max_wait: open.deadline.since(now),
             issued: now,
         };
         self.set_timer(granted.request, None);
@@ -322,12 +322,12 @@
     engine: EngineId,
     adapter: AdapterKey,
     replica: bool,
-    patience: Duration,
+    max_wait: Duration,
 ) -> PermitAsk {
     PermitAsk {
         engine,
         attempt: open.attempt,
-        patience,
+        max_wait,
         may_load: open.may_load,
         replica,
         request: PermitRequest {
--- a/crates/core/src/node/state.rs
+++ b/crates/core/src/node/state.rs
@@ -16,7 +16,7 @@
     gossip::GossipQueue,
     id::{EngineId, HostId, RequestId},
     limit::RetryBudget,
-    load::StoreTurns,
+    load::LoadScheduler,
     member::{MemberTable, MemberUpdate},
     message::PeerMessage,
     node::{
@@ -24,7 +24,7 @@
         table::BackendTable,
     },
     settings::{SettingKey, SettingsFold, SettingsPath},
-    timeline::TimelineRing,
+    timeline::TimelineBuffer,
 };
 
 /// What is known of how far the log's streams have been read.
@@ -72,14 +72,14 @@
     pub(super) backends: BackendTable,
     pub(super) controls: BTreeMap<EngineId, EngineControl>,
     pub(super) report_due: BTreeMap<EngineId, ClockMillis>,
-    pub(super) turns: StoreTurns,
+    pub(super) turns: LoadScheduler,
     pub(super) turns_host: HostId,
     pub(super) open: BTreeMap<RequestId, OpenRequest>,
     pub(super) timers: BTreeSet<(ClockMillis, RequestId)>,
     pub(super) retries: RetryBudget,
     pub(super) drain: DrainState,
     pub(super) drain_since: ClockMillis,
-    pub(super) timeline: TimelineRing,
+    pub(super) timeline: TimelineBuffer,
     pub(super) counters: NodeCounters,
     pub(super) heartbeat_sequence: u64,
     pub(super) next_heartbeat: ClockMillis,
@@ -118,14 +118,14 @@
             backends: BackendTable::default(),
             controls: BTreeMap::new(),
             report_due: BTreeMap::new(),
-            turns: StoreTurns::default(),
+            turns: LoadScheduler::default(),
             turns_host: config.host,
             open: BTreeMap::new(),
             timers: BTreeSet::new(),
             retries: RetryBudget::default(),
             drain: DrainState::initial(),
             drain_since: zero,
-            timeline: TimelineRing::new(config.host),
+            timeline: TimelineBuffer::new(config.host),
             counters: NodeCounters::default(),
             heartbeat_sequence: 0,
             next_heartbeat: zero,
@@ -208,7 +208,7 @@
 
     /// Puts a line on the time line.
     pub(super) fn note(&mut self, subject: impl Into<String>, text: impl Into<String>) {
-        self.timeline.note(self.reading.wall_millis, subject.into(), text.into());
+        self.timeline.record(self.reading.wall_millis, subject.into(), text.into());
     }
 
     /// Returns a duration between half of and one and a half times `usual`.
@@ -218,12 +218,12 @@
 
     /// Returns a fraction set for the whole site.
     pub(super) fn site_fraction(&self, key: SettingKey) -> f64 {
-        self.fold.tree().fraction(&SettingsPath::site(), key)
+        self.fold.tree().float(&SettingsPath::site(), key)
     }
 
     /// Returns a number set for the whole site.
     pub(super) fn site_number(&self, key: SettingKey) -> u64 {
-        self.fold.tree().number(&SettingsPath::site(), key).unsigned_abs()
+        self.fold.tree().integer(&SettingsPath::site(), key).unsigned_abs()
     }
 
     /// Says whether callers may be sent here.
@@ -243,7 +243,7 @@
     }
 
     /// Returns the time line.
-    pub const fn timeline(&self) -> &TimelineRing {
+    pub const fn timeline(&self) -> &TimelineBuffer {
         &self.timeline
     }
 
--- a/crates/core/src/node/timers.rs
+++ b/crates/core/src/node/timers.rs
@@ -147,7 +147,7 @@
     }
 
     fn has_heirs(&self) -> bool {
-        self.members.owners(Some(self.config.hall)).next().is_some()
+        self.members.eligible_owners(Some(self.config.hall)).next().is_some()
     }
 
     /// Ends a planned stop once the last stream has ended. Only a tick does so, so that the orders
--- a/crates/core/src/node/turns.rs
+++ b/crates/core/src/node/turns.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     id::HostId,
-    load::StoreLimits,
+    load::WeightStoreLimits,
     message::{LoadAsk, LoadTurn, PeerMessage},
     node::NodeCore,
     settings::SettingKey,
@@ -15,18 +15,18 @@
             return;
         }
         let now = self.now();
-        self.turns.ask(from, ask, now);
-        if let Some(turn) = self.turns.given_again(ask) {
+        self.turns.request_turn(from, ask, now);
+        if let Some(turn) = self.turns.lost_grant(ask) {
             self.send(from, PeerMessage::LoadGrant(turn));
         }
         self.give_turns();
-        let place = self.turns.place(ask.engine, ask.adapter);
+        let place = self.turns.queue_position(ask.engine, ask.adapter);
         self.send(from, PeerMessage::LoadPlace(place));
     }
 
     pub(super) fn take_load_end(&mut self, turn: LoadTurn) {
         let now = self.now();
-        self.turns.end(turn, now);
+        self.turns.release_turn(turn, now);
         self.give_turns();
     }
 
@@ -47,25 +47,25 @@
         }
         let limits = self.store_limits();
         let now = self.now();
-        for given in self.turns.give(limits, now) {
+        for given in self.turns.grant_turns(limits, now) {
             self.send(given.owner, PeerMessage::LoadGrant(given.turn));
         }
     }
 
     /// Returns the store's limits, less the part of the halls that are out of reach: they give
     /// turns of their own meanwhile.
-    fn store_limits(&self) -> StoreLimits {
+    fn store_limits(&self) -> WeightStoreLimits {
         let mut halls: Vec<_> =
             self.backends.engines.values().map(|view| view.facts.hall).collect();
         halls.sort_unstable();
         halls.dedup();
         let reached = halls.iter().filter(|hall| self.members.hall_reachable(**hall)).count();
-        let part = reached.max(1) as f64 / halls.len().max(1) as f64;
-        let parallel = self.site_number(SettingKey::StoreParallelLoads);
-        StoreLimits {
-            per_second: self.site_fraction(SettingKey::StoreLoadsPerSecond),
-            parallel: usize::try_from(parallel).unwrap_or(usize::MAX),
-            part,
+        let fraction = reached.max(1) as f64 / halls.len().max(1) as f64;
+        let parallel_loads = self.site_number(SettingKey::StoreParallelLoads);
+        WeightStoreLimits {
+            loads_per_second: self.site_fraction(SettingKey::StoreLoadsPerSecond),
+            parallel_loads: usize::try_from(parallel_loads).unwrap_or(usize::MAX),
+            fraction,
         }
     }
 }
--- a/crates/core/src/owner.rs
+++ b/crates/core/src/owner.rs
@@ -30,7 +30,7 @@
     /// A cold adapter: its home is one of its service's engines.
     AdapterHome,
     /// The weight store: one host gives the turns to load.
-    StoreTurns,
+    LoadScheduler,
     /// Writing snapshots of the settings to the log.
-    Snapshots,
+    SnapshotWriter,
 }
--- a/crates/core/src/request.rs
+++ b/crates/core/src/request.rs
@@ -151,7 +151,7 @@
     /// Where it wants to go.
     pub target: RequestTarget,
     /// How long the caller waits for the first token; the settings' deadline where it is silent.
-    pub patience: Option<Duration>,
+    pub max_wait: Option<Duration>,
     /// Whether it may be sent twice; the settings' rule where the caller is silent.
     pub repeatable: Option<bool>,
     /// The caller's idempotency key.
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -18,5 +18,5 @@
 pub use fold::{ChangeVerdict, FoldHalt, SettingsFold};
 pub use key::{SettingKey, SettingLevel, SettingValue};
 pub use snapshot::{SettingsSnapshot, SnapshotError};
-pub use source::{SourceMistake, read_tree};
+pub use source::{SourceError, read_tree};
 pub use tree::{ModelError, SettingsNode, SettingsPath, SettingsTree};
--- a/crates/core/src/settings/change.rs
+++ b/crates/core/src/settings/change.rs
@@ -117,13 +117,13 @@
     fn check_conflict(&self, edit: &SettingsEdit, base: Revision) -> Result<(), ChangeRefusal> {
         let conflict =
             |revision| ChangeRefusal::Conflict { path: edit.path.to_string(), revision, base };
-        let lineage = self.lineage(&edit.path);
-        let last = lineage[lineage.len() - 1];
-        let exists = lineage.len() == edit.path.segments().len() + 1;
+        let path_nodes = self.nodes_along(&edit.path);
+        let last = path_nodes[path_nodes.len() - 1];
+        let exists = path_nodes.len() == edit.path.segments().len() + 1;
         // A missing node may have been removed by somebody the publisher had not seen.
         let changed = match (exists, &edit.action) {
             (false, _) => last.removed_at,
-            (true, EditAction::Remove) => last.newest_change(),
+            (true, EditAction::Remove) => last.last_modified(),
             (true, _) => last.changed_at,
         };
         if changed > base { Err(conflict(changed)) } else { Ok(()) }
@@ -136,10 +136,10 @@
                 self.remove(&edit.path, revision);
                 continue;
             }
-            let node = self.ensure(&edit.path, revision);
+            let node = self.get_or_create(&edit.path, revision);
             match &edit.action {
-                EditAction::Set(key, value) => node.put(*key, Some(value.clone())),
-                EditAction::Unset(key) => node.put(*key, None),
+                EditAction::Set(key, value) => node.set_value(*key, Some(value.clone())),
+                EditAction::Unset(key) => node.set_value(*key, None),
                 EditAction::Create | EditAction::Remove => {}
             }
             node.changed_at = revision;
@@ -147,7 +147,7 @@
     }
 
     /// Returns the edits that turn this tree into `wanted`.
-    pub fn edits_towards(&self, wanted: &Self) -> Vec<SettingsEdit> {
+    pub fn diff_edits(&self, wanted: &Self) -> Vec<SettingsEdit> {
         let mut edits = Vec::new();
         node_edits(Some(&self.root), &wanted.root, &SettingsPath::site(), &mut edits);
         edits
@@ -166,9 +166,9 @@
             level.name(),
             key.levels()[0].name(),
         )),
-        EditAction::Set(key, value) => match key.admit(value.clone()) {
+        EditAction::Set(key, value) => match key.validate(value.clone()) {
             Ok(admitted) if admitted == *value => Ok(()),
-            _ => invalid(format!("`{}` is {value}; it must be {}", key.name(), key.kind())),
+            _ => invalid(format!("`{}` is {value}; it must be {}", key.name(), key.constraint())),
         },
         EditAction::Remove if edit.path.segments().is_empty() => {
             invalid(String::from("the site can not be removed; remove its services instead"))
--- a/crates/core/src/settings/effective.rs
+++ b/crates/core/src/settings/effective.rs
@@ -43,8 +43,8 @@
         path: &SettingsPath,
         key: SettingKey,
     ) -> Option<(SettingValue, SettingOrigin)> {
-        let lineage = self.lineage(path);
-        for (depth, node) in lineage.iter().enumerate().rev() {
+        let path_nodes = self.nodes_along(path);
+        for (depth, node) in path_nodes.iter().enumerate().rev() {
             if let Some(value) = node.value(key) {
                 let mut origin = SettingsPath::site();
                 for name in &path.segments()[..depth] {
@@ -58,34 +58,34 @@
 
     /// Returns the values in force at `path`.
     pub fn effective(&self, path: &SettingsPath) -> EffectiveSettings {
-        let fraction = |key| self.fraction(path, key);
-        let number = |key| self.number(path, key);
+        let float = |key| self.float(path, key);
+        let integer = |key| self.integer(path, key);
         EffectiveSettings {
-            worth: fraction(SettingKey::Worth),
-            share: fraction(SettingKey::Share),
-            deadline: Duration::from_millis(number(SettingKey::DeadlineMs).unsigned_abs()),
-            queue_limit: u32::try_from(number(SettingKey::QueueLimit)).unwrap_or(u32::MAX),
-            max_tokens: u32::try_from(number(SettingKey::MaxTokens)).unwrap_or(u32::MAX),
-            priority: i32::try_from(number(SettingKey::Priority)).unwrap_or(0),
-            stall_weight: fraction(SettingKey::StallWeight),
-            repeatable: self.flag(path, SettingKey::Repeatable),
-            retry_share: fraction(SettingKey::RetryShare),
+            worth: float(SettingKey::Worth),
+            share: float(SettingKey::Share),
+            deadline: Duration::from_millis(integer(SettingKey::DeadlineMs).unsigned_abs()),
+            queue_limit: u32::try_from(integer(SettingKey::QueueLimit)).unwrap_or(u32::MAX),
+            max_tokens: u32::try_from(integer(SettingKey::MaxTokens)).unwrap_or(u32::MAX),
+            priority: i32::try_from(integer(SettingKey::Priority)).unwrap_or(0),
+            stall_weight: float(SettingKey::StallWeight),
+            repeatable: self.bool_value(path, SettingKey::Repeatable),
+            retry_share: float(SettingKey::RetryShare),
         }
     }
 
     /// Returns a fraction in force at `path`, or zero where there is none.
-    pub fn fraction(&self, path: &SettingsPath, key: SettingKey) -> f64 {
+    pub fn float(&self, path: &SettingsPath, key: SettingKey) -> f64 {
         match self.effective_value(path, key) {
-            Some((SettingValue::Fraction(fraction), _)) => fraction,
-            Some((SettingValue::Number(number), _)) => number as f64,
+            Some((SettingValue::Float(float), _)) => float,
+            Some((SettingValue::Integer(integer), _)) => integer as f64,
             _ => 0.0,
         }
     }
 
     /// Returns a number in force at `path`, or zero where there is none.
-    pub fn number(&self, path: &SettingsPath, key: SettingKey) -> i64 {
+    pub fn integer(&self, path: &SettingsPath, key: SettingKey) -> i64 {
         match self.effective_value(path, key) {
-            Some((SettingValue::Number(number), _)) => number,
+            Some((SettingValue::Integer(integer), _)) => integer,
             _ => 0,
         }
     }
@@ -98,7 +98,7 @@
         }
     }
 
-    fn flag(&self, path: &SettingsPath, key: SettingKey) -> bool {
-        matches!(self.effective_value(path, key), Some((SettingValue::Flag(true), _)))
+    fn bool_value(&self, path: &SettingsPath, key: SettingKey) -> bool {
+        matches!(self.effective_value(path, key), Some((SettingValue::Bool(true), _)))
     }
 }
--- a/crates/core/src/settings/fold.rs
+++ b/crates/core/src/settings/fold.rs
@@ -107,7 +107,7 @@
     }
 
     /// Takes that the log is in an era; returns whether that is a later one, from whose start everything is to be folded again.
-    pub fn enter(&mut self, era: StoreEra) -> bool {
+    pub fn enter_era(&mut self, era: StoreEra) -> bool {
         if era <= self.era {
             return false;
         }
@@ -209,7 +209,7 @@
     ///
     /// # Errors
     /// Returns why the snapshot can not be trusted.
-    pub fn adopt(&mut self, snapshot: SettingsSnapshot) -> Result<bool, SnapshotError> {
+    pub fn install_snapshot(&mut self, snapshot: SettingsSnapshot) -> Result<bool, SnapshotError> {
         let further = snapshot.next_offset > self.next_offset;
         // A fold that is halted only knows a prefix; a snapshot from beyond may hold newer forms.
         if !further || self.halt.is_some() || snapshot.revision < self.revision {
--- a/crates/core/src/settings/key.rs
+++ b/crates/core/src/settings/key.rs
@@ -34,55 +34,55 @@
 #[serde(untagged)]
 pub enum SettingValue {
     /// A switch.
-    Flag(bool),
+    Bool(bool),
     /// A whole number.
-    Number(i64),
+    Integer(i64),
     /// A fraction.
-    Fraction(f64),
+    Float(f64),
     /// A text.
     Text(Box<str>),
     /// A list of whole numbers.
-    Numbers(Box<[i64]>),
+    Integers(Box<[i64]>),
 }
 
 impl fmt::Display for SettingValue {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Flag(flag) => write!(formatter, "{flag}"),
-            Self::Number(number) => write!(formatter, "{number}"),
-            Self::Fraction(fraction) => write!(formatter, "{fraction:?}"),
+            Self::Bool(flag) => write!(formatter, "{flag}"),
+            Self::Integer(number) => write!(formatter, "{number}"),
+            Self::Float(fraction) => write!(formatter, "{fraction:?}"),
             Self::Text(text) => write!(formatter, "{text:?}"),
-            Self::Numbers(numbers) => write!(formatter, "{numbers:?}"),
+            Self::Integers(numbers) => write!(formatter, "{numbers:?}"),
         }
     }
 }
 
 /// What a key's value must be.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum SettingKind {
+pub enum ValueConstraint {
     /// `true` or `false`.
-    Flag,
+    Bool,
     /// A whole number within the limits, both included.
-    Number(i64, i64),
+    Integer(i64, i64),
     /// A number within the limits, both included.
-    Fraction(f64, f64),
+    Float(f64, f64),
     /// A text of at most that many bytes.
     Text(usize),
     /// One of these texts.
     Choice(&'static [&'static str]),
     /// A list of positive whole numbers.
-    Numbers,
+    Integers,
 }
 
-impl fmt::Display for SettingKind {
+impl fmt::Display for ValueConstraint {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Flag => write!(formatter, "true or false"),
-            Self::Number(low, high) => write!(formatter, "a whole number from {low} to {high}"),
-            Self::Fraction(low, high) => write!(formatter, "a number from {low} to {high}"),
+            Self::Bool => write!(formatter, "true or false"),
+            Self::Integer(low, high) => write!(formatter, "a whole number from {low} to {high}"),
+            Self::Float(low, high) => write!(formatter, "a number from {low} to {high}"),
             Self::Text(most) => write!(formatter, "a text of at most {most} bytes"),
             Self::Choice(choices) => write!(formatter, "one of {}", choices.join(", ")),
-            Self::Numbers => write!(formatter, "a list of positive whole numbers"),
+            Self::Integers => write!(formatter, "a list of positive whole numbers"),
         }
     }
 }
@@ -103,7 +103,7 @@
             }
 
             /// Returns what the key's value must be.
-            pub const fn kind(self) -> SettingKind {
+            pub const fn constraint(self) -> ValueConstraint {
                 match self { $(Self::$variant => $kind),+ }
             }
 
@@ -118,7 +118,7 @@
             }
 
             /// Returns one sentence on the key's meaning, with its unit.
-            pub const fn meaning(self) -> &'static str {
+            pub const fn description(self) -> &'static str {
                 match self { $(Self::$variant => $doc),+ }
             }
         }
@@ -126,24 +126,24 @@
 }
 
 setting_keys! {
-    Kind = "kind", SettingKind::Choice(&["engine", "plain"]), [Service], "\"engine\"", "Whether model engines or plain servers answer for the service.";
-    BaseModel = "base_model", SettingKind::Text(200), [Service], "", "The base model that the service's engines run.";
-    PathPrefix = "path_prefix", SettingKind::Text(200), [Service], "", "The path below which callers reach a plain service, with a leading slash.";
-    Worth = "worth", SettingKind::Fraction(0.0, 1e6), [Site, Service, Organisation, Adapter], "1.0", "What one answered request is worth, relative to others.";
-    Share = "share", SettingKind::Fraction(0.01, 1e6), [Site, Service, Organisation], "1.0", "The organisation's weight when organisations wait for the same engine.";
-    DeadlineMs = "deadline_ms", SettingKind::Number(1, 3_600_000), [Site, Service, Organisation, Adapter], "10000", "How long a request may wait for its first token, in milliseconds, where the caller names no deadline.";
-    QueueLimit = "queue_limit", SettingKind::Number(0, 100_000), [Site, Service, Organisation], "64", "How many requests of one organisation may wait at one engine.";
-    MaxTokens = "max_tokens", SettingKind::Number(1, 1_000_000), [Site, Service, Organisation, Adapter], "1024", "The most tokens one answer may have.";
-    Priority = "priority", SettingKind::Number(-10, 10), [Site, Service, Organisation, Adapter], "0", "The priority handed to the engine; higher is served first.";
-    StallWeight = "stall_weight", SettingKind::Fraction(0.0, 1000.0), [Site, Service], "1.0", "How much a second of waiting for a load weighs when loads are chosen.";
-    Repeatable = "repeatable", SettingKind::Flag, [Site, Service, Organisation, Adapter], "true", "Whether a request that broke off may be sent again where the caller does not say.";
-    RetryShare = "retry_share", SettingKind::Fraction(0.0, 1.0), [Site, Service], "0.1", "Retries allowed per first try, over the last ten seconds of one host.";
-    Version = "version", SettingKind::Number(1, 4_294_967_295), [Adapter], "", "The version served when a caller names none.";
-    Versions = "versions", SettingKind::Numbers, [Adapter], "", "The versions that exist in the weight store.";
-    StoreLoadsPerSecond = "store_loads_per_second", SettingKind::Fraction(0.01, 100_000.0), [Site], "3.0", "How many loads a second the weight store allows the whole site.";
-    StoreParallelLoads = "store_parallel_loads", SettingKind::Number(1, 10_000), [Site], "1", "How many loads the weight store serves at once at full speed.";
-    PopularityHalfLifeMs = "popularity_half_life_ms", SettingKind::Number(1_000, 86_400_000), [Site], "300000", "The time after which a request counts half for an adapter's popularity, in milliseconds.";
-    ClaimWindowMs = "claim_window_ms", SettingKind::Number(10_000, 604_800_000), [Site], "3600000", "How long an idempotency key is remembered after it was last sent, in milliseconds; at most the log's retention.";
+    Kind = "kind", ValueConstraint::Choice(&["engine", "plain"]), [Service], "\"engine\"", "Whether model engines or plain servers answer for the service.";
+    BaseModel = "base_model", ValueConstraint::Text(200), [Service], "", "The base model that the service's engines run.";
+    PathPrefix = "path_prefix", ValueConstraint::Text(200), [Service], "", "The path below which callers reach a plain service, with a leading slash.";
+    Worth = "worth", ValueConstraint::Float(0.0, 1e6), [Site, Service, Organisation, Adapter], "1.0", "What one answered request is worth, relative to others.";
+    Share = "share", ValueConstraint::Float(0.01, 1e6), [Site, Service, Organisation], "1.0", "The organisation's weight when organisations wait for the same engine.";
+    DeadlineMs = "deadline_ms", ValueConstraint::Integer(1, 3_600_000), [Site, Service, Organisation, Adapter], "10000", "How long a request may wait for its first token, in milliseconds, where the caller names no deadline.";
+    QueueLimit = "queue_limit", ValueConstraint::Integer(0, 100_000), [Site, Service, Organisation], "64", "How many requests of one organisation may wait at one engine.";
+    MaxTokens = "max_tokens", ValueConstraint::Integer(1, 1_000_000), [Site, Service, Organisation, Adapter], "1024", "The most tokens one answer may have.";
+    Priority = "priority", ValueConstraint::Integer(-10, 10), [Site, Service, Organisation, Adapter], "0", "The priority handed to the engine; higher is served first.";
+    StallWeight = "stall_weight", ValueConstraint::Float(0.0, 1000.0), [Site, Service], "1.0", "How much a second of waiting for a load weighs when loads are chosen.";
+    Repeatable = "repeatable", ValueConstraint::Bool, [Site, Service, Organisation, Adapter], "true", "Whether a request that broke off may be sent again where the caller does not say.";
+    RetryShare = "retry_share", ValueConstraint::Float(0.0, 1.0), [Site, Service], "0.1", "Retries allowed per first try, over the last ten seconds of one host.";
+    Version = "version", ValueConstraint::Integer(1, 4_294_967_295), [Adapter], "", "The version served when a caller names none.";
+    Versions = "versions", ValueConstraint::Integers, [Adapter], "", "The versions that exist in the weight store.";
+    StoreLoadsPerSecond = "store_loads_per_second", ValueConstraint::Float(0.01, 100_000.0), [Site], "3.0", "How many loads a second the weight store allows the whole site.";
+    StoreParallelLoads = "store_parallel_loads", ValueConstraint::Integer(1, 10_000), [Site], "1", "How many loads the weight store serves at once at full speed.";
+    PopularityHalfLifeMs = "popularity_half_life_ms", ValueConstraint::Integer(1_000, 86_400_000), [Site], "300000", "The time after which a request counts half for an adapter's popularity, in milliseconds.";
+    ClaimWindowMs = "claim_window_ms", ValueConstraint::Integer(10_000, 604_800_000), [Site], "3600000", "How long an idempotency key is remembered after it was last sent, in milliseconds; at most the log's retention.";
 }
 
 impl SettingKey {
@@ -168,22 +168,24 @@
     ///
     /// # Errors
     /// Returns the kind when the value does not fit it.
-    pub fn admit(self, value: SettingValue) -> Result<SettingValue, SettingKind> {
-        let kind = self.kind();
+    pub fn validate(self, value: SettingValue) -> Result<SettingValue, ValueConstraint> {
+        let kind = self.constraint();
         let fits = match (&kind, &value) {
-            (SettingKind::Flag, SettingValue::Flag(_)) => true,
-            (SettingKind::Number(low, high), SettingValue::Number(number)) => {
+            (ValueConstraint::Bool, SettingValue::Bool(_)) => true,
+            (ValueConstraint::Integer(low, high), SettingValue::Integer(number)) => {
                 (low..=high).contains(&number)
             }
-            (SettingKind::Fraction(low, high), SettingValue::Fraction(fraction)) => {
+            (ValueConstraint::Float(low, high), SettingValue::Float(fraction)) => {
                 (low..=high).contains(&fraction)
             }
-            (SettingKind::Fraction(..), SettingValue::Number(number)) => {
-                return self.admit(SettingValue::Fraction(*number as f64));
+            (ValueConstraint::Float(..), SettingValue::Integer(number)) => {
+                return self.validate(SettingValue::Float(*number as f64));
             }
-            (SettingKind::Text(most), SettingValue::Text(text)) => text.len() <= *most,
-            (SettingKind::Choice(choices), SettingValue::Text(text)) => choices.contains(&&**text),
-            (SettingKind::Numbers, SettingValue::Numbers(numbers)) => {
+            (ValueConstraint::Text(most), SettingValue::Text(text)) => text.len() <= *most,
+            (ValueConstraint::Choice(choices), SettingValue::Text(text)) => {
+                choices.contains(&&**text)
+            }
+            (ValueConstraint::Integers, SettingValue::Integers(numbers)) => {
                 let version = |number: &i64| (1..=i64::from(u32::MAX)).contains(number);
                 numbers.iter().all(version)
             }
--- a/crates/core/src/settings/source.rs
+++ b/crates/core/src/settings/source.rs
@@ -8,7 +8,8 @@
 };
 
 use crate::settings::{
-    SettingKey, SettingLevel, SettingValue, SettingsNode, SettingsPath, SettingsTree, tree::is_name,
+    SettingKey, SettingLevel, SettingValue, SettingsNode, SettingsPath, SettingsTree,
+    tree::is_valid_name,
 };
 
 /// How alike two words must be (Jaro-Winkler) for one to be offered in place of the other.
@@ -16,7 +17,7 @@
 
 /// One mistake in a file, with its place.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct SourceMistake {
+pub struct SourceError {
     /// Line, from 1.
     pub line: usize,
     /// Column in characters, from 1.
@@ -25,14 +26,14 @@
     pub message: String,
 }
 
-impl fmt::Display for SourceMistake {
+impl fmt::Display for SourceError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "{}:{}: {}", self.line, self.column, self.message)
     }
 }
 
 /// Returns line and column, both from 1, of a byte offset.
-pub fn place_of(text: &str, offset: usize) -> (usize, usize) {
+pub fn line_and_column(text: &str, offset: usize) -> (usize, usize) {
     let before = &text[..text.floor_char_boundary(offset.min(text.len()))];
     let line = before.matches('\n').count() + 1;
     let column = before.rsplit('\n').next().unwrap_or_default().chars().count() + 1;
@@ -40,7 +41,7 @@
 }
 
 /// Returns the word most like `word`, if any is alike enough to offer.
-pub fn closest<'a>(word: &str, known: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
+pub fn closest_match<'a>(word: &str, known: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
     known
         .into_iter()
         .map(|candidate| (strsim::jaro_winkler(word, candidate), candidate))
@@ -64,7 +65,7 @@
 ///     "2:1: unknown key `wroth` for a service; did you mean `worth`?",
 /// );
 /// ```
-pub fn read_tree(text: &str) -> Result<SettingsTree, Vec<SourceMistake>> {
+pub fn read_tree(text: &str) -> Result<SettingsTree, Vec<SourceError>> {
     let mut reader = TreeReader { text, mistakes: Vec::new(), tree: SettingsTree::default() };
     let (table, errors) = DeTable::parse_recoverable(text);
     for error in errors {
@@ -84,7 +85,7 @@
 
 struct TreeReader<'a> {
     text: &'a str,
-    mistakes: Vec<SourceMistake>,
+    mistakes: Vec<SourceError>,
     tree: SettingsTree,
 }
 
@@ -100,12 +101,12 @@
 
 impl TreeReader<'_> {
     fn note(&mut self, offset: usize, message: String) {
-        let (line, column) = place_of(self.text, offset);
-        self.mistakes.push(SourceMistake { line, column, message });
+        let (line, column) = line_and_column(self.text, offset);
+        self.mistakes.push(SourceError { line, column, message });
     }
 
     fn read_node(&mut self, table: &DeTable<'_>, path: &SettingsPath) {
-        self.tree.ensure(path, 0);
+        self.tree.get_or_create(path, 0);
         let level = path.level();
         for (name, value) in table {
             let offset = name.span().start;
@@ -130,7 +131,7 @@
         };
         for (name, child) in children {
             let offset = name.span().start;
-            if !is_name(name.get_ref()) {
+            if !is_valid_name(name.get_ref()) {
                 let message = format!(
                     "`{}` is not a name; use 1 to 64 letters, digits, dots, dashes or underscores",
                     name.get_ref()
@@ -165,18 +166,18 @@
             self.note(offset, message);
             return;
         }
-        let admitted = setting_value(value.get_ref()).map(|value| key.admit(value));
+        let admitted = setting_value(value.get_ref()).map(|value| key.validate(value));
         if let Some(Ok(value)) = admitted {
-            self.tree.ensure(path, 0).put(key, Some(value));
+            self.tree.get_or_create(path, 0).set_value(key, Some(value));
         } else {
-            let message = format!("`{}` must be {}", key.name(), key.kind());
+            let message = format!("`{}` must be {}", key.name(), key.constraint());
             self.note(value.span().start, message);
         }
     }
 
     fn check_versions(&mut self, table: &DeTable<'_>, path: &SettingsPath) {
         let Some(node) = self.tree.node(path) else { return };
-        let (Some(SettingValue::Numbers(known)), Some(SettingValue::Number(current))) =
+        let (Some(SettingValue::Integers(known)), Some(SettingValue::Integer(current))) =
             (node.value(SettingKey::Versions), node.value(SettingKey::Version))
         else {
             return;
@@ -203,7 +204,7 @@
         "a"
     };
     let start = format!("unknown key `{name}` for {article} {}", level.name());
-    match closest(name, known) {
+    match closest_match(name, known) {
         Some(known) => format!("{start}; did you mean `{known}`?"),
         None => format!("{start}; `reelreel settings keys` lists those that exist"),
     }
@@ -211,20 +212,20 @@
 
 fn setting_value(value: &DeValue<'_>) -> Option<SettingValue> {
     match value {
-        DeValue::Boolean(flag) => Some(SettingValue::Flag(*flag)),
+        DeValue::Boolean(flag) => Some(SettingValue::Bool(*flag)),
         DeValue::Integer(number) => {
             let digits = number.as_str();
-            i64::from_str_radix(digits, number.radix()).ok().map(SettingValue::Number)
+            i64::from_str_radix(digits, number.radix()).ok().map(SettingValue::Integer)
         }
-        DeValue::Float(fraction) => fraction.as_str().parse().ok().map(SettingValue::Fraction),
+        DeValue::Float(fraction) => fraction.as_str().parse().ok().map(SettingValue::Float),
         DeValue::String(text) => Some(SettingValue::Text(Box::from(&**text))),
         DeValue::Array(items) => {
             let number = |item: &Spanned<DeValue<'_>>| match setting_value(item.get_ref())? {
-                SettingValue::Number(number) => Some(number),
+                SettingValue::Integer(number) => Some(number),
                 _ => None,
             };
             let numbers: Option<Vec<i64>> = items.iter().map(number).collect();
-            numbers.map(|numbers| SettingValue::Numbers(numbers.into_boxed_slice()))
+            numbers.map(|numbers| SettingValue::Integers(numbers.into_boxed_slice()))
         }
         DeValue::Datetime(_) | DeValue::Table(_) => None,
     }
--- a/crates/core/src/settings/tree.rs
+++ b/crates/core/src/settings/tree.rs
@@ -38,7 +38,7 @@
         if segments.len() > DEEPEST_PATH {
             return Err(format!("`{text}` is too deep; write service/organisation/adapter"));
         }
-        if let Some(bad) = segments.iter().find(|segment| !is_name(segment)) {
+        if let Some(bad) = segments.iter().find(|segment| !is_valid_name(segment)) {
             return Err(format!(
                 "`{bad}` is not a name; use 1 to 64 letters, digits, dots, dashes or underscores"
             ));
@@ -94,7 +94,7 @@
 }
 
 /// Says whether a text may name a node: 1 to 64 letters, digits, dots, dashes or underscores.
-pub fn is_name(text: &str) -> bool {
+pub fn is_valid_name(text: &str) -> bool {
     let fits = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'.' | b'-' | b'_');
     (1..=64).contains(&text.len()) && text.bytes().all(fits)
 }
@@ -128,7 +128,7 @@
     }
 
     /// Sets or, with `None`, unsets a value at this node.
-    pub fn put(&mut self, key: SettingKey, value: Option<SettingValue>) {
+    pub fn set_value(&mut self, key: SettingKey, value: Option<SettingValue>) {
         let place = self.values.binary_search_by_key(&key, |(known, _)| *known);
         match (place, value) {
             (Ok(place), Some(value)) => self.values[place].1 = value,
@@ -141,8 +141,8 @@
     }
 
     /// Returns the highest revision at which anything at or below this node changed.
-    pub fn newest_change(&self) -> Revision {
-        let below = self.children.values().map(Self::newest_change).max().unwrap_or(0);
+    pub fn last_modified(&self) -> Revision {
+        let below = self.children.values().map(Self::last_modified).max().unwrap_or(0);
         below.max(self.changed_at).max(self.removed_at)
     }
 }
@@ -208,13 +208,13 @@
     }
 
     /// Returns the nodes from the root down to `path`, as far as they exist.
-    pub fn lineage(&self, path: &SettingsPath) -> Vec<&SettingsNode> {
-        let mut lineage = vec![&self.root];
+    pub fn nodes_along(&self, path: &SettingsPath) -> Vec<&SettingsNode> {
+        let mut path_nodes = vec![&self.root];
         for name in path.segments() {
-            let Some(child) = lineage[lineage.len() - 1].children.get(name) else { break };
-            lineage.push(child);
+            let Some(child) = path_nodes[path_nodes.len() - 1].children.get(name) else { break };
+            path_nodes.push(child);
         }
-        lineage
+        path_nodes
     }
 
     /// Counts the adapters.
@@ -263,7 +263,7 @@
             _ => return Err(malformed()),
         };
         let unknown = || ModelError::UnknownAdapter(name.to_owned());
-        let [_, service, organisation, adapter] = self.lineage(&path)[..] else {
+        let [_, service, organisation, adapter] = self.nodes_along(&path)[..] else {
             return Err(unknown());
         };
         let version = pick_version(adapter, name, version)?;
@@ -311,7 +311,7 @@
     ///
     /// # Panics
     /// Never: each node on the way is made before it is entered.
-    pub fn ensure(&mut self, path: &SettingsPath, revision: Revision) -> &mut SettingsNode {
+    pub fn get_or_create(&mut self, path: &SettingsPath, revision: Revision) -> &mut SettingsNode {
         let mut node = &mut self.root;
         for (depth, name) in path.segments().iter().enumerate() {
             if !node.children.contains_key(name) {
@@ -374,7 +374,7 @@
 
 fn current_version(adapter: &SettingsNode) -> Option<AdapterVersion> {
     match adapter.value(SettingKey::Version)? {
-        SettingValue::Number(number) => AdapterVersion::try_from(*number).ok(),
+        SettingValue::Integer(number) => AdapterVersion::try_from(*number).ok(),
         _ => None,
     }
 }
@@ -382,7 +382,7 @@
 /// Lists the versions an adapter's node says exist; its current version always does.
 pub fn known_versions(adapter: &SettingsNode) -> Vec<AdapterVersion> {
     let mut versions: Vec<AdapterVersion> = match adapter.value(SettingKey::Versions) {
-        Some(SettingValue::Numbers(numbers)) => {
+        Some(SettingValue::Integers(numbers)) => {
             numbers.iter().filter_map(|number| AdapterVersion::try_from(*number).ok()).collect()
         }
         _ => Vec::new(),
--- a/crates/core/src/timeline.rs
+++ b/crates/core/src/timeline.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{clock::HybridStamp, id::HostId};
+use crate::{clock::HybridTimestamp, id::HostId};
 
 /// How many events a host keeps.
 pub const KEPT_EVENTS: usize = 4096;
@@ -33,37 +33,37 @@
 
 /// The last events of one host.
 #[derive(Debug, Default)]
-pub struct TimelineRing {
+pub struct TimelineBuffer {
     host: HostId,
-    stamp: HybridStamp,
+    stamp: HybridTimestamp,
     events: VecDeque<TimelineEvent>,
 }
 
-impl TimelineRing {
+impl TimelineBuffer {
     /// Starts an empty time line.
     pub fn new(host: HostId) -> Self {
         Self { host, ..Self::default() }
     }
 
     /// Returns the stamp of the latest event or message.
-    pub const fn stamp(&self) -> HybridStamp {
+    pub const fn stamp(&self) -> HybridTimestamp {
         self.stamp
     }
 
     /// Moves the stamp on, as for a message about to be sent.
-    pub fn tick(&mut self, wall_millis: u64) -> HybridStamp {
+    pub fn tick(&mut self, wall_millis: u64) -> HybridTimestamp {
         self.stamp = self.stamp.next(wall_millis);
         self.stamp
     }
 
     /// Takes the stamp of a message that came in.
-    pub fn receive(&mut self, stamp: HybridStamp, wall_millis: u64) {
+    pub fn receive(&mut self, stamp: HybridTimestamp, wall_millis: u64) {
         self.stamp = self.stamp.merge(stamp, wall_millis);
     }
 
     /// Notes an event.
-    pub fn note(&mut self, wall_millis: u64, subject: String, text: String) {
-        let HybridStamp { wall_millis, counter } = self.tick(wall_millis);
+    pub fn record(&mut self, wall_millis: u64, subject: String, text: String) {
+        let HybridTimestamp { wall_millis, counter } = self.tick(wall_millis);
         if self.events.len() == KEPT_EVENTS {
             self.events.pop_front();
         }
--- a/crates/core/tests/herd.rs
+++ b/crates/core/tests/herd.rs
@@ -35,7 +35,7 @@
             base_revision: 0,
             author: String::new(),
             message: String::new(),
-            edits: SettingsTree::default().edits_towards(&tree),
+            edits: SettingsTree::default().diff_edits(&tree),
         }),
     );
     site.run_until(SETTLED);
--- a/crates/core/tests/log_eras.rs
+++ b/crates/core/tests/log_eras.rs
@@ -18,7 +18,7 @@
 fn publication(number: usize, base_revision: u64) -> Vec<u8> {
     #[expect(clippy::cast_precision_loss, reason = "a few publications")]
     let worth = 1.0 + number as f64;
-    let action = EditAction::Set(SettingKey::Worth, SettingValue::Fraction(worth));
+    let action = EditAction::Set(SettingKey::Worth, SettingValue::Float(worth));
     let record = ChangeRecord {
         format: 1,
         change_id: format!("change-{number}"),
@@ -79,7 +79,7 @@
 
     fn read(&mut self, host: usize, count: usize) {
         let fold = &mut self.hosts[host];
-        fold.enter(self.era);
+        fold.enter_era(self.era);
         let from = usize::try_from(fold.next_offset()).expect("a short log");
         for (offset, payload) in self.log.iter().enumerate().skip(from).take(count) {
             let (offset, payload) = (offset as LogOffset, payload.clone());
--- a/crates/core/tests/members.rs
+++ b/crates/core/tests/members.rs
@@ -7,17 +7,17 @@
     chart::MemberState,
     gossip::GossipQueue,
     id::{AdapterKey, raised_token, takeover_token},
-    load::{StoreLimits, StoreTurns},
-    member::{MemberTable, MemberTimes, MemberUpdate},
+    load::{LoadScheduler, WeightStoreLimits},
+    member::{MemberTable, MemberTimeouts, MemberUpdate},
     message::{LoadAsk, LoadTurn},
     owner::{OwnedRole, rendezvous, role_key},
     routing::{RouteCandidate, RouteChoice, choose_route},
 };
 
-const TIMES: MemberTimes = MemberTimes {
-    answer_within: Duration::from_millis(800),
-    refute_within: Duration::from_secs(3),
-    forget_after: Duration::from_mins(1),
+const TIMES: MemberTimeouts = MemberTimeouts {
+    ack_timeout: Duration::from_millis(800),
+    suspicion_timeout: Duration::from_secs(3),
+    dead_retention: Duration::from_mins(1),
 };
 
 fn update(host: u32, incarnation: u64, refutations: u32, state: MemberState) -> MemberUpdate {
@@ -80,10 +80,10 @@
     for case in HEAR {
         let mut table = MemberTable::new(update(1, 1, 0, MemberState::Alive), TIMES);
         let (incarnation, refutations, state) = case.known;
-        table.hear(&update(2, incarnation, refutations, MemberState::Alive), at(1));
-        table.hear(&update(2, incarnation, refutations, state), at(1));
+        table.apply_update(&update(2, incarnation, refutations, MemberState::Alive), at(1));
+        table.apply_update(&update(2, incarnation, refutations, state), at(1));
         let (incarnation, refutations, state) = case.heard;
-        table.hear(&update(2, incarnation, refutations, state), at(2));
+        table.apply_update(&update(2, incarnation, refutations, state), at(2));
         let found = table.find(2).map(|entry| entry.update.state);
         assert_eq!(found, Some(case.after), "{}", case.name);
     }
@@ -92,25 +92,28 @@
 #[test]
 fn a_silent_host_is_suspected_then_dead_and_owns_until_then() {
     let mut table = MemberTable::new(update(1, 1, 0, MemberState::Alive), TIMES);
-    table.hear(&update(2, 1, 0, MemberState::Alive), at(0));
-    table.asked(2, at(100));
+    table.apply_update(&update(2, 1, 0, MemberState::Alive), at(0));
+    table.record_heartbeat_sent(2, at(100));
     assert!(table.expire(at(800)).is_empty());
     assert_eq!(table.expire(at(1_000)), [2]);
-    assert_eq!(table.owners(None).count(), 2, "a suspected host still owns");
+    assert_eq!(table.eligible_owners(None).count(), 2, "a suspected host still owns");
     assert!(table.expire(at(3_900)).is_empty());
     assert_eq!(table.expire(at(4_100)), [2]);
-    assert_eq!(table.owners(None).count(), 1);
-    assert!(!table.heard_from(2, at(4_200)), "a dead host returns by its own word only");
-    assert!(table.hear(&update(2, 1, 1, MemberState::Alive), at(4_300)));
-    assert_eq!(table.owners(None).count(), 2);
+    assert_eq!(table.eligible_owners(None).count(), 1);
+    assert!(!table.record_contact(2, at(4_200)), "a dead host returns by its own word only");
+    assert!(table.apply_update(&update(2, 1, 1, MemberState::Alive), at(4_300)));
+    assert_eq!(table.eligible_owners(None).count(), 2);
 }
 
 #[test]
 fn a_host_refutes_what_is_said_against_it() {
     let mut table = MemberTable::new(update(1, 9, 0, MemberState::Alive), TIMES);
-    assert!(table.hear(&update(1, 9, 0, MemberState::Dead), at(1)));
+    assert!(table.apply_update(&update(1, 9, 0, MemberState::Dead), at(1)));
     assert_eq!((table.own().refutations, table.own().state), (1, MemberState::Alive));
-    assert!(!table.hear(&update(1, 8, 3, MemberState::Dead), at(1)), "that was an earlier life");
+    assert!(
+        !table.apply_update(&update(1, 8, 3, MemberState::Dead), at(1)),
+        "that was an earlier life"
+    );
 }
 
 #[test]
@@ -190,48 +193,49 @@
     LoadAsk { engine, adapter: key(adapter), value, running: false }
 }
 
-const LIMITS: StoreLimits = StoreLimits { per_second: 3.0, parallel: 1, part: 1.0 };
+const LIMITS: WeightStoreLimits =
+    WeightStoreLimits { loads_per_second: 3.0, parallel_loads: 1, fraction: 1.0 };
 
 #[test]
 fn the_most_valuable_load_has_the_next_turn_one_at_a_time() {
-    let mut turns = StoreTurns::default();
-    turns.ask(1, &ask(1, 10, 1.0), at(1));
-    turns.ask(2, &ask(2, 20, 5.0), at(1));
-    turns.ask(1, &ask(1, 30, 3.0), at(1));
-    let given = turns.give(LIMITS, at(1));
+    let mut turns = LoadScheduler::default();
+    turns.request_turn(1, &ask(1, 10, 1.0), at(1));
+    turns.request_turn(2, &ask(2, 20, 5.0), at(1));
+    turns.request_turn(1, &ask(1, 30, 3.0), at(1));
+    let given = turns.grant_turns(LIMITS, at(1));
     assert_eq!(given.len(), 1);
     assert_eq!((given[0].owner, given[0].turn.adapter), (2, key(20)));
-    assert!(turns.give(LIMITS, at(500)).is_empty(), "the store serves one at a time");
-    assert_eq!(turns.place(1, key(10)).before, 2);
-    turns.end(LoadTurn { engine: 2, adapter: key(20) }, at(600));
-    let given = turns.give(LIMITS, at(601));
+    assert!(turns.grant_turns(LIMITS, at(500)).is_empty(), "the store serves one at a time");
+    assert_eq!(turns.queue_position(1, key(10)).before, 2);
+    turns.release_turn(LoadTurn { engine: 2, adapter: key(20) }, at(600));
+    let given = turns.grant_turns(LIMITS, at(601));
     assert_eq!(given.iter().map(|given| given.turn.adapter).collect::<Vec<_>>(), [key(30)]);
 }
 
 #[test]
 fn a_turn_whose_owner_falls_silent_is_taken_back() {
-    let mut turns = StoreTurns::default();
-    turns.ask(1, &ask(1, 10, 9.0), at(1));
-    turns.ask(2, &ask(2, 20, 1.0), at(1));
-    assert_eq!(turns.give(LIMITS, at(1)).len(), 1);
+    let mut turns = LoadScheduler::default();
+    turns.request_turn(1, &ask(1, 10, 9.0), at(1));
+    turns.request_turn(2, &ask(2, 20, 1.0), at(1));
+    assert_eq!(turns.grant_turns(LIMITS, at(1)).len(), 1);
     for step in 1..8 {
-        turns.ask(2, &ask(2, 20, 1.0), at(step * 500));
+        turns.request_turn(2, &ask(2, 20, 1.0), at(step * 500));
     }
-    let given = turns.give(LIMITS, at(3_600));
+    let given = turns.grant_turns(LIMITS, at(3_600));
     assert_eq!(given.iter().map(|given| given.owner).collect::<Vec<_>>(), [2]);
 }
 
 #[test]
 fn the_store_is_not_asked_for_more_than_its_rate() {
-    let mut turns = StoreTurns::default();
-    let limits = StoreLimits { parallel: 4, ..LIMITS };
+    let mut turns = LoadScheduler::default();
+    let limits = WeightStoreLimits { parallel_loads: 4, ..LIMITS };
     let mut given = 0;
     for step in 0..600u32 {
         let now = at(u64::from(step) * 50 + 1);
-        turns.ask(1, &ask(1, step, 1.0), now);
-        for turn in turns.give(limits, now) {
+        turns.request_turn(1, &ask(1, step, 1.0), now);
+        for turn in turns.grant_turns(limits, now) {
             given += 1;
-            turns.end(turn.turn, now);
+            turns.release_turn(turn.turn, now);
         }
     }
     assert!((85..=96).contains(&given), "{given} loads in 30 s at 3 a second");
--- a/crates/core/tests/one_host.rs
+++ b/crates/core/tests/one_host.rs
@@ -4,7 +4,7 @@
 
 use reelreel_core::{
     ClockMillis, NodeConfig, NodeCore, NodeEvent, NodeOrder,
-    clock::HybridStamp,
+    clock::HybridTimestamp,
     engine::EngineFacts,
     gossip::EngineDigest,
     id::request_id,
@@ -34,7 +34,7 @@
         base_revision: 0,
         author: String::new(),
         message: String::new(),
-        edits: SettingsTree::default().edits_towards(&tree),
+        edits: SettingsTree::default().diff_edits(&tree),
     };
     let payload = serde_json::to_vec(&record).expect("JSON");
     let records = vec![LogRecord { offset: 0, written_millis: 0, payload }];
@@ -68,14 +68,14 @@
 }
 
 fn from_owner(message: PeerMessage) -> NodeEvent {
-    NodeEvent::Peer { from: OWNER, stamp: HybridStamp::default(), message }
+    NodeEvent::Peer { from: OWNER, stamp: HybridTimestamp::default(), message }
 }
 
 fn arrival(counter: u32) -> NodeEvent {
     NodeEvent::Arrived(ArrivedRequest {
         id: request_id(1, 1, counter),
         target: RequestTarget::Model(String::from("north/brakes")),
-        patience: Some(Duration::from_secs(10)),
+        max_wait: Some(Duration::from_secs(10)),
         repeatable: None,
         key: None,
         max_tokens: None,
--- a/crates/core/tests/settings.rs
+++ b/crates/core/tests/settings.rs
@@ -77,7 +77,7 @@
 fn every_default_fits_its_key() {
     for key in SettingKey::ALL.iter().filter(|key| !key.default_text().is_empty()) {
         let value = key.default_value().unwrap_or_else(|| panic!("{} default", key.name()));
-        assert!(key.admit(value).is_ok(), "{}", key.name());
+        assert!(key.validate(value).is_ok(), "{}", key.name());
         assert_eq!(SettingKey::find(key.name()), Some(*key));
     }
 }
@@ -95,25 +95,25 @@
         ValueCase {
             path: "assist/north/brakes",
             key: SettingKey::Worth,
-            value: SettingValue::Fraction(3.5),
+            value: SettingValue::Float(3.5),
             from: Some("assist/north"),
         },
         ValueCase {
             path: "assist/south/audits",
             key: SettingKey::Worth,
-            value: SettingValue::Fraction(2.0),
+            value: SettingValue::Float(2.0),
             from: Some("/"),
         },
         ValueCase {
             path: "assist/south/audits",
             key: SettingKey::DeadlineMs,
-            value: SettingValue::Number(4000),
+            value: SettingValue::Integer(4000),
             from: Some("assist"),
         },
         ValueCase {
             path: "other/south",
             key: SettingKey::QueueLimit,
-            value: SettingValue::Number(64),
+            value: SettingValue::Integer(64),
             from: None,
         },
     ];
@@ -188,12 +188,12 @@
 fn a_written_file_reads_back_as_the_same_tree() {
     let tree = tree();
     let again = read_tree(&tree.to_toml()).expect("written files have no mistakes");
-    assert!(tree.edits_towards(&again).is_empty(), "{:?}", tree.edits_towards(&again));
+    assert!(tree.diff_edits(&again).is_empty(), "{:?}", tree.diff_edits(&again));
 }
 
 fn set_worth(path: &str, worth: f64) -> SettingsEdit {
     let path = SettingsPath::parse(path).expect("a path");
-    let value = SettingValue::Fraction(worth);
+    let value = SettingValue::Float(worth);
     SettingsEdit { path, action: EditAction::Set(SettingKey::Worth, value) }
 }
 
@@ -230,7 +230,7 @@
 }
 
 fn first() -> Vec<u8> {
-    json(&record("first", 0, SettingsTree::default().edits_towards(&tree())))
+    json(&record("first", 0, SettingsTree::default().diff_edits(&tree())))
 }
 
 struct RaceCase {
@@ -301,7 +301,7 @@
 
 #[test]
 fn a_refused_publication_changes_nothing() {
-    let bad = SettingValue::Number(-5);
+    let bad = SettingValue::Integer(-5);
     let path = SettingsPath::parse("assist").expect("a path");
     let edit = SettingsEdit { path, action: EditAction::Set(SettingKey::DeadlineMs, bad) };
     let ahead = json(&record("ahead", 9, vec![set_worth("assist", 1.0)]));
@@ -350,7 +350,7 @@
     assert_eq!(late.revision(), 1);
     let snapshot = fold_of(&payloads[..3]).snapshot();
     let read = SettingsSnapshot::from_json(&snapshot.to_json()).expect("it was just written");
-    assert!(late.adopt(read).expect("its digest is right"));
+    assert!(late.install_snapshot(read).expect("its digest is right"));
     assert!(late.fold(log_record(3, payloads[3].clone())));
     assert_eq!(late.snapshot(), whole.snapshot());
     assert_eq!(late.tree().adapter_count(), whole.tree().adapter_count());
@@ -363,14 +363,14 @@
     let mut forged = whole.snapshot();
     forged.tree = forged.tree.replace("3.5", "9.5");
     let mut fresh = SettingsFold::default();
-    assert_eq!(fresh.adopt(forged), Err(SnapshotError::WrongDigest(2)));
+    assert_eq!(fresh.install_snapshot(forged), Err(SnapshotError::WrongDigest(2)));
     assert_eq!(fresh.revision(), 0);
     let mut newer = whole.snapshot();
     newer.format = 2;
-    assert_eq!(fresh.adopt(newer), Err(SnapshotError::NewerFormat(2)));
+    assert_eq!(fresh.install_snapshot(newer), Err(SnapshotError::NewerFormat(2)));
     let older = fold_of(&payloads[..1]).snapshot();
     let mut ahead = whole;
-    assert_eq!(ahead.adopt(older), Ok(false));
+    assert_eq!(ahead.install_snapshot(older), Ok(false));
     assert_eq!(ahead.revision(), 2);
     assert!(matches!(SettingsSnapshot::from_json(b"{"), Err(SnapshotError::Damaged(_))));
 }
@@ -383,9 +383,8 @@
             SettingsPath::parse(&path).expect("short names")
         });
     let action = prop_oneof![
-        (0.0..9.0f64).prop_map(|worth| {
-            EditAction::Set(SettingKey::Worth, SettingValue::Fraction(worth))
-        }),
+        (0.0..9.0f64)
+            .prop_map(|worth| { EditAction::Set(SettingKey::Worth, SettingValue::Float(worth)) }),
         Just(EditAction::Unset(SettingKey::Worth)),
         Just(EditAction::Create),
         Just(EditAction::Remove),
@@ -413,7 +412,7 @@
         let whole = fold_of(&log);
         let cut = cut.min(log.len());
         let mut by_snapshot = SettingsFold::default();
-        by_snapshot.adopt(fold_of(&log[..cut]).snapshot()).expect("a true snapshot");
+        by_snapshot.install_snapshot(fold_of(&log[..cut]).snapshot()).expect("a true snapshot");
         for _ in 0..2 {
             for (offset, payload) in (0..).zip(&log) {
                 by_snapshot.fold(log_record(offset, payload.clone()));
@@ -440,10 +439,10 @@
     #[test]
     fn edits_lead_from_any_tree_to_any_other(one in any_log(), two in any_log()) {
         let (one, two) = (fold_of(&one), fold_of(&two));
-        let edits = one.tree().edits_towards(two.tree());
+        let edits = one.tree().diff_edits(two.tree());
         let mut reached = one.tree().clone();
         reached.apply_change(&record("towards", 0, edits), 99);
-        let left = reached.edits_towards(two.tree());
+        let left = reached.diff_edits(two.tree());
         prop_assert!(left.is_empty(), "{left:?}");
     }
 }
--- a/crates/fakes/src/exchange.rs
+++ b/crates/fakes/src/exchange.rs
@@ -74,7 +74,7 @@
         let arrived = ArrivedRequest {
             id: request,
             target,
-            patience: Some(std::time::Duration::from_millis(call.patience)),
+            max_wait: Some(std::time::Duration::from_millis(call.patience)),
             repeatable: call.repeatable,
             key: call.key.map(|text| IdempotencyKey { text, created_millis: None }),
             max_tokens: Some(call.tokens),
--- a/crates/fakes/src/script.rs
+++ b/crates/fakes/src/script.rs
@@ -99,7 +99,7 @@
     shape.servers = vec![(1, 1), (2, 2)];
     shape.mutation = script.mutation;
     let mut site = FakeSite::new(shape, plan);
-    let edits = SettingsTree::default().edits_towards(&standard_tree());
+    let edits = SettingsTree::default().diff_edits(&standard_tree());
     site.act_at(10, SiteAction::Publish(publication("first", 0, edits)));
     plan_publications(&mut site);
     site.act_at(12_000, SiteAction::DrainHost(2));
@@ -115,7 +115,7 @@
     let path = SettingsPath::site().child("assist").child("north").child("brakes");
     let versions = [(6_000, 2), (14_000, 1), (22_000, 2)];
     for (index, (at, version)) in versions.into_iter().enumerate() {
-        let action = EditAction::Set(SettingKey::Version, SettingValue::Number(version));
+        let action = EditAction::Set(SettingKey::Version, SettingValue::Integer(version));
         let edits = vec![SettingsEdit { path: path.clone(), action }];
         // Only the place's own last change matters, so a race elsewhere does not refuse these.
         let base = u64::try_from(index).unwrap_or(0) + 1;
--- a/crates/fakes/src/site/post.rs
+++ b/crates/fakes/src/site/post.rs
@@ -3,7 +3,7 @@
 use rand::RngExt;
 use reelreel_core::{
     NodeEvent,
-    clock::HybridStamp,
+    clock::HybridTimestamp,
     id::{HallId, HostId},
     message::PeerMessage,
 };
@@ -20,7 +20,7 @@
         &mut self,
         from: HostId,
         to: HostId,
-        stamp: HybridStamp,
+        stamp: HybridTimestamp,
         message: PeerMessage,
     ) {
         self.evidence.messages += 1;
@@ -49,7 +49,7 @@
         &mut self,
         from: HostId,
         to: HostId,
-        stamp: HybridStamp,
+        stamp: HybridTimestamp,
         message: PeerMessage,
     ) {
         let (Some(sender), Some(receiver)) = (self.hosts.get(&from), self.hosts.get(&to)) else {
--- a/crates/fakes/src/site/queue.rs
+++ b/crates/fakes/src/site/queue.rs
@@ -1,7 +1,7 @@
 //! What comes next, in the order of its time.
 
 use reelreel_core::{
-    clock::HybridStamp,
+    clock::HybridTimestamp,
     engine::EngineOrder,
     id::{EngineId, HallId, HostId, RequestId},
     message::PeerMessage,
@@ -20,7 +20,7 @@
     Poll(HostId, u64),
     ReadLog(HostId, u64, LogStream),
     Input(HostId, u64, HostInput),
-    Peer { from: HostId, to: HostId, stamp: HybridStamp, message: PeerMessage },
+    Peer { from: HostId, to: HostId, stamp: HybridTimestamp, message: PeerMessage },
     Order { host: HostId, life: u64, order: EngineOrder },
     AskReport { host: HostId, life: u64, engine: EngineId },
     Request { host: HostId, life: u64, order: reelreel_core::node::DispatchOrder },
--- a/crates/fakes/src/strike.rs
+++ b/crates/fakes/src/strike.rs
@@ -47,7 +47,7 @@
     /// Brings the log back from a copy; operators write again what they had published since.
     fn fall_back_log(&mut self, copied_at: u64) {
         let lost = self.log.fall_back(WALL_START + copied_at);
-        self.reference.enter(self.log.era);
+        self.reference.enter_era(self.log.era);
         let (records, _) = self.log.read(LogStream::Settings, 0);
         for record in records {
             self.reference.fold(record);
@@ -183,7 +183,7 @@
         }
         for (index, worth) in [3.0, 4.0].into_iter().enumerate() {
             let path = SettingsPath::site().child("assist");
-            let action = EditAction::Set(SettingKey::Worth, SettingValue::Fraction(worth));
+            let action = EditAction::Set(SettingKey::Worth, SettingValue::Float(worth));
             let record = ChangeRecord {
                 format: 1,
                 change_id: format!("race-{}-{index}", self.now),
--- a/crates/node/src/callers/request.rs
+++ b/crates/node/src/callers/request.rs
@@ -38,7 +38,7 @@
     head: &HttpHead,
     target: RequestTarget,
 ) -> Result<ArrivedRequest, RequestRefusal> {
-    let patience = read_deadline(head)?;
+    let max_wait = read_deadline(head)?;
     let repeatable = match text_header(head, "x-repeatable")? {
         None => None,
         Some("true") => Some(true),
@@ -48,7 +48,7 @@
         }
     };
     let key = read_key(head)?;
-    Ok(ArrivedRequest { id, target, patience, repeatable, key, max_tokens: None })
+    Ok(ArrivedRequest { id, target, max_wait, repeatable, key, max_tokens: None })
 }
 
 fn text_header<'a>(head: &'a HttpHead, name: &str) -> Result<Option<&'a str>, RequestRefusal> {
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -15,7 +15,7 @@
 };
 
 use futures_util::{SinkExt, StreamExt};
-use reelreel_core::{NodeEvent, clock::HybridStamp, id::HostId, message::PeerMessage};
+use reelreel_core::{NodeEvent, clock::HybridTimestamp, id::HostId, message::PeerMessage};
 use reelreel_wire::{FrameCodec, PeerFrame};
 use tokio::{
     net::{TcpListener, TcpStream},
@@ -42,7 +42,7 @@
     /// Where to.
     pub address: String,
     /// The sender's stamp.
-    pub stamp: HybridStamp,
+    pub stamp: HybridTimestamp,
     /// The message.
     pub message: PeerMessage,
 }
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -5,7 +5,7 @@
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
-use reelreel_core::{node::NodeTimes, settings::source::SourceMistake};
+use reelreel_core::{node::NodeTimes, settings::source::SourceError};
 use toml::de::DeTable;
 
 pub use fields::{FIELDS, FieldKind, FieldSpec, describe};
@@ -73,7 +73,7 @@
     ///
     /// # Errors
     /// Returns every mistake, in the order of their places.
-    pub fn read(text: &str) -> Result<Self, Vec<SourceMistake>> {
+    pub fn read(text: &str) -> Result<Self, Vec<SourceError>> {
         let (table, errors) = DeTable::parse_recoverable(text);
         let mut reader = FieldReader { text, mistakes: Vec::new() };
         for error in errors {
@@ -95,8 +95,8 @@
     fn build(values: &FieldValues) -> Self {
         let times = NodeTimes {
             heartbeat: values.millis("times", "heartbeat_ms"),
-            answer_within: values.millis("times", "answer_within_ms"),
-            refute_within: values.millis("times", "refute_within_ms"),
+            ack_timeout: values.millis("times", "answer_within_ms"),
+            suspicion_timeout: values.millis("times", "refute_within_ms"),
             handover_wait: values.millis("times", "handover_wait_ms"),
             quiet: values.millis("times", "quiet_ms"),
             claim_interval: values.millis("times", "claim_interval_ms"),
--- a/crates/node/src/settings/reader.rs
+++ b/crates/node/src/settings/reader.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
-use reelreel_core::settings::source::{SourceMistake, closest, place_of};
+use reelreel_core::settings::source::{SourceError, closest_match, line_and_column};
 use toml::{
     Spanned,
     de::{DeTable, DeValue},
@@ -43,13 +43,13 @@
 
 pub(super) struct FieldReader<'a> {
     pub(super) text: &'a str,
-    pub(super) mistakes: Vec<SourceMistake>,
+    pub(super) mistakes: Vec<SourceError>,
 }
 
 impl FieldReader<'_> {
     pub(super) fn note(&mut self, offset: usize, message: String) {
-        let (line, column) = place_of(self.text, offset);
-        self.mistakes.push(SourceMistake { line, column, message });
+        let (line, column) = line_and_column(self.text, offset);
+        self.mistakes.push(SourceError { line, column, message });
     }
 
     pub(super) fn read_table(
@@ -80,7 +80,7 @@
         let in_table = FIELDS.iter().filter(|field| field.table == table);
         let tables = FIELDS.iter().map(|field| field.table).filter(|_| table.is_empty());
         let known = in_table.map(|field| field.name).chain(tables);
-        let message = match closest(name, known) {
+        let message = match closest_match(name, known) {
             Some(known) => format!("unknown key `{name}`; did you mean `{known}`?"),
             None => {
                 format!("unknown key `{name}`; `reelreel settings keys` lists those that exist")
--- a/crates/node/tests/node_settings.rs
+++ b/crates/node/tests/node_settings.rs
@@ -94,7 +94,7 @@
             key.name(),
             levels.join(", "),
             shown(key.default_text()),
-            key.meaning()
+            key.description()
         );
         assert!(page.contains(&row), "docs/OPERATORS.md lacks the row `{row}`");
     }
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -2,7 +2,7 @@
 
 use bytes::BytesMut;
 use prost::Message;
-use reelreel_core::{clock::HybridStamp, id::HostId, message::PeerMessage};
+use reelreel_core::{clock::HybridTimestamp, id::HostId, message::PeerMessage};
 use tokio_util::codec::{Decoder, Encoder, LengthDelimitedCodec};
 
 use crate::{convert::DecodeError, peer};
@@ -16,7 +16,7 @@
     /// The sender.
     pub from: HostId,
     /// The sender's stamp.
-    pub stamp: HybridStamp,
+    pub stamp: HybridTimestamp,
     /// The message.
     pub message: PeerMessage,
 }
--- a/crates/wire/src/convert.rs
+++ b/crates/wire/src/convert.rs
@@ -4,7 +4,7 @@
 mod table;
 
 use reelreel_core::{
-    clock::HybridStamp,
+    clock::HybridTimestamp,
     id::{AdapterKey, RequestId},
     message::{
         LoadAsk, LoadPlace, LoadTurn, PeerMessage, SettingsPull, SettingsRecords, SettingsState,
@@ -46,7 +46,7 @@
 
     fn try_from(frame: peer::Frame) -> Result<Self, DecodeError> {
         let stamp =
-            HybridStamp { wall_millis: frame.stamp_wall_millis, counter: frame.stamp_counter };
+            HybridTimestamp { wall_millis: frame.stamp_wall_millis, counter: frame.stamp_counter };
         let message = message(need(frame.body, "body")?)?;
         Ok(Self { from: frame.from, stamp, message })
     }
--- a/crates/wire/src/convert/permit.rs
+++ b/crates/wire/src/convert/permit.rs
@@ -45,11 +45,11 @@
 
 impl From<PermitAsk> for peer::PermitAsk {
     fn from(ask: PermitAsk) -> Self {
-        let PermitAsk { engine, attempt, patience, request, may_load, replica } = ask;
+        let PermitAsk { engine, attempt, max_wait, request, may_load, replica } = ask;
         Self {
             permit: Some(permit_name(request.request, attempt)),
             engine,
-            patience_millis: millis(patience),
+            patience_millis: millis(max_wait),
             may_load,
             replica,
             service: request.service,
@@ -83,7 +83,7 @@
         Ok(Self {
             engine: ask.engine,
             attempt,
-            patience: Duration::from_millis(ask.patience_millis),
+            max_wait: Duration::from_millis(ask.patience_millis),
             request,
             may_load: ask.may_load,
             replica: ask.replica,
--- a/crates/wire/tests/frames.rs
+++ b/crates/wire/tests/frames.rs
@@ -7,7 +7,7 @@
 use reelreel_core::{
     ClockMillis,
     chart::MemberState,
-    clock::HybridStamp,
+    clock::HybridTimestamp,
     engine::EngineFacts,
     gossip::{DigestVersion, EngineDigest},
     id::AdapterKey,
@@ -119,7 +119,7 @@
         PeerMessage::PermitAsk(PermitAsk {
             engine,
             attempt,
-            patience: Duration::from_millis(900),
+            max_wait: Duration::from_millis(900),
             request: permit,
             may_load: true,
             replica: true,
@@ -165,7 +165,7 @@
 }
 
 fn frame(message: PeerMessage) -> PeerFrame {
-    PeerFrame { from: 12, stamp: HybridStamp { wall_millis: 99, counter: 3 }, message }
+    PeerFrame { from: 12, stamp: HybridTimestamp { wall_millis: 99, counter: 3 }, message }
 }
 
 #[test]
