--- a/crates/core/src/clock.rs
+++ b/crates/core/src/clock.rs
@@ -68,7 +68,7 @@
 /// What a clock shows when it starts. A peer tells of moments before the process began; where they could not be told apart from its
 /// start, a host that has just started would take an old word for a new one, and serve withdrawn keys by it. No bound on how old a word
 /// may be is near an hour, and zero still stands for "never".
-const FIRST_READING: Duration = Duration::from_hours(1);
+const INITIAL_READING: Duration = Duration::from_hours(1);
 
 impl MonotonicClock {
     /// Starts a clock at an hour.
@@ -93,7 +93,7 @@
 
 impl ClockSource for MonotonicClock {
     fn now(&self) -> ClockMillis {
-        ClockMillis(duration_millis(FIRST_READING + time_since_boot().saturating_sub(self.start)))
+        ClockMillis(duration_millis(INITIAL_READING + time_since_boot().saturating_sub(self.start)))
     }
 }
 
--- a/crates/core/src/gossip.rs
+++ b/crates/core/src/gossip.rs
@@ -8,7 +8,7 @@
 ///
 /// Three times the logarithm reaches all of `n` hosts with a probability above `1 - 1/n`
 /// (Demers et al., 1987); what is missed is repaired by the full exchange.
-const SPREAD_FACTOR: u32 = 3;
+const RETRANSMIT_FACTOR: u32 = 3;
 
 /// The residency of one engine, as its owner passes it on.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -57,12 +57,12 @@
 /// Changes that wait to be passed on, least often passed first.
 #[derive(Debug, Clone)]
 pub struct GossipQueue<K> {
-    left: BTreeMap<K, u32>,
+    remaining: BTreeMap<K, u32>,
 }
 
 impl<K> Default for GossipQueue<K> {
     fn default() -> Self {
-        Self { left: BTreeMap::new() }
+        Self { remaining: BTreeMap::new() }
     }
 }
 
@@ -70,17 +70,17 @@
     /// Notes that `item` changed and must reach `hosts` hosts.
     pub fn add(&mut self, item: K, hosts: usize) {
         let rounds = hosts.max(2).ilog2() + 1;
-        self.left.insert(item, SPREAD_FACTOR * rounds);
+        self.remaining.insert(item, RETRANSMIT_FACTOR * rounds);
     }
 
-    /// Takes up to `most` items for one message, those passed on least first.
-    pub fn take(&mut self, most: usize) -> Vec<K> {
+    /// Takes up to `limit` items for one message, those passed on least first.
+    pub fn take(&mut self, limit: usize) -> Vec<K> {
         let mut items: Vec<(u32, K)> =
-            self.left.iter().map(|(item, left)| (*left, *item)).collect();
+            self.remaining.iter().map(|(item, remaining)| (*remaining, *item)).collect();
         items.sort_by(|left, right| right.cmp(left));
-        items.truncate(most);
+        items.truncate(limit);
         for (_, item) in &items {
-            self.pass(*item);
+            self.count_transmission(*item);
         }
         items.into_iter().map(|(_, item)| item).collect()
     }
@@ -88,25 +88,25 @@
     /// Notes that a peer passed on an item that is known here already, which counts like passing
     /// it on: the more hosts know of a change, the sooner they fall silent about it.
     pub fn record_duplicate(&mut self, item: K) {
-        self.pass(item);
+        self.count_transmission(item);
     }
 
-    fn pass(&mut self, item: K) {
-        if let Some(left) = self.left.get_mut(&item) {
-            *left -= 1;
-            if *left == 0 {
-                self.left.remove(&item);
+    fn count_transmission(&mut self, item: K) {
+        if let Some(remaining) = self.remaining.get_mut(&item) {
+            *remaining -= 1;
+            if *remaining == 0 {
+                self.remaining.remove(&item);
             }
         }
     }
 
     /// Returns how many items still spread.
     pub fn len(&self) -> usize {
-        self.left.len()
+        self.remaining.len()
     }
 
     /// Says whether nothing spreads.
     pub fn is_empty(&self) -> bool {
-        self.left.is_empty()
+        self.remaining.is_empty()
     }
 }
--- a/crates/core/src/id.rs
+++ b/crates/core/src/id.rs
@@ -80,8 +80,8 @@
 /// A store that comes back from an older copy counts generations again, so that its era goes before them: otherwise two hosts could
 /// order with one token, or an engine that has seen a higher one would refuse everybody until the count has caught up.
 pub fn generation_token(era: StoreEra, generation: GroupGeneration) -> FenceToken {
-    let most = (1 << TOKEN_GENERATION_BITS) - 1;
-    (era.min(most) << TOKEN_GENERATION_BITS) | generation.min(most)
+    let max = (1 << TOKEN_GENERATION_BITS) - 1;
+    (era.min(max) << TOKEN_GENERATION_BITS) | generation.min(max)
 }
 
 /// Returns the era of the store that dealt a token.
--- a/crates/core/src/member.rs
+++ b/crates/core/src/member.rs
@@ -32,7 +32,7 @@
 impl MemberUpdate {
     /// Returns what orders two updates of one host: the later one has the higher version.
     const fn version(&self) -> (Incarnation, u32, u8) {
-        (self.incarnation, self.refutations, rank(self.state))
+        (self.incarnation, self.refutations, state_precedence(self.state))
     }
 }
 
@@ -42,13 +42,13 @@
     /// The state as passed on.
     pub update: MemberUpdate,
     /// When the state was entered.
-    pub since: ClockMillis,
+    pub state_since: ClockMillis,
     /// When a heartbeat went out that is not yet answered.
-    pub awaiting: Option<ClockMillis>,
+    pub heartbeat_sent_at: Option<ClockMillis>,
 }
 
 /// How far one state of the same incarnation outdoes another.
-const fn rank(state: MemberState) -> u8 {
+const fn state_precedence(state: MemberState) -> u8 {
     match state {
         MemberState::Alive => 0,
         MemberState::Suspect => 1,
@@ -105,12 +105,12 @@
 
     /// Lists the hosts that may own things, the host itself included: alive or only suspected.
     pub fn eligible_owners(&self, hall: Option<HallId>) -> impl Iterator<Item = HostId> {
-        let fits = move |update: &&MemberUpdate| {
+        let eligible = move |update: &&MemberUpdate| {
             let live = matches!(update.state, MemberState::Alive | MemberState::Suspect);
             live && hall.is_none_or(|hall| hall == update.hall)
         };
         let others = self.members.values().map(|entry| &entry.update);
-        others.chain([&self.own]).filter(fits).map(|update| update.host)
+        others.chain([&self.own]).filter(eligible).map(|update| update.host)
     }
 
     /// Says whether a hall has a host that is not dead.
@@ -132,7 +132,8 @@
             if update.state == MemberState::Dead {
                 return false;
             }
-            let entry = MemberEntry { update: update.clone(), since: now, awaiting: None };
+            let entry =
+                MemberEntry { update: update.clone(), state_since: now, heartbeat_sent_at: None };
             self.members.insert(update.host, entry);
             return true;
         };
@@ -140,18 +141,18 @@
             return false;
         }
         if update.state != entry.update.state {
-            entry.since = now;
+            entry.state_since = now;
         }
         if update.incarnation > entry.update.incarnation {
-            entry.awaiting = None;
+            entry.heartbeat_sent_at = None;
         }
         entry.update = update.clone();
         true
     }
 
     fn refute(&mut self, update: &MemberUpdate) -> bool {
-        let this_life = update.incarnation == self.own.incarnation;
-        if !this_life || update.version() <= self.own.version() {
+        let same_incarnation = update.incarnation == self.own.incarnation;
+        if !same_incarnation || update.version() <= self.own.version() {
             return false;
         }
         self.own.refutations = update.refutations + 1;
@@ -161,18 +162,18 @@
     /// Notes an answer or any other message straight from a host; says whether its state changed.
     pub fn record_contact(&mut self, host: HostId, now: ClockMillis) -> bool {
         let Some(entry) = self.members.get_mut(&host) else { return false };
-        entry.awaiting = None;
+        entry.heartbeat_sent_at = None;
         // A dead host is alive again only by its own word, which carries its incarnation.
         if entry.update.state != MemberState::Suspect {
             return false;
         }
-        Self::step(entry, MemberEvent::Heard, now)
+        Self::transition(entry, MemberEvent::Heard, now)
     }
 
     /// Notes that a heartbeat went out to a host.
     pub fn record_heartbeat_sent(&mut self, host: HostId, now: ClockMillis) {
         if let Some(entry) = self.members.get_mut(&host) {
-            entry.awaiting.get_or_insert(now);
+            entry.heartbeat_sent_at.get_or_insert(now);
         }
     }
 
@@ -181,26 +182,30 @@
         let times = self.times;
         let mut changed = Vec::new();
         for (host, entry) in &mut self.members {
-            let missed = entry.awaiting.is_some_and(|asked| now.since(asked) > times.ack_timeout);
+            let missed = entry
+                .heartbeat_sent_at
+                .is_some_and(|sent_at| now.since(sent_at) > times.ack_timeout);
             if missed {
-                entry.awaiting = None;
+                entry.heartbeat_sent_at = None;
             }
-            let in_state = now.since(entry.since);
+            let time_in_state = now.since(entry.state_since);
             let event = match entry.update.state {
                 MemberState::Alive if missed => MemberEvent::Missed,
-                MemberState::Suspect if in_state > times.suspicion_timeout => MemberEvent::TimedOut,
-                MemberState::Leaving if missed && in_state > times.suspicion_timeout => {
+                MemberState::Suspect if time_in_state > times.suspicion_timeout => {
+                    MemberEvent::TimedOut
+                }
+                MemberState::Leaving if missed && time_in_state > times.suspicion_timeout => {
                     MemberEvent::TimedOut
                 }
                 _ => continue,
             };
-            if Self::step(entry, event, now) {
+            if Self::transition(entry, event, now) {
                 changed.push(*host);
             }
         }
         self.members.retain(|_, entry| {
             let dead = entry.update.state == MemberState::Dead;
-            !dead || now.since(entry.since) <= times.dead_retention
+            !dead || now.since(entry.state_since) <= times.dead_retention
         });
         changed
     }
@@ -210,13 +215,13 @@
         self.own.state = self.own.state.after(MemberEvent::Left);
     }
 
-    fn step(entry: &mut MemberEntry, event: MemberEvent, now: ClockMillis) -> bool {
+    fn transition(entry: &mut MemberEntry, event: MemberEvent, now: ClockMillis) -> bool {
         let state = entry.update.state.after(event);
         if state == entry.update.state {
             return false;
         }
         entry.update.state = state;
-        entry.since = now;
+        entry.state_since = now;
         true
     }
 }
--- a/crates/core/src/node/log.rs
+++ b/crates/core/src/node/log.rs
@@ -141,7 +141,7 @@
                 let own = self.fold.snapshot();
                 if own.digest != snapshot.digest {
                     let revision = snapshot.revision;
-                    return Err(crate::settings::SnapshotError::WrongDigest(revision));
+                    return Err(crate::settings::SnapshotError::DigestMismatch(revision));
                 }
             }
             self.fold.install_snapshot(snapshot)
--- a/crates/core/src/popularity.rs
+++ b/crates/core/src/popularity.rs
@@ -8,19 +8,19 @@
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct DecayedRate {
     weight: f64,
-    at: ClockMillis,
+    updated_at: ClockMillis,
 }
 
 impl DecayedRate {
     /// Adds `weight` at `now`.
     pub fn add(&mut self, weight: f64, now: ClockMillis, half_life: Duration) {
         self.weight = self.weight_at(now, half_life) + weight;
-        self.at = now;
+        self.updated_at = now;
     }
 
     /// Returns the decayed sum at `now`.
     pub fn weight_at(&self, now: ClockMillis, half_life: Duration) -> f64 {
-        let age = now.since(self.at).as_secs_f64();
+        let age = now.since(self.updated_at).as_secs_f64();
         self.weight * (-age / half_life.as_secs_f64()).exp2()
     }
 
--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -6,13 +6,13 @@
 };
 
 /// What reaching another hall costs, in hundredths of an engine's fill.
-const OTHER_HALL_COST: u32 = 15;
+const OTHER_HALL_PENALTY: u32 = 15;
 
 /// An engine this full, in hundredths with its queue, has another one load the adapter too.
-const REPLICATE_FROM: u32 = 150;
+const REPLICATION_MIN_FILL: u32 = 150;
 
 /// An engine less full than this takes a replica.
-const REPLICA_BELOW: u32 = 80;
+const REPLICA_FILL_LIMIT: u32 = 80;
 
 /// An engine that a request could go to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -42,8 +42,8 @@
     own_hall: HallId,
 ) -> Option<RouteCandidate> {
     let cost = |candidate: &RouteCandidate| {
-        let far = if candidate.hall == own_hall { 0 } else { OTHER_HALL_COST };
-        (candidate.fill + far, candidate.engine)
+        let penalty = if candidate.hall == own_hall { 0 } else { OTHER_HALL_PENALTY };
+        (candidate.fill + penalty, candidate.engine)
     };
     holders.into_iter().min_by_key(cost)
 }
@@ -69,15 +69,15 @@
         let home = adapter_home(adapter, engines.iter().map(|candidate| candidate.engine));
         return home.map(RouteChoice::Home);
     };
-    if best.fill < REPLICATE_FROM {
+    if best.fill < REPLICATION_MIN_FILL {
         return Some(RouteChoice::Holder(best.engine));
     }
     let holds = |engine| holders.iter().any(|holder| holder.engine == engine);
-    let roomy = engines
+    let replica_targets = engines
         .iter()
-        .filter(|candidate| candidate.fill < REPLICA_BELOW && !holds(candidate.engine))
+        .filter(|candidate| candidate.fill < REPLICA_FILL_LIMIT && !holds(candidate.engine))
         .map(|candidate| candidate.engine);
-    match adapter_home(adapter, roomy) {
+    match adapter_home(adapter, replica_targets) {
         Some(engine) => Some(RouteChoice::Replica(engine)),
         None => Some(RouteChoice::Holder(best.engine)),
     }
--- a/crates/core/src/settings/change.rs
+++ b/crates/core/src/settings/change.rs
@@ -109,7 +109,7 @@
         }
         for edit in &record.edits {
             self.check_conflict(edit, record.base_revision)?;
-            check_edit(edit)?;
+            validate_edit(edit)?;
         }
         Ok(())
     }
@@ -118,13 +118,13 @@
         let conflict =
             |revision| ChangeRefusal::Conflict { path: edit.path.to_string(), revision, base };
         let path_nodes = self.nodes_along(&edit.path);
-        let last = path_nodes[path_nodes.len() - 1];
+        let deepest = path_nodes[path_nodes.len() - 1];
         let exists = path_nodes.len() == edit.path.segments().len() + 1;
         // A missing node may have been removed by somebody the publisher had not seen.
         let changed = match (exists, &edit.action) {
-            (false, _) => last.removed_at,
-            (true, EditAction::Remove) => last.last_modified(),
-            (true, _) => last.changed_at,
+            (false, _) => deepest.removed_at,
+            (true, EditAction::Remove) => deepest.last_modified(),
+            (true, _) => deepest.changed_at,
         };
         if changed > base { Err(conflict(changed)) } else { Ok(()) }
     }
@@ -146,15 +146,15 @@
         }
     }
 
-    /// Returns the edits that turn this tree into `wanted`.
-    pub fn diff_edits(&self, wanted: &Self) -> Vec<SettingsEdit> {
+    /// Returns the edits that turn this tree into `target`.
+    pub fn diff_edits(&self, target: &Self) -> Vec<SettingsEdit> {
         let mut edits = Vec::new();
-        node_edits(Some(&self.root), &wanted.root, &SettingsPath::site(), &mut edits);
+        diff_nodes(Some(&self.root), &target.root, &SettingsPath::site(), &mut edits);
         edits
     }
 }
 
-fn check_edit(edit: &SettingsEdit) -> Result<(), ChangeRefusal> {
+fn validate_edit(edit: &SettingsEdit) -> Result<(), ChangeRefusal> {
     let invalid =
         |reason: String| Err(ChangeRefusal::Invalid { path: edit.path.to_string(), reason });
     let level = edit.path.level();
@@ -167,7 +167,7 @@
             key.levels()[0].name(),
         )),
         EditAction::Set(key, value) => match key.validate(value.clone()) {
-            Ok(admitted) if admitted == *value => Ok(()),
+            Ok(validated) if validated == *value => Ok(()),
             _ => invalid(format!("`{}` is {value}; it must be {}", key.name(), key.constraint())),
         },
         EditAction::Remove if edit.path.segments().is_empty() => {
@@ -177,34 +177,34 @@
     }
 }
 
-fn node_edits(
-    have: Option<&SettingsNode>,
-    want: &SettingsNode,
+fn diff_nodes(
+    current: Option<&SettingsNode>,
+    target: &SettingsNode,
     path: &SettingsPath,
     edits: &mut Vec<SettingsEdit>,
 ) {
     let mut edit = |action| edits.push(SettingsEdit { path: path.clone(), action });
-    if have.is_none() && want.values.is_empty() {
+    if current.is_none() && target.values.is_empty() {
         edit(EditAction::Create);
     }
-    for (key, value) in &want.values {
-        if have.and_then(|node| node.value(*key)) != Some(value) {
+    for (key, value) in &target.values {
+        if current.and_then(|node| node.value(*key)) != Some(value) {
             edit(EditAction::Set(*key, value.clone()));
         }
     }
-    for (key, _) in have.map_or(&[][..], |node| &node.values) {
-        if want.value(*key).is_none() {
+    for (key, _) in current.map_or(&[][..], |node| &node.values) {
+        if target.value(*key).is_none() {
             edit(EditAction::Unset(*key));
         }
     }
-    for name in have.into_iter().flat_map(|node| node.children.keys()) {
-        if !want.children.contains_key(name) {
+    for name in current.into_iter().flat_map(|node| node.children.keys()) {
+        if !target.children.contains_key(name) {
             let path = path.child(name);
             edits.push(SettingsEdit { path, action: EditAction::Remove });
         }
     }
-    for (name, child) in &want.children {
-        let have = have.and_then(|node| node.children.get(name));
-        node_edits(have, child, &path.child(name), edits);
+    for (name, child) in &target.children {
+        let current = current.and_then(|node| node.children.get(name));
+        diff_nodes(current, child, &path.child(name), edits);
     }
 }
--- a/crates/core/src/settings/fold.rs
+++ b/crates/core/src/settings/fold.rs
@@ -16,10 +16,10 @@
 };
 
 /// Bytes of records kept to pass on to peers that lag; what is older is passed on as a snapshot.
-const KEPT_BYTES: usize = 256 << 10;
+const MAX_RETAINED_BYTES: usize = 256 << 10;
 
 /// How many verdicts are kept for publishers who look for theirs.
-const KEPT_VERDICTS: usize = 512;
+const MAX_RETAINED_VERDICTS: usize = 512;
 
 /// What became of one publication.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -66,7 +66,7 @@
 
 /// A tree that is in force although the log that it came from is gone.
 #[derive(Debug, Clone)]
-struct ServedTree {
+struct CarriedTree {
     tree: SettingsTree,
     revision: Revision,
 }
@@ -80,25 +80,25 @@
 pub struct SettingsFold {
     era: StoreEra,
     /// What was in force in an earlier era of the log, until this one has come as far.
-    served: Option<ServedTree>,
+    carried: Option<CarriedTree>,
     tree: SettingsTree,
     revision: Revision,
     next_offset: LogOffset,
     halt: Option<FoldHalt>,
     records: VecDeque<LogRecord>,
-    kept_bytes: usize,
+    retained_bytes: usize,
     verdicts: VecDeque<ChangeVerdict>,
 }
 
 impl SettingsFold {
     /// Returns the tree in force.
     pub fn tree(&self) -> &SettingsTree {
-        self.served.as_ref().map_or(&self.tree, |served| &served.tree)
+        self.carried.as_ref().map_or(&self.tree, |carried| &carried.tree)
     }
 
     /// Returns the revision in force; zero before the first accepted publication.
     pub fn revision(&self) -> Revision {
-        self.served.as_ref().map_or(self.revision, |served| served.revision)
+        self.carried.as_ref().map_or(self.revision, |carried| carried.revision)
     }
 
     /// Returns the era of the log that is folded.
@@ -112,15 +112,15 @@
             return false;
         }
         let (tree, revision) = (self.tree().clone(), self.revision());
-        let served = (revision > 0).then_some(ServedTree { tree, revision });
+        let carried = (revision > 0).then_some(CarriedTree { tree, revision });
         *self =
-            Self { era, served, verdicts: std::mem::take(&mut self.verdicts), ..Self::default() };
+            Self { era, carried, verdicts: std::mem::take(&mut self.verdicts), ..Self::default() };
         true
     }
 
     /// Ends an earlier era's tree once this one has come as far.
-    fn catch_up(&mut self) {
-        self.served.take_if(|served| served.revision <= self.revision);
+    fn drop_carried_tree_if_reached(&mut self) {
+        self.carried.take_if(|carried| carried.revision <= self.revision);
     }
 
     /// Returns the offset of the first record not yet folded.
@@ -146,29 +146,33 @@
         if record.offset != self.next_offset || self.halt.is_some() {
             return false;
         }
-        let read = read_record(&record.payload);
-        if let Err(ReadError::NewerFormat(format)) = read {
+        let parsed = parse_record(&record.payload);
+        if let Err(RecordError::NewerFormat(format)) = parsed {
             let (offset, revision) = (record.offset, self.revision);
             self.halt = Some(FoldHalt::NewerFormat { offset, format, revision });
             return false;
         }
-        let verdict = self.judge(record.offset, read);
-        push_bounded(&mut self.verdicts, verdict, KEPT_VERDICTS);
-        self.keep(record);
+        let verdict = self.validate_and_apply(record.offset, parsed);
+        push_bounded(&mut self.verdicts, verdict, MAX_RETAINED_VERDICTS);
+        self.retain(record);
         self.next_offset += 1;
-        self.catch_up();
+        self.drop_carried_tree_if_reached();
         true
     }
 
-    fn judge(&mut self, offset: LogOffset, read: Result<ChangeRecord, ReadError>) -> ChangeVerdict {
-        let record = match read {
+    fn validate_and_apply(
+        &mut self,
+        offset: LogOffset,
+        parsed: Result<ChangeRecord, RecordError>,
+    ) -> ChangeVerdict {
+        let record = match parsed {
             Ok(record) => record,
-            Err(ReadError::Damaged(reason)) => {
+            Err(RecordError::Damaged(reason)) => {
                 let result = Err(ChangeRefusal::Damaged { reason });
                 let (change_id, author, message) = Default::default();
                 return ChangeVerdict { offset, change_id, author, message, result };
             }
-            Err(ReadError::NewerFormat(_)) => unreachable!("handled before judging"),
+            Err(RecordError::NewerFormat(_)) => unreachable!("handled before judging"),
         };
         let result = self.tree.check_change(&record, self.revision).map(|()| {
             self.revision += 1;
@@ -179,12 +183,12 @@
         ChangeVerdict { offset, change_id, author, message, result }
     }
 
-    fn keep(&mut self, record: LogRecord) {
-        self.kept_bytes += record.payload.len();
+    fn retain(&mut self, record: LogRecord) {
+        self.retained_bytes += record.payload.len();
         self.records.push_back(record);
-        while self.kept_bytes > KEPT_BYTES {
+        while self.retained_bytes > MAX_RETAINED_BYTES {
             let Some(oldest) = self.records.pop_front() else { break };
-            self.kept_bytes -= oldest.payload.len();
+            self.retained_bytes -= oldest.payload.len();
         }
     }
 
@@ -210,9 +214,9 @@
     /// # Errors
     /// Returns why the snapshot can not be trusted.
     pub fn install_snapshot(&mut self, snapshot: SettingsSnapshot) -> Result<bool, SnapshotError> {
-        let further = snapshot.next_offset > self.next_offset;
+        let newer = snapshot.next_offset > self.next_offset;
         // A fold that is halted only knows a prefix; a snapshot from beyond may hold newer forms.
-        if !further || self.halt.is_some() || snapshot.revision < self.revision {
+        if !newer || self.halt.is_some() || snapshot.revision < self.revision {
             return Ok(false);
         }
         let (revision, next_offset) = (snapshot.revision, snapshot.next_offset);
@@ -220,13 +224,13 @@
         self.revision = revision;
         self.next_offset = next_offset;
         self.records.clear();
-        self.kept_bytes = 0;
-        self.catch_up();
+        self.retained_bytes = 0;
+        self.drop_carried_tree_if_reached();
         Ok(true)
     }
 }
 
-enum ReadError {
+enum RecordError {
     Damaged(String),
 
     NewerFormat(u32),
@@ -237,18 +241,18 @@
     format: u32,
 }
 
-fn read_record(payload: &[u8]) -> Result<ChangeRecord, ReadError> {
+fn parse_record(payload: &[u8]) -> Result<ChangeRecord, RecordError> {
     let format: RecordFormat =
-        serde_json::from_slice(payload).map_err(|error| ReadError::Damaged(error.to_string()))?;
+        serde_json::from_slice(payload).map_err(|error| RecordError::Damaged(error.to_string()))?;
     if format.format > RECORD_FORMAT {
-        return Err(ReadError::NewerFormat(format.format));
+        return Err(RecordError::NewerFormat(format.format));
     }
-    serde_json::from_slice(payload).map_err(|error| ReadError::Damaged(error.to_string()))
+    serde_json::from_slice(payload).map_err(|error| RecordError::Damaged(error.to_string()))
 }
 
-fn push_bounded<T>(kept: &mut VecDeque<T>, item: T, most: usize) {
-    if kept.len() == most {
-        kept.pop_front();
+fn push_bounded<T>(items: &mut VecDeque<T>, item: T, limit: usize) {
+    if items.len() == limit {
+        items.pop_front();
     }
-    kept.push_back(item);
+    items.push_back(item);
 }
--- a/crates/core/src/settings/key.rs
+++ b/crates/core/src/settings/key.rs
@@ -78,9 +78,9 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Bool => write!(formatter, "true or false"),
-            Self::Integer(low, high) => write!(formatter, "a whole number from {low} to {high}"),
-            Self::Float(low, high) => write!(formatter, "a number from {low} to {high}"),
-            Self::Text(most) => write!(formatter, "a text of at most {most} bytes"),
+            Self::Integer(min, max) => write!(formatter, "a whole number from {min} to {max}"),
+            Self::Float(min, max) => write!(formatter, "a number from {min} to {max}"),
+            Self::Text(max_bytes) => write!(formatter, "a text of at most {max_bytes} bytes"),
             Self::Choice(choices) => write!(formatter, "one of {}", choices.join(", ")),
             Self::Integers => write!(formatter, "a list of positive whole numbers"),
         }
@@ -169,19 +169,21 @@
     /// # Errors
     /// Returns the kind when the value does not fit it.
     pub fn validate(self, value: SettingValue) -> Result<SettingValue, ValueConstraint> {
-        let kind = self.constraint();
-        let fits = match (&kind, &value) {
+        let constraint = self.constraint();
+        let valid = match (&constraint, &value) {
             (ValueConstraint::Bool, SettingValue::Bool(_)) => true,
-            (ValueConstraint::Integer(low, high), SettingValue::Integer(number)) => {
-                (low..=high).contains(&number)
+            (ValueConstraint::Integer(min, max), SettingValue::Integer(number)) => {
+                (min..=max).contains(&number)
             }
-            (ValueConstraint::Float(low, high), SettingValue::Float(fraction)) => {
-                (low..=high).contains(&fraction)
+            (ValueConstraint::Float(min, max), SettingValue::Float(fraction)) => {
+                (min..=max).contains(&fraction)
             }
             (ValueConstraint::Float(..), SettingValue::Integer(number)) => {
                 return self.validate(SettingValue::Float(*number as f64));
             }
-            (ValueConstraint::Text(most), SettingValue::Text(text)) => text.len() <= *most,
+            (ValueConstraint::Text(max_bytes), SettingValue::Text(text)) => {
+                text.len() <= *max_bytes
+            }
             (ValueConstraint::Choice(choices), SettingValue::Text(text)) => {
                 choices.contains(&&**text)
             }
@@ -191,6 +193,6 @@
             }
             _ => false,
         };
-        if fits { Ok(value) } else { Err(kind) }
+        if valid { Ok(value) } else { Err(constraint) }
     }
 }
--- a/crates/core/src/settings/snapshot.rs
+++ b/crates/core/src/settings/snapshot.rs
@@ -18,7 +18,7 @@
     NewerFormat(u32),
     /// Its digest is not the digest of what it holds.
     #[error("snapshot of revision {0} does not match its digest; take one from another host")]
-    WrongDigest(Revision),
+    DigestMismatch(Revision),
     /// It can not be read.
     #[error("snapshot can not be read ({0}); take one from another host")]
     Damaged(String),
@@ -75,7 +75,7 @@
             return Err(SnapshotError::NewerFormat(self.format));
         }
         if digest(&self.tree, self.revision, self.next_offset) != self.digest {
-            return Err(SnapshotError::WrongDigest(self.revision));
+            return Err(SnapshotError::DigestMismatch(self.revision));
         }
         let mut tree: SettingsTree = serde_json::from_str(&self.tree)
             .map_err(|error| SnapshotError::Damaged(error.to_string()))?;
--- a/crates/core/src/settings/source.rs
+++ b/crates/core/src/settings/source.rs
@@ -13,7 +13,7 @@
 };
 
 /// How alike two words must be (Jaro-Winkler) for one to be offered in place of the other.
-const ALIKE: f64 = 0.75;
+const MIN_SIMILARITY: f64 = 0.75;
 
 /// One mistake in a file, with its place.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -45,7 +45,7 @@
     known
         .into_iter()
         .map(|candidate| (strsim::jaro_winkler(word, candidate), candidate))
-        .filter(|(alike, _)| *alike >= ALIKE)
+        .filter(|(similarity, _)| *similarity >= MIN_SIMILARITY)
         .max_by(|left, right| left.0.total_cmp(&right.0))
         .map(|(_, candidate)| candidate)
 }
@@ -66,26 +66,26 @@
 /// );
 /// ```
 pub fn read_tree(text: &str) -> Result<SettingsTree, Vec<SourceError>> {
-    let mut reader = TreeReader { text, mistakes: Vec::new(), tree: SettingsTree::default() };
-    let (table, errors) = DeTable::parse_recoverable(text);
-    for error in errors {
+    let mut parser = TreeParser { text, errors: Vec::new(), tree: SettingsTree::default() };
+    let (table, toml_errors) = DeTable::parse_recoverable(text);
+    for error in toml_errors {
         let offset = error.span().map_or(0, |span| span.start);
-        reader.note(offset, format!("not valid TOML: {}", error.message()));
+        parser.push_error(offset, format!("not valid TOML: {}", error.message()));
     }
-    if reader.mistakes.is_empty() {
-        reader.read_node(table.get_ref(), &SettingsPath::site());
+    if parser.errors.is_empty() {
+        parser.parse_node(table.get_ref(), &SettingsPath::site());
     }
-    let TreeReader { mut mistakes, tree, .. } = reader;
-    if mistakes.is_empty() {
+    let TreeParser { mut errors, tree, .. } = parser;
+    if errors.is_empty() {
         return Ok(tree);
     }
-    mistakes.sort_by_key(|mistake| (mistake.line, mistake.column));
-    Err(mistakes)
+    errors.sort_by_key(|error| (error.line, error.column));
+    Err(errors)
 }
 
-struct TreeReader<'a> {
+struct TreeParser<'a> {
     text: &'a str,
-    mistakes: Vec<SourceError>,
+    errors: Vec<SourceError>,
     tree: SettingsTree,
 }
 
@@ -99,34 +99,37 @@
     }
 }
 
-impl TreeReader<'_> {
-    fn note(&mut self, offset: usize, message: String) {
+impl TreeParser<'_> {
+    fn push_error(&mut self, offset: usize, message: String) {
         let (line, column) = line_and_column(self.text, offset);
-        self.mistakes.push(SourceError { line, column, message });
+        self.errors.push(SourceError { line, column, message });
     }
 
-    fn read_node(&mut self, table: &DeTable<'_>, path: &SettingsPath) {
+    fn parse_node(&mut self, table: &DeTable<'_>, path: &SettingsPath) {
         self.tree.get_or_create(path, 0);
         let level = path.level();
         for (name, value) in table {
             let offset = name.span().start;
             let name: &str = name.get_ref();
             if child_table(level) == Some(name) {
-                self.read_children(value, path);
+                self.parse_children(value, path);
             } else if let Some(key) = SettingKey::find(name) {
-                self.read_value(offset, key, value, path);
+                self.parse_value(offset, key, value, path);
             } else {
                 let message = unknown_key(name, level);
-                self.note(offset, message);
+                self.push_error(offset, message);
             }
         }
         self.check_versions(table, path);
     }
 
-    fn read_children(&mut self, value: &Spanned<DeValue<'_>>, path: &SettingsPath) {
+    fn parse_children(&mut self, value: &Spanned<DeValue<'_>>, path: &SettingsPath) {
         let DeValue::Table(children) = value.get_ref() else {
-            let what = child_table(path.level()).unwrap_or_default();
-            self.note(value.span().start, format!("`{what}` must hold tables, one for each name"));
+            let table_name = child_table(path.level()).unwrap_or_default();
+            self.push_error(
+                value.span().start,
+                format!("`{table_name}` must hold tables, one for each name"),
+            );
             return;
         };
         for (name, child) in children {
@@ -136,18 +139,18 @@
                     "`{}` is not a name; use 1 to 64 letters, digits, dots, dashes or underscores",
                     name.get_ref()
                 );
-                self.note(offset, message);
+                self.push_error(offset, message);
                 continue;
             }
             if let DeValue::Table(table) = child.get_ref() {
-                self.read_node(table, &path.child(name.get_ref()));
+                self.parse_node(table, &path.child(name.get_ref()));
             } else {
-                self.note(offset, format!("`{}` must be a table", name.get_ref()));
+                self.push_error(offset, format!("`{}` must be a table", name.get_ref()));
             }
         }
     }
 
-    fn read_value(
+    fn parse_value(
         &mut self,
         offset: usize,
         key: SettingKey,
@@ -163,15 +166,15 @@
                 level.name(),
                 allowed.join(", ")
             );
-            self.note(offset, message);
+            self.push_error(offset, message);
             return;
         }
-        let admitted = setting_value(value.get_ref()).map(|value| key.validate(value));
-        if let Some(Ok(value)) = admitted {
+        let validated = setting_value(value.get_ref()).map(|value| key.validate(value));
+        if let Some(Ok(value)) = validated {
             self.tree.get_or_create(path, 0).set_value(key, Some(value));
         } else {
             let message = format!("`{}` must be {}", key.name(), key.constraint());
-            self.note(value.span().start, message);
+            self.push_error(value.span().start, message);
         }
     }
 
@@ -186,9 +189,9 @@
             return;
         }
         let message = format!("`version` {current} is not among `versions`; add it there");
-        let place = table.iter().find(|(name, _)| name.get_ref() == "version");
-        let offset = place.map_or(0, |(_, value)| value.span().start);
-        self.note(offset, message);
+        let version_entry = table.iter().find(|(name, _)| name.get_ref() == "version");
+        let offset = version_entry.map_or(0, |(_, value)| value.span().start);
+        self.push_error(offset, message);
     }
 }
 
@@ -248,13 +251,13 @@
         let _infallible = writeln!(text, "{} = {value}", key.name());
     }
     let Some(table) = child_table(level) else { return };
-    let below = match level {
+    let child_level = match level {
         SettingLevel::Site => SettingLevel::Service,
         SettingLevel::Service => SettingLevel::Organisation,
         _ => SettingLevel::Adapter,
     };
     for (name, child) in &node.children {
         let dot = if header.is_empty() { "" } else { "." };
-        write_node(child, &format!("{header}{dot}{table}.\"{name}\""), below, text);
+        write_node(child, &format!("{header}{dot}{table}.\"{name}\""), child_level, text);
     }
 }
--- a/crates/core/src/settings/tree.rs
+++ b/crates/core/src/settings/tree.rs
@@ -10,7 +10,7 @@
 };
 
 /// The longest path: service, organisation, adapter.
-const DEEPEST_PATH: usize = 3;
+const MAX_PATH_DEPTH: usize = 3;
 
 /// A place in the tree, as `service/organisation/adapter`; empty for the site.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
@@ -35,7 +35,7 @@
             return Ok(Self::site());
         }
         let segments: Vec<Box<str>> = text.split('/').map(Box::from).collect();
-        if segments.len() > DEEPEST_PATH {
+        if segments.len() > MAX_PATH_DEPTH {
             return Err(format!("`{text}` is too deep; write service/organisation/adapter"));
         }
         if let Some(bad) = segments.iter().find(|segment| !is_valid_name(segment)) {
@@ -95,8 +95,8 @@
 
 /// Says whether a text may name a node: 1 to 64 letters, digits, dots, dashes or underscores.
 pub fn is_valid_name(text: &str) -> bool {
-    let fits = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'.' | b'-' | b'_');
-    (1..=64).contains(&text.len()) && text.bytes().all(fits)
+    let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'.' | b'-' | b'_');
+    (1..=64).contains(&text.len()) && text.bytes().all(is_allowed)
 }
 
 /// One node: what it overrides, its children, and when it last changed.
@@ -123,19 +123,19 @@
 impl SettingsNode {
     /// Returns the value set at this very node.
     pub fn value(&self, key: SettingKey) -> Option<&SettingValue> {
-        let place = self.values.binary_search_by_key(&key, |(known, _)| *known).ok()?;
-        Some(&self.values[place].1)
+        let index = self.values.binary_search_by_key(&key, |(known, _)| *known).ok()?;
+        Some(&self.values[index].1)
     }
 
     /// Sets or, with `None`, unsets a value at this node.
     pub fn set_value(&mut self, key: SettingKey, value: Option<SettingValue>) {
-        let place = self.values.binary_search_by_key(&key, |(known, _)| *known);
-        match (place, value) {
-            (Ok(place), Some(value)) => self.values[place].1 = value,
-            (Ok(place), None) => {
-                self.values.remove(place);
+        let index = self.values.binary_search_by_key(&key, |(known, _)| *known);
+        match (index, value) {
+            (Ok(index), Some(value)) => self.values[index].1 = value,
+            (Ok(index), None) => {
+                self.values.remove(index);
             }
-            (Err(place), Some(value)) => self.values.insert(place, (key, value)),
+            (Err(index), Some(value)) => self.values.insert(index, (key, value)),
             (Err(_), None) => {}
         }
     }
@@ -259,14 +259,14 @@
         let path = SettingsPath::parse(name).map_err(|_| malformed())?;
         let path = match path.level() {
             SettingLevel::Adapter => path,
-            SettingLevel::Organisation => self.find_service(&path)?,
+            SettingLevel::Organisation => self.resolve_service(&path)?,
             _ => return Err(malformed()),
         };
         let unknown = || ModelError::UnknownAdapter(name.to_owned());
         let [_, service, organisation, adapter] = self.nodes_along(&path)[..] else {
             return Err(unknown());
         };
-        let version = pick_version(adapter, name, version)?;
+        let version = select_version(adapter, name, version)?;
         Ok(ResolvedModel {
             path,
             service: service.id,
@@ -275,20 +275,20 @@
         })
     }
 
-    fn find_service(&self, short: &SettingsPath) -> Result<SettingsPath, ModelError> {
-        let [organisation, adapter] = short.segments() else {
-            return Err(ModelError::Malformed(short.to_string()));
+    fn resolve_service(&self, short_path: &SettingsPath) -> Result<SettingsPath, ModelError> {
+        let [organisation, adapter] = short_path.segments() else {
+            return Err(ModelError::Malformed(short_path.to_string()));
         };
-        let has = |node: &SettingsNode| {
+        let has_adapter = |node: &SettingsNode| {
             let organisation = node.children.get(organisation);
             organisation.is_some_and(|node| node.children.contains_key(adapter))
         };
-        let mut found = self.root.children.iter().filter(|(_, node)| has(node));
+        let mut found = self.root.children.iter().filter(|(_, node)| has_adapter(node));
         let Some((service, _)) = found.next() else {
-            return Err(ModelError::UnknownAdapter(short.to_string()));
+            return Err(ModelError::UnknownAdapter(short_path.to_string()));
         };
         if found.next().is_some() {
-            return Err(ModelError::Ambiguous(short.to_string()));
+            return Err(ModelError::Ambiguous(short_path.to_string()));
         }
         Ok(SettingsPath::site().child(service).child(organisation).child(adapter))
     }
@@ -320,7 +320,7 @@
                     SettingsNode { id: self.last_id, changed_at: revision, ..Default::default() };
                 node.children.insert(name.clone(), child);
                 self.adapter_paths.resize(self.last_id as usize + 1, None);
-                if depth + 1 == DEEPEST_PATH {
+                if depth + 1 == MAX_PATH_DEPTH {
                     self.adapter_paths[self.last_id as usize] =
                         Some(path.to_string().into_boxed_str());
                 }
@@ -340,27 +340,27 @@
         }
         let Some(removed) = node.children.remove(name) else { return false };
         node.removed_at = revision;
-        self.forget_paths(&removed);
+        self.remove_adapter_paths(&removed);
         true
     }
 
-    fn forget_paths(&mut self, removed: &SettingsNode) {
+    fn remove_adapter_paths(&mut self, removed: &SettingsNode) {
         if let Some(path) = self.adapter_paths.get_mut(removed.id as usize) {
             *path = None;
         }
         for child in removed.children.values() {
-            self.forget_paths(child);
+            self.remove_adapter_paths(child);
         }
     }
 }
 
-fn pick_version(
+fn select_version(
     adapter: &SettingsNode,
     model: &str,
-    asked: Option<AdapterVersion>,
+    requested: Option<AdapterVersion>,
 ) -> Result<AdapterVersion, ModelError> {
     let known = known_versions(adapter);
-    match asked {
+    match requested {
         Some(version) if known.contains(&version) => Ok(version),
         Some(version) => {
             let known = known.iter().map(ToString::to_string).collect::<Vec<_>>().join(", ");
--- a/crates/core/src/timeline.rs
+++ b/crates/core/src/timeline.rs
@@ -7,7 +7,7 @@
 use crate::{clock::HybridTimestamp, id::HostId};
 
 /// How many events a host keeps.
-pub const KEPT_EVENTS: usize = 4096;
+pub const MAX_EVENTS: usize = 4096;
 
 /// One event of one process.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -64,7 +64,7 @@
     /// Notes an event.
     pub fn record(&mut self, wall_millis: u64, subject: String, text: String) {
         let HybridTimestamp { wall_millis, counter } = self.tick(wall_millis);
-        if self.events.len() == KEPT_EVENTS {
+        if self.events.len() == MAX_EVENTS {
             self.events.pop_front();
         }
         self.events.push_back(TimelineEvent {
@@ -83,8 +83,8 @@
 }
 
 /// Merges the time lines of several processes into one order.
-pub fn merge_timelines(parts: impl IntoIterator<Item = TimelineEvent>) -> Vec<TimelineEvent> {
-    let mut events: Vec<TimelineEvent> = parts.into_iter().collect();
+pub fn merge_timelines(unordered: impl IntoIterator<Item = TimelineEvent>) -> Vec<TimelineEvent> {
+    let mut events: Vec<TimelineEvent> = unordered.into_iter().collect();
     events.sort_by_key(TimelineEvent::order);
     events
 }
--- a/crates/core/tests/herd.rs
+++ b/crates/core/tests/herd.rs
@@ -9,7 +9,7 @@
 
 const HOSTS: u32 = 21;
 const ENGINES: u32 = HOSTS * 16;
-const SETTLED: u64 = 10_000;
+const STABLE_AT: u64 = 10_000;
 
 fn site() -> FakeSite {
     let hall = |index: u32| 1 + u16::try_from(index % 3).expect("three halls");
@@ -38,11 +38,11 @@
             edits: SettingsTree::default().diff_edits(&tree),
         }),
     );
-    site.run_until(SETTLED);
+    site.run_until(STABLE_AT);
     site
 }
 
-fn owned(site: &FakeSite) -> usize {
+fn owned_count(site: &FakeSite) -> usize {
     site.cores()
         .flat_map(|(_, core)| core.controls())
         .filter(|control| control.state() == EngineState::Owned)
@@ -50,42 +50,42 @@
 }
 
 #[test]
-fn hosts_that_start_together_take_each_engine_over_once() {
+fn hosts_that_start_together_take_over_each_engine_once() {
     let site = site();
-    assert_eq!(owned(&site), ENGINES as usize);
+    assert_eq!(owned_count(&site), ENGINES as usize);
     let orders = site.evidence.orders;
     assert!(orders <= u64::from(ENGINES) * 11 / 10, "{orders} orders for {ENGINES} engines");
     assert!(site.evidence.appends <= 1, "{} appends", site.evidence.appends);
 }
 
 #[test]
-fn a_hall_restarted_at_once_settles_without_a_storm_of_orders() {
+fn a_restarted_hall_recovers_without_excess_orders() {
     let mut site = site();
     let orders = site.evidence.orders;
     for host in (1..=HOSTS).filter(|host| host % 3 == 0) {
-        site.act_at(SETTLED, SiteAction::KillHost(host, 20_000));
+        site.act_at(STABLE_AT, SiteAction::KillHost(host, 20_000));
     }
-    site.run_until(SETTLED + 15_000);
+    site.run_until(STABLE_AT + 15_000);
     let reachable = ENGINES as usize * 2 / 3;
-    assert_eq!(owned(&site), reachable, "the other halls keep theirs");
-    site.run_until(SETTLED + 35_000);
-    assert_eq!(owned(&site), ENGINES as usize, "all are owned again");
+    assert_eq!(owned_count(&site), reachable, "the other halls keep theirs");
+    site.run_until(STABLE_AT + 35_000);
+    assert_eq!(owned_count(&site), ENGINES as usize, "all are owned again");
     let orders = site.evidence.orders - orders;
     assert!(orders <= u64::from(ENGINES), "{orders} orders for a third of {ENGINES} engines");
 }
 
 #[test]
-fn a_hall_cut_off_keeps_its_engines_and_is_known_again_afterwards() {
+fn a_partitioned_hall_keeps_its_engines_and_rejoins() {
     let mut site = site();
     let (orders, messages) = (site.evidence.orders, site.evidence.messages);
-    site.act_at(SETTLED, SiteAction::CutHall(2, 60_000));
-    site.run_until(SETTLED + 50_000);
-    assert_eq!(owned(&site), ENGINES as usize, "each hall owns its own engines throughout");
+    site.act_at(STABLE_AT, SiteAction::CutHall(2, 60_000));
+    site.run_until(STABLE_AT + 50_000);
+    assert_eq!(owned_count(&site), ENGINES as usize, "each hall owns its own engines throughout");
     for (host, core) in site.cores() {
         let alone = core.members().live_count() <= HOSTS as usize * 2 / 3;
         assert!(alone, "host {host} believes hosts beyond the cut to be there");
     }
-    site.run_until(SETTLED + 100_000);
+    site.run_until(STABLE_AT + 100_000);
     for (host, core) in site.cores() {
         assert_eq!(core.members().live_count(), HOSTS as usize, "host {host}");
     }
--- a/crates/core/tests/log_eras.rs
+++ b/crates/core/tests/log_eras.rs
@@ -36,7 +36,7 @@
     /// An operator publishes.
     Publish,
     /// The log comes back without its last records; the operator writes them again at once, or at the next step of this kind.
-    Fall(usize),
+    Rollback(usize),
     /// A host reads up to so many records.
     Read(usize, usize),
 }
@@ -46,32 +46,33 @@
 fn any_step() -> impl Strategy<Value = Step> {
     prop_oneof![
         4 => Just(Step::Publish),
-        2 => (0..4_usize).prop_map(Step::Fall),
+        2 => (0..4_usize).prop_map(Step::Rollback),
         6 => (0..HOSTS, 1..4_usize).prop_map(|(host, count)| Step::Read(host, count)),
     ]
 }
 
 #[derive(Default)]
-struct LogPlay {
+struct LogModel {
     era: StoreEra,
     log: Vec<Vec<u8>>,
-    owed: Vec<Vec<u8>>,
+    lost_records: Vec<Vec<u8>>,
     published: usize,
     hosts: [SettingsFold; HOSTS],
 }
 
-impl LogPlay {
-    fn take(&mut self, step: Step) {
+impl LogModel {
+    fn apply(&mut self, step: Step) {
         match step {
             Step::Publish => {
-                self.log.append(&mut self.owed);
+                self.log.append(&mut self.lost_records);
                 let base_revision = self.log.len() as u64;
                 self.log.push(publication(self.published, base_revision));
                 self.published += 1;
             }
-            Step::Fall(lost) => {
+            Step::Rollback(lost) => {
                 self.era += 1;
-                self.owed.splice(..0, self.log.split_off(self.log.len().saturating_sub(lost)));
+                self.lost_records
+                    .splice(..0, self.log.split_off(self.log.len().saturating_sub(lost)));
             }
             Step::Read(host, count) => self.read(host, count),
         }
@@ -98,26 +99,26 @@
 
     /// No host goes back to an older revision, and once the operator has written again what was lost, and all have read it, they agree.
     #[test]
-    fn no_host_goes_back_and_all_agree_in_the_end(
+    fn revisions_never_decrease_and_hosts_converge(
         steps in proptest::collection::vec(any_step(), 1..60),
     ) {
-        let mut play = LogPlay::default();
+        let mut model = LogModel::default();
         let mut known = [0; HOSTS];
         for step in steps {
-            play.take(step);
+            model.apply(step);
             for (host, known) in known.iter_mut().enumerate() {
-                let revision = play.hosts[host].revision();
+                let revision = model.hosts[host].revision();
                 prop_assert!(revision >= *known, "host {host} went from {known} to {revision}");
                 *known = revision;
             }
         }
-        play.take(Step::Publish);
+        model.apply(Step::Publish);
         for host in 0..HOSTS {
-            play.read(host, usize::MAX);
-            let fold = &play.hosts[host];
-            prop_assert_eq!(fold.revision(), play.log.len() as u64);
-            prop_assert_eq!(fold.tree(), play.hosts[0].tree());
-            prop_assert_eq!(fold.snapshot().digest, play.hosts[0].snapshot().digest);
+            model.read(host, usize::MAX);
+            let fold = &model.hosts[host];
+            prop_assert_eq!(fold.revision(), model.log.len() as u64);
+            prop_assert_eq!(fold.tree(), model.hosts[0].tree());
+            prop_assert_eq!(fold.snapshot().digest, model.hosts[0].snapshot().digest);
         }
     }
 }
@@ -149,7 +150,7 @@
 /// A key that had been claimed could be claimed once more, and its request ran twice, as soon as the log had lost the claim: hosts that
 /// started since knew nothing of it.
 #[test]
-fn claims_that_the_log_has_lost_are_written_again_before_any_key_is_claimed() {
+fn claims_lost_by_the_log_are_rewritten_before_any_key_is_claimed() {
     let mut core = NodeCore::new(NodeConfig::new(HOST, 9, 1));
     core.start(reading(1));
     let own = request_id(HOST, 1, 5);
--- a/crates/core/tests/members.rs
+++ b/crates/core/tests/members.rs
@@ -29,68 +29,68 @@
     ClockMillis::from_millis(millis)
 }
 
-struct HearCase {
+struct UpdateCase {
     name: &'static str,
-    known: (u64, u32, MemberState),
-    heard: (u64, u32, MemberState),
-    after: MemberState,
+    initial: (u64, u32, MemberState),
+    received: (u64, u32, MemberState),
+    expected: MemberState,
 }
 
-const HEAR: &[HearCase] = &[
-    HearCase {
+const UPDATES: &[UpdateCase] = &[
+    UpdateCase {
         name: "a suspicion of the same life is taken",
-        known: (5, 0, MemberState::Alive),
-        heard: (5, 0, MemberState::Suspect),
-        after: MemberState::Suspect,
+        initial: (5, 0, MemberState::Alive),
+        received: (5, 0, MemberState::Suspect),
+        expected: MemberState::Suspect,
     },
-    HearCase {
+    UpdateCase {
         name: "a refutation ends it",
-        known: (5, 0, MemberState::Suspect),
-        heard: (5, 1, MemberState::Alive),
-        after: MemberState::Alive,
+        initial: (5, 0, MemberState::Suspect),
+        received: (5, 1, MemberState::Alive),
+        expected: MemberState::Alive,
     },
-    HearCase {
+    UpdateCase {
         name: "old news of a suspicion is ignored",
-        known: (5, 1, MemberState::Alive),
-        heard: (5, 0, MemberState::Dead),
-        after: MemberState::Alive,
+        initial: (5, 1, MemberState::Alive),
+        received: (5, 0, MemberState::Dead),
+        expected: MemberState::Alive,
     },
-    HearCase {
+    UpdateCase {
         name: "a new life is alive whatever was said of the old one",
-        known: (5, 7, MemberState::Dead),
-        heard: (6, 0, MemberState::Alive),
-        after: MemberState::Alive,
+        initial: (5, 7, MemberState::Dead),
+        received: (6, 0, MemberState::Alive),
+        expected: MemberState::Alive,
     },
-    HearCase {
+    UpdateCase {
         name: "a host that leaves is not taken for alive again",
-        known: (5, 0, MemberState::Leaving),
-        heard: (5, 0, MemberState::Alive),
-        after: MemberState::Leaving,
+        initial: (5, 0, MemberState::Leaving),
+        received: (5, 0, MemberState::Alive),
+        expected: MemberState::Leaving,
     },
-    HearCase {
+    UpdateCase {
         name: "the host list does not overrule what a host says itself",
-        known: (5, 0, MemberState::Leaving),
-        heard: (0, 0, MemberState::Alive),
-        after: MemberState::Leaving,
+        initial: (5, 0, MemberState::Leaving),
+        received: (0, 0, MemberState::Alive),
+        expected: MemberState::Leaving,
     },
 ];
 
 #[test]
-fn the_newest_word_of_a_host_counts() {
-    for case in HEAR {
+fn the_update_with_the_highest_version_wins() {
+    for case in UPDATES {
         let mut table = MemberTable::new(update(1, 1, 0, MemberState::Alive), TIMES);
-        let (incarnation, refutations, state) = case.known;
+        let (incarnation, refutations, state) = case.initial;
         table.apply_update(&update(2, incarnation, refutations, MemberState::Alive), at(1));
         table.apply_update(&update(2, incarnation, refutations, state), at(1));
-        let (incarnation, refutations, state) = case.heard;
+        let (incarnation, refutations, state) = case.received;
         table.apply_update(&update(2, incarnation, refutations, state), at(2));
         let found = table.find(2).map(|entry| entry.update.state);
-        assert_eq!(found, Some(case.after), "{}", case.name);
+        assert_eq!(found, Some(case.expected), "{}", case.name);
     }
 }
 
 #[test]
-fn a_silent_host_is_suspected_then_dead_and_owns_until_then() {
+fn an_unresponsive_host_is_suspected_then_dead_and_owns_until_dead() {
     let mut table = MemberTable::new(update(1, 1, 0, MemberState::Alive), TIMES);
     table.apply_update(&update(2, 1, 0, MemberState::Alive), at(0));
     table.record_heartbeat_sent(2, at(100));
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_host_refutes_what_is_said_against_it() {
+fn a_host_refutes_false_claims_about_itself() {
     let mut table = MemberTable::new(update(1, 9, 0, MemberState::Alive), TIMES);
     assert!(table.apply_update(&update(1, 9, 0, MemberState::Dead), at(1)));
     assert_eq!((table.own().refutations, table.own().state), (1, MemberState::Alive));
@@ -117,16 +117,16 @@
 }
 
 #[test]
-fn when_a_host_goes_only_what_it_owned_moves() {
+fn removing_a_host_moves_only_its_engines() {
     let hosts: Vec<u32> = (1..=53).collect();
     let owner = |hosts: &[u32], engine: u64| {
         rendezvous(role_key(OwnedRole::Engine, engine), hosts.iter().copied())
     };
-    let without: Vec<u32> = hosts.iter().copied().filter(|host| *host != 17).collect();
+    let remaining_hosts: Vec<u32> = hosts.iter().copied().filter(|host| *host != 17).collect();
     let mut moved = 0;
     for engine in 0..860 {
         let before = owner(&hosts, engine);
-        let after = owner(&without, engine);
+        let after = owner(&remaining_hosts, engine);
         if before == Some(17) {
             moved += 1;
         } else {
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn a_raise_never_overtakes_a_take_over() {
+fn a_raised_token_stays_below_the_next_takeover_token() {
     let mut own = takeover_token(0, 9);
     for _ in 0..1_000 {
         own = raised_token(own).expect("an epoch has many raises");
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn gossip_reaches_every_host_in_a_few_rounds() {
+fn gossip_reaches_nine_in_ten_hosts_in_a_few_rounds() {
     use std::collections::BTreeMap;
     const HOSTS: usize = 123;
     let mut queues: BTreeMap<usize, GossipQueue<u32>> = BTreeMap::new();
@@ -164,17 +164,17 @@
     let mut rounds = 0;
     while queues.len() < HOSTS && rounds < 12 {
         rounds += 1;
-        let mut told = BTreeSet::new();
+        let mut receivers = BTreeSet::new();
         for queue in queues.values_mut() {
             for _ in 0..3 {
                 if queue.take(8).contains(&7) {
                     // A fixed walk stands for the random choice.
                     next = (next * 57 + 11) % 1009;
-                    told.insert(next % HOSTS);
+                    receivers.insert(next % HOSTS);
                 }
             }
         }
-        for host in told {
+        for host in receivers {
             queues.entry(host).or_insert_with(|| {
                 let mut queue = GossipQueue::default();
                 queue.add(7, HOSTS);
@@ -197,7 +197,7 @@
     WeightStoreLimits { loads_per_second: 3.0, parallel_loads: 1, fraction: 1.0 };
 
 #[test]
-fn the_most_valuable_load_has_the_next_turn_one_at_a_time() {
+fn turns_are_granted_one_at_a_time_by_highest_value() {
     let mut turns = LoadScheduler::default();
     turns.request_turn(1, &ask(1, 10, 1.0), at(1));
     turns.request_turn(2, &ask(2, 20, 5.0), at(1));
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn a_turn_whose_owner_falls_silent_is_taken_back() {
+fn a_turn_is_revoked_when_its_owner_stops_asking() {
     let mut turns = LoadScheduler::default();
     turns.request_turn(1, &ask(1, 10, 9.0), at(1));
     turns.request_turn(2, &ask(2, 20, 1.0), at(1));
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn the_store_is_not_asked_for_more_than_its_rate() {
+fn grants_stay_within_the_weight_store_rate() {
     let mut turns = LoadScheduler::default();
     let limits = WeightStoreLimits { parallel_loads: 4, ..LIMITS };
     let mut given = 0;
@@ -289,7 +289,7 @@
 ];
 
 #[test]
-fn requests_go_where_the_adapter_is_and_room_is() {
+fn requests_are_routed_to_holders_with_capacity() {
     for case in ROUTES {
         let candidates = |list: &[(u32, u16, u32)]| -> Vec<RouteCandidate> {
             let candidate = |(engine, hall, fill): &(u32, u16, u32)| RouteCandidate {
--- a/crates/core/tests/proofs_page.rs
+++ b/crates/core/tests/proofs_page.rs
@@ -2,11 +2,11 @@
 
 use std::{fs, path::Path};
 
-fn sources(folder: &Path, text: &mut String) {
-    for entry in fs::read_dir(folder).expect("the folder is there").flatten() {
+fn read_sources(directory: &Path, text: &mut String) {
+    for entry in fs::read_dir(directory).expect("the folder is there").flatten() {
         let path = entry.path();
         if path.is_dir() && !path.ends_with("target") {
-            sources(&path, text);
+            read_sources(&path, text);
         } else if path.extension().is_some_and(|extension| extension == "rs") {
             text.push_str(&fs::read_to_string(&path).expect("a source is text"));
         }
@@ -18,8 +18,8 @@
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let page = fs::read_to_string(root.join("docs/PROOFS.md")).expect("the page is there");
     let mut text = String::new();
-    for folder in ["crates", "platform"] {
-        sources(&root.join(folder), &mut text);
+    for directory in ["crates", "platform"] {
+        read_sources(&root.join(directory), &mut text);
     }
     let mut named = 0;
     for name in page.split('`').skip(1).step_by(2) {
--- a/crates/core/tests/settings.rs
+++ b/crates/core/tests/settings.rs
@@ -29,30 +29,33 @@
     read_tree(TREE).expect("the test's tree has no mistakes")
 }
 
-struct MistakeCase {
+struct SourceErrorCase {
     text: &'static str,
     /// Line, column and a part of the message of each mistake.
-    mistakes: &'static [(usize, usize, &'static str)],
+    errors: &'static [(usize, usize, &'static str)],
 }
 
-const MISTAKES: &[MistakeCase] = &[
-    MistakeCase { text: "worth = \n", mistakes: &[(1, 9, "not valid TOML")] },
-    MistakeCase { text: "wroth = 1\n", mistakes: &[(1, 1, "did you mean `worth`")] },
-    MistakeCase { text: "worth = -1\n", mistakes: &[(1, 9, "a number from 0 to 1000000")] },
-    MistakeCase { text: "version = 1\n", mistakes: &[(1, 1, "can not be set at the level site")] },
-    MistakeCase {
+const SOURCE_ERRORS: &[SourceErrorCase] = &[
+    SourceErrorCase { text: "worth = \n", errors: &[(1, 9, "not valid TOML")] },
+    SourceErrorCase { text: "wroth = 1\n", errors: &[(1, 1, "did you mean `worth`")] },
+    SourceErrorCase { text: "worth = -1\n", errors: &[(1, 9, "a number from 0 to 1000000")] },
+    SourceErrorCase {
+        text: "version = 1\n",
+        errors: &[(1, 1, "can not be set at the level site")],
+    },
+    SourceErrorCase {
         text: "[service.a]\nkind = \"engin\"\n",
-        mistakes: &[(2, 8, "one of engine, plain")],
+        errors: &[(2, 8, "one of engine, plain")],
     },
-    MistakeCase { text: "[service.\"a b\"]\n", mistakes: &[(1, 10, "is not a name")] },
-    MistakeCase { text: "service = 3\n", mistakes: &[(1, 11, "must hold tables")] },
-    MistakeCase {
+    SourceErrorCase { text: "[service.\"a b\"]\n", errors: &[(1, 10, "is not a name")] },
+    SourceErrorCase { text: "service = 3\n", errors: &[(1, 11, "must hold tables")] },
+    SourceErrorCase {
         text: "[service.a.organisation.b.adapter.c]\nversion = 3\nversions = [1]\n",
-        mistakes: &[(2, 11, "is not among `versions`")],
+        errors: &[(2, 11, "is not among `versions`")],
     },
-    MistakeCase {
+    SourceErrorCase {
         text: "worth = true\nshare = \"x\"\n[service.a]\nqueue_limit = 1.5\nzzzz = 1\n",
-        mistakes: &[
+        errors: &[
             (1, 9, "`worth` must be"),
             (2, 9, "`share` must be"),
             (4, 15, "`queue_limit` must be"),
@@ -62,11 +65,11 @@
 ];
 
 #[test]
-fn every_mistake_in_a_file_is_named_at_once_with_its_place() {
-    for case in MISTAKES {
+fn every_error_in_a_file_is_reported_with_its_position() {
+    for case in SOURCE_ERRORS {
         let found = read_tree(case.text).expect_err(case.text);
-        assert_eq!(found.len(), case.mistakes.len(), "{}: {found:?}", case.text);
-        for (found, (line, column, part)) in found.iter().zip(case.mistakes) {
+        assert_eq!(found.len(), case.errors.len(), "{}: {found:?}", case.text);
+        for (found, (line, column, part)) in found.iter().zip(case.errors) {
             assert_eq!((found.line, found.column), (*line, *column), "{found}");
             assert!(found.message.contains(part), "{found}");
         }
@@ -74,7 +77,7 @@
 }
 
 #[test]
-fn every_default_fits_its_key() {
+fn every_default_is_valid_for_its_key() {
     for key in SettingKey::ALL.iter().filter(|key| !key.default_text().is_empty()) {
         let value = key.default_value().unwrap_or_else(|| panic!("{} default", key.name()));
         assert!(key.validate(value).is_ok(), "{}", key.name());
@@ -90,7 +93,7 @@
 }
 
 #[test]
-fn a_node_inherits_what_it_does_not_override() {
+fn a_node_inherits_values_it_does_not_override() {
     let cases = [
         ValueCase {
             path: "assist/north/brakes",
@@ -129,7 +132,7 @@
     }
 }
 
-struct ModelCase {
+struct ResolveCase {
     model: &'static str,
     /// The name at the engine, or a check of the error.
     found: Result<&'static str, fn(&ModelError) -> bool>,
@@ -138,34 +141,34 @@
 #[test]
 fn a_model_resolves_to_one_immutable_version_or_to_none() {
     let cases = [
-        ModelCase { model: "north/brakes", found: Ok("assist/north/brakes@2") },
-        ModelCase { model: "north/brakes@1", found: Ok("assist/north/brakes@1") },
-        ModelCase { model: "assist/south/audits", found: Ok("assist/south/audits@7") },
-        ModelCase {
+        ResolveCase { model: "north/brakes", found: Ok("assist/north/brakes@2") },
+        ResolveCase { model: "north/brakes@1", found: Ok("assist/north/brakes@1") },
+        ResolveCase { model: "assist/south/audits", found: Ok("assist/south/audits@7") },
+        ResolveCase {
             model: "south/audits",
             found: Err(|error| matches!(error, ModelError::Ambiguous(_))),
         },
-        ModelCase {
+        ResolveCase {
             model: "north/brakes@3",
             found: Err(|error| matches!(error, ModelError::UnknownVersion { version: 3, .. })),
         },
-        ModelCase {
+        ResolveCase {
             model: "north/nothing",
             found: Err(|error| matches!(error, ModelError::UnknownAdapter(_))),
         },
-        ModelCase {
+        ResolveCase {
             model: "assist/north/brakes/x",
             found: Err(|error| matches!(error, ModelError::Malformed(_))),
         },
-        ModelCase {
+        ResolveCase {
             model: "brakes",
             found: Err(|error| matches!(error, ModelError::Malformed(_))),
         },
-        ModelCase {
+        ResolveCase {
             model: "north/brakes@two",
             found: Err(|error| matches!(error, ModelError::Malformed(_))),
         },
-        ModelCase {
+        ResolveCase {
             model: "west/bare",
             found: Err(|error| matches!(error, ModelError::NoVersion(_))),
         },
@@ -185,7 +188,7 @@
 }
 
 #[test]
-fn a_written_file_reads_back_as_the_same_tree() {
+fn a_tree_round_trips_through_toml() {
     let tree = tree();
     let again = read_tree(&tree.to_toml()).expect("written files have no mistakes");
     assert!(tree.diff_edits(&again).is_empty(), "{:?}", tree.diff_edits(&again));
@@ -229,11 +232,11 @@
     serde_json::to_vec(record).expect("a record is JSON")
 }
 
-fn first() -> Vec<u8> {
+fn initial_publication() -> Vec<u8> {
     json(&record("first", 0, SettingsTree::default().diff_edits(&tree())))
 }
 
-struct RaceCase {
+struct ConflictCase {
     name: &'static str,
     /// Publications after the first, all made from revision 1.
     publications: Vec<Vec<SettingsEdit>>,
@@ -241,19 +244,19 @@
 }
 
 #[test]
-fn of_racing_publications_one_wins_and_the_others_hear_why() {
+fn one_conflicting_publication_is_accepted_and_the_others_are_refused() {
     let cases = [
-        RaceCase {
+        ConflictCase {
             name: "the same place",
             publications: vec![vec![set_worth("assist", 1.0)], vec![set_worth("assist", 2.0)]],
             accepted: vec![true, false],
         },
-        RaceCase {
+        ConflictCase {
             name: "different places",
             publications: vec![vec![set_worth("assist", 1.0)], vec![set_worth("other", 2.0)]],
             accepted: vec![true, true],
         },
-        RaceCase {
+        ConflictCase {
             name: "a change below what was removed",
             publications: vec![
                 vec![remove("assist/north")],
@@ -261,7 +264,7 @@
             ],
             accepted: vec![true, false],
         },
-        RaceCase {
+        ConflictCase {
             name: "the removal of what was changed below",
             publications: vec![
                 vec![set_worth("assist/north/brakes", 2.0)],
@@ -269,7 +272,7 @@
             ],
             accepted: vec![true, false],
         },
-        RaceCase {
+        ConflictCase {
             name: "all or nothing",
             publications: vec![
                 vec![set_worth("assist", 1.0)],
@@ -278,14 +281,14 @@
             ],
             accepted: vec![true, false, true],
         },
-        RaceCase {
+        ConflictCase {
             name: "a doubled append",
             publications: vec![vec![set_worth("assist", 1.0)], vec![set_worth("assist", 1.0)]],
             accepted: vec![true, false],
         },
     ];
     for case in cases {
-        let mut payloads = vec![first()];
+        let mut payloads = vec![initial_publication()];
         for (index, edits) in case.publications.into_iter().enumerate() {
             payloads.push(json(&record(&format!("change-{index}"), 1, edits)));
         }
@@ -305,7 +308,11 @@
     let path = SettingsPath::parse("assist").expect("a path");
     let edit = SettingsEdit { path, action: EditAction::Set(SettingKey::DeadlineMs, bad) };
     let ahead = json(&record("ahead", 9, vec![set_worth("assist", 1.0)]));
-    let payloads = [first(), json(&record("bad", 1, vec![set_worth("other", 8.0), edit])), ahead];
+    let payloads = [
+        initial_publication(),
+        json(&record("bad", 1, vec![set_worth("other", 8.0), edit])),
+        ahead,
+    ];
     let fold = fold_of(&payloads);
     assert_eq!(fold.revision(), 1);
     assert_eq!(fold.snapshot().tree, fold_of(&payloads[..1]).snapshot().tree);
@@ -315,21 +322,21 @@
 }
 
 #[test]
-fn a_damaged_record_is_refused_alike_everywhere_and_folding_goes_on() {
+fn a_damaged_record_is_refused_and_folding_continues() {
     let good = json(&record("good", 1, vec![set_worth("assist", 1.0)]));
-    let mut torn = good.clone();
-    torn.truncate(good.len() / 2);
-    let fold = fold_of(&[first(), torn, good]);
+    let mut truncated = good.clone();
+    truncated.truncate(good.len() / 2);
+    let fold = fold_of(&[initial_publication(), truncated, good]);
     let verdicts: Vec<_> = fold.verdicts().map(|verdict| verdict.result.is_ok()).collect();
     assert_eq!(verdicts, [true, false, true]);
     assert_eq!(fold.revision(), 2);
 }
 
 #[test]
-fn a_record_of_a_newer_program_stops_the_fold_where_it_is() {
+fn a_record_with_a_newer_format_stops_the_fold() {
     let newer = br#"{"format":2,"something":"else"}"#.to_vec();
     let good = json(&record("good", 1, vec![set_worth("assist", 1.0)]));
-    let fold = fold_of(&[first(), newer, good]);
+    let fold = fold_of(&[initial_publication(), newer, good]);
     assert_eq!(fold.revision(), 1);
     let halt = fold.halt().expect("the fold stopped");
     assert_eq!(*halt, FoldHalt::NewerFormat { offset: 1, format: 2, revision: 1 });
@@ -337,39 +344,39 @@
 }
 
 #[test]
-fn a_gap_in_the_log_changes_nothing_until_a_snapshot_closes_it() {
+fn a_gap_in_the_log_stops_the_fold_until_a_snapshot_covers_it() {
     let payloads = [
-        first(),
+        initial_publication(),
         json(&record("a", 1, vec![set_worth("assist", 1.0)])),
         json(&record("b", 1, vec![set_worth("other", 1.0)])),
         json(&record("c", 3, vec![set_worth("assist", 7.0)])),
     ];
-    let whole = fold_of(&payloads);
-    let mut late = fold_of(&payloads[..1]);
-    assert!(!late.fold(log_record(3, payloads[3].clone())), "a gap is no next record");
-    assert_eq!(late.revision(), 1);
+    let complete = fold_of(&payloads);
+    let mut lagging = fold_of(&payloads[..1]);
+    assert!(!lagging.fold(log_record(3, payloads[3].clone())), "a gap is no next record");
+    assert_eq!(lagging.revision(), 1);
     let snapshot = fold_of(&payloads[..3]).snapshot();
     let read = SettingsSnapshot::from_json(&snapshot.to_json()).expect("it was just written");
-    assert!(late.install_snapshot(read).expect("its digest is right"));
-    assert!(late.fold(log_record(3, payloads[3].clone())));
-    assert_eq!(late.snapshot(), whole.snapshot());
-    assert_eq!(late.tree().adapter_count(), whole.tree().adapter_count());
+    assert!(lagging.install_snapshot(read).expect("its digest is right"));
+    assert!(lagging.fold(log_record(3, payloads[3].clone())));
+    assert_eq!(lagging.snapshot(), complete.snapshot());
+    assert_eq!(lagging.tree().adapter_count(), complete.tree().adapter_count());
 }
 
 #[test]
-fn a_snapshot_that_is_wrong_or_older_is_not_taken() {
-    let payloads = [first(), json(&record("a", 1, vec![set_worth("assist", 1.0)]))];
-    let whole = fold_of(&payloads);
-    let mut forged = whole.snapshot();
-    forged.tree = forged.tree.replace("3.5", "9.5");
+fn an_invalid_or_older_snapshot_is_not_installed() {
+    let payloads = [initial_publication(), json(&record("a", 1, vec![set_worth("assist", 1.0)]))];
+    let complete = fold_of(&payloads);
+    let mut tampered = complete.snapshot();
+    tampered.tree = tampered.tree.replace("3.5", "9.5");
     let mut fresh = SettingsFold::default();
-    assert_eq!(fresh.install_snapshot(forged), Err(SnapshotError::WrongDigest(2)));
+    assert_eq!(fresh.install_snapshot(tampered), Err(SnapshotError::DigestMismatch(2)));
     assert_eq!(fresh.revision(), 0);
-    let mut newer = whole.snapshot();
+    let mut newer = complete.snapshot();
     newer.format = 2;
     assert_eq!(fresh.install_snapshot(newer), Err(SnapshotError::NewerFormat(2)));
     let older = fold_of(&payloads[..1]).snapshot();
-    let mut ahead = whole;
+    let mut ahead = complete;
     assert_eq!(ahead.install_snapshot(older), Ok(false));
     assert_eq!(ahead.revision(), 2);
     assert!(matches!(SettingsSnapshot::from_json(b"{"), Err(SnapshotError::Damaged(_))));
@@ -408,8 +415,8 @@
 
     /// However a host came by the log (at once, doubled, by a snapshot midway), it ends the same.
     #[test]
-    fn every_way_through_the_log_ends_in_the_same_tree(log in any_log(), cut in 0..24usize) {
-        let whole = fold_of(&log);
+    fn snapshots_and_repeated_records_produce_the_same_tree(log in any_log(), cut in 0..24usize) {
+        let complete = fold_of(&log);
         let cut = cut.min(log.len());
         let mut by_snapshot = SettingsFold::default();
         by_snapshot.install_snapshot(fold_of(&log[..cut]).snapshot()).expect("a true snapshot");
@@ -418,14 +425,14 @@
                 by_snapshot.fold(log_record(offset, payload.clone()));
             }
         }
-        prop_assert_eq!(by_snapshot.snapshot(), whole.snapshot());
-        let records = whole.records_from(0).expect("all are kept");
+        prop_assert_eq!(by_snapshot.snapshot(), complete.snapshot());
+        let records = complete.records_from(0).expect("all are kept");
         prop_assert_eq!(records.len(), log.len());
     }
 
     /// The revision only rises, by one for each accepted record.
     #[test]
-    fn the_revision_never_goes_back(log in any_log()) {
+    fn the_revision_never_decreases(log in any_log()) {
         let mut fold = SettingsFold::default();
         let mut last = 0;
         for (offset, payload) in (0..).zip(&log) {
@@ -437,7 +444,7 @@
 
     /// A file that differs from the tree in force is reached by the edits that `diff` shows.
     #[test]
-    fn edits_lead_from_any_tree_to_any_other(one in any_log(), two in any_log()) {
+    fn diff_edits_turn_any_tree_into_any_other(one in any_log(), two in any_log()) {
         let (one, two) = (fold_of(&one), fold_of(&two));
         let edits = one.tree().diff_edits(two.tree());
         let mut reached = one.tree().clone();
@@ -448,11 +455,11 @@
 }
 
 #[test]
-fn the_example_trees_have_no_mistakes_and_differ_only_in_settings() {
+fn the_example_trees_are_valid_and_their_models_resolve() {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples");
     for name in ["dev.toml", "kigali.toml", "ljubljana.toml"] {
         let text = std::fs::read_to_string(format!("{folder}/{name}")).expect("an example");
-        let mut tree = read_tree(&text).unwrap_or_else(|mistakes| panic!("{name}: {mistakes:?}"));
+        let mut tree = read_tree(&text).unwrap_or_else(|errors| panic!("{name}: {errors:?}"));
         tree.reindex();
         assert!(tree.adapter_count() >= 4, "{name}");
         for model in tree.model_names().map(str::to_owned).collect::<Vec<_>>() {
