--- a/crates/core/src/clock.rs
+++ b/crates/core/src/clock.rs
@@ -1,4 +1,4 @@
-//! The project's one clock type, in milliseconds, and the sources that read it.
+//! Monotonic and hybrid logical clocks, in milliseconds.
 
 use std::{
     ops::{Add, Sub},
@@ -8,12 +8,12 @@
 
 use rustix::time::{ClockId, clock_gettime};
 
-/// A reading of a clock that never runs backwards, in milliseconds since an arbitrary start.
+/// A monotonic clock reading, in milliseconds since an arbitrary start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct ClockMillis(u64);
 
 impl ClockMillis {
-    /// Wraps a number of milliseconds.
+    /// Creates a reading from milliseconds.
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis)
     }
@@ -23,7 +23,7 @@
         self.0
     }
 
-    /// Returns the time from `earlier` to this reading, or zero when `earlier` is later.
+    /// Returns the time since `earlier`, or zero if `earlier` is later than this reading.
     pub const fn since(self, earlier: Self) -> Duration {
         Duration::from_millis(self.0.saturating_sub(earlier.0))
     }
@@ -45,39 +45,39 @@
     }
 }
 
-/// Returns a duration in whole milliseconds, at most `u64::MAX`.
+/// Returns a duration in whole milliseconds, saturating at `u64::MAX`.
 pub fn duration_millis(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Reads the time for the borders; the decision core is handed readings instead.
+/// A clock for the I/O layers. The decision core does not read clocks; it is passed readings.
 pub trait ClockSource: Send + Sync {
-    /// Returns the present reading.
+    /// Returns the current reading.
     fn now(&self) -> ClockMillis;
 }
 
-/// Reads the operating system's clock that never runs backwards and goes on while the host is suspended.
+/// A monotonic clock that also advances while the host is suspended (`CLOCK_BOOTTIME`).
 ///
-/// The usual steady clock stands still meanwhile: a lease, a key's freshness or a peer's silence that is timed by it would be
-/// believed for too long by as much.
+/// `CLOCK_MONOTONIC` stops during suspension, so that leases, key freshness and peer timeouts timed
+/// by it would last too long by the time suspended.
 #[derive(Debug, Clone)]
 pub struct MonotonicClock {
     start: Duration,
 }
 
-/// What a clock shows when it starts. A peer tells of moments before the process began; where they could not be told apart from its
-/// start, a host that has just started would take an old word for a new one, and serve withdrawn keys by it. No bound on how old a word
-/// may be is near an hour, and zero still stands for "never".
+/// The reading of a new clock. It is above zero so that times before the process start, as reported
+/// by peers, remain representable: clamped to the start, stale data would look fresh, and withdrawn
+/// keys would be served. All age limits are far below this value. A reading of zero means "never".
 const INITIAL_READING: Duration = Duration::from_hours(1);
 
 impl MonotonicClock {
-    /// Starts a clock at an hour.
+    /// Creates a clock that starts at `INITIAL_READING`.
     pub fn new() -> Self {
         Self { start: time_since_boot() }
     }
 }
 
-/// Returns the time since the host was started, that of its suspensions included.
+/// Returns the time since the host booted, including time suspended.
 fn time_since_boot() -> Duration {
     let time = clock_gettime(ClockId::Boottime);
     let seconds = u64::try_from(time.tv_sec).unwrap_or_default();
@@ -97,19 +97,19 @@
     }
 }
 
-/// A clock that a test moves by hand.
+/// A clock that tests advance manually.
 #[derive(Debug, Default)]
 pub struct ManualClock {
     millis: AtomicU64,
 }
 
 impl ManualClock {
-    /// Starts at `millis`.
+    /// Creates a clock that reads `millis`.
     pub const fn new(millis: u64) -> Self {
         Self { millis: AtomicU64::new(millis) }
     }
 
-    /// Moves the clock on.
+    /// Advances the clock.
     pub fn advance(&self, duration: Duration) {
         self.millis.fetch_add(duration_millis(duration), Ordering::Relaxed);
     }
@@ -121,20 +121,20 @@
     }
 }
 
-/// A hybrid logical clock reading: wall time as long as it rises, a counter where it does not.
+/// A hybrid logical clock timestamp: the wall time, and a counter for when it does not advance.
 ///
-/// Readings order events over all processes so that a cause comes before its effect, even when the
-/// hosts' wall clocks differ (Kulkarni et al., "Logical Physical Clocks", 2014).
+/// Timestamps order the events of all processes consistently with causality, even if the wall
+/// clocks of the hosts differ (Kulkarni et al., "Logical Physical Clocks", 2014).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct HybridTimestamp {
-    /// Milliseconds since the Unix epoch, the highest seen so far.
+    /// Highest wall time seen so far, in milliseconds since the Unix epoch.
     pub wall_millis: u64,
-    /// Orders events within one `wall_millis`.
+    /// Orders events with the same `wall_millis`.
     pub counter: u32,
 }
 
 impl HybridTimestamp {
-    /// Returns the next reading at wall time `wall_millis`.
+    /// Returns the next timestamp at wall time `wall_millis`.
     #[must_use]
     pub const fn next(self, wall_millis: u64) -> Self {
         if wall_millis > self.wall_millis {
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Returns the next reading that also comes after a stamp received from another process.
+    /// Returns the next timestamp, which is also later than one received from another process.
     #[must_use]
     pub fn merge(self, received: Self, wall_millis: u64) -> Self {
         self.max(received).next(wall_millis)
--- a/crates/core/src/gossip.rs
+++ b/crates/core/src/gossip.rs
@@ -1,36 +1,36 @@
-//! What hosts pass on to a few others at a time until all have it.
+//! Gossip: disseminates changes by repeatedly sending them to a few peers.
 
 use std::collections::BTreeMap;
 
 use crate::id::{AdapterKey, EngineId, FenceToken, HostId, Incarnation};
 
-/// How often a change is passed on: this many times the logarithm of the number of hosts.
+/// Number of transmissions of each change, as a multiple of the logarithm of the number of hosts.
 ///
 /// Three times the logarithm reaches all of `n` hosts with a probability above `1 - 1/n`
-/// (Demers et al., 1987); what is missed is repaired by the full exchange.
+/// (Demers et al., 1987). Anti-entropy (`SyncAsk`) repairs what was missed.
 const RETRANSMIT_FACTOR: u32 = 3;
 
-/// The residency of one engine, as its owner passes it on.
+/// The resident adapters of one engine, as its owner gossips them.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineDigest {
     /// The engine.
     pub engine: EngineId,
-    /// The engine's life; a restart begins its tokens anew.
+    /// The engine's incarnation. Fencing tokens start anew with each incarnation.
     pub incarnation: Incarnation,
-    /// Its owner.
+    /// The engine's owner.
     pub owner: HostId,
-    /// The owner's fence token; a digest of a higher token is newer.
+    /// The owner's fencing token. A digest with a higher token is newer.
     pub token: FenceToken,
-    /// Counts the owner's digests of this engine.
+    /// Sequence number among the owner's digests of this engine.
     pub sequence: u64,
-    /// Whether it takes new work.
+    /// Whether the engine accepts new requests.
     pub serving: bool,
-    /// What requests may run on.
+    /// The adapters that requests may run on.
     pub residents: Vec<AdapterKey>,
 }
 
 impl EngineDigest {
-    /// Returns what orders two digests of one engine.
+    /// Returns the version, which orders the digests of one engine.
     pub const fn version(&self) -> DigestVersion {
         DigestVersion {
             engine: self.engine,
@@ -41,20 +41,20 @@
     }
 }
 
-/// The version of one engine's digest. Those of one engine are ordered field by field.
+/// The version of an engine's digest. Versions of the same engine are ordered field by field.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct DigestVersion {
     /// The engine.
     pub engine: EngineId,
-    /// The engine's life.
+    /// The engine's incarnation.
     pub incarnation: Incarnation,
-    /// The fence token of the owner that wrote it.
+    /// The fencing token of the owner that sent the digest.
     pub token: FenceToken,
-    /// Counts that owner's digests of the engine.
+    /// Sequence number among the owner's digests of the engine.
     pub sequence: u64,
 }
 
-/// Changes that wait to be passed on, least often passed first.
+/// A queue of changes to gossip, least transmitted first.
 #[derive(Debug, Clone)]
 pub struct GossipQueue<K> {
     remaining: BTreeMap<K, u32>,
@@ -67,13 +67,14 @@
 }
 
 impl<K: Ord + Copy> GossipQueue<K> {
-    /// Notes that `item` changed and must reach `hosts` hosts.
+    /// Queues a change of `item` for dissemination to `hosts` hosts.
     pub fn add(&mut self, item: K, hosts: usize) {
         let rounds = hosts.max(2).ilog2() + 1;
         self.remaining.insert(item, RETRANSMIT_FACTOR * rounds);
     }
 
-    /// Takes up to `limit` items for one message, those passed on least first.
+    /// Returns up to `limit` items for one message, least transmitted first, and counts their
+    /// transmission.
     pub fn take(&mut self, limit: usize) -> Vec<K> {
         let mut items: Vec<(u32, K)> =
             self.remaining.iter().map(|(item, remaining)| (*remaining, *item)).collect();
@@ -85,8 +86,8 @@
         items.into_iter().map(|(_, item)| item).collect()
     }
 
-    /// Notes that a peer passed on an item that is known here already, which counts like passing
-    /// it on: the more hosts know of a change, the sooner they fall silent about it.
+    /// Records that a peer sent an item that is already known. It counts as a transmission, so that
+    /// hosts stop sending a change sooner the more widely it is known.
     pub fn record_duplicate(&mut self, item: K) {
         self.count_transmission(item);
     }
@@ -100,12 +101,12 @@
         }
     }
 
-    /// Returns how many items still spread.
+    /// Returns the number of items that are still being disseminated.
     pub fn len(&self) -> usize {
         self.remaining.len()
     }
 
-    /// Says whether nothing spreads.
+    /// Returns whether no items are being disseminated.
     pub fn is_empty(&self) -> bool {
         self.remaining.is_empty()
     }
--- a/crates/core/src/id.rs
+++ b/crates/core/src/id.rs
@@ -1,111 +1,114 @@
-//! Identifiers, as small integers so that tables at full size stay small.
+//! Identifiers. Most are small integers, to keep large tables compact.
 
-/// Names an entry host. Operators assign it in the host's own settings.
+/// Identifies an entry host. Assigned by operators in the host's own settings.
 pub type HostId = u32;
 
-/// Counts the lives of one host or backend server; a restart raises it. Unit: milliseconds of the
-/// wall clock at the start, so that no disk is needed to keep it rising.
+/// The incarnation of a host or backend server, which increases with each restart. The value is the
+/// wall clock at the start in milliseconds, so that it need not be persisted.
 pub type Incarnation = u64;
 
-/// Names a model engine, as in the platform's host list.
+/// Identifies a model engine, as in the platform's host list.
 pub type EngineId = u32;
 
-/// Names a data hall by number, as in the platform's host list.
+/// Identifies a data hall, as in the platform's host list.
 pub type HallId = u16;
 
-/// Names an adapter. The settings fold assigns it in log order, so every host agrees on it.
+/// Identifies an adapter. The settings fold assigns ids in log order, so that they are the same on
+/// every host.
 pub type AdapterId = u32;
 
-/// Names one immutable version of an adapter.
+/// Identifies one immutable version of an adapter.
 pub type AdapterVersion = u32;
 
-/// Names an organisation within the settings fold.
+/// Identifies an organisation. Assigned by the settings fold.
 pub type OrganisationId = u32;
 
-/// Names a service within the settings fold.
+/// Identifies a service. Assigned by the settings fold.
 pub type ServiceId = u32;
 
-/// Names a request for ever: host, incarnation and counter, never reused across restarts.
+/// Identifies a request by host, incarnation and counter. Not reused across restarts.
 pub type RequestId = u128;
 
-/// The 128-bit hash of an idempotency key together with its organisation.
+/// The 128-bit hash of an idempotency key with its service and organisation.
 pub type KeyHash = u128;
 
-/// A fence token. An engine refuses whatever carries a lower one than it has accepted.
+/// A fencing token. An engine refuses tokens lower than the highest one it has accepted.
 pub type FenceToken = u64;
 
-/// Counts accepted changes of the settings tree.
+/// A revision of the settings tree: the number of accepted publications.
 pub type Revision = u64;
 
-/// A position in a stream of the platform's log.
+/// The offset of a record within a stream of the platform's log.
 pub type LogOffset = u64;
 
-/// Counts how often the platform's store has come back from an older copy of itself; zero where it does not say.
+/// The number of times the platform's store was restored from an older copy; zero if the store does
+/// not report it.
 pub type StoreEra = u64;
 
-/// Counts the changes of the group of hosts within one era of the store.
+/// The generation of the group of hosts: counts its membership changes within one era of the store.
 pub type GroupGeneration = u64;
 
-/// Bits of a fence token that hold the host, so that two hosts never order with one token.
+/// Bits of a fencing token that hold the host, so that two hosts never use the same token.
 const TOKEN_HOST_BITS: u32 = 24;
 
-/// Bits of a fence token that an owner counts up without taking over anew.
+/// Bits of a fencing token that the owner increments within an epoch.
 const TOKEN_RAISE_BITS: u32 = 16;
 
-/// Returns the token with which `host` takes an engine over from whoever had `seen`.
+/// Returns the token with which `host` takes over an engine whose highest known token is `seen`.
 ///
-/// A token is an epoch of 24 bits, the host in 24 bits and the owner's own raises in 16 bits. Only
-/// a take-over begins an epoch, so that an owner who raises its fence never overtakes another who
-/// took the engine over meanwhile.
+/// A token consists of a 24-bit epoch, the 24-bit host and a 16-bit count of raises. Only a takeover
+/// starts a new epoch, so that a token raised by an owner stays below the token of a host that has
+/// taken over the engine in the meantime.
 pub const fn takeover_token(seen: FenceToken, host: HostId) -> FenceToken {
     let epoch = (seen >> (TOKEN_HOST_BITS + TOKEN_RAISE_BITS)) + 1;
     let host = host as u64 & ((1 << TOKEN_HOST_BITS) - 1);
     (epoch << (TOKEN_HOST_BITS + TOKEN_RAISE_BITS)) | (host << TOKEN_RAISE_BITS)
 }
 
-/// Returns the owner's next token within its epoch, or `None` when the epoch has no more.
+/// Returns the owner's next token within its epoch, or `None` if the epoch is exhausted.
 pub const fn raised_token(own: FenceToken) -> Option<FenceToken> {
     let raises = own & ((1 << TOKEN_RAISE_BITS) - 1);
     if raises == (1 << TOKEN_RAISE_BITS) - 1 { None } else { Some(own + 1) }
 }
 
-/// Bits of a placer's fence token that hold the generation of the group.
+/// Bits of a placer's fencing token that hold the generation of the group.
 ///
-/// 2^32 changes of a group are four hundred years of one every three seconds, and two million eras keep the token a number that
-/// every reader of JSON holds exactly.
+/// The remaining bits hold the era. Up to 2^21 eras keep the token below 2^53, which JSON parsers
+/// represent exactly.
 const TOKEN_GENERATION_BITS: u32 = 32;
 
-/// Returns the token of a tenure that the store deals in a generation of its group.
+/// Returns the fencing token of a placer's tenure in a generation of the group.
 ///
-/// A store that comes back from an older copy counts generations again, so that its era goes before them: otherwise two hosts could
-/// order with one token, or an engine that has seen a higher one would refuse everybody until the count has caught up.
+/// The era takes the high bits because a store that is restored from an older copy assigns
+/// generations again. Otherwise two hosts could use the same token, or an engine that has seen a
+/// higher one would refuse every host until the generation has caught up.
 pub fn generation_token(era: StoreEra, generation: GroupGeneration) -> FenceToken {
     let max = (1 << TOKEN_GENERATION_BITS) - 1;
     (era.min(max) << TOKEN_GENERATION_BITS) | generation.min(max)
 }
 
-/// Returns the era of the store that dealt a token.
+/// Returns the era of the store that issued a token.
 pub const fn token_era(token: FenceToken) -> StoreEra {
     token >> TOKEN_GENERATION_BITS
 }
 
-/// Builds the id of the `counter`-th request of one life of `host`.
+/// Builds a request id from a host, its incarnation and a counter.
 pub const fn request_id(host: HostId, incarnation: Incarnation, counter: u32) -> RequestId {
     ((host as u128) << 96) | ((incarnation as u128) << 32) | counter as u128
 }
 
-/// Returns the host that gave out a request id.
+/// Returns the host that assigned a request id.
 pub const fn request_host(request: RequestId) -> HostId {
     (request >> 96) as HostId
 }
 
-/// Returns the incarnation of the host that gave out a request id.
+/// Returns the incarnation of the host that assigned a request id.
 #[expect(clippy::cast_possible_truncation, reason = "the incarnation is 64 bits of the id")]
 pub const fn request_incarnation(request: RequestId) -> Incarnation {
     (request >> 32) as Incarnation
 }
 
-/// Names what an engine holds in a slot: one version of one adapter.
+/// Identifies one version of an adapter, as loaded into an engine's slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AdapterKey {
     /// The adapter.
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,13 +1,13 @@
-//! The decisions of reelreel as a plain library.
+//! The decision logic of reelreel, free of I/O.
 //!
-//! Nothing in here reads a socket, starts a thread or asks for the time. A [`NodeCore`] takes one
-//! [`NodeEvent`] at a time together with the clock reading at which it happened, and writes the
-//! [`NodeOrder`]s that follow from it. Everything that must always hold is decided here, so that a
-//! test can place any fault between any two events.
+//! The crate opens no sockets, starts no threads and reads no clock on its own. A [`NodeCore`]
+//! handles one [`NodeEvent`] at a time, together with the clock reading at which it happened, and
+//! returns the resulting [`NodeOrder`]s. All invariants are enforced here, so that a test can
+//! inject any fault between any two events.
 //!
-//! The crate is read best in this order: [`request`] for what callers ask and what they are told,
-//! [`settings`] for what operators publish, [`engine`] for the owner's side of one engine, and
-//! [`node`] for how a host joins them.
+//! Start reading with [`request`] (requests and their outcomes), then [`settings`] (what operators
+//! publish), [`engine`] (the state that an owner keeps for one engine) and [`node`] (how a host
+//! combines them).
 
 pub mod chart;
 pub mod claim;
--- a/crates/core/src/load.rs
+++ b/crates/core/src/load.rs
@@ -1,9 +1,10 @@
-//! Turns at the weight store: one host of the site gives them, the most valuable load first.
+//! Schedules loads from the weight store: one host of the site grants turns, highest value first.
 //!
-//! The store serves few loads a second and is fastest one at a time, so the order of loads decides
-//! most of how long requests wait. Which host gives the turns follows from the hosts' view of each
-//! other. When views differ, two hosts give turns for a moment and the store is asked for more than
-//! it likes, never for long; a hall that is cut off gives itself its share of the turns.
+//! The store serves only a few loads per second and is fastest with little concurrency, so the
+//! order of loads largely determines how long requests wait. The scheduling host is chosen by
+//! rendezvous hashing over the membership. While hosts disagree about the membership, several may
+//! grant turns and briefly exceed the store's limits. A partitioned hall grants its own share of
+//! the turns.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -14,23 +15,24 @@
     message::{LoadAsk, LoadPlace, LoadTurn},
 };
 
-/// How long a load that is not asked for again is kept; owners repeat their asks twice a second.
+/// Time after which a load that its owner no longer asks for is dropped. Owners ask again twice per
+/// second.
 const ASK_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How much a newly measured load moves the estimate of how long one takes.
+/// Smoothing factor of the moving average of load durations.
 const DURATION_SMOOTHING: f64 = 0.2;
 
-/// How many turns further back each pass puts a load in the estimate its callers are told.
+/// Number of queue positions that each overtaking load adds to the reported position.
 const OVERTAKEN_WEIGHT: u32 = 1;
 
-/// The store's limits, from the settings tree.
+/// Limits of the weight store, from the settings tree.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct WeightStoreLimits {
-    /// Loads a second for the whole site.
+    /// Loads per second for the whole site.
     pub loads_per_second: f64,
-    /// Loads at once at full speed.
+    /// Number of concurrent loads that the store serves at full speed.
     pub parallel_loads: usize,
-    /// The part of both that this host may give out: below one while halls are out of reach.
+    /// Fraction of both limits that this host may grant; below one while halls are unreachable.
     pub fraction: f64,
 }
 
@@ -48,9 +50,9 @@
     state: LoadState,
     value: f64,
     owner: HostId,
-    /// When it was first asked for.
+    /// Time of the first ask.
     queued_at: ClockMillis,
-    /// Turns that went to loads asked for later: the store does not keep up.
+    /// Number of turns granted to loads that were queued later.
     overtaken: u32,
     last_asked_at: ClockMillis,
     granted_at: ClockMillis,
@@ -58,7 +60,7 @@
 
 type LoadKey = (EngineId, AdapterKey);
 
-/// A turn that was just given, and to whom.
+/// A granted turn and its recipient.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TurnGrant {
     /// The engine's owner.
@@ -67,11 +69,11 @@
     pub turn: LoadTurn,
 }
 
-/// The turns as the host that gives them sees them.
+/// The queued and running loads, as tracked by the host that grants turns.
 #[derive(Debug)]
 pub struct LoadScheduler {
     loads: BTreeMap<LoadKey, QueuedLoad>,
-    /// Loads that may start at once, refilled at the store's rate.
+    /// Number of loads that may start now; a token bucket refilled at the store's rate.
     allowance: f64,
     refilled_at: ClockMillis,
     mean_turn_seconds: f64,
@@ -79,7 +81,7 @@
 
 impl Default for LoadScheduler {
     fn default() -> Self {
-        // Three loads a second, one at a time: the brief's store, until one has been measured.
+        // Initial estimate, used until a load has been measured.
         let mean_turn_seconds = 1.0 / 3.0;
         Self {
             loads: BTreeMap::new(),
@@ -91,10 +93,10 @@
 }
 
 impl LoadScheduler {
-    /// Takes an ask, first or repeated.
+    /// Queues a load, or updates one that is already queued.
     pub fn request_turn(&mut self, from: HostId, ask: &LoadAsk, now: ClockMillis) {
         let load = self.loads.entry((ask.engine, ask.adapter)).or_insert_with(|| QueuedLoad {
-            // A load that runs already was granted by a host that gave the turns before.
+            // A running load was granted by the previous scheduling host.
             state: if ask.running { LoadState::Running } else { LoadState::initial() },
             value: ask.value,
             owner: from,
@@ -108,7 +110,7 @@
         load.last_asked_at = now;
     }
 
-    /// Takes the end of a load, or of the wish for it.
+    /// Removes a load that has ended or is no longer wanted.
     pub fn release_turn(&mut self, turn: LoadTurn, now: ClockMillis) {
         let Some(load) = self.loads.get_mut(&(turn.engine, turn.adapter)) else { return };
         if load.state == LoadState::Running {
@@ -120,7 +122,7 @@
         self.remove_ended();
     }
 
-    /// Forgets what nobody asks for any more and gives the turns that are due.
+    /// Drops stale loads and grants turns within the limits.
     pub fn grant_turns(&mut self, limits: WeightStoreLimits, now: ClockMillis) -> Vec<TurnGrant> {
         self.expire_stale(now);
         self.refill(limits, now);
@@ -139,15 +141,14 @@
         grants
     }
 
-    /// Returns the turn again to an owner that repeats its ask although it has the turn: the
-    /// message that gave it was lost.
+    /// Returns the turn if the owner still asks for one that was granted: the grant was lost.
     pub fn lost_grant(&self, ask: &LoadAsk) -> Option<LoadTurn> {
         let load = self.loads.get(&(ask.engine, ask.adapter))?;
         let grant_lost = load.state == LoadState::Running && !ask.running;
         grant_lost.then_some(LoadTurn { engine: ask.engine, adapter: ask.adapter })
     }
 
-    /// Says how many loads go before one that was asked for.
+    /// Returns the queue position of a load.
     pub fn queue_position(&self, engine: EngineId, adapter: AdapterKey) -> LoadPlace {
         let value = self.loads.get(&(engine, adapter)).map_or(0.0, |load| load.value);
         let before = |(key, load): &(&LoadKey, &QueuedLoad)| {
@@ -165,17 +166,17 @@
         }
     }
 
-    /// Counts the loads that wait or run.
+    /// Returns the number of queued and running loads.
     pub fn len(&self) -> usize {
         self.loads.len()
     }
 
-    /// Says whether nothing waits or runs.
+    /// Returns whether no loads are queued or running.
     pub fn is_empty(&self) -> bool {
         self.loads.is_empty()
     }
 
-    /// Forgets everything, when another host gives the turns.
+    /// Removes all loads, when another host becomes the scheduler.
     pub fn clear(&mut self) {
         self.loads.clear();
     }
--- a/crates/core/src/member.rs
+++ b/crates/core/src/member.rs
@@ -1,8 +1,8 @@
-//! Which entry hosts there are: heartbeats to a few, suspicion before death, incarnations.
+//! Membership of the entry hosts, with failure detection by heartbeats.
 //!
-//! The scheme is SWIM's (Das et al., 2002) without its indirect probes: a host that misses an
-//! answer is suspected, the suspicion is passed on, and the host refutes it by passing on a higher
-//! count of refutations. The platform's lagging host list only seeds the table.
+//! The protocol is SWIM (Das et al., 2002) without indirect probes: a host that does not answer a
+//! heartbeat is suspected, the suspicion is gossiped, and the host refutes it by gossiping a higher
+//! refutation count. The platform's host list, which lags, is used only to seed the table.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -12,42 +12,42 @@
     id::{HallId, HostId, Incarnation},
 };
 
-/// One host as another one passes it on.
+/// The gossiped state of one host.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MemberUpdate {
     /// The host.
     pub host: HostId,
-    /// Its data hall.
+    /// The host's data hall.
     pub hall: HallId,
-    /// Its address for peers, as `ip:port`.
+    /// The host's address for peers, as `ip:port`.
     pub address: String,
-    /// Its life: when its process started.
+    /// The host's incarnation, from the start time of its process.
     pub incarnation: Incarnation,
-    /// Counts the false suspicions that it refuted in this life.
+    /// Number of suspicions that the host has refuted in this incarnation.
     pub refutations: u32,
-    /// What is believed of it.
+    /// The host's state, as seen by the sender.
     pub state: MemberState,
 }
 
 impl MemberUpdate {
-    /// Returns what orders two updates of one host: the later one has the higher version.
+    /// Returns the version, which orders the updates of one host.
     const fn version(&self) -> (Incarnation, u32, u8) {
         (self.incarnation, self.refutations, state_precedence(self.state))
     }
 }
 
-/// What a host knows of another one.
+/// The entry of another host in the membership table.
 #[derive(Debug, Clone)]
 pub struct MemberEntry {
-    /// The state as passed on.
+    /// The latest update.
     pub update: MemberUpdate,
-    /// When the state was entered.
+    /// Time at which the state was entered.
     pub state_since: ClockMillis,
-    /// When a heartbeat went out that is not yet answered.
+    /// Time at which the oldest unanswered heartbeat was sent.
     pub heartbeat_sent_at: Option<ClockMillis>,
 }
 
-/// How far one state of the same incarnation outdoes another.
+/// Returns the precedence of a state among updates with the same incarnation and refutation count.
 const fn state_precedence(state: MemberState) -> u8 {
     match state {
         MemberState::Alive => 0,
@@ -57,18 +57,18 @@
     }
 }
 
-/// The times that membership goes by.
+/// The timeouts of the membership protocol.
 #[derive(Debug, Clone, Copy)]
 pub struct MemberTimeouts {
-    /// How long an answer may take before the host is suspected.
+    /// Time after which a host that has not answered a heartbeat is suspected.
     pub ack_timeout: Duration,
-    /// How long a suspected host has to refute.
+    /// Time after which a suspected host that has not refuted is considered dead.
     pub suspicion_timeout: Duration,
-    /// How long a dead host is remembered, so that old news of it is recognised.
+    /// Time for which a dead host is kept, so that stale updates about it are recognised.
     pub dead_retention: Duration,
 }
 
-/// The table of hosts of the site.
+/// The membership table: all known hosts of the site.
 #[derive(Debug, Clone)]
 pub struct MemberTable {
     own: MemberUpdate,
@@ -77,7 +77,7 @@
 }
 
 impl MemberTable {
-    /// Starts with nobody but the host itself.
+    /// Creates a table that contains only the host itself.
     pub const fn new(own: MemberUpdate, times: MemberTimeouts) -> Self {
         Self { own, members: BTreeMap::new(), times }
     }
@@ -87,23 +87,24 @@
         &self.own
     }
 
-    /// Returns all other hosts known.
+    /// Iterates over all other known hosts.
     pub fn others(&self) -> impl Iterator<Item = &MemberEntry> {
         self.members.values()
     }
 
-    /// Finds another host.
+    /// Returns the entry of another host.
     pub fn find(&self, host: HostId) -> Option<&MemberEntry> {
         self.members.get(&host)
     }
 
-    /// Counts the hosts that are not dead, the host itself included.
+    /// Returns the number of hosts that are not dead, including this host.
     pub fn live_count(&self) -> usize {
         let live = |entry: &&MemberEntry| entry.update.state != MemberState::Dead;
         1 + self.members.values().filter(live).count()
     }
 
-    /// Lists the hosts that may own things, the host itself included: alive or only suspected.
+    /// Iterates over the hosts that may own resources: those alive or suspected, including this host.
+    /// Restricted to one hall if given.
     pub fn eligible_owners(&self, hall: Option<HallId>) -> impl Iterator<Item = HostId> {
         let eligible = move |update: &&MemberUpdate| {
             let live = matches!(update.state, MemberState::Alive | MemberState::Suspect);
@@ -113,7 +114,7 @@
         others.chain([&self.own]).filter(eligible).map(|update| update.host)
     }
 
-    /// Says whether a hall has a host that is not dead.
+    /// Returns whether a hall has a host that is not dead.
     pub fn hall_reachable(&self, hall: HallId) -> bool {
         let others = self.members.values().map(|entry| &entry.update);
         others
@@ -121,9 +122,10 @@
             .any(|update| update.hall == hall && update.state != MemberState::Dead)
     }
 
-    /// Takes in what a peer or the host list says of a host; says whether it changed the table.
+    /// Applies an update from a peer or the host list. Returns whether it changed the table.
     ///
-    /// A claim against the host itself is refuted: its count of refutations is raised.
+    /// An update that claims this host is suspected or dead is refuted by raising its refutation
+    /// count.
     pub fn apply_update(&mut self, update: &MemberUpdate, now: ClockMillis) -> bool {
         if update.host == self.own.host {
             return self.refute(update);
@@ -159,25 +161,25 @@
         true
     }
 
-    /// Notes an answer or any other message straight from a host; says whether its state changed.
+    /// Records a message received directly from a host. Returns whether the host's state changed.
     pub fn record_contact(&mut self, host: HostId, now: ClockMillis) -> bool {
         let Some(entry) = self.members.get_mut(&host) else { return false };
         entry.heartbeat_sent_at = None;
-        // A dead host is alive again only by its own word, which carries its incarnation.
+        // A dead host becomes alive again only by an update from itself, which has its incarnation.
         if entry.update.state != MemberState::Suspect {
             return false;
         }
         Self::transition(entry, MemberEvent::Heard, now)
     }
 
-    /// Notes that a heartbeat went out to a host.
+    /// Records that a heartbeat was sent to a host.
     pub fn record_heartbeat_sent(&mut self, host: HostId, now: ClockMillis) {
         if let Some(entry) = self.members.get_mut(&host) {
             entry.heartbeat_sent_at.get_or_insert(now);
         }
     }
 
-    /// Moves suspicions on; returns the hosts whose state changed.
+    /// Applies the timeouts. Returns the hosts whose state changed.
     pub fn expire(&mut self, now: ClockMillis) -> Vec<HostId> {
         let times = self.times;
         let mut changed = Vec::new();
@@ -210,7 +212,7 @@
         changed
     }
 
-    /// Says that this host is stopping.
+    /// Marks this host as leaving.
     pub fn leave(&mut self) {
         self.own.state = self.own.state.after(MemberEvent::Left);
     }
--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -1,7 +1,7 @@
 //! The messages between entry hosts.
 //!
-//! Every message may be lost, doubled, late or out of order. Each handler therefore gives the same
-//! end state for a message that comes twice, and ignores one that speaks of a past attempt.
+//! Messages may be lost, duplicated, delayed or reordered. Handlers are therefore idempotent, and
+//! ignore messages about earlier attempts.
 
 use std::time::Duration;
 
@@ -17,82 +17,82 @@
 /// A message from one entry host to another.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PeerMessage {
-    /// Asks for a sign of life and passes on what changed.
+    /// Probes a host and gossips recent changes.
     Heartbeat(Heartbeat),
-    /// Answers a heartbeat, likewise.
+    /// Answers a heartbeat and gossips recent changes.
     HeartbeatAck(Heartbeat),
-    /// Asks for all that the sender does not have; the repair for lost changes.
+    /// Requests all state that the sender lacks (anti-entropy).
     SyncAsk(SyncAsk),
-    /// Answers with what the asker lacked.
+    /// Answers with the state that the requester lacks.
     SyncReply(SyncReply),
-    /// Asks an engine's owner for leave to send one request to the engine.
+    /// Asks an engine's owner for a permit to send one request to the engine.
     PermitAsk(PermitAsk),
-    /// The request waits at the owner.
+    /// The request is queued at the owner.
     PermitQueued(PermitQueued),
-    /// The request may be sent, once.
+    /// The request may be sent once.
     PermitGranted(PermitGranted),
-    /// The request may not be sent.
+    /// The request must not be sent.
     PermitRefused(PermitRefused),
-    /// The request ended, or is not waited for any more.
+    /// The request ended or was abandoned.
     PermitDone(PermitDone),
-    /// Asks which of these permits are still in use.
+    /// Asks the holder of permits which of them are still in use.
     PermitCheck(PermitCheck),
-    /// Asks for a turn at the weight store, or says that one is still in use.
+    /// Asks for a turn to load from the weight store, or reports that a granted one is still in use.
     LoadAsk(LoadAsk),
-    /// Says how many loads go before.
+    /// Reports the queue position of a load.
     LoadPlace(LoadPlace),
-    /// Gives the turn.
+    /// Grants the turn.
     LoadGrant(LoadTurn),
-    /// The load ended or is not wanted any more.
+    /// The load ended or is no longer wanted.
     LoadEnd(LoadTurn),
-    /// Asks for settings records from an offset on.
+    /// Requests settings records from an offset on.
     SettingsPull(SettingsPull),
-    /// Passes records of the settings stream on.
+    /// Sends records of the settings stream.
     SettingsRecords(SettingsRecords),
-    /// Passes a snapshot on.
+    /// Sends a settings snapshot.
     SettingsState(SettingsState),
 }
 
-/// A sign of life, with changes of the tables that every host of the site keeps.
+/// A heartbeat, with recent changes of the tables that are replicated to all hosts of the site.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Heartbeat {
-    /// Counts the sender's heartbeats; an ack carries the number it answers.
+    /// Sequence number of the sender's heartbeat; an acknowledgement repeats it.
     pub sequence: u64,
-    /// The sender itself.
+    /// The sender's own membership entry.
     pub sender: MemberUpdate,
     /// The sender's settings revision.
     pub revision: Revision,
-    /// The era of the log that the sender folds.
+    /// The era of the log that the sender has folded.
     pub era: StoreEra,
-    /// The sender's next offset of the settings stream.
+    /// The offset of the next settings record that the sender lacks.
     pub next_offset: LogOffset,
-    /// Hash over the sender's tables; unequal hashes call for a [`SyncAsk`].
+    /// Hash of the sender's tables; a mismatch triggers a [`SyncAsk`].
     pub table_hash: u64,
-    /// Members that changed lately.
+    /// Members that changed recently.
     pub members: Vec<MemberUpdate>,
-    /// Engines whose residency changed lately.
+    /// Engines whose resident adapters changed recently.
     pub digests: Vec<EngineDigest>,
 }
 
-/// What the asker has, so that only the rest is sent.
+/// The state that the requester has, so that only the rest is sent.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct SyncAsk {
     /// Versions of the engine digests it has.
     pub digests: Vec<DigestVersion>,
-    /// All members it knows, as it sees them.
+    /// All members it knows.
     pub members: Vec<MemberUpdate>,
-    /// Whether it has never seen the platform's host list and asks for the backend servers too.
+    /// Whether it has never received the platform's host list and requests the backend servers too.
     pub wants_backends: bool,
 }
 
-/// What the asker lacked.
+/// The state that the requester lacks.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct SyncReply {
-    /// Newer digests.
+    /// Newer engine digests.
     pub digests: Vec<EngineDigest>,
-    /// All members the answerer knows.
+    /// All members that the responder knows.
     pub members: Vec<MemberUpdate>,
-    /// The backend servers of the host list, where they were asked for.
+    /// The backend servers of the host list, if requested.
     pub backends: Vec<HostEntry>,
 }
 
@@ -101,123 +101,124 @@
 pub struct PermitAsk {
     /// The engine.
     pub engine: EngineId,
-    /// Counts the request's asks; an answer to an earlier one is ignored.
+    /// Attempt number of the request; answers to earlier attempts are ignored.
     pub attempt: u32,
-    /// How long the request can still wait; hosts' clocks are not compared.
+    /// How long the request can still wait. A duration, because the clocks of hosts differ.
     pub max_wait: Duration,
-    /// The request; its `deadline` is filled in by the receiver from `max_wait`.
+    /// The request. The receiver computes its `deadline` from `max_wait`.
     pub request: PermitRequest,
-    /// Whether the owner may load the adapter for it; otherwise it only serves what is resident.
+    /// Whether the owner may load the adapter; otherwise the adapter must be resident.
     pub may_load: bool,
-    /// Whether it may do so although another engine holds the adapter: that one has no room.
+    /// Whether the owner may load the adapter although another engine has it, because that engine is
+    /// full.
     pub replica: bool,
 }
 
-/// The request waits.
+/// The request is queued.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PermitQueued {
     /// The request.
     pub request: RequestId,
-    /// The ask it answers.
+    /// The attempt that is answered.
     pub attempt: u32,
 }
 
-/// The request may be sent to the engine, once, with this token.
+/// The request may be sent to the engine once, with this token.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PermitGranted {
     /// The request.
     pub request: RequestId,
-    /// The ask it answers.
+    /// The attempt that is answered.
     pub attempt: u32,
     /// The engine.
     pub engine: EngineId,
-    /// The token the engine checks.
+    /// The fencing token for the engine.
     pub token: FenceToken,
-    /// How full the engine is, in hundredths of its streams.
+    /// Load of the engine, in percent of its streams.
     pub fill: u32,
     /// Whether the request waited for a load.
     pub stalled: bool,
 }
 
-/// The request may not be sent.
+/// The request must not be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PermitRefused {
     /// The request.
     pub request: RequestId,
-    /// The ask it answers.
+    /// The attempt that is answered.
     pub attempt: u32,
     /// The engine.
     pub engine: EngineId,
-    /// Why.
+    /// The reason for the refusal.
     pub reason: PermitRefusal,
-    /// When it makes sense to come back.
+    /// Time after which to retry.
     pub retry_after: Option<Duration>,
 }
 
-/// Why a permit was refused.
+/// The reason why a permit was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PermitRefusal {
-    /// The host does not own the engine (any more); look up the owner again.
+    /// The host does not own the engine; look up the owner again.
     NotOwner,
-    /// The engine is leaving or gone; use another one.
+    /// The engine is leaving or has left; use another one.
     Leaving,
-    /// The adapter is on that engine; ask there.
+    /// The adapter is resident on the given engine; ask its owner.
     Elsewhere(EngineId),
-    /// The adapter is not there and the ask does not allow to load it; route again.
+    /// The adapter is not resident and the ask does not allow loading it; route again.
     NotResident,
-    /// Give the caller this answer.
+    /// Refuse the caller's request with this kind.
     Final(RefusalKind),
 }
 
-/// The permit is not used any more.
+/// The permit is no longer in use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PermitDone {
     /// The request.
     pub request: RequestId,
-    /// The attempt that had the permit.
+    /// The attempt that held the permit.
     pub attempt: u32,
     /// The engine.
     pub engine: EngineId,
-    /// Whether it is certain that nothing of the request runs or can still arrive there.
+    /// Whether it is certain that the request is not running and cannot still arrive at the engine.
     pub clean: bool,
 }
 
-/// Asks a holder which permits it still uses.
+/// Asks a permit holder which permits it still uses.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PermitCheck {
     /// The engine.
     pub engine: EngineId,
-    /// Requests and attempts.
+    /// The requests and attempts of the permits.
     pub permits: Vec<PermitQueued>,
 }
 
-/// Asks for a turn at the weight store.
+/// Asks for a turn to load from the weight store.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LoadAsk {
-    /// The engine that would load.
+    /// The engine that loads the adapter.
     pub engine: EngineId,
-    /// What it would load.
+    /// The adapter to load.
     pub adapter: AdapterKey,
-    /// What the load is worth; the highest goes first.
+    /// Value of the load; the highest value is granted first.
     pub value: f64,
-    /// Whether the turn was given and the load still runs.
+    /// Whether the turn was granted and the load is still running.
     pub running: bool,
 }
 
-/// How many loads go before.
+/// The queue position of a load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LoadPlace {
     /// The engine.
     pub engine: EngineId,
     /// The adapter.
     pub adapter: AdapterKey,
-    /// Loads of higher value that wait or run.
+    /// Number of loads ahead of this one, including running ones.
     pub before: u32,
-    /// How long one turn takes at present.
+    /// Current mean duration of a turn.
     pub turn: Duration,
 }
 
-/// A turn at the weight store.
+/// A turn to load an adapter from the weight store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LoadTurn {
     /// The engine.
@@ -226,34 +227,34 @@
     pub adapter: AdapterKey,
 }
 
-/// Asks for settings records.
+/// Requests settings records.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SettingsPull {
-    /// The era of the log that the asker folds.
+    /// The era of the log that the requester has folded.
     pub era: StoreEra,
-    /// The first offset the asker lacks.
+    /// The first offset that the requester lacks.
     pub next_offset: LogOffset,
 }
 
 /// Records of the settings stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettingsRecords {
-    /// The era of the log that they are of.
+    /// The era of the log that contains the records.
     pub era: StoreEra,
-    /// The records, in order.
+    /// The records, in offset order.
     pub records: Vec<LogRecord>,
 }
 
-/// The state after a prefix of the settings stream.
+/// A settings snapshot.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettingsState {
-    /// The era of the log that it is of.
+    /// The era of the log that the snapshot covers.
     pub era: StoreEra,
     /// The snapshot, as JSON.
     pub snapshot: Vec<u8>,
 }
 
-/// A message and whom it goes to.
+/// A message and its receiver.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Envelope {
     /// The receiver.
--- a/crates/core/src/popularity.rs
+++ b/crates/core/src/popularity.rs
@@ -1,10 +1,10 @@
-//! How much an adapter is asked for, decayed over time.
+//! Adapter popularity as an exponentially decayed request rate.
 
 use std::time::Duration;
 
 use crate::clock::ClockMillis;
 
-/// A rate that halves with every half-life in which nothing comes.
+/// A sum of weights that decays exponentially, from which a rate is estimated.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct DecayedRate {
     weight: f64,
@@ -12,7 +12,7 @@
 }
 
 impl DecayedRate {
-    /// Adds `weight` at `now`.
+    /// Decays the sum to `now` and adds `weight`.
     pub fn add(&mut self, weight: f64, now: ClockMillis, half_life: Duration) {
         self.weight = self.weight_at(now, half_life) + weight;
         self.updated_at = now;
@@ -24,7 +24,7 @@
         self.weight * (-age / half_life.as_secs_f64()).exp2()
     }
 
-    /// Returns the rate per second at `now`: the decayed sum over its mean life.
+    /// Returns the rate per second at `now`: the decayed sum divided by the mean lifetime.
     pub fn per_second(&self, now: ClockMillis, half_life: Duration) -> f64 {
         let mean_life = half_life.as_secs_f64() / std::f64::consts::LN_2;
         self.weight_at(now, half_life) / mean_life
--- a/crates/core/src/position.rs
+++ b/crates/core/src/position.rs
@@ -1,14 +1,15 @@
-//! Where in the platform's store a record stands.
+//! Positions of records in the platform's store.
 //!
-//! Offsets alone do not order records: a store that comes back from an older copy of itself gives them out again. Its era, which
-//! rises each time, goes before them.
+//! Offsets alone do not order records, because a store that is restored from an older copy assigns
+//! them again. Positions therefore compare the era, which rises with each restore, before the offset.
 
 use crate::id::{LogOffset, StoreEra};
 
-/// A place in one topic of the store: the era in which it was read, then the offset.
+/// A position in one topic of the store: the era in which it was read, then the offset.
 ///
-/// Made only where answers and peers' frames are decoded. A record that was read in a later era stands after all of an earlier one,
-/// although it may have been written before them; what may never go back has an order of its own besides.
+/// Create positions only when decoding store responses and peers' frames. A record read in a later
+/// era is ordered after all records of an earlier era, although it may have been written before
+/// them. Data that must never go back needs a version of its own.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StorePosition {
     /// The era of the store.
@@ -18,7 +19,7 @@
 }
 
 impl StorePosition {
-    /// Returns the position just behind this one.
+    /// Returns the position immediately after this one.
     #[must_use]
     pub const fn next(self) -> Self {
         Self { offset: self.offset.saturating_add(1), ..self }
--- a/crates/core/src/request.rs
+++ b/crates/core/src/request.rs
@@ -1,4 +1,4 @@
-//! What callers ask, and what they are told.
+//! Requests from callers, refusals and outcomes.
 
 use std::time::Duration;
 
@@ -11,58 +11,58 @@
     id::{AdapterKey, KeyHash, OrganisationId, RequestId, ServiceId},
 };
 
-/// What a caller may rely on after the end of its request.
+/// What a caller knows about the execution of its request once it has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CallerOutcome {
-    /// The whole answer was given.
+    /// The complete answer was delivered.
     Answered,
-    /// It truly did not run; sending it again can not run it twice.
+    /// The request certainly did not run, so that a retry cannot run it twice.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
-/// Why a request was refused or broke off.
+/// The reason why a request was refused or interrupted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalKind {
-    /// The request itself is at fault.
+    /// The request is invalid.
     BadRequest,
-    /// No such adapter, version or path.
+    /// The adapter, version or path does not exist.
     NotFound,
-    /// This host has no configuration yet.
+    /// The host has no configuration yet.
     NotReady,
-    /// This host is stopping.
+    /// The host is stopping.
     Stopping,
-    /// More waits than could be served in time.
+    /// More requests are queued than can be served in time.
     Overloaded,
-    /// The adapter can not be loaded before the deadline.
+    /// The adapter cannot be loaded before the deadline.
     LoadTooLate,
-    /// The adapter's last load failed and it is not tried again yet.
+    /// The adapter's last load failed and has not been retried yet.
     LoadFailed,
-    /// The deadline passed before a permit came.
+    /// The deadline passed before a permit was granted.
     DeadlinePassed,
-    /// No backend server of the service is known and live.
+    /// No live backend server of the service is known.
     NoBackend,
     /// Another request claimed the same idempotency key.
     KeyClaimed,
-    /// The key is older than keys are remembered.
+    /// The idempotency key is older than the retention of claims.
     KeyExpired,
-    /// The platform's log can not be reached, so the key can not be claimed.
+    /// The platform's log is unreachable, so the idempotency key cannot be claimed.
     LogAway,
-    /// Tried again as often as the retry budget allows.
+    /// The retry budget is exhausted.
     RetriesSpent,
-    /// The backend server's exchange broke off.
+    /// The connection to the backend server failed during the exchange.
     BackendBroke,
-    /// The backend server answered with an error.
+    /// The backend server responded with an error.
     BackendError,
-    /// The caller hung up.
+    /// The caller disconnected.
     CallerGone,
 }
 
 impl RefusalKind {
-    /// Returns the HTTP status that fits the kind.
+    /// Returns the HTTP status code for this kind.
     pub const fn status(self) -> u16 {
         match self {
             Self::BadRequest => 400,
@@ -81,61 +81,65 @@
         }
     }
 
-    /// Returns what the caller can do about it.
+    /// Returns advice for the caller on how to proceed.
     pub const fn remedy(self) -> &'static str {
         match self {
-            Self::BadRequest => "mend the request as the message says",
-            Self::NotFound => "name an adapter or path that exists; GET /v1/models lists adapters",
-            Self::NotReady | Self::Stopping => "send it again; the balancer picks another host",
-            Self::Overloaded => "send it again after the time in Retry-After",
+            Self::BadRequest => "fix the request as described in the message",
+            Self::NotFound => "use an existing adapter or path; GET /v1/models lists the adapters",
+            Self::NotReady | Self::Stopping => "retry; the load balancer selects another host",
+            Self::Overloaded => "retry after the time in Retry-After",
             Self::LoadTooLate => {
-                "send it again after Retry-After, or with a longer deadline; it is being loaded"
+                "retry after the time in Retry-After or with a longer deadline; the adapter is loading"
             }
             Self::LoadFailed => {
-                "send it again after Retry-After; tell the operators if it stays so"
+                "retry after the time in Retry-After; contact the operators if the error persists"
+            }
+            Self::DeadlinePassed => "retry with a longer deadline",
+            Self::NoBackend => {
+                "retry later; operators can check the backend servers in the host list"
             }
-            Self::DeadlinePassed => "send it again with a longer deadline",
-            Self::NoBackend => "send it again later; operators find the backend in the host list",
             Self::KeyClaimed => {
-                "ask for the outcome of the first request with this key; this one did not run"
+                "request the outcome of the first request with this key; this request did not run"
             }
             Self::KeyExpired => "check whether the first request ran, then use a new key",
-            Self::LogAway => "send it again after Retry-After with the same key",
-            Self::RetriesSpent => "send it again after Retry-After",
-            Self::BackendBroke => "check whether it ran before sending it again",
-            Self::BackendError => "read the backend's message; check whether it ran",
-            Self::CallerGone => "nobody is there to act",
+            Self::LogAway => "retry with the same key after the time in Retry-After",
+            Self::RetriesSpent => "retry after the time in Retry-After",
+            Self::BackendBroke => "check whether the request ran before retrying",
+            Self::BackendError => {
+                "read the backend's error message and check whether the request ran"
+            }
+            Self::CallerGone => "no action needed; the caller disconnected",
         }
     }
 }
 
-/// The end of a request that was not answered whole.
+/// The end of a request that did not get a complete answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestRefusal {
-    /// Why.
+    /// The reason.
     pub kind: RefusalKind,
-    /// Whether it may have run.
+    /// Whether the request may have run.
     pub outcome: CallerOutcome,
-    /// What happened, in a sentence.
+    /// A one-sentence description of the error.
     pub message: String,
-    /// When it makes sense to come back.
+    /// Time after which to retry.
     pub retry_after: Option<Duration>,
 }
 
 impl RequestRefusal {
-    /// Makes a refusal of a request that truly did not run.
+    /// Creates the refusal of a request that certainly did not run.
     pub fn not_run(kind: RefusalKind, message: impl Into<String>) -> Self {
         let outcome = CallerOutcome::NotRun;
         Self { kind, outcome, message: message.into(), retry_after: None }
     }
 
-    /// Makes the end of a request that may have run.
+    /// Creates the failure of a request that may have run.
     pub fn unknown(kind: RefusalKind, message: impl Into<String>) -> Self {
         let outcome = CallerOutcome::Unknown;
         Self { kind, outcome, message: message.into(), retry_after: None }
     }
 
-    /// Names a time to come back.
+    /// Sets the time after which to retry.
     #[must_use]
     pub const fn retry_after(mut self, duration: Duration) -> Self {
         self.retry_after = Some(duration);
@@ -143,34 +147,35 @@
     }
 }
 
-/// What a caller asks, as its traffic thread hands it to the control thread.
+/// A request from a caller, as passed from a traffic thread to the control thread.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ArrivedRequest {
-    /// The id that its host gave it.
+    /// The request id, assigned by the host that received it.
     pub id: RequestId,
-    /// Where it wants to go.
+    /// The destination.
     pub target: RequestTarget,
-    /// How long the caller waits for the first token; the settings' deadline where it is silent.
+    /// How long the caller waits for the first token; `None` for the deadline of the settings.
     pub max_wait: Option<Duration>,
-    /// Whether it may be sent twice; the settings' rule where the caller is silent.
+    /// Whether the request may be retried; `None` for the default of the settings.
     pub repeatable: Option<bool>,
-    /// The caller's idempotency key.
+    /// The idempotency key, if any.
     pub key: Option<IdempotencyKey>,
-    /// The most tokens the caller wants.
+    /// Maximum number of tokens in the answer, if the caller limits it.
     pub max_tokens: Option<u32>,
 }
 
-/// A caller's idempotency key.
+/// An idempotency key from a caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct IdempotencyKey {
     /// The key as sent.
     pub text: String,
-    /// When the caller made the key, in milliseconds since the Unix epoch, where it says so.
+    /// Time at which the caller created the key, in milliseconds since the Unix epoch, if given.
     pub created_millis: Option<u64>,
 }
 
 impl IdempotencyKey {
-    /// Returns the key's hash within its service and organisation: two rivals may use one text.
+    /// Returns the hash of the key with its service and organisation, which makes equal keys of
+    /// different organisations distinct.
     pub fn hash(&self, service: ServiceId, organisation: OrganisationId) -> KeyHash {
         let mut hasher = Xxh3Default::new();
         hasher.update(&service.to_le_bytes());
@@ -180,34 +185,34 @@
     }
 }
 
-/// Where a request wants to go.
+/// The destination of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RequestTarget {
-    /// To an adapter, named as in the caller's `model`.
+    /// An adapter, named by the `model` of the request.
     Model(String),
-    /// To the plain service below whose prefix the path lies.
+    /// The plain service whose path prefix matches this path.
     Path(String),
 }
 
-/// What an engine's owner needs to know of a request.
+/// The properties of a request that an engine's owner needs.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PermitRequest {
     /// The request.
     pub request: RequestId,
     /// The service.
     pub service: ServiceId,
-    /// The organisation that is served.
+    /// The organisation.
     pub organisation: OrganisationId,
     /// The adapter version it must run on.
     pub adapter: AdapterKey,
-    /// What its answer is worth.
+    /// Relative value of the answered request.
     pub worth: f64,
-    /// The organisation's weight.
+    /// The organisation's weight in fair queueing.
     pub share: f64,
-    /// How many of the organisation may wait.
+    /// Maximum number of the organisation's requests that may queue.
     pub queue_limit: u32,
-    /// How much a second of waiting for a load weighs.
+    /// Weight of each second that the request waits for a load.
     pub stall_weight: f64,
-    /// When the caller stops waiting, on the clock of whoever holds the value.
+    /// Time at which the caller stops waiting, on the local clock of the host that holds this value.
     pub deadline: ClockMillis,
 }
--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -1,42 +1,42 @@
-//! Where a request goes: the choice among engines, as pure functions.
+//! Routing decisions: selects the engine for a request, as pure functions.
 
 use crate::{
     id::{AdapterKey, EngineId, HallId},
     owner::{OwnedRole, rendezvous, role_key},
 };
 
-/// What reaching another hall costs, in hundredths of an engine's fill.
+/// Penalty for an engine in another hall, in percentage points of fill.
 const OTHER_HALL_PENALTY: u32 = 15;
 
-/// An engine this full, in hundredths with its queue, has another one load the adapter too.
+/// Fill in percent, queue included, from which the adapter is replicated to another engine.
 const REPLICATION_MIN_FILL: u32 = 150;
 
-/// An engine less full than this takes a replica.
+/// Fill in percent below which an engine may load a replica.
 const REPLICA_FILL_LIMIT: u32 = 80;
 
-/// An engine that a request could go to.
+/// An engine that is a candidate for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RouteCandidate {
     /// The engine.
     pub engine: EngineId,
-    /// Its hall.
+    /// The engine's hall.
     pub hall: HallId,
-    /// How full it is thought to be, in hundredths, its queue included.
+    /// Estimated fill in percent, queue included.
     pub fill: u32,
 }
 
-/// Where a request goes.
+/// The selected destination of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteChoice {
-    /// To an engine that holds the adapter.
+    /// An engine that holds the adapter.
     Holder(EngineId),
-    /// To the adapter's home, to be loaded there.
+    /// The adapter's home engine, which loads it.
     Home(EngineId),
-    /// To a further engine, which loads it too since the holders have no room.
+    /// Another engine, which loads a replica because the holders are full.
     Replica(EngineId),
 }
 
-/// Picks the holder that is least full, its own hall's before others.
+/// Returns the holder with the lowest fill, with a penalty for other halls.
 pub fn best_holder(
     holders: impl IntoIterator<Item = RouteCandidate>,
     own_hall: HallId,
@@ -48,8 +48,8 @@
     holders.into_iter().min_by_key(cost)
 }
 
-/// Picks the engine that loads an adapter which no engine holds, alike on every host that knows
-/// the same engines, so that one load serves all who wait.
+/// Returns the engine that loads an adapter that no engine holds. Hosts that know the same engines
+/// return the same engine, so that one load serves all waiting requests.
 pub fn adapter_home(
     adapter: AdapterKey,
     engines: impl IntoIterator<Item = EngineId>,
@@ -58,7 +58,7 @@
     rendezvous(role_key(OwnedRole::AdapterHome, id), engines)
 }
 
-/// Chooses between the holders, the home, and a replica.
+/// Selects a holder, the adapter's home or an engine for a replica.
 pub fn choose_route(
     adapter: AdapterKey,
     holders: &[RouteCandidate],
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -1,9 +1,9 @@
-//! The tree of settings that operators publish.
+//! The hierarchical settings that operators publish.
 //!
-//! The tree has four levels: the site, its services, their organisations and their adapters. A node
-//! inherits every value from its parent and overrides only what differs. Operators change it by
-//! publications in the platform's log; [`fold`] turns a prefix of that log into the one tree that
-//! every host agrees on.
+//! The tree has four levels: site, service, organisation and adapter. A node inherits the values it
+//! does not override from its parent. Operators change the tree by publishing records to the
+//! platform's log. [`fold`] replays that log, so that hosts which have read the same prefix hold
+//! the same tree.
 
 pub mod change;
 pub mod effective;
--- a/crates/core/src/settings/change.rs
+++ b/crates/core/src/settings/change.rs
@@ -1,4 +1,4 @@
-//! Publications: the edits an operator asks for and the rule that accepts or refuses them.
+//! Publications: records of edits, and the validation that accepts or refuses them.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,20 +7,20 @@
     settings::{SettingKey, SettingLevel, SettingValue, SettingsNode, SettingsPath, SettingsTree},
 };
 
-/// The format of [`ChangeRecord`] that this program writes and understands.
+/// The newest [`ChangeRecord`] format that this program supports, and the one it writes.
 pub const RECORD_FORMAT: u32 = 1;
 
-/// What an edit does at its path.
+/// The operation that an edit performs at its path.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum EditAction {
-    /// Makes sure that the node exists.
+    /// Creates the node if it does not exist.
     Create,
-    /// Sets a value; the node is created where it is missing.
+    /// Sets a value, and creates the node if it does not exist.
     Set(SettingKey, SettingValue),
-    /// Takes a value away, so that the parent's holds.
+    /// Removes a value, so that the node inherits it from its parent.
     Unset(SettingKey),
-    /// Removes the node with all below it.
+    /// Removes the node and all its descendants.
     Remove,
 }
 
@@ -28,77 +28,78 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SettingsEdit {
-    /// Where.
+    /// Path of the node to edit.
     pub path: SettingsPath,
-    /// What.
+    /// The operation to perform.
     pub action: EditAction,
 }
 
-/// One publication as it stands in the platform's log.
+/// One publication, as stored in the platform's log.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ChangeRecord {
-    /// The format's number; a host that meets a higher one stops folding rather than guess.
+    /// Format version. A host stops folding at a record with a higher version than it supports.
     pub format: u32,
-    /// Names the publication, so that its publisher finds it after a lost answer.
+    /// Identifies the publication, so that the publisher can find it when the append response was lost.
     pub change_id: String,
-    /// The revision the operator saw.
+    /// The revision that the edits are based on.
     pub base_revision: Revision,
-    /// Who published it.
+    /// The operator who published it.
     pub author: String,
-    /// Why, in the operator's words.
+    /// The operator's description of the change.
     #[serde(default)]
     pub message: String,
-    /// The edits, all or none of which take effect.
+    /// The edits, applied atomically.
     pub edits: Vec<SettingsEdit>,
 }
 
-/// Why a publication was refused. A pure function of the log's prefix, so alike on every host.
+/// The reason why a publication was refused. Depends only on the log's prefix, so that it is the
+/// same on every host.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "kind")]
 pub enum ChangeRefusal {
-    /// Another publication changed the same place since the base revision.
+    /// Another publication changed the same node after the base revision.
     #[error(
-        "`{path}` was changed at revision {revision}, after the base revision {base}; look at the change with `reelreel settings history`, then publish again"
+        "`{path}` was changed at revision {revision}, after the base revision {base}; review that change with `reelreel settings history`, then publish again"
     )]
     Conflict {
-        /// The place.
+        /// Path of the edit.
         path: String,
-        /// When it was changed.
+        /// Revision of the conflicting change.
         revision: Revision,
-        /// What the publisher had seen.
+        /// Base revision of the refused publication.
         base: Revision,
     },
-    /// The base revision is higher than the log's own.
+    /// The base revision is higher than the revision of the log.
     #[error(
-        "base revision {base} is not reached yet (the log is at {revision}); check that you publish to the right site"
+        "base revision {base} is ahead of the log, which is at revision {revision}; check that you are publishing to the right site"
     )]
     BaseAhead {
-        /// What the publisher named.
+        /// Base revision of the refused publication.
         base: Revision,
-        /// The log's revision.
+        /// Revision of the log.
         revision: Revision,
     },
-    /// An edit does not fit the tree.
+    /// An edit is invalid for its node.
     #[error("`{path}`: {reason}")]
     Invalid {
-        /// The place.
+        /// Path of the edit.
         path: String,
-        /// What is wrong, with the remedy.
+        /// The error and how to fix it.
         reason: String,
     },
-    /// The record can not be read.
-    #[error("the record is damaged ({reason}); publish the change again")]
+    /// The record cannot be parsed.
+    #[error("the record cannot be parsed ({reason}); publish the change again")]
     Damaged {
-        /// What the parser said.
+        /// The parser's error message.
         reason: String,
     },
 }
 
 impl SettingsTree {
-    /// Checks one publication against this tree, which is at `revision`.
+    /// Validates a publication against this tree, which is at `revision`.
     ///
     /// # Errors
-    /// Returns the first refusal found.
+    /// Returns the reason for the first edit that must be refused.
     pub fn check_change(
         &self,
         record: &ChangeRecord,
@@ -120,7 +121,7 @@
         let path_nodes = self.nodes_along(&edit.path);
         let deepest = path_nodes[path_nodes.len() - 1];
         let exists = path_nodes.len() == edit.path.segments().len() + 1;
-        // A missing node may have been removed by somebody the publisher had not seen.
+        // A missing node may have been removed by a publication after the base revision.
         let changed = match (exists, &edit.action) {
             (false, _) => deepest.removed_at,
             (true, EditAction::Remove) => deepest.last_modified(),
@@ -129,7 +130,7 @@
         if changed > base { Err(conflict(changed)) } else { Ok(()) }
     }
 
-    /// Carries out the edits of an accepted publication.
+    /// Applies the edits of an accepted publication.
     pub fn apply_change(&mut self, record: &ChangeRecord, revision: Revision) {
         for edit in &record.edits {
             if edit.action == EditAction::Remove {
@@ -160,7 +161,7 @@
     let level = edit.path.level();
     match &edit.action {
         EditAction::Set(key, _) if !key.levels().contains(&level) => invalid(format!(
-            "`{}` can not be set for {} {}; set it at {}",
+            "`{}` cannot be set for {} {}; set it at {}",
             key.name(),
             if level == SettingLevel::Site { "the" } else { "one" },
             level.name(),
@@ -171,7 +172,7 @@
             _ => invalid(format!("`{}` is {value}; it must be {}", key.name(), key.constraint())),
         },
         EditAction::Remove if edit.path.segments().is_empty() => {
-            invalid(String::from("the site can not be removed; remove its services instead"))
+            invalid(String::from("the site cannot be removed; remove its services instead"))
         }
         _ => Ok(()),
     }
--- a/crates/core/src/settings/effective.rs
+++ b/crates/core/src/settings/effective.rs
@@ -1,43 +1,43 @@
-//! The values in force at a place in the tree, and where each comes from.
+//! Effective values at a node, after inheritance, and where they were set.
 
 use std::time::Duration;
 
 use crate::settings::{SettingKey, SettingValue, SettingsPath, SettingsTree};
 
-/// Where an effective value was set.
+/// The source of an effective value.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SettingOrigin {
-    /// At that node of the tree.
+    /// Set at the node with this path.
     Node(SettingsPath),
-    /// Nowhere: the built-in default holds.
+    /// The built-in default.
     Default,
 }
 
-/// The values in force at one place, as the decisions use them.
+/// The effective values at one node, converted to the types that the core uses.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EffectiveSettings {
-    /// What one answered request is worth.
+    /// Relative value of an answered request.
     pub worth: f64,
-    /// The organisation's weight in fair queues.
+    /// The organisation's weight in fair queueing.
     pub share: f64,
-    /// How long a request may wait for its first token.
+    /// Maximum time to the first token.
     pub deadline: Duration,
-    /// How many requests of the organisation may wait at one engine.
+    /// Maximum number of the organisation's requests that may queue at one engine.
     pub queue_limit: u32,
-    /// The most tokens of one answer.
+    /// Maximum number of tokens in a response.
     pub max_tokens: u32,
-    /// The priority handed to the engine.
+    /// The priority passed to the engine.
     pub priority: i32,
-    /// How much a second of waiting for a load weighs.
+    /// Weight of each second that a request waits for a load.
     pub stall_weight: f64,
-    /// Whether a broken request may be sent again by default.
+    /// Whether an interrupted request may be retried when the caller does not say.
     pub repeatable: bool,
-    /// Retries per first try.
+    /// Maximum ratio of retries to first attempts.
     pub retry_share: f64,
 }
 
 impl SettingsTree {
-    /// Returns the value of `key` in force at `path`, and where it was set.
+    /// Returns the effective value of `key` at `path`, and where it was set.
     pub fn effective_value(
         &self,
         path: &SettingsPath,
@@ -56,7 +56,7 @@
         key.default_value().map(|value| (value, SettingOrigin::Default))
     }
 
-    /// Returns the values in force at `path`.
+    /// Returns the effective values at `path`.
     pub fn effective(&self, path: &SettingsPath) -> EffectiveSettings {
         let float = |key| self.float(path, key);
         let integer = |key| self.integer(path, key);
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Returns a fraction in force at `path`, or zero where there is none.
+    /// Returns the effective number at `path` as a float, or zero if there is none.
     pub fn float(&self, path: &SettingsPath, key: SettingKey) -> f64 {
         match self.effective_value(path, key) {
             Some((SettingValue::Float(float), _)) => float,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Returns a number in force at `path`, or zero where there is none.
+    /// Returns the effective integer at `path`, or zero if there is none.
     pub fn integer(&self, path: &SettingsPath, key: SettingKey) -> i64 {
         match self.effective_value(path, key) {
             Some((SettingValue::Integer(integer), _)) => integer,
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Returns a text in force at `path`.
+    /// Returns the effective text at `path`.
     pub fn text(&self, path: &SettingsPath, key: SettingKey) -> Option<String> {
         match self.effective_value(path, key) {
             Some((SettingValue::Text(text), _)) => Some(text.into()),
--- a/crates/core/src/settings/fold.rs
+++ b/crates/core/src/settings/fold.rs
@@ -1,7 +1,7 @@
-//! The fold that turns a prefix of the platform's log into the tree in force.
+//! Replays the platform's log into the effective settings tree.
 //!
-//! Whether a publication is accepted depends on nothing but the records before it, so hosts that
-//! have read the same prefix hold the same tree, without asking one another.
+//! Whether a publication is accepted depends only on the records before it, so that hosts which
+//! have read the same prefix hold the same tree without further coordination.
 
 use std::collections::VecDeque;
 
@@ -15,71 +15,73 @@
     },
 };
 
-/// Bytes of records kept to pass on to peers that lag; what is older is passed on as a snapshot.
+/// Maximum payload bytes of the records retained for lagging peers. Peers that need older records
+/// get a snapshot.
 const MAX_RETAINED_BYTES: usize = 256 << 10;
 
-/// How many verdicts are kept for publishers who look for theirs.
+/// Maximum number of verdicts retained for publishers to query.
 const MAX_RETAINED_VERDICTS: usize = 512;
 
-/// What became of one publication.
+/// The result of validating one publication.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ChangeVerdict {
-    /// Its place in the log.
+    /// Offset of the publication in the log.
     pub offset: LogOffset,
-    /// The publication's id; empty when the record could not be read.
+    /// The publication's id; empty if the record could not be parsed.
     pub change_id: String,
-    /// Who published it.
+    /// The operator who published it.
     pub author: String,
-    /// Why, in the operator's words.
+    /// The operator's description of the change.
     pub message: String,
-    /// The revision it made, or why it was refused.
+    /// The resulting revision, or the reason for the refusal.
     pub result: Result<Revision, ChangeRefusal>,
 }
 
-/// Why a host stopped folding.
+/// The reason why a host stopped folding.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum FoldHalt {
-    /// A record was written by a newer program.
+    /// A record was written in a newer format.
     #[error(
-        "record {offset} has format {format}, this program knows {RECORD_FORMAT}; update this host, until then it serves with revision {revision}"
+        "record {offset} has format {format}, but this program supports only formats up to {RECORD_FORMAT}; update this host, which keeps serving revision {revision} until then"
     )]
     NewerFormat {
-        /// The record's place.
+        /// Offset of the record.
         offset: LogOffset,
-        /// Its format.
+        /// Format of the record.
         format: u32,
-        /// The revision this host stays at.
+        /// The revision at which folding stopped.
         revision: Revision,
     },
 }
 
-/// One record of the log, as read.
+/// One record read from the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LogRecord {
-    /// Its place in the stream.
+    /// Offset within the stream.
     pub offset: LogOffset,
-    /// When the platform wrote it, in milliseconds since the Unix epoch.
+    /// Time at which the platform wrote the record, in milliseconds since the Unix epoch.
     pub written_millis: u64,
-    /// What was appended.
+    /// The payload that was appended.
     pub payload: Vec<u8>,
 }
 
-/// A tree that is in force although the log that it came from is gone.
+/// The effective tree of an earlier era, carried over after the log was restored from an older copy.
 #[derive(Debug, Clone)]
 struct CarriedTree {
     tree: SettingsTree,
     revision: Revision,
 }
 
-/// The state after a prefix of the settings stream.
+/// The settings state after replaying a prefix of the settings stream.
 ///
-/// A log that comes back from an older copy has lost its last records, and its offsets are given out again. All hosts then fold it from
-/// the start, so that they agree again. What they had in force goes on until the log has come as far: an accepted change
-/// does not go back while its operator writes it again.
+/// A log that is restored from an older copy has lost its last records and assigns their offsets
+/// again. All hosts then replay it from the start, so that they converge. The earlier tree stays in
+/// force until the restored log reaches its revision, so that an accepted change is not rolled back
+/// while its operator publishes it again.
 #[derive(Debug, Clone, Default)]
 pub struct SettingsFold {
     era: StoreEra,
-    /// What was in force in an earlier era of the log, until this one has come as far.
+    /// The tree of an earlier era, in force until this era reaches its revision.
     carried: Option<CarriedTree>,
     tree: SettingsTree,
     revision: Revision,
@@ -91,22 +93,23 @@
 }
 
 impl SettingsFold {
-    /// Returns the tree in force.
+    /// Returns the effective tree.
     pub fn tree(&self) -> &SettingsTree {
         self.carried.as_ref().map_or(&self.tree, |carried| &carried.tree)
     }
 
-    /// Returns the revision in force; zero before the first accepted publication.
+    /// Returns the effective revision; zero before the first accepted publication.
     pub fn revision(&self) -> Revision {
         self.carried.as_ref().map_or(self.revision, |carried| carried.revision)
     }
 
-    /// Returns the era of the log that is folded.
+    /// Returns the era of the log being folded.
     pub const fn era(&self) -> StoreEra {
         self.era
     }
 
-    /// Takes that the log is in an era; returns whether that is a later one, from whose start everything is to be folded again.
+    /// Switches to `era` if it is later than the current one. Returns whether it was; the log must
+    /// then be replayed from its start.
     pub fn enter_era(&mut self, era: StoreEra) -> bool {
         if era <= self.era {
             return false;
@@ -118,30 +121,30 @@
         true
     }
 
-    /// Ends an earlier era's tree once this one has come as far.
+    /// Drops the tree of the earlier era once this era has reached its revision.
     fn drop_carried_tree_if_reached(&mut self) {
         self.carried.take_if(|carried| carried.revision <= self.revision);
     }
 
-    /// Returns the offset of the first record not yet folded.
+    /// Returns the offset of the next record to fold.
     pub const fn next_offset(&self) -> LogOffset {
         self.next_offset
     }
 
-    /// Returns why folding stopped, if it did.
+    /// Returns the reason why folding stopped, if it did.
     pub const fn halt(&self) -> Option<&FoldHalt> {
         self.halt.as_ref()
     }
 
-    /// Returns the last verdicts, oldest first.
+    /// Iterates over the retained verdicts, oldest first.
     pub fn verdicts(&self) -> impl DoubleEndedIterator<Item = &ChangeVerdict> {
         self.verdicts.iter()
     }
 
-    /// Folds one record; records before [`Self::next_offset`] are known and passed over.
+    /// Folds one record if its offset is [`Self::next_offset`], and returns whether it did.
     ///
-    /// Returns whether the record was the next one. A gap changes nothing, so that a host that
-    /// fell behind the log's retention notices and asks for a snapshot.
+    /// Earlier records are skipped. A record after a gap is skipped too, so that a host that has
+    /// fallen behind the log's retention asks for a snapshot.
     pub fn fold(&mut self, record: LogRecord) -> bool {
         if record.offset != self.next_offset || self.halt.is_some() {
             return false;
@@ -172,7 +175,9 @@
                 let (change_id, author, message) = Default::default();
                 return ChangeVerdict { offset, change_id, author, message, result };
             }
-            Err(RecordError::NewerFormat(_)) => unreachable!("handled before judging"),
+            Err(RecordError::NewerFormat(_)) => {
+                unreachable!("newer formats are handled by the caller")
+            }
         };
         let result = self.tree.check_change(&record, self.revision).map(|()| {
             self.revision += 1;
@@ -192,7 +197,7 @@
         }
     }
 
-    /// Returns the kept records from `offset` on, or `None` when they are kept no longer.
+    /// Returns the retained records from `offset` on, or `None` if some are no longer retained.
     pub fn records_from(&self, offset: LogOffset) -> Option<Vec<LogRecord>> {
         if offset >= self.next_offset {
             return Some(Vec::new());
@@ -204,18 +209,18 @@
         Some(self.records.iter().filter(|record| record.offset >= offset).cloned().collect())
     }
 
-    /// Writes down the state after the records folded so far.
+    /// Takes a snapshot of the state after the records folded so far.
     pub fn snapshot(&self) -> SettingsSnapshot {
         SettingsSnapshot::new(&self.tree, self.revision, self.next_offset)
     }
 
-    /// Takes over a snapshot that is further than this fold; says whether it was.
+    /// Installs a snapshot that is ahead of this fold, and returns whether it did.
     ///
     /// # Errors
-    /// Returns why the snapshot can not be trusted.
+    /// Returns an error if the snapshot is invalid.
     pub fn install_snapshot(&mut self, snapshot: SettingsSnapshot) -> Result<bool, SnapshotError> {
         let newer = snapshot.next_offset > self.next_offset;
-        // A fold that is halted only knows a prefix; a snapshot from beyond may hold newer forms.
+        // A halted fold must not skip the record it halted at: the snapshot may hold newer formats.
         if !newer || self.halt.is_some() || snapshot.revision < self.revision {
             return Ok(false);
         }
--- a/crates/core/src/settings/key.rs
+++ b/crates/core/src/settings/key.rs
@@ -1,4 +1,4 @@
-//! The keys an operator may set: their types, limits, defaults and meaning.
+//! The setting keys: types, limits, defaults and descriptions.
 
 use std::fmt;
 
@@ -18,7 +18,7 @@
 }
 
 impl SettingLevel {
-    /// Returns the level's name as in messages.
+    /// Returns the name of the level for use in messages.
     pub const fn name(self) -> &'static str {
         match self {
             Self::Site => "site",
@@ -29,19 +29,19 @@
     }
 }
 
-/// A value of the tree.
+/// The value of a setting.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum SettingValue {
-    /// A switch.
+    /// A boolean.
     Bool(bool),
-    /// A whole number.
+    /// An integer.
     Integer(i64),
-    /// A fraction.
+    /// A floating-point number.
     Float(f64),
-    /// A text.
+    /// A string.
     Text(Box<str>),
-    /// A list of whole numbers.
+    /// A list of integers.
     Integers(Box<[i64]>),
 }
 
@@ -57,20 +57,20 @@
     }
 }
 
-/// What a key's value must be.
+/// The type and limits of a key's value.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum ValueConstraint {
     /// `true` or `false`.
     Bool,
-    /// A whole number within the limits, both included.
+    /// An integer within the given inclusive range.
     Integer(i64, i64),
-    /// A number within the limits, both included.
+    /// A floating-point number within the given inclusive range.
     Float(f64, f64),
-    /// A text of at most that many bytes.
+    /// A string of at most the given number of bytes.
     Text(usize),
-    /// One of these texts.
+    /// One of the given strings.
     Choice(&'static [&'static str]),
-    /// A list of positive whole numbers.
+    /// A list of positive integers.
     Integers,
 }
 
@@ -94,30 +94,30 @@
         pub enum SettingKey { $(#[doc = $doc] #[serde(rename = $name)] $variant),+ }
 
         impl SettingKey {
-            /// All keys, in the order of the reference.
+            /// All keys, in declaration order.
             pub const ALL: &'static [Self] = &[$(Self::$variant),+];
 
-            /// Returns the key as written in TOML.
+            /// Returns the name of the key in TOML files.
             pub const fn name(self) -> &'static str {
                 match self { $(Self::$variant => $name),+ }
             }
 
-            /// Returns what the key's value must be.
+            /// Returns the type and limits of the key's value.
             pub const fn constraint(self) -> ValueConstraint {
                 match self { $(Self::$variant => $kind),+ }
             }
 
-            /// Lists the levels at which the key may be set.
+            /// Returns the levels at which the key may be set.
             pub const fn levels(self) -> &'static [SettingLevel] {
                 match self { $(Self::$variant => &[$(SettingLevel::$level),+]),+ }
             }
 
-            /// Returns the default as written in TOML; empty when there is none.
+            /// Returns the default value in TOML syntax; empty if there is none.
             pub const fn default_text(self) -> &'static str {
                 match self { $(Self::$variant => $default),+ }
             }
 
-            /// Returns one sentence on the key's meaning, with its unit.
+            /// Returns a one-sentence description of the key, with its unit.
             pub const fn description(self) -> &'static str {
                 match self { $(Self::$variant => $doc),+ }
             }
@@ -147,7 +147,7 @@
 }
 
 impl SettingKey {
-    /// Finds the key of that name.
+    /// Finds a key by its name.
     pub fn find(name: &str) -> Option<Self> {
         Self::ALL.iter().copied().find(|key| key.name() == name)
     }
@@ -155,7 +155,7 @@
     /// Returns the default value, if the key has one.
     ///
     /// # Panics
-    /// Never: a test parses every default.
+    /// Never panics: a test parses every default.
     pub fn default_value(self) -> Option<SettingValue> {
         let text = self.default_text();
         if text.is_empty() {
@@ -164,10 +164,10 @@
         serde_json::from_str(text).ok()
     }
 
-    /// Checks a value against the key's kind and brings numbers into the kind's form.
+    /// Validates a value against the key's constraint. Converts integers where a float is expected.
     ///
     /// # Errors
-    /// Returns the kind when the value does not fit it.
+    /// Returns the constraint if the value violates it.
     pub fn validate(self, value: SettingValue) -> Result<SettingValue, ValueConstraint> {
         let constraint = self.constraint();
         let valid = match (&constraint, &value) {
--- a/crates/core/src/settings/snapshot.rs
+++ b/crates/core/src/settings/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots: a fold written down, so that a fresh host need not read a log that has expired.
+//! Snapshots of the settings state, from which a new host starts when older log records have expired.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,69 +7,71 @@
     settings::SettingsTree,
 };
 
-/// The format of [`SettingsSnapshot`] that this program writes and understands.
+/// The newest [`SettingsSnapshot`] format that this program supports, and the one it writes.
 pub const SNAPSHOT_FORMAT: u32 = 1;
 
-/// Why a snapshot was refused.
+/// The reason why a snapshot was refused.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SnapshotError {
-    /// It was written by a newer program.
-    #[error("snapshot has format {0}, this program knows {SNAPSHOT_FORMAT}; update this host")]
+    /// The snapshot was written in a newer format.
+    #[error(
+        "snapshot has format {0}, but this program supports only formats up to {SNAPSHOT_FORMAT}; update this host"
+    )]
     NewerFormat(u32),
-    /// Its digest is not the digest of what it holds.
-    #[error("snapshot of revision {0} does not match its digest; take one from another host")]
+    /// The digest does not match the contents.
+    #[error("snapshot of revision {0} does not match its digest; use a snapshot from another host")]
     DigestMismatch(Revision),
-    /// It can not be read.
-    #[error("snapshot can not be read ({0}); take one from another host")]
+    /// The snapshot cannot be parsed.
+    #[error("snapshot cannot be parsed ({0}); use a snapshot from another host")]
     Damaged(String),
 }
 
-/// The state after a prefix of the settings stream, with a digest over all of it.
+/// The state after a prefix of the settings stream, with a digest of its contents.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct SettingsSnapshot {
-    /// The format's number.
+    /// Format version.
     pub format: u32,
-    /// The revision.
+    /// Revision of the tree.
     pub revision: Revision,
-    /// The offset of the first record that is not in it.
+    /// Offset of the first record that is not included.
     pub next_offset: LogOffset,
-    /// Hex digest (BLAKE3) over revision, offset and the tree's JSON.
+    /// BLAKE3 digest of revision, offset and tree JSON, in hexadecimal.
     pub digest: String,
     /// The tree as JSON.
     pub tree: String,
 }
 
 impl SettingsSnapshot {
-    /// Writes down a tree.
+    /// Creates a snapshot of a tree.
     ///
     /// # Panics
-    /// Never: a tree holds nothing that JSON can not.
+    /// Never panics: every tree can be serialized as JSON.
     pub fn new(tree: &SettingsTree, revision: Revision, next_offset: LogOffset) -> Self {
-        let tree = serde_json::to_string(tree).expect("a settings tree can be written as JSON");
+        let tree = serde_json::to_string(tree).expect("a settings tree serializes as JSON");
         let digest = digest(&tree, revision, next_offset);
         Self { format: SNAPSHOT_FORMAT, revision, next_offset, digest, tree }
     }
 
-    /// Reads a snapshot as it stands in the log or comes from a peer.
+    /// Parses a snapshot from the log or from a peer.
     ///
     /// # Errors
-    /// Returns [`SnapshotError::Damaged`] when it is not one.
+    /// Returns [`SnapshotError::Damaged`] if the payload cannot be parsed.
     pub fn from_json(payload: &[u8]) -> Result<Self, SnapshotError> {
         serde_json::from_slice(payload).map_err(|error| SnapshotError::Damaged(error.to_string()))
     }
 
-    /// Returns the snapshot as JSON.
+    /// Serializes the snapshot as JSON.
     ///
     /// # Panics
-    /// Never: a snapshot holds nothing that JSON can not.
+    /// Never panics: every snapshot can be serialized as JSON.
     pub fn to_json(&self) -> Vec<u8> {
-        serde_json::to_vec(self).expect("a snapshot can be written as JSON")
+        serde_json::to_vec(self).expect("a snapshot serializes as JSON")
     }
 
-    /// Returns the tree after checking the digest.
+    /// Verifies the format and the digest, and returns the tree.
     ///
     /// # Errors
-    /// Returns why the snapshot can not be trusted.
+    /// Returns an error if the snapshot is invalid.
     pub fn into_tree(self) -> Result<SettingsTree, SnapshotError> {
         if self.format > SNAPSHOT_FORMAT {
             return Err(SnapshotError::NewerFormat(self.format));
--- a/crates/core/src/settings/source.rs
+++ b/crates/core/src/settings/source.rs
@@ -1,4 +1,4 @@
-//! Reads a settings tree from an operator's TOML file and names every mistake at once.
+//! Parses a settings tree from TOML and reports all errors at once.
 
 use std::fmt::{self, Write};
 
@@ -12,17 +12,17 @@
     tree::is_valid_name,
 };
 
-/// How alike two words must be (Jaro-Winkler) for one to be offered in place of the other.
+/// Minimum Jaro-Winkler similarity at which a known word is suggested for an unknown one.
 const MIN_SIMILARITY: f64 = 0.75;
 
-/// One mistake in a file, with its place.
+/// An error in a settings file, with its position.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SourceError {
-    /// Line, from 1.
+    /// Line number, from 1.
     pub line: usize,
-    /// Column in characters, from 1.
+    /// Column number in characters, from 1.
     pub column: usize,
-    /// What is wrong, with the remedy.
+    /// The error and how to fix it.
     pub message: String,
 }
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// Returns line and column, both from 1, of a byte offset.
+/// Returns the line and column, both from 1, of a byte offset.
 pub fn line_and_column(text: &str, offset: usize) -> (usize, usize) {
     let before = &text[..text.floor_char_boundary(offset.min(text.len()))];
     let line = before.matches('\n').count() + 1;
@@ -40,7 +40,7 @@
     (line, column)
 }
 
-/// Returns the word most like `word`, if any is alike enough to offer.
+/// Returns the known word most similar to `word`, if any is similar enough to suggest.
 pub fn closest_match<'a>(word: &str, known: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
     known
         .into_iter()
@@ -50,18 +50,18 @@
         .map(|(_, candidate)| candidate)
 }
 
-/// Reads a tree.
+/// Parses a settings tree from TOML.
 ///
 /// # Errors
-/// Returns every mistake in the file, in the order of their places.
+/// Returns all errors in the file, sorted by position.
 ///
 /// # Example
 /// ```
 /// use reelreel_core::settings::read_tree;
 ///
-/// let mistakes = read_tree("[service.parts]\nwroth = 2.0\n").unwrap_err();
+/// let errors = read_tree("[service.parts]\nwroth = 2.0\n").unwrap_err();
 /// assert_eq!(
-///     mistakes[0].to_string(),
+///     errors[0].to_string(),
 ///     "2:1: unknown key `wroth` for a service; did you mean `worth`?",
 /// );
 /// ```
@@ -89,7 +89,7 @@
     tree: SettingsTree,
 }
 
-/// Returns the name of the table that holds the children of a node at `level`.
+/// Returns the name of the TOML table that holds the children of a node at `level`.
 const fn child_table(level: SettingLevel) -> Option<&'static str> {
     match level {
         SettingLevel::Site => Some("service"),
@@ -136,7 +136,7 @@
             let offset = name.span().start;
             if !is_valid_name(name.get_ref()) {
                 let message = format!(
-                    "`{}` is not a name; use 1 to 64 letters, digits, dots, dashes or underscores",
+                    "`{}` is not a valid name; use 1 to 64 letters, digits, dots, dashes or underscores",
                     name.get_ref()
                 );
                 self.push_error(offset, message);
@@ -161,7 +161,7 @@
         if !key.levels().contains(&level) {
             let allowed = key.levels().iter().map(|level| level.name()).collect::<Vec<_>>();
             let message = format!(
-                "`{}` can not be set at the level {}; set it at: {}",
+                "`{}` cannot be set at {} level; set it at: {}",
                 key.name(),
                 level.name(),
                 allowed.join(", ")
@@ -209,7 +209,7 @@
     let start = format!("unknown key `{name}` for {article} {}", level.name());
     match closest_match(name, known) {
         Some(known) => format!("{start}; did you mean `{known}`?"),
-        None => format!("{start}; `reelreel settings keys` lists those that exist"),
+        None => format!("{start}; run `reelreel settings keys` for a list of the keys"),
     }
 }
 
@@ -235,7 +235,7 @@
 }
 
 impl SettingsTree {
-    /// Writes the tree as an operator's TOML file.
+    /// Formats the tree as a TOML settings file.
     pub fn to_toml(&self) -> String {
         let mut text = String::new();
         write_node(&self.root, "", SettingLevel::Site, &mut text);
--- a/crates/core/src/settings/tree.rs
+++ b/crates/core/src/settings/tree.rs
@@ -1,4 +1,4 @@
-//! The settings tree itself and how a caller's `model` finds its adapter in it.
+//! The settings tree, and the resolution of a request's `model` to an adapter.
 
 use std::{collections::BTreeMap, fmt};
 
@@ -9,10 +9,10 @@
     settings::{SettingKey, SettingLevel, SettingValue},
 };
 
-/// The longest path: service, organisation, adapter.
+/// Maximum number of path segments: service, organisation, adapter.
 const MAX_PATH_DEPTH: usize = 3;
 
-/// A place in the tree, as `service/organisation/adapter`; empty for the site.
+/// The path of a node, as `service/organisation/adapter`; empty for the site.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct SettingsPath {
@@ -20,15 +20,15 @@
 }
 
 impl SettingsPath {
-    /// Returns the site's path.
+    /// Returns the path of the site.
     pub const fn site() -> Self {
         Self { segments: Vec::new() }
     }
 
-    /// Reads a path; a leading slash and an empty text both mean the site.
+    /// Parses a path. Leading slashes are ignored, and an empty path is the site.
     ///
     /// # Errors
-    /// Returns what is wrong with it, with the remedy.
+    /// Returns a message with the error and how to fix it.
     pub fn parse(text: &str) -> Result<Self, String> {
         let text = text.trim_start_matches('/');
         if text.is_empty() {
@@ -36,17 +36,17 @@
         }
         let segments: Vec<Box<str>> = text.split('/').map(Box::from).collect();
         if segments.len() > MAX_PATH_DEPTH {
-            return Err(format!("`{text}` is too deep; write service/organisation/adapter"));
+            return Err(format!("`{text}` has too many levels; use service/organisation/adapter"));
         }
         if let Some(bad) = segments.iter().find(|segment| !is_valid_name(segment)) {
             return Err(format!(
-                "`{bad}` is not a name; use 1 to 64 letters, digits, dots, dashes or underscores"
+                "`{bad}` is not a valid name; use 1 to 64 letters, digits, dots, dashes or underscores"
             ));
         }
         Ok(Self { segments })
     }
 
-    /// Returns the path one level down.
+    /// Returns the path of the child with the given name.
     #[must_use]
     pub fn child(&self, name: &str) -> Self {
         let mut segments = self.segments.clone();
@@ -54,12 +54,12 @@
         Self { segments }
     }
 
-    /// Returns the names on the way down.
+    /// Returns the names along the path, from the service down.
     pub fn segments(&self) -> &[Box<str>] {
         &self.segments
     }
 
-    /// Returns the level the path points at.
+    /// Returns the level of the node.
     pub fn level(&self) -> SettingLevel {
         match self.segments.len() {
             0 => SettingLevel::Site,
@@ -93,41 +93,42 @@
     }
 }
 
-/// Says whether a text may name a node: 1 to 64 letters, digits, dots, dashes or underscores.
+/// Returns whether a string is a valid node name: 1 to 64 ASCII letters, digits, dots, dashes or
+/// underscores.
 pub fn is_valid_name(text: &str) -> bool {
     let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'.' | b'-' | b'_');
     (1..=64).contains(&text.len()) && text.bytes().all(is_allowed)
 }
 
-/// One node: what it overrides, its children, and when it last changed.
+/// A node: its own values, its children, and the revisions of the last changes.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SettingsNode {
-    /// The small integer that stands for the node: a service, organisation or adapter id.
+    /// Id of the service, organisation or adapter; zero for the site.
     #[serde(default)]
     pub id: u32,
     /// Values set at this node, sorted by key.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub values: Vec<(SettingKey, SettingValue)>,
-    /// Revision of the last change of `values`, or of the creation.
+    /// Revision of the last change of `values`, or of the node's creation.
     #[serde(default)]
     pub changed_at: Revision,
     /// Revision of the last removal of a child.
     #[serde(default)]
     pub removed_at: Revision,
-    /// Nodes below, by name.
+    /// Child nodes, by name.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub children: BTreeMap<Box<str>, SettingsNode>,
 }
 
 impl SettingsNode {
-    /// Returns the value set at this very node.
+    /// Returns the value set at this node, without inheritance.
     pub fn value(&self, key: SettingKey) -> Option<&SettingValue> {
         let index = self.values.binary_search_by_key(&key, |(known, _)| *known).ok()?;
         Some(&self.values[index].1)
     }
 
-    /// Sets or, with `None`, unsets a value at this node.
+    /// Sets a value at this node; `None` removes it.
     pub fn set_value(&mut self, key: SettingKey, value: Option<SettingValue>) {
         let index = self.values.binary_search_by_key(&key, |(known, _)| *known);
         match (index, value) {
@@ -140,63 +141,63 @@
         }
     }
 
-    /// Returns the highest revision at which anything at or below this node changed.
+    /// Returns the revision of the last change of this node or any descendant.
     pub fn last_modified(&self) -> Revision {
         let below = self.children.values().map(Self::last_modified).max().unwrap_or(0);
         below.max(self.changed_at).max(self.removed_at)
     }
 }
 
-/// Why a `model` was not found.
+/// The reason why a `model` cannot be resolved.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ModelError {
-    /// The text is not a model name.
+    /// The string is not a model name.
     #[error(
-        "`{0}` is not a model name; write organisation/adapter or service/organisation/adapter, with @version for a fixed version"
+        "`{0}` is not a valid model name; use organisation/adapter or service/organisation/adapter, followed by @version to select a version"
     )]
     Malformed(String),
-    /// No adapter of that name exists.
-    #[error("no adapter is named `{0}`; GET /v1/models lists those that exist")]
+    /// No adapter with this name exists.
+    #[error("no adapter is named `{0}`; GET /v1/models lists the adapters")]
     UnknownAdapter(String),
-    /// The adapter exists, the version does not.
-    #[error("adapter `{model}` has no version {version}; it has {known}")]
+    /// The adapter exists, but the version does not.
+    #[error("adapter `{model}` has no version {version}; its versions are {known}")]
     UnknownVersion {
-        /// The adapter.
+        /// Name of the adapter.
         model: String,
-        /// The version asked for.
+        /// The requested version.
         version: AdapterVersion,
-        /// Those that exist.
+        /// The versions that exist.
         known: String,
     },
-    /// Two services have such an adapter.
-    #[error("`{0}` stands in several services; write service/organisation/adapter")]
+    /// Several services have an adapter with this name.
+    #[error("`{0}` exists in several services; use service/organisation/adapter")]
     Ambiguous(String),
-    /// The adapter has no version to serve.
-    #[error("adapter `{0}` has no version to serve; publish its `version`")]
+    /// The adapter has no version.
+    #[error("adapter `{0}` has no version; publish its `version`")]
     NoVersion(String),
 }
 
-/// What a `model` resolves to: base model and immutable adapter version.
+/// The adapter version that a `model` resolves to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ResolvedModel {
-    /// The adapter's place in the tree.
+    /// Path of the adapter.
     pub path: SettingsPath,
-    /// The service that answers.
+    /// Service of the adapter.
     pub service: ServiceId,
-    /// The organisation that is served.
+    /// Organisation of the adapter.
     pub organisation: OrganisationId,
-    /// The adapter and its version.
+    /// The adapter and its immutable version.
     pub adapter: AdapterKey,
 }
 
-/// The tree of one revision.
+/// The settings tree at one revision.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct SettingsTree {
-    /// The site's node.
+    /// The node of the site.
     pub root: SettingsNode,
-    /// How many ids have been given out.
+    /// The last assigned id.
     pub last_id: u32,
-    /// The path of each adapter by id; not part of the digest, rebuilt from the tree.
+    /// Paths of the adapters by id. Derived from the tree and not part of the digest.
     #[serde(skip)]
     adapter_paths: Vec<Option<Box<str>>>,
 }
@@ -207,7 +208,7 @@
         path.segments().iter().try_fold(&self.root, |node, name| node.children.get(name))
     }
 
-    /// Returns the nodes from the root down to `path`, as far as they exist.
+    /// Returns the existing nodes on `path`, from the root down.
     pub fn nodes_along(&self, path: &SettingsPath) -> Vec<&SettingsNode> {
         let mut path_nodes = vec![&self.root];
         for name in path.segments() {
@@ -217,23 +218,23 @@
         path_nodes
     }
 
-    /// Counts the adapters.
+    /// Returns the number of adapters.
     pub fn adapter_count(&self) -> usize {
         self.adapter_paths.iter().flatten().count()
     }
 
-    /// Returns the path of an adapter, as text.
+    /// Returns the path of an adapter as a string.
     pub fn adapter_path(&self, adapter: AdapterId) -> Option<&str> {
         self.adapter_paths.get(adapter as usize)?.as_deref()
     }
 
-    /// Returns the name under which engines and the weight store know an adapter version.
+    /// Returns the name of an adapter version for engines and the weight store.
     pub fn adapter_name(&self, key: AdapterKey) -> Option<String> {
         let path = self.adapter_path(key.adapter)?;
         Some(format!("{path}@{}", key.version))
     }
 
-    /// Finds the key of a name that [`Self::adapter_name`] gave out.
+    /// Parses a name that [`Self::adapter_name`] returned.
     pub fn adapter_key(&self, name: &str) -> Option<AdapterKey> {
         let (path, version) = name.rsplit_once('@')?;
         let path = SettingsPath::parse(path).ok()?;
@@ -241,15 +242,15 @@
         Some(AdapterKey { adapter: node.id, version: version.parse().ok()? })
     }
 
-    /// Lists the names of all adapters, as callers write them.
+    /// Iterates over the full names of all adapters.
     pub fn model_names(&self) -> impl Iterator<Item = &str> {
         self.adapter_paths.iter().flatten().map(|path| &**path)
     }
 
-    /// Resolves a caller's `model` to one immutable adapter version.
+    /// Resolves the `model` of a request to one immutable adapter version.
     ///
     /// # Errors
-    /// Returns why there is no such adapter or version, with the remedy.
+    /// Returns an error if no adapter version matches, or if several services have the adapter.
     pub fn resolve(&self, model: &str) -> Result<ResolvedModel, ModelError> {
         let malformed = || ModelError::Malformed(model.to_owned());
         let (name, version) = match model.rsplit_once('@') {
@@ -293,7 +294,7 @@
         Ok(SettingsPath::site().child(service).child(organisation).child(adapter))
     }
 
-    /// Rebuilds what is derived from the nodes, after a whole tree was put in place.
+    /// Rebuilds the adapter paths. Must be called after the nodes were replaced as a whole.
     pub fn reindex(&mut self) {
         let mut paths = vec![None; self.last_id as usize + 1];
         for (service_name, service) in &self.root.children {
@@ -307,10 +308,10 @@
         self.adapter_paths = paths;
     }
 
-    /// Finds or creates the node at `path`; a new node gets the next id.
+    /// Returns the node at `path`. Creates missing nodes along the path with the next ids.
     ///
     /// # Panics
-    /// Never: each node on the way is made before it is entered.
+    /// Never panics: each missing node is created before it is accessed.
     pub fn get_or_create(&mut self, path: &SettingsPath, revision: Revision) -> &mut SettingsNode {
         let mut node = &mut self.root;
         for (depth, name) in path.segments().iter().enumerate() {
@@ -325,12 +326,12 @@
                         Some(path.to_string().into_boxed_str());
                 }
             }
-            node = node.children.get_mut(name).expect("the child was just made sure of");
+            node = node.children.get_mut(name).expect("the child exists or was just inserted");
         }
         node
     }
 
-    /// Removes the node at `path` with all below it; says whether it was there.
+    /// Removes the node at `path` and its descendants. Returns whether the node existed.
     pub fn remove(&mut self, path: &SettingsPath, revision: Revision) -> bool {
         let Some((name, parents)) = path.segments().split_last() else { return false };
         let mut node = &mut self.root;
@@ -379,7 +380,7 @@
     }
 }
 
-/// Lists the versions an adapter's node says exist; its current version always does.
+/// Returns the versions of an adapter, including its current version.
 pub fn known_versions(adapter: &SettingsNode) -> Vec<AdapterVersion> {
     let mut versions: Vec<AdapterVersion> = match adapter.value(SettingKey::Versions) {
         Some(SettingValue::Integers(numbers)) => {
--- a/crates/core/tests/herd.rs
+++ b/crates/core/tests/herd.rs
@@ -1,5 +1,5 @@
-//! Many hosts: a start of all, a hall restarted at once, a hall lost and regained. Ownership
-//! settles, and neither engines nor log are run down.
+//! Tests of many hosts: simultaneous start, restart of a hall, and a network partition of a hall.
+//! Ownership must converge without excess orders to the engines or appends to the log.
 
 use reelreel_core::{
     chart::EngineState,
@@ -26,7 +26,7 @@
         })
         .collect();
     let mut site = FakeSite::new(shape, FaultPlan::default());
-    let tree = read_tree("[service.assist]\n").expect("no mistakes");
+    let tree = read_tree("[service.assist]\n").expect("the tree is valid");
     site.act_at(
         1,
         SiteAction::Publish(ChangeRecord {
@@ -67,9 +67,9 @@
     }
     site.run_until(STABLE_AT + 15_000);
     let reachable = ENGINES as usize * 2 / 3;
-    assert_eq!(owned_count(&site), reachable, "the other halls keep theirs");
+    assert_eq!(owned_count(&site), reachable, "the other halls keep their engines");
     site.run_until(STABLE_AT + 35_000);
-    assert_eq!(owned_count(&site), ENGINES as usize, "all are owned again");
+    assert_eq!(owned_count(&site), ENGINES as usize, "all engines are owned again");
     let orders = site.evidence.orders - orders;
     assert!(orders <= u64::from(ENGINES), "{orders} orders for a third of {ENGINES} engines");
 }
@@ -83,13 +83,13 @@
     assert_eq!(owned_count(&site), ENGINES as usize, "each hall owns its own engines throughout");
     for (host, core) in site.cores() {
         let alone = core.members().live_count() <= HOSTS as usize * 2 / 3;
-        assert!(alone, "host {host} believes hosts beyond the cut to be there");
+        assert!(alone, "host {host} considers hosts beyond the partition alive");
     }
     site.run_until(STABLE_AT + 100_000);
     for (host, core) in site.cores() {
         assert_eq!(core.members().live_count(), HOSTS as usize, "host {host}");
     }
-    assert_eq!(site.evidence.orders, orders, "no engine changed hands for it");
+    assert_eq!(site.evidence.orders, orders, "no engine changed its owner");
     let sent = (site.evidence.messages - messages) / u64::from(HOSTS) / 100;
-    assert!(sent <= 12, "{sent} messages a host and second");
+    assert!(sent <= 12, "{sent} messages per host and second");
 }
--- a/crates/core/tests/log_eras.rs
+++ b/crates/core/tests/log_eras.rs
@@ -1,4 +1,4 @@
-//! A log that comes back from an older copy of itself: what it has lost, and what its hosts go on with.
+//! Tests of settings and claims when the log is restored from an older copy and loses records.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
     },
 };
 
-/// A publication on top of a revision; its number tells it apart.
+/// Returns a publication based on a revision, with a distinct value for each number.
 fn publication(number: usize, base_revision: u64) -> Vec<u8> {
     #[expect(clippy::cast_precision_loss, reason = "a few publications")]
     let worth = 1.0 + number as f64;
@@ -30,14 +30,14 @@
     serde_json::to_vec(&record).expect("JSON")
 }
 
-/// One step of a history of the settings stream.
+/// One step of a generated history of the settings stream.
 #[derive(Debug, Clone, Copy)]
 enum Step {
     /// An operator publishes.
     Publish,
-    /// The log comes back without its last records; the operator writes them again at once, or at the next step of this kind.
+    /// The log is restored without its last records. The next `Publish` appends them again.
     Rollback(usize),
-    /// A host reads up to so many records.
+    /// A host (first field) reads up to the given number of records.
     Read(usize, usize),
 }
 
@@ -97,7 +97,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// No host goes back to an older revision, and once the operator has written again what was lost, and all have read it, they agree.
+    /// Guards against a host that rolls back to an older revision, and against hosts that still
+    /// differ after the lost records were published again and read by all.
     #[test]
     fn revisions_never_decrease_and_hosts_converge(
         steps in proptest::collection::vec(any_step(), 1..60),
@@ -136,7 +137,7 @@
     NodeEvent::LogRead { stream: LogStream::Claims, era, first: 0, records, end }
 }
 
-/// Returns the claims that a host appends.
+/// Returns the claims that a host appended.
 fn appended_claims(orders: &[NodeOrder]) -> Vec<(KeyHash, RequestId)> {
     let payloads = orders.iter().filter_map(|order| match order {
         NodeOrder::Append { stream: LogStream::Claims, payload, .. } => Some(payload),
@@ -147,8 +148,8 @@
     records.flat_map(|record| record.claims).filter_map(|item| item.read()).collect()
 }
 
-/// A key that had been claimed could be claimed once more, and its request ran twice, as soon as the log had lost the claim: hosts that
-/// started since knew nothing of it.
+/// Guards against a request that runs twice: a host that starts after the log has lost a claim could
+/// claim its key again.
 #[test]
 fn claims_lost_by_the_log_are_rewritten_before_any_key_is_claimed() {
     let mut core = NodeCore::new(NodeConfig::new(HOST, 9, 1));
@@ -173,7 +174,7 @@
     assert!(!core.status().claims_open);
     core.handle(reading(9100), NodeEvent::Tick);
     assert!(core.status().claims_open, "{:?}", Duration::from_millis(4100));
-    // What an earlier era still tells is old.
+    // Records of an earlier era are ignored.
     let late = LogRecord { offset: 3, written_millis: 1, payload: claim.to_json() };
     assert!(core.handle(reading(9200), claims_read(0, vec![late])).is_empty());
 }
--- a/crates/core/tests/members.rs
+++ b/crates/core/tests/members.rs
@@ -1,4 +1,4 @@
-//! Membership, ownership, gossip, turns at the store and routes as tables of cases.
+//! Tests of membership, ownership, gossip, load scheduling and routing.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -38,37 +38,37 @@
 
 const UPDATES: &[UpdateCase] = &[
     UpdateCase {
-        name: "a suspicion of the same life is taken",
+        name: "a suspicion of the same incarnation is applied",
         initial: (5, 0, MemberState::Alive),
         received: (5, 0, MemberState::Suspect),
         expected: MemberState::Suspect,
     },
     UpdateCase {
-        name: "a refutation ends it",
+        name: "a refutation ends the suspicion",
         initial: (5, 0, MemberState::Suspect),
         received: (5, 1, MemberState::Alive),
         expected: MemberState::Alive,
     },
     UpdateCase {
-        name: "old news of a suspicion is ignored",
+        name: "a stale update is ignored after a refutation",
         initial: (5, 1, MemberState::Alive),
         received: (5, 0, MemberState::Dead),
         expected: MemberState::Alive,
     },
     UpdateCase {
-        name: "a new life is alive whatever was said of the old one",
+        name: "a new incarnation is alive regardless of earlier updates",
         initial: (5, 7, MemberState::Dead),
         received: (6, 0, MemberState::Alive),
         expected: MemberState::Alive,
     },
     UpdateCase {
-        name: "a host that leaves is not taken for alive again",
+        name: "a leaving host does not become alive again",
         initial: (5, 0, MemberState::Leaving),
         received: (5, 0, MemberState::Alive),
         expected: MemberState::Leaving,
     },
     UpdateCase {
-        name: "the host list does not overrule what a host says itself",
+        name: "the host list does not override a host's own update",
         initial: (5, 0, MemberState::Leaving),
         received: (0, 0, MemberState::Alive),
         expected: MemberState::Leaving,
@@ -96,11 +96,14 @@
     table.record_heartbeat_sent(2, at(100));
     assert!(table.expire(at(800)).is_empty());
     assert_eq!(table.expire(at(1_000)), [2]);
-    assert_eq!(table.eligible_owners(None).count(), 2, "a suspected host still owns");
+    assert_eq!(table.eligible_owners(None).count(), 2, "a suspected host remains an owner");
     assert!(table.expire(at(3_900)).is_empty());
     assert_eq!(table.expire(at(4_100)), [2]);
     assert_eq!(table.eligible_owners(None).count(), 1);
-    assert!(!table.record_contact(2, at(4_200)), "a dead host returns by its own word only");
+    assert!(
+        !table.record_contact(2, at(4_200)),
+        "a dead host becomes alive only by its own update"
+    );
     assert!(table.apply_update(&update(2, 1, 1, MemberState::Alive), at(4_300)));
     assert_eq!(table.eligible_owners(None).count(), 2);
 }
@@ -112,7 +115,7 @@
     assert_eq!((table.own().refutations, table.own().state), (1, MemberState::Alive));
     assert!(
         !table.apply_update(&update(1, 8, 3, MemberState::Dead), at(1)),
-        "that was an earlier life"
+        "the update is of an earlier incarnation"
     );
 }
 
@@ -140,16 +143,16 @@
 fn a_raised_token_stays_below_the_next_takeover_token() {
     let mut own = takeover_token(0, 9);
     for _ in 0..1_000 {
-        own = raised_token(own).expect("an epoch has many raises");
+        own = raised_token(own).expect("an epoch has at least a thousand raises");
     }
     let other = takeover_token(own, 3);
     assert!(other > own);
-    assert!(raised_token(own).expect("one more") < other);
+    assert!(raised_token(own).expect("the epoch has another raise") < other);
     let mut last = takeover_token(0, 1);
     while let Some(next) = raised_token(last) {
         last = next;
     }
-    assert!(last < takeover_token(0, 2), "raises do not run over into another host's tokens");
+    assert!(last < takeover_token(0, 2), "raises do not overflow into another host's tokens");
 }
 
 #[test]
@@ -168,7 +171,7 @@
         for queue in queues.values_mut() {
             for _ in 0..3 {
                 if queue.take(8).contains(&7) {
-                    // A fixed walk stands for the random choice.
+                    // A deterministic sequence in place of a random choice.
                     next = (next * 57 + 11) % 1009;
                     receivers.insert(next % HOSTS);
                 }
@@ -205,7 +208,7 @@
     let given = turns.grant_turns(LIMITS, at(1));
     assert_eq!(given.len(), 1);
     assert_eq!((given[0].owner, given[0].turn.adapter), (2, key(20)));
-    assert!(turns.grant_turns(LIMITS, at(500)).is_empty(), "the store serves one at a time");
+    assert!(turns.grant_turns(LIMITS, at(500)).is_empty(), "only one load runs at a time");
     assert_eq!(turns.queue_position(1, key(10)).before, 2);
     turns.release_turn(LoadTurn { engine: 2, adapter: key(20) }, at(600));
     let given = turns.grant_turns(LIMITS, at(601));
@@ -238,7 +241,7 @@
             turns.release_turn(turn.turn, now);
         }
     }
-    assert!((85..=96).contains(&given), "{given} loads in 30 s at 3 a second");
+    assert!((85..=96).contains(&given), "{given} loads in 30 s at 3 per second");
 }
 
 struct RouteCase {
@@ -250,42 +253,42 @@
 
 const ROUTES: &[RouteCase] = &[
     RouteCase {
-        name: "the emptier holder",
+        name: "the holder with the lower fill",
         holders: &[(1, 1, 60), (2, 1, 20)],
         engines: &[],
         choice: |choice| choice == Some(RouteChoice::Holder(2)),
     },
     RouteCase {
-        name: "a holder in the own hall, when another hall's is hardly emptier",
+        name: "a holder in the own hall, when one in another hall is only slightly less full",
         holders: &[(1, 1, 30), (2, 2, 20)],
         engines: &[],
         choice: |choice| choice == Some(RouteChoice::Holder(1)),
     },
     RouteCase {
-        name: "another hall's holder rather than a load",
+        name: "a holder in another hall rather than a load",
         holders: &[(2, 2, 90)],
         engines: &[(1, 1, 0), (2, 2, 90)],
         choice: |choice| choice == Some(RouteChoice::Holder(2)),
     },
     RouteCase {
-        name: "a replica when all holders overflow",
+        name: "a replica when all holders are overloaded",
         holders: &[(1, 1, 200)],
         engines: &[(1, 1, 200), (2, 1, 10), (3, 1, 300)],
         choice: |choice| choice == Some(RouteChoice::Replica(2)),
     },
     RouteCase {
-        name: "the overflowing holder when nobody has room",
+        name: "the overloaded holder when no engine has capacity",
         holders: &[(1, 1, 200)],
         engines: &[(1, 1, 200), (3, 1, 300)],
         choice: |choice| choice == Some(RouteChoice::Holder(1)),
     },
     RouteCase {
-        name: "a home when nobody holds it",
+        name: "the home engine when no engine holds the adapter",
         holders: &[],
         engines: &[(1, 1, 0), (2, 1, 0)],
         choice: |choice| matches!(choice, Some(RouteChoice::Home(_))),
     },
-    RouteCase { name: "nowhere", holders: &[], engines: &[], choice: |choice| choice.is_none() },
+    RouteCase { name: "no engines", holders: &[], engines: &[], choice: |choice| choice.is_none() },
 ];
 
 #[test]
--- a/crates/core/tests/proofs_page.rs
+++ b/crates/core/tests/proofs_page.rs
@@ -1,14 +1,14 @@
-//! The page on proofs names only tests that exist, and as many tables as there are.
+//! Checks that docs/PROOFS.md names only existing tests and states the number of fault tables.
 
 use std::{fs, path::Path};
 
 fn read_sources(directory: &Path, text: &mut String) {
-    for entry in fs::read_dir(directory).expect("the folder is there").flatten() {
+    for entry in fs::read_dir(directory).expect("the directory is readable").flatten() {
         let path = entry.path();
         if path.is_dir() && !path.ends_with("target") {
             read_sources(&path, text);
         } else if path.extension().is_some_and(|extension| extension == "rs") {
-            text.push_str(&fs::read_to_string(&path).expect("a source is text"));
+            text.push_str(&fs::read_to_string(&path).expect("the source is UTF-8"));
         }
     }
 }
@@ -16,7 +16,7 @@
 #[test]
 fn every_test_and_mutation_on_the_page_exists() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
-    let page = fs::read_to_string(root.join("docs/PROOFS.md")).expect("the page is there");
+    let page = fs::read_to_string(root.join("docs/PROOFS.md")).expect("docs/PROOFS.md is readable");
     let mut text = String::new();
     for directory in ["crates", "platform"] {
         read_sources(&root.join(directory), &mut text);
@@ -33,6 +33,8 @@
         }
     }
     assert!(named > 15, "{named} tests are named");
-    let tables = fs::read_dir(root.join("crates/core/tests/matrix")).expect("the tables").count();
+    let tables = fs::read_dir(root.join("crates/core/tests/matrix"))
+        .expect("the tables are readable")
+        .count();
     assert!(page.contains(&format!("{tables} tables")), "there are {tables} tables");
 }
--- a/crates/core/tests/random/mod.rs
+++ b/crates/core/tests/random/mod.rs
@@ -1,10 +1,10 @@
-//! Random numbers that are the same on every run, for tests that play a load.
+//! Deterministic pseudo-random numbers for load simulations.
 
-/// A small generator (xorshift): a seed is the whole run.
+/// An xorshift generator, whose seed determines the whole sequence.
 pub(crate) struct Random(pub(crate) u64);
 
 impl Random {
-    /// Returns a number from zero to below one.
+    /// Returns a number in `[0, 1)`.
     pub(crate) fn next(&mut self) -> f64 {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
--- a/crates/core/tests/settings.rs
+++ b/crates/core/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The settings tree: files, inheritance, publications, snapshots.
+//! Tests of the settings tree: TOML files, inheritance, publications and snapshots.
 
 use proptest::{prelude::*, test_runner::RngSeed};
 use reelreel_core::settings::{
@@ -26,12 +26,12 @@
 "#;
 
 fn tree() -> SettingsTree {
-    read_tree(TREE).expect("the test's tree has no mistakes")
+    read_tree(TREE).expect("the tree is valid")
 }
 
 struct SourceErrorCase {
     text: &'static str,
-    /// Line, column and a part of the message of each mistake.
+    /// Line, column and part of the message of each error.
     errors: &'static [(usize, usize, &'static str)],
 }
 
@@ -39,15 +39,12 @@
     SourceErrorCase { text: "worth = \n", errors: &[(1, 9, "not valid TOML")] },
     SourceErrorCase { text: "wroth = 1\n", errors: &[(1, 1, "did you mean `worth`")] },
     SourceErrorCase { text: "worth = -1\n", errors: &[(1, 9, "a number from 0 to 1000000")] },
-    SourceErrorCase {
-        text: "version = 1\n",
-        errors: &[(1, 1, "can not be set at the level site")],
-    },
+    SourceErrorCase { text: "version = 1\n", errors: &[(1, 1, "cannot be set at site level")] },
     SourceErrorCase {
         text: "[service.a]\nkind = \"engin\"\n",
         errors: &[(2, 8, "one of engine, plain")],
     },
-    SourceErrorCase { text: "[service.\"a b\"]\n", errors: &[(1, 10, "is not a name")] },
+    SourceErrorCase { text: "[service.\"a b\"]\n", errors: &[(1, 10, "is not a valid name")] },
     SourceErrorCase { text: "service = 3\n", errors: &[(1, 11, "must hold tables")] },
     SourceErrorCase {
         text: "[service.a.organisation.b.adapter.c]\nversion = 3\nversions = [1]\n",
@@ -134,7 +131,7 @@
 
 struct ResolveCase {
     model: &'static str,
-    /// The name at the engine, or a check of the error.
+    /// The adapter name for engines, or a predicate on the error.
     found: Result<&'static str, fn(&ModelError) -> bool>,
 }
 
@@ -190,7 +187,7 @@
 #[test]
 fn a_tree_round_trips_through_toml() {
     let tree = tree();
-    let again = read_tree(&tree.to_toml()).expect("written files have no mistakes");
+    let again = read_tree(&tree.to_toml()).expect("the written file is valid");
     assert!(tree.diff_edits(&again).is_empty(), "{:?}", tree.diff_edits(&again));
 }
 
@@ -238,7 +235,7 @@
 
 struct ConflictCase {
     name: &'static str,
-    /// Publications after the first, all made from revision 1.
+    /// Publications after the initial one, all based on revision 1.
     publications: Vec<Vec<SettingsEdit>>,
     accepted: Vec<bool>,
 }
@@ -247,17 +244,17 @@
 fn one_conflicting_publication_is_accepted_and_the_others_are_refused() {
     let cases = [
         ConflictCase {
-            name: "the same place",
+            name: "the same node",
             publications: vec![vec![set_worth("assist", 1.0)], vec![set_worth("assist", 2.0)]],
             accepted: vec![true, false],
         },
         ConflictCase {
-            name: "different places",
+            name: "different nodes",
             publications: vec![vec![set_worth("assist", 1.0)], vec![set_worth("other", 2.0)]],
             accepted: vec![true, true],
         },
         ConflictCase {
-            name: "a change below what was removed",
+            name: "a change below a removed node",
             publications: vec![
                 vec![remove("assist/north")],
                 vec![set_worth("assist/north/brakes", 2.0)],
@@ -265,7 +262,7 @@
             accepted: vec![true, false],
         },
         ConflictCase {
-            name: "the removal of what was changed below",
+            name: "a removal of a node with changes below",
             publications: vec![
                 vec![set_worth("assist/north/brakes", 2.0)],
                 vec![remove("assist/north")],
@@ -273,7 +270,7 @@
             accepted: vec![true, false],
         },
         ConflictCase {
-            name: "all or nothing",
+            name: "edits of a publication are atomic",
             publications: vec![
                 vec![set_worth("assist", 1.0)],
                 vec![set_worth("other", 9.0), set_worth("assist", 2.0)],
@@ -282,7 +279,7 @@
             accepted: vec![true, false, true],
         },
         ConflictCase {
-            name: "a doubled append",
+            name: "a duplicate append",
             publications: vec![vec![set_worth("assist", 1.0)], vec![set_worth("assist", 1.0)]],
             accepted: vec![true, false],
         },
@@ -338,7 +335,7 @@
     let good = json(&record("good", 1, vec![set_worth("assist", 1.0)]));
     let fold = fold_of(&[initial_publication(), newer, good]);
     assert_eq!(fold.revision(), 1);
-    let halt = fold.halt().expect("the fold stopped");
+    let halt = fold.halt().expect("the fold halted");
     assert_eq!(*halt, FoldHalt::NewerFormat { offset: 1, format: 2, revision: 1 });
     assert!(halt.to_string().contains("update this host"), "{halt}");
 }
@@ -353,11 +350,11 @@
     ];
     let complete = fold_of(&payloads);
     let mut lagging = fold_of(&payloads[..1]);
-    assert!(!lagging.fold(log_record(3, payloads[3].clone())), "a gap is no next record");
+    assert!(!lagging.fold(log_record(3, payloads[3].clone())), "a record after a gap is skipped");
     assert_eq!(lagging.revision(), 1);
     let snapshot = fold_of(&payloads[..3]).snapshot();
-    let read = SettingsSnapshot::from_json(&snapshot.to_json()).expect("it was just written");
-    assert!(lagging.install_snapshot(read).expect("its digest is right"));
+    let read = SettingsSnapshot::from_json(&snapshot.to_json()).expect("the snapshot parses");
+    assert!(lagging.install_snapshot(read).expect("the digest matches"));
     assert!(lagging.fold(log_record(3, payloads[3].clone())));
     assert_eq!(lagging.snapshot(), complete.snapshot());
     assert_eq!(lagging.tree().adapter_count(), complete.tree().adapter_count());
@@ -413,24 +410,24 @@
         ..ProptestConfig::default()
     })]
 
-    /// However a host came by the log (at once, doubled, by a snapshot midway), it ends the same.
+    /// A snapshot at any offset and repeated records produce the same state as a single pass.
     #[test]
     fn snapshots_and_repeated_records_produce_the_same_tree(log in any_log(), cut in 0..24usize) {
         let complete = fold_of(&log);
         let cut = cut.min(log.len());
         let mut by_snapshot = SettingsFold::default();
-        by_snapshot.install_snapshot(fold_of(&log[..cut]).snapshot()).expect("a true snapshot");
+        by_snapshot.install_snapshot(fold_of(&log[..cut]).snapshot()).expect("a valid snapshot");
         for _ in 0..2 {
             for (offset, payload) in (0..).zip(&log) {
                 by_snapshot.fold(log_record(offset, payload.clone()));
             }
         }
         prop_assert_eq!(by_snapshot.snapshot(), complete.snapshot());
-        let records = complete.records_from(0).expect("all are kept");
+        let records = complete.records_from(0).expect("all records are retained");
         prop_assert_eq!(records.len(), log.len());
     }
 
-    /// The revision only rises, by one for each accepted record.
+    /// The revision never decreases, and rises by one for each accepted record.
     #[test]
     fn the_revision_never_decreases(log in any_log()) {
         let mut fold = SettingsFold::default();
@@ -442,7 +439,7 @@
         }
     }
 
-    /// A file that differs from the tree in force is reached by the edits that `diff` shows.
+    /// Applying the edits from `diff_edits` yields the target tree.
     #[test]
     fn diff_edits_turn_any_tree_into_any_other(one in any_log(), two in any_log()) {
         let (one, two) = (fold_of(&one), fold_of(&two));
