--- a/crates/core/src/member.rs
+++ b/crates/core/src/member.rs
@@ -73,13 +73,13 @@
 pub struct MemberTable {
     own: MemberUpdate,
     members: BTreeMap<HostId, MemberEntry>,
-    times: MemberTimeouts,
+    timeouts: MemberTimeouts,
 }
 
 impl MemberTable {
     /// Creates a table that contains only the host itself.
-    pub const fn new(own: MemberUpdate, times: MemberTimeouts) -> Self {
-        Self { own, members: BTreeMap::new(), times }
+    pub const fn new(own: MemberUpdate, timeouts: MemberTimeouts) -> Self {
+        Self { own, members: BTreeMap::new(), timeouts }
     }
 
     /// Returns the host's own entry.
@@ -181,22 +181,22 @@
 
     /// Applies the timeouts. Returns the hosts whose state changed.
     pub fn expire(&mut self, now: ClockMillis) -> Vec<HostId> {
-        let times = self.times;
+        let timeouts = self.timeouts;
         let mut changed = Vec::new();
         for (host, entry) in &mut self.members {
             let missed = entry
                 .heartbeat_sent_at
-                .is_some_and(|sent_at| now.since(sent_at) > times.ack_timeout);
+                .is_some_and(|sent_at| now.since(sent_at) > timeouts.ack_timeout);
             if missed {
                 entry.heartbeat_sent_at = None;
             }
             let time_in_state = now.since(entry.state_since);
             let event = match entry.update.state {
                 MemberState::Alive if missed => MemberEvent::Missed,
-                MemberState::Suspect if time_in_state > times.suspicion_timeout => {
+                MemberState::Suspect if time_in_state > timeouts.suspicion_timeout => {
                     MemberEvent::TimedOut
                 }
-                MemberState::Leaving if missed && time_in_state > times.suspicion_timeout => {
+                MemberState::Leaving if missed && time_in_state > timeouts.suspicion_timeout => {
                     MemberEvent::TimedOut
                 }
                 _ => continue,
@@ -207,7 +207,7 @@
         }
         self.members.retain(|_, entry| {
             let dead = entry.update.state == MemberState::Dead;
-            !dead || now.since(entry.state_since) <= times.dead_retention
+            !dead || now.since(entry.state_since) <= timeouts.dead_retention
         });
         changed
     }
--- a/crates/core/src/settings/key.rs
+++ b/crates/core/src/settings/key.rs
@@ -48,11 +48,11 @@
 impl fmt::Display for SettingValue {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Bool(flag) => write!(formatter, "{flag}"),
-            Self::Integer(number) => write!(formatter, "{number}"),
-            Self::Float(fraction) => write!(formatter, "{fraction:?}"),
+            Self::Bool(boolean) => write!(formatter, "{boolean}"),
+            Self::Integer(integer) => write!(formatter, "{integer}"),
+            Self::Float(float) => write!(formatter, "{float:?}"),
             Self::Text(text) => write!(formatter, "{text:?}"),
-            Self::Integers(numbers) => write!(formatter, "{numbers:?}"),
+            Self::Integers(integers) => write!(formatter, "{integers:?}"),
         }
     }
 }
@@ -172,14 +172,14 @@
         let constraint = self.constraint();
         let valid = match (&constraint, &value) {
             (ValueConstraint::Bool, SettingValue::Bool(_)) => true,
-            (ValueConstraint::Integer(min, max), SettingValue::Integer(number)) => {
-                (min..=max).contains(&number)
+            (ValueConstraint::Integer(min, max), SettingValue::Integer(integer)) => {
+                (min..=max).contains(&integer)
             }
-            (ValueConstraint::Float(min, max), SettingValue::Float(fraction)) => {
-                (min..=max).contains(&fraction)
+            (ValueConstraint::Float(min, max), SettingValue::Float(float)) => {
+                (min..=max).contains(&float)
             }
-            (ValueConstraint::Float(..), SettingValue::Integer(number)) => {
-                return self.validate(SettingValue::Float(*number as f64));
+            (ValueConstraint::Float(..), SettingValue::Integer(integer)) => {
+                return self.validate(SettingValue::Float(*integer as f64));
             }
             (ValueConstraint::Text(max_bytes), SettingValue::Text(text)) => {
                 text.len() <= *max_bytes
@@ -187,9 +187,9 @@
             (ValueConstraint::Choice(choices), SettingValue::Text(text)) => {
                 choices.contains(&&**text)
             }
-            (ValueConstraint::Integers, SettingValue::Integers(numbers)) => {
-                let version = |number: &i64| (1..=i64::from(u32::MAX)).contains(number);
-                numbers.iter().all(version)
+            (ValueConstraint::Integers, SettingValue::Integers(integers)) => {
+                let version = |integer: &i64| (1..=i64::from(u32::MAX)).contains(integer);
+                integers.iter().all(version)
             }
             _ => false,
         };
--- a/crates/core/src/settings/source.rs
+++ b/crates/core/src/settings/source.rs
@@ -180,12 +180,12 @@
 
     fn check_versions(&mut self, table: &DeTable<'_>, path: &SettingsPath) {
         let Some(node) = self.tree.node(path) else { return };
-        let (Some(SettingValue::Integers(known)), Some(SettingValue::Integer(current))) =
+        let (Some(SettingValue::Integers(versions)), Some(SettingValue::Integer(current))) =
             (node.value(SettingKey::Versions), node.value(SettingKey::Version))
         else {
             return;
         };
-        if known.contains(current) {
+        if versions.contains(current) {
             return;
         }
         let message = format!("`version` {current} is not among `versions`; add it there");
@@ -215,20 +215,20 @@
 
 fn setting_value(value: &DeValue<'_>) -> Option<SettingValue> {
     match value {
-        DeValue::Boolean(flag) => Some(SettingValue::Bool(*flag)),
-        DeValue::Integer(number) => {
-            let digits = number.as_str();
-            i64::from_str_radix(digits, number.radix()).ok().map(SettingValue::Integer)
+        DeValue::Boolean(boolean) => Some(SettingValue::Bool(*boolean)),
+        DeValue::Integer(integer) => {
+            let digits = integer.as_str();
+            i64::from_str_radix(digits, integer.radix()).ok().map(SettingValue::Integer)
         }
-        DeValue::Float(fraction) => fraction.as_str().parse().ok().map(SettingValue::Float),
+        DeValue::Float(float) => float.as_str().parse().ok().map(SettingValue::Float),
         DeValue::String(text) => Some(SettingValue::Text(Box::from(&**text))),
         DeValue::Array(items) => {
-            let number = |item: &Spanned<DeValue<'_>>| match setting_value(item.get_ref())? {
-                SettingValue::Integer(number) => Some(number),
+            let integer = |item: &Spanned<DeValue<'_>>| match setting_value(item.get_ref())? {
+                SettingValue::Integer(integer) => Some(integer),
                 _ => None,
             };
-            let numbers: Option<Vec<i64>> = items.iter().map(number).collect();
-            numbers.map(|numbers| SettingValue::Integers(numbers.into_boxed_slice()))
+            let integers: Option<Vec<i64>> = items.iter().map(integer).collect();
+            integers.map(|integers| SettingValue::Integers(integers.into_boxed_slice()))
         }
         DeValue::Datetime(_) | DeValue::Table(_) => None,
     }
--- a/crates/core/src/settings/tree.rs
+++ b/crates/core/src/settings/tree.rs
@@ -360,7 +360,7 @@
     model: &str,
     requested: Option<AdapterVersion>,
 ) -> Result<AdapterVersion, ModelError> {
-    let known = known_versions(adapter);
+    let known = adapter_versions(adapter);
     match requested {
         Some(version) if known.contains(&version) => Ok(version),
         Some(version) => {
@@ -375,16 +375,16 @@
 
 fn current_version(adapter: &SettingsNode) -> Option<AdapterVersion> {
     match adapter.value(SettingKey::Version)? {
-        SettingValue::Integer(number) => AdapterVersion::try_from(*number).ok(),
+        SettingValue::Integer(integer) => AdapterVersion::try_from(*integer).ok(),
         _ => None,
     }
 }
 
 /// Returns the versions of an adapter, including its current version.
-pub fn known_versions(adapter: &SettingsNode) -> Vec<AdapterVersion> {
+pub fn adapter_versions(adapter: &SettingsNode) -> Vec<AdapterVersion> {
     let mut versions: Vec<AdapterVersion> = match adapter.value(SettingKey::Versions) {
-        Some(SettingValue::Integers(numbers)) => {
-            numbers.iter().filter_map(|number| AdapterVersion::try_from(*number).ok()).collect()
+        Some(SettingValue::Integers(integers)) => {
+            integers.iter().filter_map(|integer| AdapterVersion::try_from(*integer).ok()).collect()
         }
         _ => Vec::new(),
     };
--- a/crates/core/tests/herd.rs
+++ b/crates/core/tests/herd.rs
@@ -82,8 +82,8 @@
     site.run_until(STABLE_AT + 50_000);
     assert_eq!(owned_count(&site), ENGINES as usize, "each hall owns its own engines throughout");
     for (host, core) in site.cores() {
-        let alone = core.members().live_count() <= HOSTS as usize * 2 / 3;
-        assert!(alone, "host {host} considers hosts beyond the partition alive");
+        let sees_no_host_beyond = core.members().live_count() <= HOSTS as usize * 2 / 3;
+        assert!(sees_no_host_beyond, "host {host} considers hosts beyond the partition alive");
     }
     site.run_until(STABLE_AT + 100_000);
     for (host, core) in site.cores() {
--- a/crates/core/tests/log_eras.rs
+++ b/crates/core/tests/log_eras.rs
@@ -104,13 +104,13 @@
         steps in proptest::collection::vec(any_step(), 1..60),
     ) {
         let mut model = LogModel::default();
-        let mut known = [0; HOSTS];
+        let mut highest_revisions = [0; HOSTS];
         for step in steps {
             model.apply(step);
-            for (host, known) in known.iter_mut().enumerate() {
+            for (host, highest) in highest_revisions.iter_mut().enumerate() {
                 let revision = model.hosts[host].revision();
-                prop_assert!(revision >= *known, "host {host} went from {known} to {revision}");
-                *known = revision;
+                prop_assert!(revision >= *highest, "host {host} went from {highest} to {revision}");
+                *highest = revision;
             }
         }
         model.apply(Step::Publish);
@@ -132,7 +132,7 @@
     NodeReading { now: ClockMillis::from_millis(millis), wall_millis: millis }
 }
 
-fn claims_read(era: StoreEra, records: Vec<LogRecord>) -> NodeEvent {
+fn claims_read_event(era: StoreEra, records: Vec<LogRecord>) -> NodeEvent {
     let end = records.last().map_or(0, |record| record.offset + 1);
     NodeEvent::LogRead { stream: LogStream::Claims, era, first: 0, records, end }
 }
@@ -157,12 +157,12 @@
     let own = request_id(HOST, 1, 5);
     let claim = ClaimRecord::new(vec![ClaimItem::new(KEY, own)], Vec::new());
     let record = LogRecord { offset: 0, written_millis: 1, payload: claim.to_json() };
-    core.handle(reading(2), claims_read(0, vec![record]));
+    core.handle(reading(2), claims_read_event(0, vec![record]));
     assert!(core.status().claims_open);
-    let mut orders = core.handle(reading(5000), claims_read(1, Vec::new()));
+    let mut orders = core.handle(reading(5000), claims_read_event(1, Vec::new()));
     let followed = |stream: LogStream| {
         orders.iter().any(
-            |order| matches!(order, NodeOrder::Follow { stream: told, from: 0 } if *told == stream),
+            |order| matches!(order, NodeOrder::Follow { stream: other, from: 0 } if *other == stream),
         )
     };
     assert!(LogStream::ALL.into_iter().all(followed), "{orders:?}");
@@ -175,6 +175,6 @@
     core.handle(reading(9100), NodeEvent::Tick);
     assert!(core.status().claims_open, "{:?}", Duration::from_millis(4100));
     // Records of an earlier era are ignored.
-    let late = LogRecord { offset: 3, written_millis: 1, payload: claim.to_json() };
-    assert!(core.handle(reading(9200), claims_read(0, vec![late])).is_empty());
+    let stale_record = LogRecord { offset: 3, written_millis: 1, payload: claim.to_json() };
+    assert!(core.handle(reading(9200), claims_read_event(0, vec![stale_record])).is_empty());
 }
--- a/crates/core/tests/members.rs
+++ b/crates/core/tests/members.rs
@@ -201,47 +201,47 @@
 
 #[test]
 fn turns_are_granted_one_at_a_time_by_highest_value() {
-    let mut turns = LoadScheduler::default();
-    turns.request_turn(1, &ask(1, 10, 1.0), at(1));
-    turns.request_turn(2, &ask(2, 20, 5.0), at(1));
-    turns.request_turn(1, &ask(1, 30, 3.0), at(1));
-    let given = turns.grant_turns(LIMITS, at(1));
-    assert_eq!(given.len(), 1);
-    assert_eq!((given[0].owner, given[0].turn.adapter), (2, key(20)));
-    assert!(turns.grant_turns(LIMITS, at(500)).is_empty(), "only one load runs at a time");
-    assert_eq!(turns.queue_position(1, key(10)).before, 2);
-    turns.release_turn(LoadTurn { engine: 2, adapter: key(20) }, at(600));
-    let given = turns.grant_turns(LIMITS, at(601));
-    assert_eq!(given.iter().map(|given| given.turn.adapter).collect::<Vec<_>>(), [key(30)]);
+    let mut scheduler = LoadScheduler::default();
+    scheduler.request_turn(1, &ask(1, 10, 1.0), at(1));
+    scheduler.request_turn(2, &ask(2, 20, 5.0), at(1));
+    scheduler.request_turn(1, &ask(1, 30, 3.0), at(1));
+    let grants = scheduler.grant_turns(LIMITS, at(1));
+    assert_eq!(grants.len(), 1);
+    assert_eq!((grants[0].owner, grants[0].turn.adapter), (2, key(20)));
+    assert!(scheduler.grant_turns(LIMITS, at(500)).is_empty(), "only one load runs at a time");
+    assert_eq!(scheduler.queue_position(1, key(10)).before, 2);
+    scheduler.release_turn(LoadTurn { engine: 2, adapter: key(20) }, at(600));
+    let grants = scheduler.grant_turns(LIMITS, at(601));
+    assert_eq!(grants.iter().map(|grant| grant.turn.adapter).collect::<Vec<_>>(), [key(30)]);
 }
 
 #[test]
 fn a_turn_is_revoked_when_its_owner_stops_asking() {
-    let mut turns = LoadScheduler::default();
-    turns.request_turn(1, &ask(1, 10, 9.0), at(1));
-    turns.request_turn(2, &ask(2, 20, 1.0), at(1));
-    assert_eq!(turns.grant_turns(LIMITS, at(1)).len(), 1);
+    let mut scheduler = LoadScheduler::default();
+    scheduler.request_turn(1, &ask(1, 10, 9.0), at(1));
+    scheduler.request_turn(2, &ask(2, 20, 1.0), at(1));
+    assert_eq!(scheduler.grant_turns(LIMITS, at(1)).len(), 1);
     for step in 1..8 {
-        turns.request_turn(2, &ask(2, 20, 1.0), at(step * 500));
+        scheduler.request_turn(2, &ask(2, 20, 1.0), at(step * 500));
     }
-    let given = turns.grant_turns(LIMITS, at(3_600));
-    assert_eq!(given.iter().map(|given| given.owner).collect::<Vec<_>>(), [2]);
+    let grants = scheduler.grant_turns(LIMITS, at(3_600));
+    assert_eq!(grants.iter().map(|grant| grant.owner).collect::<Vec<_>>(), [2]);
 }
 
 #[test]
 fn grants_stay_within_the_weight_store_rate() {
-    let mut turns = LoadScheduler::default();
+    let mut scheduler = LoadScheduler::default();
     let limits = WeightStoreLimits { parallel_loads: 4, ..LIMITS };
-    let mut given = 0;
+    let mut grants = 0;
     for step in 0..600u32 {
         let now = at(u64::from(step) * 50 + 1);
-        turns.request_turn(1, &ask(1, step, 1.0), now);
-        for turn in turns.grant_turns(limits, now) {
-            given += 1;
-            turns.release_turn(turn.turn, now);
+        scheduler.request_turn(1, &ask(1, step, 1.0), now);
+        for turn in scheduler.grant_turns(limits, now) {
+            grants += 1;
+            scheduler.release_turn(turn.turn, now);
         }
     }
-    assert!((85..=96).contains(&given), "{given} loads in 30 s at 3 per second");
+    assert!((85..=96).contains(&grants), "{grants} loads in 30 s at 3 per second");
 }
 
 struct RouteCase {
