--- a/crates/core/src/load.rs
+++ b/crates/core/src/load.rs
@@ -15,8 +15,7 @@
     message::{LoadAsk, LoadPlace, LoadTurn},
 };
 
-/// Time after which a load that its owner no longer asks for is dropped. Owners ask again twice per
-/// second.
+/// Time after which a load is dropped unless its owner asks again. Owners ask twice per second.
 const ASK_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Smoothing factor of the moving average of load durations.
--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -134,7 +134,7 @@
     pub engine: EngineId,
     /// The fencing token for the engine.
     pub token: FenceToken,
-    /// Load of the engine, in percent of its streams.
+    /// Utilization of the engine, in percent of its streams.
     pub fill: u32,
     /// Whether the request waited for a load.
     pub stalled: bool,
@@ -164,7 +164,7 @@
     Leaving,
     /// The adapter is resident on the given engine; ask its owner.
     Elsewhere(EngineId),
-    /// The adapter is not resident and the ask does not allow loading it; route again.
+    /// The adapter is not resident and `may_load` was not set; route again.
     NotResident,
     /// Refuse the caller's request with this kind.
     Final(RefusalKind),
--- a/crates/core/src/position.rs
+++ b/crates/core/src/position.rs
@@ -1,7 +1,7 @@
 //! Positions of records in the platform's store.
 //!
 //! Offsets alone do not order records, because a store that is restored from an older copy assigns
-//! them again. Positions therefore compare the era, which rises with each restore, before the offset.
+//! them again. Positions compare the era, which rises with each restore, before the offset.
 
 use crate::id::{LogOffset, StoreEra};
 
--- a/crates/core/src/settings/change.rs
+++ b/crates/core/src/settings/change.rs
@@ -39,7 +39,7 @@
 pub struct ChangeRecord {
     /// Format version. A host stops folding at a record with a higher version than it supports.
     pub format: u32,
-    /// Identifies the publication, so that the publisher can find it when the append response was lost.
+    /// Identifies the publication, so that its publisher finds it after a lost append response.
     pub change_id: String,
     /// The revision that the edits are based on.
     pub base_revision: Revision,
@@ -163,7 +163,7 @@
         EditAction::Set(key, _) if !key.levels().contains(&level) => invalid(format!(
             "`{}` cannot be set for {} {}; set it at {}",
             key.name(),
-            if level == SettingLevel::Site { "the" } else { "one" },
+            if level == SettingLevel::Site { "the" } else { "an individual" },
             level.name(),
             key.levels()[0].name(),
         )),
--- a/crates/core/src/settings/fold.rs
+++ b/crates/core/src/settings/fold.rs
@@ -65,7 +65,7 @@
     pub payload: Vec<u8>,
 }
 
-/// The effective tree of an earlier era, carried over after the log was restored from an older copy.
+/// The tree of an earlier era, kept in force after the log was restored from an older copy.
 #[derive(Debug, Clone)]
 struct CarriedTree {
     tree: SettingsTree,
--- a/crates/core/src/settings/snapshot.rs
+++ b/crates/core/src/settings/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots of the settings state, from which a new host starts when older log records have expired.
+//! Snapshots of the settings state, for hosts that need log records which have expired.
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/core/src/settings/tree.rs
+++ b/crates/core/src/settings/tree.rs
@@ -234,7 +234,7 @@
         Some(format!("{path}@{}", key.version))
     }
 
-    /// Parses a name that [`Self::adapter_name`] returned.
+    /// Returns the key of a name that [`Self::adapter_name`] returned.
     pub fn adapter_key(&self, name: &str) -> Option<AdapterKey> {
         let (path, version) = name.rsplit_once('@')?;
         let path = SettingsPath::parse(path).ok()?;
