--- a/crates/core/src/request.rs
+++ b/crates/core/src/request.rs
@@ -84,31 +84,27 @@
     /// Returns advice for the caller on how to proceed.
     pub const fn remedy(self) -> &'static str {
         match self {
-            Self::BadRequest => "fix the request as described in the message",
-            Self::NotFound => "use an existing adapter or path; GET /v1/models lists the adapters",
-            Self::NotReady | Self::Stopping => "retry; the load balancer selects another host",
-            Self::Overloaded => "retry after the time in Retry-After",
+            Self::BadRequest => "mend the request as the message says",
+            Self::NotFound => "name an adapter or path that exists; GET /v1/models lists adapters",
+            Self::NotReady | Self::Stopping => "send it again; the balancer picks another host",
+            Self::Overloaded => "send it again after the time in Retry-After",
             Self::LoadTooLate => {
-                "retry after the time in Retry-After or with a longer deadline; the adapter is loading"
+                "send it again after Retry-After, or with a longer deadline; it is being loaded"
             }
             Self::LoadFailed => {
-                "retry after the time in Retry-After; contact the operators if the error persists"
-            }
-            Self::DeadlinePassed => "retry with a longer deadline",
-            Self::NoBackend => {
-                "retry later; operators can check the backend servers in the host list"
+                "send it again after Retry-After; tell the operators if it stays so"
             }
+            Self::DeadlinePassed => "send it again with a longer deadline",
+            Self::NoBackend => "send it again later; operators find the backend in the host list",
             Self::KeyClaimed => {
-                "request the outcome of the first request with this key; this request did not run"
+                "ask for the outcome of the first request with this key; this one did not run"
             }
             Self::KeyExpired => "check whether the first request ran, then use a new key",
-            Self::LogAway => "retry with the same key after the time in Retry-After",
-            Self::RetriesSpent => "retry after the time in Retry-After",
-            Self::BackendBroke => "check whether the request ran before retrying",
-            Self::BackendError => {
-                "read the backend's error message and check whether the request ran"
-            }
-            Self::CallerGone => "no action needed; the caller disconnected",
+            Self::LogAway => "send it again after Retry-After with the same key",
+            Self::RetriesSpent => "send it again after Retry-After",
+            Self::BackendBroke => "check whether it ran before sending it again",
+            Self::BackendError => "read the backend's message; check whether it ran",
+            Self::CallerGone => "nobody is there to act",
         }
     }
 }
--- a/crates/core/src/settings/change.rs
+++ b/crates/core/src/settings/change.rs
@@ -161,9 +161,9 @@
     let level = edit.path.level();
     match &edit.action {
         EditAction::Set(key, _) if !key.levels().contains(&level) => invalid(format!(
-            "`{}` cannot be set for {} {}; set it at {}",
+            "`{}` can not be set for {} {}; set it at {}",
             key.name(),
-            if level == SettingLevel::Site { "the" } else { "an individual" },
+            if level == SettingLevel::Site { "the" } else { "one" },
             level.name(),
             key.levels()[0].name(),
         )),
@@ -172,7 +172,7 @@
             _ => invalid(format!("`{}` is {value}; it must be {}", key.name(), key.constraint())),
         },
         EditAction::Remove if edit.path.segments().is_empty() => {
-            invalid(String::from("the site cannot be removed; remove its services instead"))
+            invalid(String::from("the site can not be removed; remove its services instead"))
         }
         _ => Ok(()),
     }
--- a/crates/core/src/settings/fold.rs
+++ b/crates/core/src/settings/fold.rs
@@ -42,7 +42,7 @@
 pub enum FoldHalt {
     /// A record was written in a newer format.
     #[error(
-        "record {offset} has format {format}, but this program supports only formats up to {RECORD_FORMAT}; update this host, which keeps serving revision {revision} until then"
+        "record {offset} has format {format}, this program knows {RECORD_FORMAT}; update this host, until then it serves with revision {revision}"
     )]
     NewerFormat {
         /// Offset of the record.
--- a/crates/core/src/settings/snapshot.rs
+++ b/crates/core/src/settings/snapshot.rs
@@ -14,12 +14,10 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SnapshotError {
     /// The snapshot was written in a newer format.
-    #[error(
-        "snapshot has format {0}, but this program supports only formats up to {SNAPSHOT_FORMAT}; update this host"
-    )]
+    #[error("snapshot has format {0}, this program knows {SNAPSHOT_FORMAT}; update this host")]
     NewerFormat(u32),
     /// The digest does not match the contents.
-    #[error("snapshot of revision {0} does not match its digest; use a snapshot from another host")]
+    #[error("snapshot of revision {0} does not match its digest; take one from another host")]
     DigestMismatch(Revision),
     /// The snapshot cannot be parsed.
     #[error("snapshot cannot be parsed ({0}); use a snapshot from another host")]
--- a/crates/core/src/settings/tree.rs
+++ b/crates/core/src/settings/tree.rs
@@ -153,14 +153,14 @@
 pub enum ModelError {
     /// The string is not a model name.
     #[error(
-        "`{0}` is not a valid model name; use organisation/adapter or service/organisation/adapter, followed by @version to select a version"
+        "`{0}` is not a model name; write organisation/adapter or service/organisation/adapter, with @version for a fixed version"
     )]
     Malformed(String),
     /// No adapter with this name exists.
-    #[error("no adapter is named `{0}`; GET /v1/models lists the adapters")]
+    #[error("no adapter is named `{0}`; GET /v1/models lists those that exist")]
     UnknownAdapter(String),
     /// The adapter exists, but the version does not.
-    #[error("adapter `{model}` has no version {version}; its versions are {known}")]
+    #[error("adapter `{model}` has no version {version}; it has {known}")]
     UnknownVersion {
         /// Name of the adapter.
         model: String,
@@ -170,10 +170,10 @@
         known: String,
     },
     /// Several services have an adapter with this name.
-    #[error("`{0}` exists in several services; use service/organisation/adapter")]
+    #[error("`{0}` stands in several services; write service/organisation/adapter")]
     Ambiguous(String),
     /// The adapter has no version.
-    #[error("adapter `{0}` has no version; publish its `version`")]
+    #[error("adapter `{0}` has no version to serve; publish its `version`")]
     NoVersion(String),
 }
 
