--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -2,45 +2,45 @@
 //!
 //! The types here hold for engines that admit requests by themselves: they queue, refuse and fence
 //! on their own, so that a request needs no permit of an owner. [`routes`] says where a request may
-//! go, [`choice`] which engine it is sent to,
-//! [`cold`] whether it waits for its adapter, [`queued`] whether it joins an engine's queue, [`condition`] what the host's own requests tell about
+//! go, [`engine_choice`] which engine it is sent to,
+//! [`cold_start`] whether it waits for its adapter, [`queue_admission`] whether it joins an engine's queue, [`health`] what the host's own requests tell about
 //! an engine, [`announcement`] what engines announce in their responses, [`departures`] which of them are leaving,
-//! [`cooldown`] which of them want no requests from this host for a while, [`freshness`] until when keys may be served, [`limits`] how many requests a second engines say that they take, [`quarantine`] which requests are held back since engines ended under them, [`reach`] what its connections tell about a data hall, [`relisting`] whether a listing of a store that came back older is believed, and [`retry_share`] how often it
+//! [`cooldown`] which of them want no requests from this host for a while, [`freshness`] until when keys may be served, [`limits`] how many requests a second engines say that they take, [`quarantine`] which requests are held back since engines ended under them, [`reachability`] what its connections tell about a data hall, [`stale_listing`] whether a listing of a store that came back older is believed, and [`retry_share`] how often it
 //! may be sent again.
 
 use std::{net::SocketAddr, sync::Arc};
 
 pub mod admission;
 pub mod announcement;
-pub mod choice;
-pub mod cold;
-pub mod condition;
+pub mod engine_choice;
+pub mod cold_start;
+pub mod health;
 pub mod cooldown;
 pub mod departures;
 pub mod freshness;
 pub mod limits;
 pub mod prompt;
 pub mod quarantine;
-pub mod queued;
-pub mod reach;
-pub mod reading;
-pub mod relisting;
+pub mod queue_admission;
+pub mod reachability;
+pub mod prefill_speed;
+pub mod stale_listing;
 pub mod retry_share;
 pub mod routes;
 pub mod work;
 
-/// Names an engine. One that starts again may have the name that it had; its [`EngineEntry::born`] tells its lives apart.
+/// Names an engine. One that starts again may have the name that it had; its [`EngineEntry::incarnation`] tells its lives apart.
 pub type EngineName = Arc<str>;
 
 /// When a life of an engine began, by its own clock; only equal or not counts.
-pub type EngineBirth = u64;
+pub type EngineIncarnation = u64;
 
 /// The birth of an engine that does not say when it began.
-pub const UNKNOWN_BIRTH: EngineBirth = 0;
+pub const UNKNOWN_INCARNATION: EngineIncarnation = 0;
 
 /// Returns whether two births are of one life, as far as both are told.
-pub const fn is_same_incarnation(one: EngineBirth, other: EngineBirth) -> bool {
-    one == other || one == UNKNOWN_BIRTH || other == UNKNOWN_BIRTH
+pub const fn is_same_incarnation(one: EngineIncarnation, other: EngineIncarnation) -> bool {
+    one == other || one == UNKNOWN_INCARNATION || other == UNKNOWN_INCARNATION
 }
 
 /// Names a service.
@@ -70,7 +70,7 @@
 
 /// Something that an engine holds.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct HeldModel {
+pub struct LoadedModel {
     /// The base model or adapter.
     pub key: ModelKey,
     /// The version of its weights.
@@ -83,7 +83,7 @@
     /// The engine.
     pub name: EngineName,
     /// When this life of it began, by its own clock; zero where it does not say. Unit: milliseconds since 1970.
-    pub born: EngineBirth,
+    pub incarnation: EngineIncarnation,
     /// The service that it belongs to.
     pub service: ServiceName,
     /// Where it takes requests and orders.
@@ -97,12 +97,12 @@
     /// How many orders it had taken.
     pub sequence: u64,
     /// What it held.
-    pub held: Vec<HeldModel>,
+    pub loaded_models: Vec<LoadedModel>,
 }
 
 impl EngineEntry {
-    /// Returns whether a life that began at `born` is this one, as far as both say when they began.
-    pub const fn is_life(&self, born: EngineBirth) -> bool {
-        is_same_incarnation(self.born, born)
+    /// Returns whether a life that began at `incarnation` is this one, as far as both say when they began.
+    pub const fn is_incarnation(&self, incarnation: EngineIncarnation) -> bool {
+        is_same_incarnation(self.incarnation, incarnation)
     }
 }
--- a/crates/core/src/fleet/announcement.rs
+++ b/crates/core/src/fleet/announcement.rs
@@ -6,7 +6,7 @@
 
 /// The longest cooldown that is honoured at a time. The engine is probed with one request afterwards, so that a
 /// mistyped value does not take it out of service for good.
-pub const LONGEST_COOLDOWN: Duration = Duration::from_mins(10);
+pub const MAX_COOLDOWN: Duration = Duration::from_mins(10);
 
 /// What a response says on one matter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
@@ -48,16 +48,16 @@
 pub struct Cooldown(Duration);
 
 impl Cooldown {
-    /// Wraps a number of seconds, at most [`LONGEST_COOLDOWN`]; `None` unless it is above zero.
+    /// Wraps a number of seconds, at most [`MAX_COOLDOWN`]; `None` unless it is above zero.
     pub fn from_seconds(seconds: f64) -> Option<Self> {
         (seconds > 0.0).then(|| {
-            let time = Duration::try_from_secs_f64(seconds).unwrap_or(LONGEST_COOLDOWN);
-            Self(time.min(LONGEST_COOLDOWN))
+            let duration = Duration::try_from_secs_f64(seconds).unwrap_or(MAX_COOLDOWN);
+            Self(duration.min(MAX_COOLDOWN))
         })
     }
 
     /// Returns its length.
-    pub const fn time(self) -> Duration {
+    pub const fn duration(self) -> Duration {
         self.0
     }
 }
--- a/crates/core/src/fleet/cooldown.rs
+++ b/crates/core/src/fleet/cooldown.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     clock::ClockMillis,
-    fleet::{EngineBirth, EngineName, announcement::Cooldown, is_same_incarnation},
+    fleet::{EngineIncarnation, EngineName, announcement::Cooldown, is_same_incarnation},
 };
 
 /// From how many probes at a time on an engine is no longer restricted.
@@ -21,18 +21,18 @@
 const RECOVERY_RETENTION: Duration = Duration::from_secs(10);
 
 /// How long a probe without a response keeps others back.
-const PROBE_PATIENCE: Duration = Duration::from_secs(1);
+const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How long a probe is expected to take until its response begins.
-const PROBE_TIME: Duration = Duration::from_millis(300);
+const EXPECTED_PROBE_TIME: Duration = Duration::from_millis(300);
 
 /// The step between the retry times given to clients after one cooldown, and the number of steps before they begin again.
-const RETURN_STEP: Duration = Duration::from_millis(25);
-const RETURN_STEPS: u32 = 40;
+const RETRY_AFTER_STEP: Duration = Duration::from_millis(25);
+const RETRY_AFTER_STEPS: u32 = 40;
 
 /// Whether a request may go to an engine as far as its cooldowns go.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CooldownStanding {
+pub enum CooldownState {
     /// It may.
     Open,
     /// It may not; the engine is expected to take requests again after this time.
@@ -47,9 +47,9 @@
         /// The engine.
         engine: EngineName,
         /// Its incarnation.
-        born: EngineBirth,
+        incarnation: EngineIncarnation,
         /// The length.
-        time: Duration,
+        duration: Duration,
     },
     /// The engine takes requests without restriction again, or has ended.
     Ended {
@@ -62,7 +62,7 @@
 
 #[derive(Debug, Clone)]
 struct EngineCooldown {
-    born: EngineBirth,
+    incarnation: EngineIncarnation,
     until: ClockMillis,
     /// Requests that may be sent before the engine responds, once the cooldown is over.
     allowance: usize,
@@ -71,13 +71,13 @@
     /// How often it was asked for since the engine last took requests without restriction.
     requests: u32,
     /// How many clients were given a retry time after it.
-    returns: u32,
+    retry_times_issued: u32,
 }
 
 impl EngineCooldown {
-    const fn new(born: EngineBirth, now: ClockMillis) -> Self {
+    const fn new(incarnation: EngineIncarnation, now: ClockMillis) -> Self {
         let probes = VecDeque::new();
-        Self { born, until: now, allowance: 1, probes, requests: 0, returns: 0 }
+        Self { incarnation, until: now, allowance: 1, probes, requests: 0, retry_times_issued: 0 }
     }
 
     /// Returns after what time the engine is expected to take requests, if it takes none now.
@@ -85,8 +85,8 @@
         if now < self.until {
             return Some(self.until.since(now));
         }
-        let pending = self.probes.iter().filter(|sent| now.since(**sent) < PROBE_PATIENCE);
-        (pending.count() >= self.allowance).then_some(PROBE_TIME)
+        let pending = self.probes.iter().filter(|sent| now.since(**sent) < PROBE_TIMEOUT);
+        (pending.count() >= self.allowance).then_some(EXPECTED_PROBE_TIME)
     }
 }
 
@@ -99,59 +99,67 @@
 
 impl CooldownTable {
     /// Takes that an incarnation of an engine asked this host for a cooldown; the later end counts.
-    pub fn requested(
+    pub fn record_cooldown(
         &mut self,
         engine: &EngineName,
-        born: EngineBirth,
+        incarnation: EngineIncarnation,
         cooldown: Cooldown,
         now: ClockMillis,
     ) {
-        let new = || EngineCooldown::new(born, now);
+        let new = || EngineCooldown::new(incarnation, now);
         let known = self.engines.entry(Arc::clone(engine)).or_insert_with(new);
-        if !is_same_incarnation(known.born, born) {
+        if !is_same_incarnation(known.incarnation, incarnation) {
             *known = new();
         }
         if known.requests == 0 {
-            let (engine, time) = (Arc::clone(engine), cooldown.time());
-            self.events.push(CooldownEvent::Began { engine, born, time });
+            let (engine, duration) = (Arc::clone(engine), cooldown.duration());
+            self.events.push(CooldownEvent::Began { engine, incarnation, duration });
         }
         if now >= known.until {
-            known.returns = 0;
+            known.retry_times_issued = 0;
         }
-        known.until = known.until.max(now + cooldown.time());
+        known.until = known.until.max(now + cooldown.duration());
         known.allowance = 1;
         known.probes.clear();
         known.requests += 1;
     }
 
     /// Returns whether a request may go to an engine.
-    pub fn standing(&self, engine: &str, born: EngineBirth, now: ClockMillis) -> CooldownStanding {
-        let known = self.engines.get(engine).filter(|known| is_same_incarnation(known.born, born));
+    pub fn state(
+        &self,
+        engine: &str,
+        incarnation: EngineIncarnation,
+        now: ClockMillis,
+    ) -> CooldownState {
+        let known = self
+            .engines
+            .get(engine)
+            .filter(|known| is_same_incarnation(known.incarnation, incarnation));
         let closed = known.and_then(|known| known.closed_for(now));
-        closed.map_or(CooldownStanding::Open, CooldownStanding::Closed)
+        closed.map_or(CooldownState::Open, CooldownState::Closed)
     }
 
     /// Takes that a request is sent to an engine.
-    pub fn sent(&mut self, engine: &str, born: EngineBirth, now: ClockMillis) {
+    pub fn record_sent(&mut self, engine: &str, incarnation: EngineIncarnation, now: ClockMillis) {
         if let Some(known) = self.engines.get_mut(engine)
-            && is_same_incarnation(known.born, born)
+            && is_same_incarnation(known.incarnation, incarnation)
         {
-            known.probes.retain(|sent| now.since(*sent) < PROBE_PATIENCE);
+            known.probes.retain(|sent| now.since(*sent) < PROBE_TIMEOUT);
             known.probes.push_back(now);
         }
     }
 
     /// Takes that an engine has responded to a request that was sent at `sent`, and whether it accepted it; one that was
     /// sent before the end of the cooldown changes nothing. Returns whether more requests may go there.
-    pub fn responded(
+    pub fn record_response(
         &mut self,
         engine: &str,
-        born: EngineBirth,
+        incarnation: EngineIncarnation,
         sent: ClockMillis,
         accepted: bool,
     ) -> bool {
         let Some(known) = self.engines.get_mut(engine) else { return false };
-        if !is_same_incarnation(known.born, born) || sent < known.until {
+        if !is_same_incarnation(known.incarnation, incarnation) || sent < known.until {
             return false;
         }
         known.probes.pop_front();
@@ -159,37 +167,40 @@
             known.allowance *= 2;
         }
         if known.allowance >= RECOVERED_PROBES {
-            self.end(engine);
+            self.remove(engine);
         }
         true
     }
 
     /// Returns the engines that take no requests now.
-    pub fn closed(&self, now: ClockMillis) -> impl Iterator<Item = &EngineName> {
+    pub fn closed_engines(&self, now: ClockMillis) -> impl Iterator<Item = &EngineName> {
         let closed = self.engines.iter().filter(move |(_, known)| known.closed_for(now).is_some());
         closed.map(|(engine, _)| engine)
     }
 
     /// Returns the retry time for the next rejected client: after the cooldown of its engine, each a step later than the one
     /// before.
-    pub fn return_time(&mut self, engine: &str, now: ClockMillis) -> Option<Duration> {
+    pub fn next_retry_after(&mut self, engine: &str, now: ClockMillis) -> Option<Duration> {
         let known = self.engines.get_mut(engine)?;
-        let step = RETURN_STEP * (known.returns % RETURN_STEPS);
-        known.returns += 1;
+        let step = RETRY_AFTER_STEP * (known.retry_times_issued % RETRY_AFTER_STEPS);
+        known.retry_times_issued += 1;
         Some(known.until.since(now) + step)
     }
 
     /// Forgets engines whose cooldown is over and that are no longer listed in that incarnation, or were sent nothing for long
-    /// since; `listed` returns the incarnation that is listed.
-    pub fn retain(&mut self, listed: impl Fn(&str) -> Option<EngineBirth>, now: ClockMillis) {
+    /// since; `listed` retry_times_issued the incarnation that is listed.
+    pub fn retain(&mut self, listed: impl Fn(&str) -> Option<EngineIncarnation>, now: ClockMillis) {
         let over = |engine: &str, known: &EngineCooldown| {
-            let ended = || listed(engine).is_none_or(|born| !is_same_incarnation(known.born, born));
+            let ended = || {
+                listed(engine)
+                    .is_none_or(|incarnation| !is_same_incarnation(known.incarnation, incarnation))
+            };
             now >= known.until && (ended() || now.since(known.until) >= RECOVERY_RETENTION)
         };
         let known = self.engines.iter().filter(|(engine, known)| over(engine, known));
         let ended: Vec<EngineName> = known.map(|(engine, _)| Arc::clone(engine)).collect();
         for engine in ended {
-            self.end(&engine);
+            self.remove(&engine);
         }
     }
 
@@ -198,7 +209,7 @@
         std::mem::take(&mut self.events)
     }
 
-    fn end(&mut self, engine: &str) {
+    fn remove(&mut self, engine: &str) {
         if let Some((engine, known)) = self.engines.remove_entry(engine) {
             self.events.push(CooldownEvent::Ended { engine, requests: known.requests });
         }
--- a/crates/core/src/fleet/departures.rs
+++ b/crates/core/src/fleet/departures.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     clock::ClockMillis,
-    fleet::{EngineBirth, EngineName, is_same_incarnation},
+    fleet::{EngineIncarnation, EngineName, is_same_incarnation},
 };
 
 /// How long the departure of an engine that is not listed is remembered.
@@ -45,7 +45,7 @@
     /// The engine.
     pub engine: EngineName,
     /// Its incarnation.
-    pub born: EngineBirth,
+    pub incarnation: EngineIncarnation,
     /// How long ago it was announced.
     pub age: Duration,
 }
@@ -56,7 +56,7 @@
     /// The engine.
     pub engine: EngineName,
     /// Its incarnation.
-    pub born: EngineBirth,
+    pub incarnation: EngineIncarnation,
     /// Where this host learned of it.
     pub source: DepartureSource,
     /// How long ago it was announced.
@@ -65,7 +65,7 @@
 
 #[derive(Debug, Clone)]
 struct KnownDeparture {
-    born: EngineBirth,
+    incarnation: EngineIncarnation,
     announced: ClockMillis,
     source: DepartureSource,
     /// Whether the coordinator has to receive it.
@@ -83,64 +83,77 @@
 
 impl DepartureRegistry {
     /// Takes the announcement of an incarnation in a response to this host; returns whether it is new.
-    pub fn announced(&mut self, engine: &EngineName, born: EngineBirth, now: ClockMillis) -> bool {
-        self.learn(engine, born, now, DepartureSource::Response, now)
+    pub fn record_announced(
+        &mut self,
+        engine: &EngineName,
+        incarnation: EngineIncarnation,
+        now: ClockMillis,
+    ) -> bool {
+        self.learn(engine, incarnation, now, DepartureSource::Response, now)
     }
 
     /// Takes a departure that the engine's entry shows, which all hosts read.
-    pub fn listed(&mut self, engine: &EngineName, born: EngineBirth, now: ClockMillis) {
-        self.learn(engine, born, now, DepartureSource::Listing, now);
+    pub fn record_listed(
+        &mut self,
+        engine: &EngineName,
+        incarnation: EngineIncarnation,
+        now: ClockMillis,
+    ) {
+        self.learn(engine, incarnation, now, DepartureSource::Listing, now);
     }
 
     /// Takes what another host reports or publishes.
     pub fn receive(&mut self, reports: &[DepartureReport], now: ClockMillis) {
         for report in reports {
             let announced = now - report.age;
-            self.learn(&report.engine, report.born, announced, DepartureSource::Peer, now);
+            self.learn(&report.engine, report.incarnation, announced, DepartureSource::Peer, now);
         }
     }
 
     fn learn(
         &mut self,
         engine: &EngineName,
-        born: EngineBirth,
+        incarnation: EngineIncarnation,
         announced: ClockMillis,
         source: DepartureSource,
         now: ClockMillis,
     ) -> bool {
         let known = self.departures.entry(Arc::clone(engine)).or_default();
-        if known.iter().any(|known| is_same_incarnation(known.born, born)) {
+        if known.iter().any(|known| is_same_incarnation(known.incarnation, incarnation)) {
             return false;
         }
         let pending = source == DepartureSource::Response;
         let unpublished = source != DepartureSource::Listing;
-        known.push(KnownDeparture { born, announced, source, pending, unpublished });
+        known.push(KnownDeparture { incarnation, announced, source, pending, unpublished });
         let (engine, age) = (Arc::clone(engine), now.since(announced));
-        self.learned.push(LearnedDeparture { engine, born, source, age });
+        self.learned.push(LearnedDeparture { engine, incarnation, source, age });
         true
     }
 
     /// Returns whether an incarnation of an engine is leaving.
-    pub fn is_departing(&self, engine: &str, born: EngineBirth) -> bool {
+    pub fn is_departing(&self, engine: &str, incarnation: EngineIncarnation) -> bool {
         let known = self.departures.get(engine);
-        known.is_some_and(|known| known.iter().any(|known| is_same_incarnation(known.born, born)))
+        known.is_some_and(|known| {
+            known.iter().any(|known| is_same_incarnation(known.incarnation, incarnation))
+        })
     }
 
     /// Returns how many of the listed incarnations are leaving; `listed` returns the one that is listed.
-    pub fn count(&self, listed: impl Fn(&str) -> Option<EngineBirth>) -> usize {
+    pub fn count_departing(&self, listed: impl Fn(&str) -> Option<EngineIncarnation>) -> usize {
         let departing = |engine: &EngineName| {
-            listed(engine).is_some_and(|born| self.is_departing(engine, born))
+            listed(engine).is_some_and(|incarnation| self.is_departing(engine, incarnation))
         };
         self.departures.keys().filter(|engine| departing(engine)).count()
     }
 
     /// Forgets departures of engines that have not been listed in that incarnation for long; `listed` returns the
     /// incarnation that is listed.
-    pub fn retain(&mut self, listed: impl Fn(&str) -> Option<EngineBirth>, now: ClockMillis) {
+    pub fn retain(&mut self, listed: impl Fn(&str) -> Option<EngineIncarnation>, now: ClockMillis) {
         self.departures.retain(|engine, known| {
             let present = listed(engine);
             known.retain(|known| {
-                present.is_some_and(|born| is_same_incarnation(known.born, born))
+                present
+                    .is_some_and(|incarnation| is_same_incarnation(known.incarnation, incarnation))
                     || now.since(known.announced) < UNLISTED_RETENTION
             });
             !known.is_empty()
@@ -197,7 +210,7 @@
                     continue;
                 }
                 let (engine, age) = (Arc::clone(engine), now.since(known.announced));
-                reports.push(DepartureReport { engine, born: known.born, age });
+                reports.push(DepartureReport { engine, incarnation: known.incarnation, age });
             }
         }
         reports
--- a/crates/core/src/fleet/freshness.rs
+++ b/crates/core/src/fleet/freshness.rs
@@ -22,37 +22,37 @@
 #[derive(Debug, Clone)]
 pub struct ConfigurationFreshness {
     /// How long after its withdrawal a key may be served; absent where nothing bounds it.
-    bound: Option<Duration>,
+    max_staleness: Option<Duration>,
     state: FreshnessState,
-    confirmed: Option<ClockMillis>,
+    confirmed_at: Option<ClockMillis>,
 }
 
 impl ConfigurationFreshness {
     /// Starts with nothing known; `bound` is how long a withdrawn key may be served.
-    pub fn new(bound: Option<Duration>) -> Self {
-        Self { bound, state: FreshnessState::initial(), confirmed: None }
+    pub fn new(max_staleness: Option<Duration>) -> Self {
+        Self { max_staleness, state: FreshnessState::initial(), confirmed_at: None }
     }
 
     /// Takes that the configuration was the newest one at `moment`, when the store or a peer was asked.
     ///
     /// Earlier moments than known ones change nothing.
-    pub fn confirmed(&mut self, moment: ClockMillis, now: ClockMillis) {
+    pub fn confirm(&mut self, moment: ClockMillis, now: ClockMillis) {
         if self.state == FreshnessState::Superseded {
             return;
         }
-        self.confirmed = self.confirmed.max(Some(moment));
+        self.confirmed_at = self.confirmed_at.max(Some(moment));
         if self.serves_keys(now) {
             self.state = self.state.after(FreshnessEvent::Confirmed);
         }
     }
 
     /// Takes that a newer configuration exists and can not be read: nothing confirms the old one any more.
-    pub fn unreadable(&mut self) {
+    pub fn newer_unreadable(&mut self) {
         self.state = self.state.after(FreshnessEvent::Unreadable);
     }
 
     /// Takes that a configuration came into force.
-    pub fn replaced(&mut self) {
+    pub fn configuration_replaced(&mut self) {
         self.state = self.state.after(FreshnessEvent::Replaced);
     }
 
@@ -70,18 +70,20 @@
 
     /// Returns the moment up to which the configuration is known to have been the newest.
     pub const fn confirmed_at(&self) -> Option<ClockMillis> {
-        self.confirmed
+        self.confirmed_at
     }
 
     /// Returns until when requests with keys may arrive and be served.
-    pub fn keys_until(&self) -> ClockMillis {
-        let Some(bound) = self.bound else { return ClockMillis::from_millis(u64::MAX) };
-        let served = bound.saturating_sub(CLOCK_MARGIN);
-        self.confirmed.map_or(ClockMillis::default(), |moment| moment + served)
+    pub fn keys_valid_until(&self) -> ClockMillis {
+        let Some(max_staleness) = self.max_staleness else {
+            return ClockMillis::from_millis(u64::MAX);
+        };
+        let served_for = max_staleness.saturating_sub(CLOCK_MARGIN);
+        self.confirmed_at.map_or(ClockMillis::default(), |moment| moment + served_for)
     }
 
     fn serves_keys(&self, now: ClockMillis) -> bool {
-        now <= self.keys_until()
+        now <= self.keys_valid_until()
     }
 }
 
@@ -92,18 +94,18 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PeerClock {
     /// When the host asked, by its own clock.
-    pub own: ClockMillis,
+    pub local: ClockMillis,
     /// What the peer's clock showed when it answered.
     pub peer: ClockMillis,
 }
 
 impl PeerClock {
     /// Returns the latest moment of the own clock that is sure not to lie after a moment of the peer's clock.
-    pub fn own_moment(&self, moment: ClockMillis) -> ClockMillis {
+    pub fn to_local(&self, moment: ClockMillis) -> ClockMillis {
         if moment >= self.peer {
-            self.own + moment.since(self.peer)
+            self.local + moment.since(self.peer)
         } else {
-            self.own - self.peer.since(moment)
+            self.local - self.peer.since(moment)
         }
     }
 }
--- a/crates/core/src/fleet/limits/engine_share.rs
+++ b/crates/core/src/fleet/limits/engine_share.rs
@@ -5,7 +5,7 @@
 use crate::{
     clock::ClockMillis,
     fleet::{
-        EngineBirth, EngineName, is_same_incarnation,
+        EngineIncarnation, EngineName, is_same_incarnation,
         limits::{
             bucket::TokenBucket,
             limit::RequestLimit,
@@ -27,7 +27,7 @@
 /// What this host knows of one engine's limit.
 #[derive(Debug, Clone)]
 pub(super) struct EngineShare {
-    pub(super) born: EngineBirth,
+    pub(super) born: EngineIncarnation,
     /// The limit that the engine declared last.
     pub(super) limit: RequestLimit,
     /// Whether it has declared none since.
@@ -61,7 +61,7 @@
 }
 
 impl EngineShare {
-    pub(super) fn new(born: EngineBirth, limit: RequestLimit, said: ClockMillis) -> Self {
+    pub(super) fn new(born: EngineIncarnation, limit: RequestLimit, said: ClockMillis) -> Self {
         Self {
             born,
             limit,
@@ -85,14 +85,14 @@
         }
     }
 
-    pub(super) const fn is_incarnation(&self, born: EngineBirth) -> bool {
+    pub(super) const fn is_incarnation(&self, born: EngineIncarnation) -> bool {
         is_same_incarnation(self.born, born)
     }
 
     /// Replaces the state of an earlier incarnation; requests that wait go on waiting.
     pub(super) fn begin_incarnation(
         &mut self,
-        born: EngineBirth,
+        born: EngineIncarnation,
         limit: RequestLimit,
         said: ClockMillis,
     ) {
--- a/crates/core/src/fleet/limits/events.rs
+++ b/crates/core/src/fleet/limits/events.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     clock::ClockMillis,
-    fleet::{EngineBirth, EngineName, limits::limit::RequestLimit},
+    fleet::{EngineIncarnation, EngineName, limits::limit::RequestLimit},
 };
 
 /// The least time between two lines on one engine: it may name another limit, or none, in each answer.
@@ -18,7 +18,7 @@
         /// The engine.
         engine: EngineName,
         /// When the life that names it began.
-        born: EngineBirth,
+        born: EngineIncarnation,
         /// The limit.
         limit: RequestLimit,
         /// The limit that was logged before, if it still held.
@@ -63,7 +63,7 @@
     /// Returns what is to be logged now, where these engines have these limits.
     pub fn take<'known>(
         &mut self,
-        known: impl Iterator<Item = (&'known EngineName, EngineBirth, RequestLimit)>,
+        known: impl Iterator<Item = (&'known EngineName, EngineIncarnation, RequestLimit)>,
         now: ClockMillis,
     ) -> Vec<LimitEvent> {
         let mut news = Vec::new();
--- a/crates/core/src/fleet/limits/ledger.rs
+++ b/crates/core/src/fleet/limits/ledger.rs
@@ -13,7 +13,7 @@
 use crate::{
     clock::ClockMillis,
     fleet::{
-        EngineBirth, EngineName, is_same_incarnation,
+        EngineIncarnation, EngineName, is_same_incarnation,
         limits::{
             bucket::TokenBucket,
             limit::RequestLimit,
@@ -78,7 +78,7 @@
 /// The account of one engine that declares a limit.
 #[derive(Debug, Clone)]
 struct LimitAccount {
-    born: EngineBirth,
+    born: EngineIncarnation,
     limit: RequestLimit,
     /// When the response began that declared it last.
     said: ClockMillis,
@@ -112,7 +112,7 @@
         }
     }
 
-    const fn is_incarnation(&self, born: EngineBirth) -> bool {
+    const fn is_incarnation(&self, born: EngineIncarnation) -> bool {
         is_same_incarnation(self.born, born)
     }
 
@@ -344,7 +344,7 @@
     }
 
     /// Forgets engines that are listed no more, or in another life; `life` returns the one that is listed.
-    pub fn retain(&mut self, life: impl Fn(&str) -> Option<EngineBirth>) {
+    pub fn retain(&mut self, life: impl Fn(&str) -> Option<EngineIncarnation>) {
         self.accounts.retain(|engine, account| {
             life(engine).is_some_and(|born| account.is_incarnation(born))
         });
--- a/crates/core/src/fleet/limits/report.rs
+++ b/crates/core/src/fleet/limits/report.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::fleet::{EngineBirth, EngineName, limits::limit::RequestLimit};
+use crate::fleet::{EngineIncarnation, EngineName, limits::limit::RequestLimit};
 
 /// The state of an engine that has declared a limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -21,7 +21,7 @@
     /// The engine.
     pub engine: EngineName,
     /// The incarnation that declared it.
-    pub born: EngineBirth,
+    pub born: EngineIncarnation,
     /// The limit that it declared last.
     pub limit: RequestLimit,
     /// Whether that is in force.
--- a/crates/core/src/fleet/limits/share.rs
+++ b/crates/core/src/fleet/limits/share.rs
@@ -5,7 +5,7 @@
 use crate::{
     clock::ClockMillis,
     fleet::{
-        EngineBirth, EngineName,
+        EngineIncarnation, EngineName,
         announcement::Declared,
         limits::{
             bucket::TokenBucket,
@@ -76,7 +76,7 @@
     pub fn answered(
         &mut self,
         engine: &EngineName,
-        born: EngineBirth,
+        born: EngineIncarnation,
         report: AnswerReport,
         now: ClockMillis,
     ) -> bool {
@@ -133,7 +133,7 @@
     }
 
     /// Forgets engines that are no longer listed in that incarnation; `life` returns the one that is listed.
-    pub fn retain(&mut self, life: impl Fn(&str) -> Option<EngineBirth>) {
+    pub fn retain(&mut self, life: impl Fn(&str) -> Option<EngineIncarnation>) {
         self.engines
             .retain(|engine, known| life(engine).is_some_and(|born| known.is_incarnation(born)));
         self.news.retain(|engine| life(engine).is_some());
--- a/crates/core/src/fleet/prompt.rs
+++ b/crates/core/src/fleet/prompt.rs
@@ -4,27 +4,27 @@
 //! requests on the same adapter that begin with the same parts.
 
 /// Names a part of a prompt; equal parts of different requests have the same name.
-pub type PartId = u64;
+pub type PromptPartId = u64;
 
 /// One part of a prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptPart {
     /// The part's name.
-    pub id: PartId,
+    pub id: PromptPartId,
     /// Its length. Unit: tokens.
     pub tokens: u32,
 }
 
 /// What a request says of its prompt and of its answer's length.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct PromptFacts {
+pub struct PromptMetadata {
     /// The whole prompt's length. Unit: tokens.
     pub length: u32,
     /// The prompt's parts in their order; the last one belongs to the request or its session alone.
     pub parts: Vec<PromptPart>,
 }
 
-impl PromptFacts {
+impl PromptMetadata {
     /// Returns how many tokens an engine that keeps nothing reads, at least one.
     pub fn tokens(&self) -> u64 {
         let parts: u64 = self.parts.iter().map(|part| u64::from(part.tokens)).sum();
--- a/crates/core/src/fleet/routes.rs
+++ b/crates/core/src/fleet/routes.rs
@@ -59,15 +59,15 @@
     /// How long a request may be held.
     pub timeout: Duration,
     /// Within which time an answer, or its first event, is wanted.
-    pub target: Duration,
+    pub latency_target: Duration,
     /// The longest pause between two events with which a stream is still in time, where one is named.
-    pub longest_pause: Option<Duration>,
+    pub max_event_gap: Option<Duration>,
     /// The rank of its requests; zero is the most urgent.
     pub priority: u8,
     /// The services that run its requests, at least one.
     pub backends: Vec<WeightedBackend>,
     /// To how many engines one request may be sent.
-    pub most_attempts: u32,
+    pub attempt_limit: u32,
     /// Whether it serves everybody, without a key.
     pub public: bool,
 }
@@ -109,9 +109,9 @@
     /// The models that may be ordered.
     pub models: Vec<ModelSize>,
     /// Room for weights and adapters together. Unit: megabytes.
-    pub weight_megabytes: f64,
+    pub memory_megabytes: f64,
     /// Places for adapters.
-    pub most_adapters: u32,
+    pub adapter_limit: u32,
     /// How many loads a second the weight store allows over all engines.
     pub loads_per_second: f64,
 }
@@ -129,7 +129,7 @@
     /// Its name.
     pub name: ServiceName,
     /// The most connections that one of its engines takes from all hosts together.
-    pub most_connections: u32,
+    pub connection_limit: u32,
     /// What its engines can hold; absent for plain services.
     pub hosting: Option<ModelHosting>,
 }
@@ -142,9 +142,9 @@
     /// The longest body. Unit: bytes.
     pub body_bytes: usize,
     /// How long a head may take from its first byte on.
-    pub head_time: Duration,
+    pub head_timeout: Duration,
     /// How long a connection may rest between requests.
-    pub idle_time: Duration,
+    pub idle_timeout: Duration,
 }
 
 impl Default for ClientLimits {
@@ -153,8 +153,8 @@
         Self {
             head_bytes: 16 * 1024,
             body_bytes: 1024 * 1024,
-            head_time: Duration::from_secs(3),
-            idle_time: Duration::from_secs(15),
+            head_timeout: Duration::from_secs(3),
+            idle_timeout: Duration::from_secs(15),
         }
     }
 }
@@ -205,7 +205,7 @@
     }
 
     /// Returns whether a route's requests are served only with a key.
-    pub const fn asks_for_key(&self, route: &RouteEntry) -> bool {
+    pub const fn requires_key(&self, route: &RouteEntry) -> bool {
         self.organisations.is_some() && !route.public
     }
 
@@ -254,13 +254,13 @@
 
     /// Returns the service whose placer also does what is done once for all services: the first one with models by name, and the
     /// first of all where none has any.
-    pub fn leading_service(&self) -> Option<&ServiceName> {
-        let hosting = self.hosting_services().map(|service| &service.name).min();
+    pub fn coordinating_service(&self) -> Option<&ServiceName> {
+        let hosting = self.services_with_models().map(|service| &service.name).min();
         hosting.or_else(|| self.services.keys().min())
     }
 
     /// Iterates over the services whose engines hold models.
-    pub fn hosting_services(&self) -> impl Iterator<Item = &Arc<ServiceEntry>> {
+    pub fn services_with_models(&self) -> impl Iterator<Item = &Arc<ServiceEntry>> {
         self.services.values().filter(|service| service.hosting.is_some())
     }
 }
--- a/crates/core/src/fleet/relisting.rs
+++ b/crates/core/src/fleet/stale_listing.rs
@@ -6,27 +6,31 @@
 
 use std::time::Duration;
 
-use super::{EngineBirth, EngineEntry};
+use super::{EngineEntry, EngineIncarnation};
 
 /// How long engines have to write their entries again after the store has come back from an older copy.
 ///
 /// They write every 1.2 s or so, and a store takes three times that without a word for a departure itself.
-pub const WRITING_AGAIN: Duration = Duration::from_secs(4);
+pub const REWRITE_GRACE_PERIOD: Duration = Duration::from_secs(4);
 
 /// What is known of an engine that was listed in an earlier era.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum KnownWord<'entry> {
+pub enum LastKnownEngine<'entry> {
     /// Its entry.
     Listed(&'entry EngineEntry),
     /// It is gone; this was its last life.
-    Gone(EngineBirth),
+    Gone(EngineIncarnation),
 }
 
 /// Returns whether a listing from a later era is believed at once.
-pub fn is_believed(known: &KnownWord<'_>, listed: &EngineEntry) -> bool {
+pub fn is_up_to_date(known: &LastKnownEngine<'_>, listed: &EngineEntry) -> bool {
     match known {
-        KnownWord::Listed(known) if listed.is_life(known.born) => listed.sequence >= known.sequence,
-        KnownWord::Listed(known) => listed.born > known.born,
-        KnownWord::Gone(born) => !listed.is_life(*born) && listed.born > *born,
+        LastKnownEngine::Listed(known) if listed.is_incarnation(known.incarnation) => {
+            listed.sequence >= known.sequence
+        }
+        LastKnownEngine::Listed(known) => listed.incarnation > known.incarnation,
+        LastKnownEngine::Gone(incarnation) => {
+            !listed.is_incarnation(*incarnation) && listed.incarnation > *incarnation
+        }
     }
 }
--- a/crates/core/src/fleet/work.rs
+++ b/crates/core/src/fleet/work.rs
@@ -8,22 +8,23 @@
     /// Requests that are open.
     pub open: u32,
     /// Prompts of those that have not had their first event. Unit: tokens.
-    pub unread: u64,
+    pub pending_prefill_tokens: u64,
 }
 
-/// By which part of the open requests that were told they must have moved to be told again: hosts add their own
+/// By which part of the open requests that were reported they must have moved to be reported again: hosts add their own
 /// requests to what they hear, and an engine with eleven or twelve is as good as one with ten.
-const OPEN_PART: u32 = 5;
+const OPEN_CHANGE_DIVISOR: u32 = 5;
 
 impl EngineWork {
-    /// Returns whether the work has moved so far from what was told that it makes a difference.
+    /// Returns whether the work has moved so far from what was reported that it makes a difference.
     ///
     /// That an engine has work at all, or none any more, always does.
-    pub const fn differs(&self, told: &Self, step: u64) -> bool {
-        let began_or_ended = (self.open == 0) != (told.open == 0);
-        let open = self.open.abs_diff(told.open) > told.open / OPEN_PART;
-        let unread = self.unread.abs_diff(told.unread) > step;
-        began_or_ended || open || unread
+    pub const fn differs_significantly(&self, reported: &Self, token_step: u64) -> bool {
+        let began_or_ended = (self.open == 0) != (reported.open == 0);
+        let open = self.open.abs_diff(reported.open) > reported.open / OPEN_CHANGE_DIVISOR;
+        let pending_prefill_tokens =
+            self.pending_prefill_tokens.abs_diff(reported.pending_prefill_tokens) > token_step;
+        began_or_ended || open || pending_prefill_tokens
     }
 }
 
@@ -31,6 +32,9 @@
     type Output = Self;
 
     fn add(self, other: Self) -> Self {
-        Self { open: self.open + other.open, unread: self.unread + other.unread }
+        Self {
+            open: self.open + other.open,
+            pending_prefill_tokens: self.pending_prefill_tokens + other.pending_prefill_tokens,
+        }
     }
 }
--- a/crates/core/src/placement/candidates.rs
+++ b/crates/core/src/placement/candidates.rs
@@ -170,7 +170,7 @@
     /// Returns what one more copy than `copies` is worth: the requests that it takes off those.
     pub(super) fn copy_worth(&self, key: &str, copies: f64, now: ClockMillis) -> f64 {
         let spare = |rate: f64, tokens: f64, most: f64| {
-            let share = self.reading.share_for(tokens) / copies;
+            let share = self.reading.utilization_for(tokens) / copies;
             if share > most { rate / copies * (1.0 - most / share) } else { 0.0 }
         };
         let lasting = (self.demand.rate(key, now), self.demand.reading_rate(key, now));
--- a/crates/core/src/placement/inventory.rs
+++ b/crates/core/src/placement/inventory.rs
@@ -14,7 +14,8 @@
 use crate::{
     clock::ClockMillis,
     fleet::{
-        EngineBirth, EngineEntry, HeldModel, ModelKey, WeightVersion, adapter_name, base_model,
+        EngineEntry, EngineIncarnation, LoadedModel, ModelKey, WeightVersion, adapter_name,
+        base_model,
     },
     placement::{EngineMemory, LoadSight, OrderId, OrderKind, PlannedOrder},
 };
@@ -45,15 +46,15 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineReport {
     /// The life of the engine that tells it; zero where it does not say.
-    pub born: EngineBirth,
+    pub born: EngineIncarnation,
     /// How many orders it had taken.
     pub sequence: u64,
     /// Whether a model's order is under way.
     pub busy: bool,
     /// What it held.
-    pub held: Vec<HeldModel>,
+    pub held: Vec<LoadedModel>,
     /// What was in transit to it.
-    pub pending: Vec<HeldModel>,
+    pub pending: Vec<LoadedModel>,
 }
 
 /// A load that was ordered and has not been seen to end.
@@ -159,7 +160,7 @@
 impl EngineInventory {
     /// Starts with what the engine's entry says that it holds.
     pub fn new(entry: Arc<EngineEntry>) -> Self {
-        let held = entry.held.iter().map(|model| (Arc::clone(&model.key), model.version));
+        let held = entry.loaded_models.iter().map(|model| (Arc::clone(&model.key), model.version));
         Self {
             held: held.collect(),
             entry,
@@ -198,7 +199,9 @@
 
     /// Takes that an order to this life has no answer.
     pub fn note_unanswered(&mut self, order: &PlannedOrder) {
-        if matches!(order.kind, OrderKind::Load { .. }) && self.entry.is_life(order.engine.born) {
+        if matches!(order.kind, OrderKind::Load { .. })
+            && self.entry.is_incarnation(order.engine.incarnation)
+        {
             self.unanswered.push(LateLoad::new(order, self.noted));
         }
     }
@@ -247,7 +250,7 @@
     /// One of a life that is not listed yet does not: its entry comes within a moment, and brings a new inventory.
     pub fn take_report(&mut self, report: &EngineReport, asked: ClockMillis) -> bool {
         self.asking = false;
-        if !self.entry.is_life(report.born) {
+        if !self.entry.is_incarnation(report.born) {
             self.sequence = None;
             return false;
         }
@@ -371,13 +374,15 @@
     }
 
     /// Returns what requests may be sent to, without what is being replaced or dropped.
-    pub fn usable(&self) -> Vec<HeldModel> {
+    pub fn usable(&self) -> Vec<LoadedModel> {
         let usable = self.held.iter().filter(|(key, version)| {
             let mut loads = self.pending.iter();
             let replaced = loads.any(|load| load.key == **key && load.version > **version);
             !replaced && !self.closing.contains(*key)
         });
-        usable.map(|(key, version)| HeldModel { key: Arc::clone(key), version: *version }).collect()
+        usable
+            .map(|(key, version)| LoadedModel { key: Arc::clone(key), version: *version })
+            .collect()
     }
 
     /// Returns how many places for adapters are taken, those in transit included.
--- a/crates/core/src/placement/load_suspects.rs
+++ b/crates/core/src/placement/load_suspects.rs
@@ -13,7 +13,7 @@
 use crate::{
     clock::ClockMillis,
     fleet::{
-        EngineBirth, EngineEntry, EngineName, ModelKey, WeightVersion,
+        EngineEntry, EngineIncarnation, EngineName, ModelKey, WeightVersion,
         quarantine::{ENDS_UNTIL_HELD, Hold},
     },
     placement::inventory::PendingLoad,
@@ -25,7 +25,7 @@
 /// A load after which its engine gave no sign of life.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct SilentLoad {
-    born: EngineBirth,
+    born: EngineIncarnation,
     version: WeightVersion,
     began: ClockMillis,
     noted: ClockMillis,
@@ -61,11 +61,13 @@
         now: ClockMillis,
     ) {
         let loads = self.by_key.entry(Arc::clone(&load.key)).or_default();
-        if let Some(known) = loads.get_mut(&engine.name).filter(|known| known.born == engine.born) {
+        if let Some(known) =
+            loads.get_mut(&engine.name).filter(|known| known.born == engine.incarnation)
+        {
             known.ended |= ended;
             return;
         }
-        let (born, version, began) = (engine.born, load.version, load.began);
+        let (born, version, began) = (engine.incarnation, load.version, load.began);
         let silent = SilentLoad { born, version, began, noted: now, ended };
         loads.insert(Arc::clone(&engine.name), silent);
         let ends = ends_in_a_row(loads);
@@ -76,7 +78,7 @@
     }
 
     /// Takes that an engine lives: its silence was something else.
-    pub fn engine_lives(&mut self, engine: &str, born: EngineBirth) {
+    pub fn engine_lives(&mut self, engine: &str, born: EngineIncarnation) {
         for loads in self.by_key.values_mut() {
             let known = loads.get(engine);
             if known.is_some_and(|load| load.born == born && !load.ended) {
--- a/crates/core/src/placement/planner.rs
+++ b/crates/core/src/placement/planner.rs
@@ -15,8 +15,8 @@
 use crate::{
     clock::ClockMillis,
     fleet::{
-        EngineEntry, EngineName, HeldModel, ModelKey, WeightVersion, adapter_name,
-        reading::ReadingSpeed, routes::ModelHosting, work::EngineWork,
+        EngineEntry, EngineName, LoadedModel, ModelKey, WeightVersion, adapter_name,
+        prefill_speed::PrefillSpeed, routes::ModelHosting, work::EngineWork,
     },
     placement::{
         DemandBook, DemandEntry, EngineInventory, EngineMemory, HostWork, LoadWindow, OrderAnswer,
@@ -67,7 +67,7 @@
     pub(super) store: PaceLearner,
     /// How many loads were ordered lately: what queues has its turn at that rate.
     load_rate: DecayedRate,
-    pub(super) reading: ReadingSpeed,
+    pub(super) reading: PrefillSpeed,
     pub(super) outstanding: HashMap<OrderId, PlannedOrder>,
     pub(super) totals: RoundTotals,
     next_order: OrderId,
@@ -91,7 +91,7 @@
             versions: HashMap::new(),
             store,
             load_rate: DecayedRate::default(),
-            reading: ReadingSpeed::default(),
+            reading: PrefillSpeed::default(),
             outstanding: HashMap::new(),
             totals: RoundTotals::default(),
             next_order: 0,
@@ -125,7 +125,7 @@
             let name = Arc::clone(&entry.name);
             let new = || EngineInventory::new(Arc::clone(entry));
             let inventory = self.engines.entry(name).or_insert_with(new);
-            if !inventory.entry.is_life(entry.born) {
+            if !inventory.entry.is_incarnation(entry.incarnation) {
                 // Another life under the same name holds nothing of before and has taken no order.
                 let outstanding = self.outstanding.values();
                 let outstanding = outstanding.filter(|order| order.engine.name == entry.name);
@@ -173,7 +173,7 @@
     }
 
     /// Takes how fast the domain's engines read prompts, as far as this host has learnt it.
-    pub fn reading_learnt(&mut self, speed: &ReadingSpeed) {
+    pub fn reading_learnt(&mut self, speed: &PrefillSpeed) {
         self.reading.clone_from(speed);
     }
 
@@ -207,7 +207,7 @@
         let time = self.load_time_of(&order.key, order.kind.loads_from_store());
         let due = now + time;
         let Some(inventory) = self.engines.get_mut(&order.engine.name) else { return };
-        if !inventory.entry.is_life(order.engine.born) {
+        if !inventory.entry.is_incarnation(order.engine.incarnation) {
             // The next life may have taken the order of the one before: a report settles its count.
             inventory.sequence = None;
             inventory.ordered = now;
@@ -355,13 +355,13 @@
     /// Returns what requests may be sent to at each engine.
     ///
     /// What is being replaced is left out until its new version is there.
-    pub fn residency(&self) -> Vec<(EngineName, Vec<HeldModel>)> {
+    pub fn residency(&self) -> Vec<(EngineName, Vec<LoadedModel>)> {
         let engines = self.engines.iter();
         engines.map(|(name, inventory)| (Arc::clone(name), inventory.usable())).collect()
     }
 
     /// Returns the same for the engines that may have changed since the last call.
-    pub fn take_changed_residency(&mut self) -> Vec<(EngineName, Vec<HeldModel>)> {
+    pub fn take_changed_residency(&mut self) -> Vec<(EngineName, Vec<LoadedModel>)> {
         let mut changed = Vec::new();
         for (name, inventory) in &mut self.engines {
             if std::mem::take(&mut inventory.touched) {
--- a/crates/core/src/placement/signs.rs
+++ b/crates/core/src/placement/signs.rs
@@ -15,7 +15,7 @@
     /// Takes an engine's report that was asked for at `asked`.
     pub fn report_arrived(&mut self, engine: &str, report: &EngineReport, asked: ClockMillis) {
         let Some(inventory) = self.engines.get_mut(engine) else { return };
-        if !inventory.entry.is_life(report.born) {
+        if !inventory.entry.is_incarnation(report.born) {
             inventory.take_report(report, asked);
             return;
         }
@@ -25,7 +25,7 @@
         for key in landed {
             self.load_suspects.loaded(key);
         }
-        self.load_suspects.engine_lives(engine, inventory.entry.born);
+        self.load_suspects.engine_lives(engine, inventory.entry.incarnation);
         inventory.take_report(report, asked);
         for sight in sights {
             self.store.load_seen(&sight, asked);
--- a/crates/core/src/placement/target.rs
+++ b/crates/core/src/placement/target.rs
@@ -137,7 +137,7 @@
         if adapter_name(key).is_none() || inventory.held.contains_key(key) {
             return true;
         }
-        let places = usize::try_from(self.hosting.most_adapters).unwrap_or(usize::MAX);
+        let places = usize::try_from(self.hosting.adapter_limit).unwrap_or(usize::MAX);
         inventory.adapters_taken() < places && self.has_weight_room(inventory, key)
     }
 
@@ -147,7 +147,7 @@
         let keys = inventory.held.keys().chain(coming.map(|load| &load.key));
         let keys = keys.chain(inventory.may_come_late());
         let taken: f64 = keys.map(|key| self.megabytes(key)).sum();
-        taken + self.megabytes(key) <= self.hosting.weight_megabytes
+        taken + self.megabytes(key) <= self.hosting.memory_megabytes
     }
 
     fn megabytes(&self, key: &str) -> f64 {
@@ -171,7 +171,8 @@
     fn backlog(&self, inventory: &EngineInventory) -> u64 {
         let work = self.work.total(&inventory.entry.name);
         let open = OPEN_PROMPT * f64::from(work.open) * self.totals.mean_prompt();
-        let backlog = work.unread as f64 + self.totals.coming(&inventory.entry.name) + open;
+        let backlog =
+            work.pending_prefill_tokens as f64 + self.totals.coming(&inventory.entry.name) + open;
         #[expect(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
--- a/crates/core/src/placement/work.rs
+++ b/crates/core/src/placement/work.rs
@@ -149,7 +149,7 @@
         let mut changed = Vec::new();
         for (engine, sum) in &mut self.engines {
             let total = sum.total();
-            if total.differs(&sum.told, step) {
+            if total.differs_significantly(&sum.told, step) {
                 sum.told = total;
                 changed.push((Arc::clone(engine), total));
             }
--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -6,7 +6,7 @@
 
 use reelreel_core::{
     ClockMillis,
-    fleet::admission::{AdmissionSign, ServiceAdmission},
+    fleet::admission::{AdmissionController, AdmissionSignal},
 };
 
 use random::Random;
@@ -147,7 +147,7 @@
 
 fn play(load: &ServerLoad, way: HostWay) -> Tally {
     let mut random = Random(0x5eed_ad31);
-    let mut hosts = vec![ServiceAdmission::default(); load.hosts];
+    let mut hosts = vec![AdmissionController::default(); load.hosts];
     let mut events: BinaryHeap<Reverse<(u64, Event)>> = BinaryHeap::new();
     let mut server = Server { running: 0, waiting: std::collections::VecDeque::new() };
     let mut tally = Tally::default();
@@ -180,7 +180,7 @@
         let counts = u64::from(now >= start);
         match event {
             Event::Sent { host, arrived, tries } => {
-                if way == HostWay::Bounded && !hosts[host].admits(at(now)) {
+                if way == HostWay::Bounded && !hosts[host].try_admit(at(now)) {
                     continue;
                 }
                 tally.sends += counts;
@@ -192,7 +192,7 @@
                     server.waiting.push_back((host, arrived, now));
                 } else {
                     tally.full += counts;
-                    hosts[host].note(AdmissionSign::Full, target, at(now));
+                    hosts[host].record(AdmissionSignal::ServerFull, target, at(now));
                     if way == HostWay::AsksAgain && tries < 6 {
                         let again = Event::Sent { host, arrived, tries: tries + 1 };
                         events.push(Reverse((now + 60_000, again)));
@@ -201,7 +201,7 @@
             }
             Event::Ends { host, arrived, sent } => {
                 let delay = Duration::from_micros(now - sent);
-                hosts[host].note(AdmissionSign::Answered(delay), target, at(now));
+                hosts[host].record(AdmissionSignal::Answered(delay), target, at(now));
                 if now - arrived <= load.target * 1000 {
                     tally.in_time += counts;
                 } else {
@@ -250,40 +250,40 @@
 
 #[test]
 fn a_host_that_hears_nothing_sends_everything_on() {
-    let mut admission = ServiceAdmission::default();
+    let mut admission = AdmissionController::default();
     let target = Duration::from_millis(300);
     for _ in 0..40 {
-        admission.note(AdmissionSign::Full, target, ClockMillis::from_millis(10_000));
+        admission.record(AdmissionSignal::ServerFull, target, ClockMillis::from_millis(10_000));
     }
-    assert!(admission.part(ClockMillis::from_millis(10_000)) < 0.2);
+    assert!(admission.admitted_fraction(ClockMillis::from_millis(10_000)) < 0.2);
     let later = ClockMillis::from_millis(13_000);
-    assert!((0..20).all(|_| admission.admits(later)));
+    assert!((0..20).all(|_| admission.try_admit(later)));
 }
 
 #[test]
 fn a_host_is_back_at_everything_after_a_few_easy_answers() {
-    let mut admission = ServiceAdmission::default();
+    let mut admission = AdmissionController::default();
     let target = Duration::from_millis(300);
     let now = ClockMillis::from_millis(10_000);
     for _ in 0..40 {
-        admission.note(AdmissionSign::Full, target, now);
+        admission.record(AdmissionSignal::ServerFull, target, now);
     }
     for _ in 0..12 {
-        admission.note(AdmissionSign::Answered(Duration::from_millis(60)), target, now);
+        admission.record(AdmissionSignal::Answered(Duration::from_millis(60)), target, now);
     }
-    assert!(admission.part(now) > 0.99, "{}", admission.part(now));
+    assert!(admission.admitted_fraction(now) > 0.99, "{}", admission.admitted_fraction(now));
 }
 
 /// Hosts of a large fleet hear an answer in several seconds each: by answers alone they were back after half a minute.
 #[test]
 fn a_host_that_hears_little_is_back_at_everything_within_three_seconds() {
-    let mut admission = ServiceAdmission::default();
+    let mut admission = AdmissionController::default();
     let target = Duration::from_millis(300);
     for _ in 0..40 {
-        admission.note(AdmissionSign::Full, target, ClockMillis::from_millis(10_000));
+        admission.record(AdmissionSignal::ServerFull, target, ClockMillis::from_millis(10_000));
     }
-    let parts =
-        [10_900, 11_700, 12_900, 13_100].map(|at| admission.part(ClockMillis::from_millis(at)));
+    let parts = [10_900, 11_700, 12_900, 13_100]
+        .map(|at| admission.admitted_fraction(ClockMillis::from_millis(at)));
     assert!(parts.is_sorted(), "{parts:?}");
     assert!(parts[0] < 0.2 && parts[2] > 0.25 && parts[3] > 0.99, "{parts:?}");
 }
--- a/crates/core/tests/cooldown.rs
+++ b/crates/core/tests/cooldown.rs
@@ -6,10 +6,10 @@
 use reelreel_core::{
     ClockMillis,
     fleet::{
-        EngineBirth, EngineName,
+        EngineIncarnation, EngineName,
         announcement::Cooldown,
-        cold::{ColdChoice, ColdRequest, CoolingHolder},
-        cooldown::{CooldownEvent, CooldownStanding, CooldownTable},
+        cold_start::{ColdDecision, ColdRequest, CoolingEngine},
+        cooldown::{CooldownEvent, CooldownState, CooldownTable},
     },
 };
 
@@ -32,7 +32,7 @@
 /// What happens at one engine. Unit of times: milliseconds.
 enum Occurrence {
     /// It rejects a request and asks for a cooldown, in an incarnation.
-    Rejects(EngineBirth, u64),
+    Rejects(EngineIncarnation, u64),
     /// The host sends it a request.
     Send,
     /// It responds to a request that was sent at a time, and accepts it or not.
@@ -45,7 +45,7 @@
     name: &'static str,
     happenings: &'static [(u64, Occurrence)],
     /// At what time, for which incarnation, and after what time the engine is expected to take requests; zero: at once.
-    expected: &'static [(u64, EngineBirth, u64)],
+    expected: &'static [(u64, EngineIncarnation, u64)],
 }
 
 const STANDING_CASES: &[StandingCase] = &[
@@ -123,22 +123,22 @@
         let mut table = CooldownTable::default();
         for (time, happening) in case.happenings {
             match happening {
-                Rejects(born, length) => {
-                    table.requested(&engine(), *born, cooldown(*length), at(*time));
+                Rejects(incarnation, length) => {
+                    table.record_cooldown(&engine(), *incarnation, cooldown(*length), at(*time));
                 }
-                Send => table.sent("engine-1", 1, at(*time)),
+                Send => table.record_sent("engine-1", 1, at(*time)),
                 Responds(sent, accepted) => {
-                    table.responded("engine-1", 1, at(*sent), *accepted);
+                    table.record_response("engine-1", 1, at(*sent), *accepted);
                 }
             }
         }
-        for (time, born, closed) in case.expected {
+        for (time, incarnation, closed) in case.expected {
             let expected = match closed {
-                0 => CooldownStanding::Open,
-                closed => CooldownStanding::Closed(millis(*closed)),
+                0 => CooldownState::Open,
+                closed => CooldownState::Closed(millis(*closed)),
             };
-            let standing = table.standing("engine-1", *born, at(*time));
-            assert_eq!(standing, expected, "{}: at {time}", case.name);
+            let state = table.state("engine-1", *incarnation, at(*time));
+            assert_eq!(state, expected, "{}: at {time}", case.name);
         }
     }
 }
@@ -147,16 +147,16 @@
 #[test]
 fn a_restriction_ends_with_accepted_requests_or_silence() {
     let mut table = CooldownTable::default();
-    table.requested(&engine(), 1, cooldown(1000), at(0));
+    table.record_cooldown(&engine(), 1, cooldown(1000), at(0));
     for probe in 0..5 {
         let sent = at(1000 + probe * 10);
-        table.sent("engine-1", 1, sent);
-        table.responded("engine-1", 1, sent, true);
+        table.record_sent("engine-1", 1, sent);
+        table.record_response("engine-1", 1, sent, true);
     }
     let events = table.take_events();
-    assert!(matches!(events.first(), Some(CooldownEvent::Began { born: 1, .. })));
+    assert!(matches!(events.first(), Some(CooldownEvent::Began { incarnation: 1, .. })));
     assert_eq!(events.last(), Some(&CooldownEvent::Ended { engine: engine(), requests: 1 }));
-    table.requested(&engine(), 1, cooldown(1000), at(5000));
+    table.record_cooldown(&engine(), 1, cooldown(1000), at(5000));
     table.retain(|_| Some(1), at(15_900));
     assert_eq!(table.take_events().len(), 1, "it is remembered");
     table.retain(|_| Some(1), at(16_000));
@@ -167,20 +167,20 @@
 #[test]
 fn a_cooldown_outlasts_the_entry_of_its_engine() {
     let mut table = CooldownTable::default();
-    table.requested(&engine(), 1, cooldown(3000), at(0));
+    table.record_cooldown(&engine(), 1, cooldown(3000), at(0));
     table.retain(|_| None, at(1000));
-    assert_eq!(table.standing("engine-1", 1, at(1500)), CooldownStanding::Closed(millis(1500)));
+    assert_eq!(table.state("engine-1", 1, at(1500)), CooldownState::Closed(millis(1500)));
     table.retain(|_| None, at(3000));
-    assert_eq!(table.standing("engine-1", 1, at(3000)), CooldownStanding::Open);
+    assert_eq!(table.state("engine-1", 1, at(3000)), CooldownState::Open);
 }
 
 /// Clients that are told to come back after one cooldown do not all return at the same moment.
 #[test]
 fn clients_come_back_one_after_the_other() {
     let mut table = CooldownTable::default();
-    table.requested(&engine(), 1, cooldown(1000), at(0));
+    table.record_cooldown(&engine(), 1, cooldown(1000), at(0));
     let times: Vec<Duration> =
-        (0..30).filter_map(|_| table.return_time("engine-1", at(400))).collect();
+        (0..30).filter_map(|_| table.next_retry_after("engine-1", at(400))).collect();
     assert_eq!(times.first(), Some(&millis(600)));
     assert!(times.windows(2).all(|pair| pair[0] < pair[1]), "{times:?}");
 }
@@ -214,10 +214,10 @@
         steps in proptest::collection::vec(step(), 1..80),
     ) {
         let mut table = CooldownTable::default();
-        let (mut now, mut born) = (0, 1);
+        let (mut now, mut incarnation) = (0, 1);
         let mut until = 0;
         // When responses come, what was sent when in which incarnation, and whether it was rejected.
-        let mut responses: Vec<(u64, u64, EngineBirth, Option<u64>)> = Vec::new();
+        let mut responses: Vec<(u64, u64, EngineIncarnation, Option<u64>)> = Vec::new();
         for step in steps {
             responses.retain(|(due, sent, life, rejects)| {
                 if *due > now {
@@ -225,36 +225,36 @@
                 }
                 match rejects {
                     Some(time) => {
-                        table.requested(&engine(), *life, cooldown(*time), at(now));
-                        if *life == born {
+                        table.record_cooldown(&engine(), *life, cooldown(*time), at(now));
+                        if *life == incarnation {
                             until = until.max(now + time);
                         }
                     }
                     None => {
-                        table.responded("engine-1", *life, at(*sent), true);
+                        table.record_response("engine-1", *life, at(*sent), true);
                     }
                 }
                 false
             });
             match step {
                 Step::Request { rejects, delay } => {
-                    if table.standing("engine-1", born, at(now)) == CooldownStanding::Open {
+                    if table.state("engine-1", incarnation, at(now)) == CooldownState::Open {
                         prop_assert!(now >= until, "sent at {now} within a cooldown until {until}");
-                        table.sent("engine-1", born, at(now));
-                        responses.push((now + delay, now, born, rejects));
+                        table.record_sent("engine-1", incarnation, at(now));
+                        responses.push((now + delay, now, incarnation, rejects));
                     }
                 }
                 Step::Restart => {
-                    born += 1;
+                    incarnation += 1;
                     until = 0;
                     responses.clear();
                 }
                 Step::Pass(time) => now += time,
             }
-            table.retain(|_| Some(born), at(now));
+            table.retain(|_| Some(incarnation), at(now));
         }
         let later = at(now.max(until) + 1000);
-        prop_assert_eq!(table.standing("engine-1", born, later), CooldownStanding::Open);
+        prop_assert_eq!(table.state("engine-1", incarnation, later), CooldownState::Open);
     }
 }
 
@@ -266,7 +266,7 @@
     loadable: bool,
     /// When another copy is expected.
     load: Option<u64>,
-    choice: ColdChoice,
+    choice: ColdDecision,
 }
 
 const CHOICE_CASES: &[ChoiceCase] = &[
@@ -276,7 +276,7 @@
         holder: 300,
         loadable: false,
         load: None,
-        choice: ColdChoice::Wait(millis(300)),
+        choice: ColdDecision::Wait(millis(300)),
     },
     ChoiceCase {
         name: "nothing can be loaded: it is refused at once",
@@ -284,7 +284,7 @@
         holder: 3000,
         loadable: false,
         load: None,
-        choice: ColdChoice::Refuse(millis(3000)),
+        choice: ColdDecision::Refuse(millis(3000)),
     },
     ChoiceCase {
         name: "a load that no engine takes does not count",
@@ -292,7 +292,7 @@
         holder: 3000,
         loadable: false,
         load: Some(250),
-        choice: ColdChoice::Refuse(millis(3000)),
+        choice: ColdDecision::Refuse(millis(3000)),
     },
     ChoiceCase {
         name: "it waits for an estimate of another copy",
@@ -300,7 +300,7 @@
         holder: 3000,
         loadable: true,
         load: None,
-        choice: ColdChoice::Wait(millis(100)),
+        choice: ColdDecision::Wait(millis(100)),
     },
     ChoiceCase {
         name: "it waits for another copy",
@@ -308,7 +308,7 @@
         holder: 3000,
         loadable: true,
         load: Some(250),
-        choice: ColdChoice::Wait(millis(2230)),
+        choice: ColdDecision::Wait(millis(2230)),
     },
     ChoiceCase {
         name: "no estimate has come: it is refused",
@@ -316,7 +316,7 @@
         holder: 3000,
         loadable: true,
         load: None,
-        choice: ColdChoice::Refuse(millis(3000)),
+        choice: ColdDecision::Refuse(millis(3000)),
     },
     ChoiceCase {
         name: "the other copy comes too late, but before the holder returns",
@@ -324,7 +324,7 @@
         holder: 3000,
         loadable: true,
         load: Some(900),
-        choice: ColdChoice::Refuse(millis(900)),
+        choice: ColdDecision::Refuse(millis(900)),
     },
     ChoiceCase {
         name: "a probe keeps it back for too long",
@@ -332,24 +332,24 @@
         holder: 300,
         loadable: false,
         load: None,
-        choice: ColdChoice::Refuse(millis(300)),
+        choice: ColdDecision::Refuse(millis(300)),
     },
 ];
 
 #[test]
 fn a_request_waits_beside_a_cooldown_only_while_an_answer_is_useful() {
     for case in CHOICE_CASES {
-        let (time, loadable) = (millis(case.holder), case.loadable);
+        let (available_in, loadable_elsewhere) = (millis(case.holder), case.loadable);
         let request = ColdRequest {
             elapsed: millis(case.elapsed),
-            target: millis(600),
+            latency_target: millis(600),
             remaining: millis(9000),
             estimate: case.load.map(millis),
-            cooling: Some(CoolingHolder { time, loadable }),
-            reading: millis(40),
-            longest_pause: Some(millis(250)),
-            returned: false,
+            cooling: Some(CoolingEngine { available_in, loadable_elsewhere }),
+            prefill_time: millis(40),
+            max_event_gap: Some(millis(250)),
+            client_retried: false,
         };
-        assert_eq!(request.choose(), case.choice, "{}", case.name);
+        assert_eq!(request.decide(), case.choice, "{}", case.name);
     }
 }
--- a/crates/core/tests/departures.rs
+++ b/crates/core/tests/departures.rs
@@ -6,7 +6,7 @@
 use reelreel_core::{
     ClockMillis,
     fleet::{
-        EngineBirth, EngineName,
+        EngineIncarnation, EngineName,
         departures::{DepartureRegistry, DepartureReport},
     },
 };
@@ -54,9 +54,9 @@
     hosts: Vec<DepartureRegistry>,
     cut: [bool; HOSTS],
     coordinator: usize,
-    births: [EngineBirth; ENGINES],
+    births: [EngineIncarnation; ENGINES],
     /// Which hosts know by a response that the present incarnation leaves.
-    told: HashMap<(usize, usize), EngineBirth>,
+    told: HashMap<(usize, usize), EngineIncarnation>,
 }
 
 impl World {
@@ -75,9 +75,9 @@
         self.now = self.now + Duration::from_millis(40);
         match step {
             Step::Announce { host, engine } => {
-                let born = self.births[engine];
-                self.hosts[host].announced(&name(engine), born, self.now);
-                self.told.insert((host, engine), born);
+                let incarnation = self.births[engine];
+                self.hosts[host].record_announced(&name(engine), incarnation, self.now);
+                self.told.insert((host, engine), incarnation);
             }
             Step::Restart { engine } => self.births[engine] += 1,
             Step::RestartHost { host } => {
@@ -165,21 +165,21 @@
     }
 
     fn ever_announced(&self, engine: usize) -> bool {
-        let born = self.births[engine];
-        (0..HOSTS).any(|host| self.hosts[host].announced_here(&name(engine), born))
-            || self.told.iter().any(|((_, told), at)| *told == engine && *at == born)
+        let incarnation = self.births[engine];
+        (0..HOSTS).any(|host| self.hosts[host].announced_here(&name(engine), incarnation))
+            || self.told.iter().any(|((_, told), at)| *told == engine && *at == incarnation)
     }
 }
 
 trait AnnouncedHere {
-    fn announced_here(&self, engine: &EngineName, born: EngineBirth) -> bool;
+    fn announced_here(&self, engine: &EngineName, incarnation: EngineIncarnation) -> bool;
 }
 
 impl AnnouncedHere for DepartureRegistry {
-    fn announced_here(&self, engine: &EngineName, born: EngineBirth) -> bool {
+    fn announced_here(&self, engine: &EngineName, incarnation: EngineIncarnation) -> bool {
         let mut copy = self.clone();
         let reports = copy.snapshot(ClockMillis::default());
-        reports.iter().any(|report| report.engine == *engine && report.born == born)
+        reports.iter().any(|report| report.engine == *engine && report.incarnation == incarnation)
     }
 }
 
@@ -211,8 +211,8 @@
 #[test]
 fn a_departure_belongs_to_one_incarnation() {
     struct Case {
-        announced: EngineBirth,
-        asked: EngineBirth,
+        announced: EngineIncarnation,
+        asked: EngineIncarnation,
         departing: bool,
     }
     let cases = [
@@ -225,7 +225,7 @@
     ];
     for case in cases {
         let mut registry = DepartureRegistry::default();
-        registry.announced(&name(0), case.announced, ClockMillis::from_millis(1));
+        registry.record_announced(&name(0), case.announced, ClockMillis::from_millis(1));
         let departing = registry.is_departing("engine-0", case.asked);
         assert_eq!(departing, case.departing, "{} {}", case.announced, case.asked);
         assert!(!registry.is_departing("engine-1", case.announced));
@@ -237,13 +237,13 @@
 fn a_departure_is_reported_once_to_each_coordinator() {
     let now = ClockMillis::from_millis(1000);
     let mut registry = DepartureRegistry::default();
-    registry.announced(&name(0), 5, now);
-    registry.announced(&name(0), 5, now + Duration::from_millis(20));
-    registry.listed(&name(1), 5, now);
+    registry.record_announced(&name(0), 5, now);
+    registry.record_announced(&name(0), 5, now + Duration::from_millis(20));
+    registry.record_listed(&name(1), 5, now);
     let later = now + Duration::from_millis(50);
     let reports = registry.take_pending(later);
     let age = Duration::from_millis(50);
-    assert_eq!(reports, [DepartureReport { engine: name(0), born: 5, age }]);
+    assert_eq!(reports, [DepartureReport { engine: name(0), incarnation: 5, age }]);
     assert!(registry.take_pending(later).is_empty());
     registry.resend(&reports);
     assert_eq!(registry.take_pending(later), reports);
--- a/crates/core/tests/engine_choice.rs
+++ b/crates/core/tests/engine_choice.rs
@@ -1,4 +1,4 @@
-//! Which engine a request is sent to, and what a host learns of an engine's condition.
+//! Which engine a request is sent to, and what a host learns of an engine's health.
 
 use std::{sync::Arc, time::Duration};
 
@@ -6,8 +6,8 @@
     ClockMillis,
     fleet::{
         EngineEntry,
-        choice::{EngineCandidate, best_engine},
-        condition::{EngineCondition, EngineOutcome},
+        engine_choice::{EngineCandidate, choose_engine},
+        health::{EngineHealth, EngineOutcome},
     },
 };
 
@@ -22,14 +22,14 @@
 fn entry(name: &str, hall: &str) -> EngineEntry {
     EngineEntry {
         name: Arc::from(name),
-        born: 0,
+        incarnation: 0,
         service: Arc::from("assist"),
         address: "127.0.0.1:9000".parse().expect("an address"),
         hall: Arc::from(hall),
         slots: 16,
         leaving: false,
         sequence: 0,
-        held: Vec::new(),
+        loaded_models: Vec::new(),
     }
 }
 
@@ -98,7 +98,7 @@
         told: [0, 0],
         reading: [0, 0],
         halls: ["here", "here"],
-        outcomes: [&[EngineOutcome::Broken], &[WELL]],
+        outcomes: [&[EngineOutcome::Interrupted], &[WELL]],
         best: "second",
     },
     ChoiceCase {
@@ -107,7 +107,7 @@
         told: [0, 0],
         reading: [0, 0],
         halls: ["here", "here"],
-        outcomes: [&[EngineOutcome::Erred; 6], &[WELL]],
+        outcomes: [&[EngineOutcome::ErrorResponse; 6], &[WELL]],
         best: "second",
     },
     ChoiceCase {
@@ -125,20 +125,20 @@
 fn the_best_engine_is_chosen() {
     for case in CHOICE_CASES {
         let entries = [entry("first", case.halls[0]), entry("second", case.halls[1])];
-        let mut conditions = [EngineCondition::default(), EngineCondition::default()];
-        for (condition, outcomes) in conditions.iter_mut().zip(case.outcomes) {
+        let mut health_states = [EngineHealth::default(), EngineHealth::default()];
+        for (health, outcomes) in health_states.iter_mut().zip(case.outcomes) {
             for outcome in outcomes {
-                condition.note(*outcome, at(1000));
+                health.record(*outcome, at(1000));
             }
         }
         let candidates = [0, 1].map(|place| EngineCandidate {
             entry: &entries[place],
-            condition: &conditions[place],
-            open: case.open[place],
-            told: case.told[place],
-            reading: millis(case.reading[place]),
+            health: &health_states[place],
+            own_open: case.open[place],
+            reported_open: case.told[place],
+            pending_prefill_time: millis(case.reading[place]),
         });
-        let best = best_engine(&candidates, "here", 0, 1, at(1010));
+        let best = choose_engine(&candidates, "here", 0, 1, at(1010));
         assert_eq!(best.as_deref(), Some(case.best), "{}", case.name);
     }
 }
@@ -148,22 +148,23 @@
 fn many_hosts_spread_over_engines_that_are_nearly_equal() {
     let entries: Vec<EngineEntry> =
         (0..8).map(|number| entry(&format!("engine-{number}"), "here")).collect();
-    let condition = EngineCondition::default();
-    let told = [3, 2, 3, 3, 2, 3, 14, 3];
+    let health = EngineHealth::default();
+    let reported_open = [3, 2, 3, 3, 2, 3, 14, 3];
     let candidates: Vec<EngineCandidate<'_>> = entries
         .iter()
-        .zip(told)
-        .map(|(entry, told)| EngineCandidate {
+        .zip(reported_open)
+        .map(|(entry, reported_open)| EngineCandidate {
             entry,
-            condition: &condition,
-            open: 0,
-            told,
-            reading: Duration::ZERO,
+            health: &health,
+            own_open: 0,
+            reported_open,
+            pending_prefill_time: Duration::ZERO,
         })
         .collect();
     let mut chosen = std::collections::BTreeMap::new();
-    for tie in 0..800 {
-        let best = best_engine(&candidates, "here", tie, 100, at(1010)).expect("an engine");
+    for tie_breaker in 0..800 {
+        let best =
+            choose_engine(&candidates, "here", tie_breaker, 100, at(1010)).expect("an engine");
         *chosen.entry(best.to_string()).or_insert(0) += 1;
     }
     assert!(!chosen.contains_key("engine-6"), "the busy one is left: {chosen:?}");
@@ -173,36 +174,36 @@
 
 #[test]
 fn a_failed_engine_is_tried_again_after_a_rest_that_grows() {
-    let mut condition = EngineCondition::default();
+    let mut health = EngineHealth::default();
     let mut rests = Vec::new();
     for round in 0..5u64 {
         let now = 1000 + round * 10_000;
-        condition.note(EngineOutcome::Broken, at(now));
-        let rest = (0..6000).find(|wait| !condition.is_resting(at(now + wait)));
+        health.record(EngineOutcome::Interrupted, at(now));
+        let rest = (0..6000).find(|wait| !health.is_in_backoff(at(now + wait)));
         rests.push(rest.expect("a rest that ends"));
     }
     assert!(rests.windows(2).all(|pair| pair[0] <= pair[1]), "{rests:?}");
     assert!(rests[0] < 500 && rests[4] <= 3000, "{rests:?}");
-    condition.note(WELL, at(90_000));
-    assert!(!condition.is_resting(at(90_000)));
+    health.record(WELL, at(90_000));
+    assert!(!health.is_in_backoff(at(90_000)));
 }
 
 /// One slow response keeps an engine from all further requests as long as another one is idle: its delay never ages.
 #[test]
 fn an_engine_whose_slow_response_is_long_ago_gets_requests_again() {
     let (slow, quick) = (entry("slow", "hall"), entry("quick", "hall"));
-    let mut conditions = [EngineCondition::default(), EngineCondition::default()];
-    conditions[0].note(EngineOutcome::Answered(millis(60)), at(0));
-    conditions[1].note(EngineOutcome::Answered(millis(5)), at(0));
-    let candidate = |entry, condition| EngineCandidate {
+    let mut health_states = [EngineHealth::default(), EngineHealth::default()];
+    health_states[0].record(EngineOutcome::Answered(millis(60)), at(0));
+    health_states[1].record(EngineOutcome::Answered(millis(5)), at(0));
+    let candidate = |entry, health| EngineCandidate {
         entry,
-        condition,
-        open: 0,
-        told: 0,
-        reading: Duration::ZERO,
+        health,
+        own_open: 0,
+        reported_open: 0,
+        pending_prefill_time: Duration::ZERO,
     };
-    let candidates = [candidate(&slow, &conditions[0]), candidate(&quick, &conditions[1])];
-    let chosen = (0..100).filter_map(|tie| best_engine(&candidates, "hall", tie, 2, at(60_000)));
+    let candidates = [candidate(&slow, &health_states[0]), candidate(&quick, &health_states[1])];
+    let chosen = (0..100).filter_map(|tie| choose_engine(&candidates, "hall", tie, 2, at(60_000)));
     let times = chosen.filter(|name| &**name == "slow").count();
     assert!(times > 0, "{times} of 100 requests go there after a minute");
 }
--- a/crates/core/tests/fleet.rs
+++ b/crates/core/tests/fleet.rs
@@ -6,9 +6,9 @@
 use reelreel_core::{
     ClockMillis,
     fleet::{
-        choice::NamedVersions,
-        cold::{ColdChoice, ColdRequest, LATE_WORTH},
-        retry_share::{RetryAllowance, RetryShare},
+        cold_start::{ColdDecision, ColdRequest, LATE_WORTH},
+        engine_choice::PublishedVersions,
+        retry_share::{RetryPolicy, RetryShare},
         routes::{ClientLimits, RouteEntry, RouteKind, RouteTable, WeightedBackend},
     },
 };
@@ -39,14 +39,14 @@
 #[test]
 fn an_older_version_is_used_for_a_short_time_only() {
     for case in VERSION_CASES {
-        let mut named = NamedVersions::default();
-        named.name(2, at(1000));
+        let mut published = PublishedVersions::default();
+        published.publish(2, at(1000));
         let now = at(1000 + case.known_for);
-        assert_eq!(named.allows(case.held, millis(5000), now), case.allowed, "{}", case.name);
+        assert_eq!(published.allows(case.held, millis(5000), now), case.allowed, "{}", case.name);
     }
 }
 
-/// A version that was named before the last one was everywhere, and copies of all three.
+/// A version that was published before the last one was everywhere, and copies of all three.
 struct FollowingCase {
     name: &'static str,
     held: u64,
@@ -75,20 +75,20 @@
 
 #[test]
 fn versions_that_follow_each_other_are_each_judged_by_their_own_time() {
-    let mut named = NamedVersions::default();
-    named.name(2, at(1000));
-    named.name(3, at(1800));
-    named.name(2, at(1900));
+    let mut published = PublishedVersions::default();
+    published.publish(2, at(1000));
+    published.publish(3, at(1800));
+    published.publish(2, at(1900));
     for case in FOLLOWING_CASES {
-        let allowed = named.allows(case.held, millis(5000), at(case.now));
+        let allowed = published.allows(case.held, millis(5000), at(case.now));
         assert_eq!(allowed, case.allowed, "{}", case.name);
     }
     // However many follow, the first of them keeps its time.
     for version in 4..40 {
-        named.name(version, at(2000 + version * 100));
+        published.publish(version, at(2000 + version * 100));
     }
-    assert!(!named.allows(1, millis(5000), at(6000)));
-    assert_eq!(named.newest(), 39);
+    assert!(!published.allows(1, millis(5000), at(6000)));
+    assert_eq!(published.newest(), 39);
 }
 
 fn route(host: &str, prefix: &str, backends: &[(&str, u32)]) -> RouteEntry {
@@ -102,11 +102,11 @@
         prefix: prefix.to_owned(),
         kind: RouteKind::Single,
         timeout: millis(1000),
-        target: millis(100),
-        longest_pause: None,
+        latency_target: millis(100),
+        max_event_gap: None,
         priority: 1,
         backends: backends.iter().map(backend).collect(),
-        most_attempts: 1,
+        attempt_limit: 1,
         public: false,
     }
 }
@@ -155,12 +155,12 @@
     name: &'static str,
     elapsed: u64,
     estimate: Option<u64>,
-    /// What reading its prompt takes. Unit: milliseconds.
-    reading: u64,
+    /// What prefill_time its prompt takes. Unit: milliseconds.
+    prefill_time: u64,
     /// The longest pause that its stream may have. Unit: milliseconds.
-    pause: u64,
-    returned: bool,
-    choice: ColdChoice,
+    event_gap: u64,
+    client_retried: bool,
+    decision: ColdDecision,
 }
 
 const COLD_CASES: &[ColdCase] = &[
@@ -168,82 +168,82 @@
         name: "without an estimate it waits for one",
         elapsed: 2,
         estimate: None,
-        reading: 40,
-        pause: 250,
-        returned: false,
-        choice: ColdChoice::Wait(millis(100)),
+        prefill_time: 40,
+        event_gap: 250,
+        client_retried: false,
+        decision: ColdDecision::Wait(millis(100)),
     },
     ColdCase {
         name: "and is then refused",
         elapsed: 102,
         estimate: None,
-        reading: 40,
-        pause: 250,
-        returned: false,
-        choice: ColdChoice::Refuse(millis(3000)),
+        prefill_time: 40,
+        event_gap: 250,
+        client_retried: false,
+        decision: ColdDecision::Refuse(millis(3000)),
     },
     ColdCase {
         name: "a load that comes in time is waited for",
         elapsed: 10,
         estimate: Some(300),
-        reading: 40,
-        pause: 250,
-        returned: false,
-        choice: ColdChoice::Wait(millis(2240)),
+        prefill_time: 40,
+        event_gap: 250,
+        client_retried: false,
+        decision: ColdDecision::Wait(millis(2240)),
     },
     ColdCase {
         name: "unless its prompt can not be read in time after it",
         elapsed: 10,
         estimate: Some(300),
-        reading: 240,
-        pause: 250,
-        returned: false,
-        choice: ColdChoice::Refuse(millis(420)),
+        prefill_time: 240,
+        event_gap: 250,
+        client_retried: false,
+        decision: ColdDecision::Refuse(millis(420)),
     },
     ColdCase {
         name: "a client waits for a first event as long as for eight pauses",
         elapsed: 10,
         estimate: Some(300),
-        reading: 40,
-        pause: 500,
-        returned: false,
-        choice: ColdChoice::Wait(millis(3840)),
+        prefill_time: 40,
+        event_gap: 500,
+        client_retried: false,
+        decision: ColdDecision::Wait(millis(3840)),
     },
     ColdCase {
         name: "a load that comes too late is not",
         elapsed: 10,
         estimate: Some(900),
-        reading: 40,
-        pause: 250,
-        returned: false,
-        choice: ColdChoice::Refuse(millis(1020)),
+        prefill_time: 40,
+        event_gap: 250,
+        client_retried: false,
+        decision: ColdDecision::Refuse(millis(1020)),
     },
     ColdCase {
         name: "who came back once waits as long as a client does",
         elapsed: 10,
         estimate: Some(900),
-        reading: 40,
-        pause: 250,
-        returned: true,
-        choice: ColdChoice::Wait(millis(2240)),
+        prefill_time: 40,
+        event_gap: 250,
+        client_retried: true,
+        decision: ColdDecision::Wait(millis(2240)),
     },
     ColdCase {
         name: "nobody is told to come back later than a third of its time",
         elapsed: 10,
         estimate: Some(60_000),
-        reading: 40,
-        pause: 250,
-        returned: false,
-        choice: ColdChoice::Refuse(millis(3000)),
+        prefill_time: 40,
+        event_gap: 250,
+        client_retried: false,
+        decision: ColdDecision::Refuse(millis(3000)),
     },
     ColdCase {
         name: "who was to be served and was not is refused before the client leaves",
         elapsed: 2250,
         estimate: Some(10),
-        reading: 40,
-        pause: 250,
-        returned: false,
-        choice: ColdChoice::Refuse(millis(250)),
+        prefill_time: 40,
+        event_gap: 250,
+        client_retried: false,
+        decision: ColdDecision::Refuse(millis(250)),
     },
 ];
 
@@ -252,15 +252,15 @@
     for case in COLD_CASES {
         let request = ColdRequest {
             elapsed: millis(case.elapsed),
-            target: millis(600),
+            latency_target: millis(600),
             remaining: millis(9000),
             estimate: case.estimate.map(millis),
             cooling: None,
-            reading: millis(case.reading),
-            longest_pause: Some(millis(case.pause)),
-            returned: case.returned,
+            prefill_time: millis(case.prefill_time),
+            max_event_gap: Some(millis(case.event_gap)),
+            client_retried: case.client_retried,
         };
-        assert_eq!(request.choose(), case.choice, "{}", case.name);
+        assert_eq!(request.decide(), case.decision, "{}", case.name);
     }
 }
 
@@ -269,27 +269,27 @@
     #[test]
     fn a_refusal_is_early_or_last(
         elapsed in 0u64..5000,
-        target in 100u64..2000,
+        latency_target in 100u64..2000,
         remaining in 0u64..15_000,
         estimate in proptest::option::of(0u64..9000),
-        reading in 0u64..3000,
-        pause in proptest::option::of(1u64..1000),
-        returned in any::<bool>(),
+        prefill_time in 0u64..3000,
+        event_gap in proptest::option::of(1u64..1000),
+        client_retried in any::<bool>(),
     ) {
         let request = ColdRequest {
             elapsed: millis(elapsed),
-            target: millis(target),
+            latency_target: millis(latency_target),
             remaining: millis(remaining),
             estimate: estimate.map(millis),
             cooling: None,
-            reading: millis(reading),
-            longest_pause: pause.map(millis),
-            returned,
+            prefill_time: millis(prefill_time),
+            max_event_gap: event_gap.map(millis),
+            client_retried,
         };
-        if let ColdChoice::Refuse(_) = request.choose() {
-            let patience = (target * 4).max(2000).max(pause.unwrap_or_default() * 8);
-            let patience = patience.min(elapsed + remaining).saturating_sub(150);
-            prop_assert!(elapsed * 4 <= target || elapsed >= patience);
+        if let ColdDecision::Refuse(_) = request.decide() {
+            let client_wait_limit = (latency_target * 4).max(2000).max(event_gap.unwrap_or_default() * 8);
+            let client_wait_limit = client_wait_limit.min(elapsed + remaining).saturating_sub(150);
+            prop_assert!(elapsed * 4 <= latency_target || elapsed >= client_wait_limit);
         }
     }
 
@@ -299,7 +299,7 @@
         hosts in 1u32..8,
         steps in proptest::collection::vec((0usize..8, 0u64..40, any::<bool>()), 1..600),
     ) {
-        let allowance = RetryAllowance { ratio: 0.2, burst: 54.0, window: millis(10_000) };
+        let allowance = RetryPolicy { ratio: 0.2, burst: 54.0, window: millis(10_000) };
         let mut shares = vec![RetryShare::unspent(); hosts as usize];
         let (mut requests, mut repeats) = (Vec::new(), Vec::new());
         let mut now = 1000;
@@ -311,7 +311,7 @@
                     repeats.push(now);
                 }
             } else {
-                shares[host].note_request(at(now));
+                shares[host].record_request(at(now));
                 requests.push(now);
             }
             let inside = |times: &Vec<u64>| times.iter().filter(|time| **time + 10_000 >= now).count();
@@ -325,17 +325,41 @@
 struct WorthCase {
     name: &'static str,
     elapsed: u64,
-    reading: u64,
-    returned: bool,
+    prefill_time: u64,
+    client_retried: bool,
     worth: f64,
 }
 
 const WORTH_CASES: &[WorthCase] = &[
-    WorthCase { name: "fresh", elapsed: 0, reading: 50, returned: false, worth: 1.0 },
-    WorthCase { name: "just in time", elapsed: 240, reading: 50, returned: false, worth: 1.0 },
-    WorthCase { name: "too late", elapsed: 241, reading: 50, returned: false, worth: LATE_WORTH },
-    WorthCase { name: "long prompt", elapsed: 0, reading: 300, returned: false, worth: LATE_WORTH },
-    WorthCase { name: "came back", elapsed: 0, reading: 50, returned: true, worth: LATE_WORTH },
+    WorthCase { name: "fresh", elapsed: 0, prefill_time: 50, client_retried: false, worth: 1.0 },
+    WorthCase {
+        name: "just in time",
+        elapsed: 240,
+        prefill_time: 50,
+        client_retried: false,
+        worth: 1.0,
+    },
+    WorthCase {
+        name: "too late",
+        elapsed: 241,
+        prefill_time: 50,
+        client_retried: false,
+        worth: LATE_WORTH,
+    },
+    WorthCase {
+        name: "long prompt",
+        elapsed: 0,
+        prefill_time: 300,
+        client_retried: false,
+        worth: LATE_WORTH,
+    },
+    WorthCase {
+        name: "came back",
+        elapsed: 0,
+        prefill_time: 50,
+        client_retried: true,
+        worth: LATE_WORTH,
+    },
 ];
 
 #[test]
@@ -343,13 +367,13 @@
     for case in WORTH_CASES {
         let request = ColdRequest {
             elapsed: millis(case.elapsed),
-            target: millis(600),
+            latency_target: millis(600),
             remaining: millis(9000),
             estimate: None,
             cooling: None,
-            reading: millis(case.reading),
-            longest_pause: None,
-            returned: case.returned,
+            prefill_time: millis(case.prefill_time),
+            max_event_gap: None,
+            client_retried: case.client_retried,
         };
         assert!((request.worth() - case.worth).abs() < f64::EPSILON, "{}", case.name);
     }
--- a/crates/core/tests/freshness.rs
+++ b/crates/core/tests/freshness.rs
@@ -78,7 +78,7 @@
 
     /// Returns until when the key would be served if the host heard nothing more, by the true time.
     fn serves_the_key_until(&self) -> Option<u64> {
-        let until = self.freshness.keys_until().as_millis().saturating_sub(self.lead);
+        let until = self.freshness.keys_valid_until().as_millis().saturating_sub(self.lead);
         (!self.knows_withdrawal).then_some(until)
     }
 }
@@ -111,8 +111,8 @@
             Step::AskClock => self.clock_asked = Some(self.now),
             Step::AnswerClock { held } => {
                 let Some(asked) = self.clock_asked.take() else { return };
-                let own = self.follower.clock(asked);
-                let clock = PeerClock { own, peer: self.reader.clock(self.now) };
+                let local = self.follower.clock(asked);
+                let clock = PeerClock { local, peer: self.reader.clock(self.now) };
                 self.words.push((self.now + held, Word::Clock(clock)));
             }
             Step::Tell { held } => {
@@ -120,7 +120,7 @@
                 let withdrawn = self.reader.knows_withdrawal;
                 self.words.push((self.now + held, Word::ToFollower { confirmed, withdrawn }));
             }
-            Step::Unreadable => self.reader.freshness.unreadable(),
+            Step::Unreadable => self.reader.freshness.newer_unreadable(),
         }
     }
 
@@ -144,14 +144,14 @@
             Word::ToReader { asked, withdrawn } => {
                 self.reader.knows_withdrawal |= withdrawn;
                 let now = self.reader.clock(self.now);
-                self.reader.freshness.confirmed(asked, now);
+                self.reader.freshness.confirm(asked, now);
             }
             Word::Clock(clock) => self.clock = Some(clock),
             Word::ToFollower { confirmed, withdrawn } => {
                 self.follower.knows_withdrawal |= withdrawn;
                 let (Some(clock), Some(confirmed)) = (self.clock, confirmed) else { return };
                 let now = self.follower.clock(self.now);
-                self.follower.freshness.confirmed(clock.own_moment(confirmed), now);
+                self.follower.freshness.confirm(clock.to_local(confirmed), now);
             }
         }
     }
@@ -239,40 +239,40 @@
     for case in cases {
         let mut freshness = ConfigurationFreshness::new(Some(BOUND));
         if case.unreadable {
-            freshness.unreadable();
+            freshness.newer_unreadable();
             // A confirmation of the old configuration counts for nothing now.
-            freshness.confirmed(at(6900), at(6900));
+            freshness.confirm(at(6900), at(6900));
         }
         if case.replaced {
-            freshness.replaced();
+            freshness.configuration_replaced();
         }
         for moment in case.confirmed {
-            freshness.confirmed(at(*moment), at((*moment).max(1)));
+            freshness.confirm(at(*moment), at((*moment).max(1)));
         }
         freshness.tick(at(case.now));
         assert_eq!(freshness.state(), case.state, "{}", case.name);
-        assert_eq!(at(case.now) <= freshness.keys_until(), case.serves, "{}", case.name);
+        assert_eq!(at(case.now) <= freshness.keys_valid_until(), case.serves, "{}", case.name);
     }
 }
 
 #[test]
 fn without_a_bound_keys_are_always_served() {
     let freshness = ConfigurationFreshness::new(None);
-    assert!(at(u64::MAX - 1) <= freshness.keys_until());
+    assert!(at(u64::MAX - 1) <= freshness.keys_valid_until());
 }
 
 #[test]
 fn a_process_that_has_just_started_knows_that_a_peers_word_is_older_than_itself() {
     let clock = MonotonicClock::new();
     let now = clock.now();
-    let peer = PeerClock { own: now, peer: at(10_000_000) };
+    let peer = PeerClock { local: now, peer: at(10_000_000) };
     for age in [1, 200, 4_900, 5_100, 7_600, 600_000] {
         let age = Duration::from_millis(age);
-        let confirmed = peer.own_moment(peer.peer - age);
+        let confirmed = peer.to_local(peer.peer - age);
         assert_eq!(now.since(confirmed), age);
         let mut freshness = ConfigurationFreshness::new(Some(Duration::from_secs(5)));
-        freshness.confirmed(confirmed, now);
-        let serves = now <= freshness.keys_until();
+        freshness.confirm(confirmed, now);
+        let serves = now <= freshness.keys_valid_until();
         assert_eq!(
             serves,
             age < Duration::from_secs(5),
--- a/crates/core/tests/placement/choices.rs
+++ b/crates/core/tests/placement/choices.rs
@@ -4,7 +4,7 @@
 
 use reelreel_core::{
     ClockMillis,
-    fleet::{EngineEntry, HeldModel, work::EngineWork},
+    fleet::{EngineEntry, LoadedModel, work::EngineWork},
     placement::{EngineMemory, HostWork, OrderKind, PlacementAction},
 };
 
@@ -27,8 +27,8 @@
 fn before_its_first_report_a_placer_publishes_what_engines_list() {
     let mut planner = planner();
     let mut engine = TestEngine::new(0, 0);
-    let held = vec![HeldModel { key: key(5), version: 1 }];
-    engine.entry = Arc::new(EngineEntry { held: held.clone(), ..(*engine.entry).clone() });
+    let held = vec![LoadedModel { key: key(5), version: 1 }];
+    engine.entry = Arc::new(EngineEntry { loaded_models: held.clone(), ..(*engine.entry).clone() });
     planner.engines_listed(&[Arc::clone(&engine.entry)]);
     planner.begin_tenure(ClockMillis::from_millis(10));
     planner.plan(true, ClockMillis::from_millis(10));
@@ -300,7 +300,7 @@
     let holder = world.engines.iter().find(|engine| engine.held.contains_key(&key(1)));
     let name = Arc::clone(&holder.expect("a holder").entry.name);
     let host = Arc::from("host");
-    let work = EngineWork { open: 13, unread: 0 };
+    let work = EngineWork { open: 13, pending_prefill_tokens: 0 };
     let told = HostWork { engines: vec![(name, work)], ..HostWork::default() };
     world.planner.work_noted(&host, &told, world.at());
     settle(&mut world);
--- a/crates/core/tests/placement/world.rs
+++ b/crates/core/tests/placement/world.rs
@@ -9,8 +9,8 @@
 use reelreel_core::{
     ClockMillis,
     fleet::{
-        EngineEntry, HeldModel, ModelKey,
-        reading::ReadingSpeed,
+        EngineEntry, LoadedModel, ModelKey,
+        prefill_speed::PrefillSpeed,
         routes::{ModelHosting, ModelSize},
     },
     placement::{
@@ -32,8 +32,8 @@
             adapter_megabytes: 10.0,
             load_time: Duration::from_millis(600),
         }],
-        weight_megabytes: 1100.0,
-        most_adapters: PLACES,
+        memory_megabytes: 1100.0,
+        adapter_limit: PLACES,
         loads_per_second: 3.3,
     }
 }
@@ -66,14 +66,14 @@
     pub(crate) fn new(number: usize, life: usize) -> Self {
         let entry = EngineEntry {
             name: Arc::from(format!("engine-{number}-{life}")),
-            born: 1,
+            incarnation: 1,
             service: Arc::from("assist"),
             address: format!("127.0.0.1:{}", 9000 + number).parse().expect("an address"),
             hall: Arc::from("hall"),
             slots: 16,
             leaving: false,
             sequence: 0,
-            held: Vec::new(),
+            loaded_models: Vec::new(),
         };
         let held = BTreeMap::from([(ModelKey::from(MODEL), 1)]);
         let entry = Arc::new(entry);
@@ -137,9 +137,9 @@
     }
 
     pub(crate) fn report(&self) -> EngineReport {
-        let held = |key: &ModelKey| HeldModel { key: Arc::clone(key), version: 1 };
+        let held = |key: &ModelKey| LoadedModel { key: Arc::clone(key), version: 1 };
         EngineReport {
-            born: self.entry.born,
+            born: self.entry.incarnation,
             sequence: self.sequence,
             busy: false,
             held: self.held.keys().map(held).collect(),
@@ -202,9 +202,9 @@
     }
 
     fn learn_reading(&mut self, time: Duration) {
-        let mut speed = ReadingSpeed::default();
+        let mut speed = PrefillSpeed::default();
         for _ in 0..SPEED_SAMPLES {
-            speed.note(PROMPT, 0, time);
+            speed.record(PROMPT, 0, time);
         }
         self.planner.reading_learnt(&speed);
     }
@@ -278,7 +278,7 @@
         let place = number % self.engines.len();
         let before = &self.engines[place];
         let born = 1 + u64::try_from(self.lives).unwrap_or_default();
-        let entry = EngineEntry { born, ..(*before.entry).clone() };
+        let entry = EngineEntry { incarnation: born, ..(*before.entry).clone() };
         let late = before.late.clone();
         let engine = TestEngine::new(place, 0);
         self.engines[place] = TestEngine { entry: Arc::new(entry), late, ..engine };
--- a/crates/core/tests/reading.rs
+++ b/crates/core/tests/prefill_speed.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use proptest::{prelude::*, test_runner::RngSeed};
-use reelreel_core::fleet::reading::ReadingSpeed;
+use reelreel_core::fleet::prefill_speed::PrefillSpeed;
 
 /// Samples of one service, and the time for 10,000 tokens that is learnt from them.
 struct SpeedCase {
@@ -31,10 +31,10 @@
     SpeedCase { name: "no length said", samples: &[(1, 0, 60)], learnt: (0, 0) },
 ];
 
-fn learnt(samples: &[(u64, u64, u64)]) -> ReadingSpeed {
-    let mut speed = ReadingSpeed::default();
+fn learnt(samples: &[(u64, u64, u64)]) -> PrefillSpeed {
+    let mut speed = PrefillSpeed::default();
     for (prompt, ahead, millis) in samples.iter().cycle().take(samples.len() * 100) {
-        speed.note(*prompt, *ahead, Duration::from_millis(*millis));
+        speed.record(*prompt, *ahead, Duration::from_millis(*millis));
     }
     speed
 }
@@ -54,11 +54,11 @@
 #[test]
 fn one_wrong_sample_at_first_is_forgotten_within_ten_requests() {
     for first in [(600, 0, 3000), (9000, 0, 5000), (9000, 0, 5)] {
-        let mut speed = ReadingSpeed::default();
+        let mut speed = PrefillSpeed::default();
         let (prompt, ahead, millis) = first;
-        speed.note(prompt, ahead, Duration::from_millis(millis));
+        speed.record(prompt, ahead, Duration::from_millis(millis));
         for _ in 0..10 {
-            speed.note(9000, 0, Duration::from_millis(300));
+            speed.record(9000, 0, Duration::from_millis(300));
         }
         let time = speed.time_for(9000);
         let expected = Duration::from_millis(250)..=Duration::from_millis(350);
@@ -70,7 +70,7 @@
 fn a_slowdown_is_followed_within_sixty_requests() {
     let mut speed = learnt(&[(9000, 0, 300)]);
     for _ in 0..60 {
-        speed.note(9000, 0, Duration::from_millis(900));
+        speed.record(9000, 0, Duration::from_millis(900));
     }
     assert!(speed.time_for(9000) > Duration::from_millis(800), "{:?}", speed.time_for(9000));
 }
@@ -89,11 +89,11 @@
         tokens in 0u64..100_000,
         more in 0u64..100_000,
     ) {
-        let mut speed = ReadingSpeed::default();
+        let mut speed = PrefillSpeed::default();
         for (prompt, ahead, millis) in samples {
-            speed.note(prompt, ahead, Duration::from_millis(millis));
+            speed.record(prompt, ahead, Duration::from_millis(millis));
         }
         prop_assert!(speed.time_for(tokens) <= speed.time_for(tokens + more));
-        prop_assert!(speed.share_for(tokens as f64) <= speed.share_for((tokens + more) as f64));
+        prop_assert!(speed.utilization_for(tokens as f64) <= speed.utilization_for((tokens + more) as f64));
     }
 }
--- a/crates/core/tests/reach.rs
+++ b/crates/core/tests/reachability.rs
@@ -5,7 +5,7 @@
 use proptest::{prelude::*, test_runner::RngSeed};
 use reelreel_core::{
     ClockMillis,
-    fleet::reach::{ConnectTime, HallReach},
+    fleet::reachability::{ConnectTimeEstimator, HallReachability},
 };
 
 /// Connections of one host, and how long the next one may take.
@@ -36,13 +36,13 @@
 #[test]
 fn connections_are_given_as_long_as_they_took_with_room() {
     for case in PATIENCE_CASES {
-        let mut connects = ConnectTime::default();
+        let mut connects = ConnectTimeEstimator::default();
         for time in case.times {
-            connects.note(Duration::from_millis(*time));
+            connects.record(Duration::from_millis(*time));
         }
         let (least, most) = case.patience;
         let expected = Duration::from_millis(least)..=Duration::from_millis(most);
-        let patience = connects.patience();
+        let patience = connects.timeout();
         assert!(expected.contains(&patience), "{}: {patience:?}", case.name);
     }
 }
@@ -113,17 +113,17 @@
 #[test]
 fn a_hall_is_left_alone_once_several_engines_are_silent() {
     for case in HALL_CASES {
-        let mut hall = HallReach::default();
+        let mut hall = HallReachability::default();
         for (at, heard) in case.heard {
             match heard {
                 Hears::Silence(engine) => {
                     let engine = Arc::from(format!("engine-{engine}"));
-                    hall.silent(&engine, ClockMillis::from_millis(*at));
+                    hall.record_timeout(&engine, ClockMillis::from_millis(*at));
                 }
-                Hears::Answer => hall.answered(),
+                Hears::Answer => hall.record_success(),
             }
         }
-        assert_eq!(hall.is_resting(ClockMillis::from_millis(1000)), case.left, "{}", case.name);
+        assert_eq!(hall.is_in_backoff(ClockMillis::from_millis(1000)), case.left, "{}", case.name);
     }
 }
 
@@ -133,15 +133,15 @@
     /// However long a cut lasts, a hall that is back is tried within two seconds.
     #[test]
     fn a_hall_is_never_left_for_long(silences in prop::collection::vec((0..9_usize, 1..400_u64), 0..200)) {
-        let mut hall = HallReach::default();
+        let mut hall = HallReachability::default();
         let mut now = 1000;
         for (engine, passed) in silences {
             now += passed;
             // Nothing is sent to a hall that is left alone.
-            if !hall.is_resting(ClockMillis::from_millis(now)) {
-                hall.silent(&Arc::from(format!("engine-{engine}")), ClockMillis::from_millis(now));
+            if !hall.is_in_backoff(ClockMillis::from_millis(now)) {
+                hall.record_timeout(&Arc::from(format!("engine-{engine}")), ClockMillis::from_millis(now));
             }
         }
-        prop_assert!(!hall.is_resting(ClockMillis::from_millis(now + 1600)));
+        prop_assert!(!hall.is_in_backoff(ClockMillis::from_millis(now + 1600)));
     }
 }
--- a/crates/core/tests/retry_budget.rs
+++ b/crates/core/tests/retry_budget.rs
@@ -13,7 +13,7 @@
 use random::Random;
 use reelreel_core::{
     ClockMillis,
-    fleet::retry_share::{RetryAllowance, RetryShare},
+    fleet::retry_share::{RetryPolicy, RetryShare},
 };
 
 /// Hosts of one site.
@@ -37,8 +37,8 @@
 /// The window of the budget. Unit: milliseconds.
 const WINDOW: u64 = 10_000;
 
-const ALLOWANCE: RetryAllowance =
-    RetryAllowance { ratio: 0.2, burst: 52.0, window: Duration::from_millis(WINDOW) };
+const ALLOWANCE: RetryPolicy =
+    RetryPolicy { ratio: 0.2, burst: 52.0, window: Duration::from_millis(WINDOW) };
 
 /// Which hosts start again, and when.
 struct RestartCase {
@@ -150,7 +150,7 @@
         if now % REQUEST_GAP == 0 {
             let place = random.next() * HOSTS as f64;
             let host = (0..HOSTS).rfind(|host| *host as f64 <= place).unwrap_or_default();
-            shares[host].note_request(at);
+            shares[host].record_request(at);
             log.requests.push(now);
             sent.push((host, 0));
         }
--- a/crates/core/tests/suspended.rs
+++ b/crates/core/tests/suspended.rs
@@ -8,7 +8,7 @@
     fleet::{
         freshness::ConfigurationFreshness,
         quarantine::{ENDS_UNTIL_HELD, EndedRun, QuarantineBook, engine_life},
-        retry_share::{RetryAllowance, RetryShare},
+        retry_share::{RetryPolicy, RetryShare},
     },
     organisation::{
         quota::{QuotaLimit, QuotaTolerance, QuotaUnit},
@@ -55,9 +55,9 @@
 #[test]
 fn keys_are_not_served_by_what_was_known() {
     let mut freshness = ConfigurationFreshness::new(Some(Duration::from_secs(5)));
-    freshness.confirmed(BEFORE, BEFORE);
-    assert!(freshness.keys_until() >= BEFORE);
-    assert!(freshness.keys_until() < BACK);
+    freshness.confirm(BEFORE, BEFORE);
+    assert!(freshness.keys_valid_until() >= BEFORE);
+    assert!(freshness.keys_valid_until() < BACK);
 }
 
 #[test]
@@ -75,10 +75,10 @@
 
 #[test]
 fn a_retry_budget_saves_up_no_more_than_at_any_other_time() {
-    let allowance = RetryAllowance { ratio: 0.2, burst: 50.0, window: Duration::from_secs(10) };
+    let allowance = RetryPolicy { ratio: 0.2, burst: 50.0, window: Duration::from_secs(10) };
     let mut share = RetryShare::default();
     for _ in 0..100 {
-        share.note_request(BEFORE);
+        share.record_request(BEFORE);
     }
     let taken = (0..200).filter(|_| share.take(&allowance, 5, BACK)).count();
     assert!(taken <= 10, "{taken} sends at once");
--- a/crates/gateway/src/border.rs
+++ b/crates/gateway/src/border.rs
@@ -11,7 +11,7 @@
     fleet::{
         EngineEntry, ModelKey, WeightVersion,
         announcement::{Cooldown, Declared, EngineAnnouncements},
-        prompt::PromptFacts,
+        prompt::PromptMetadata,
         routes::RouteTable,
     },
     id::{FenceToken, GroupGeneration, StoreEra},
@@ -66,7 +66,7 @@
     /// The base model or adapter that it names.
     pub model: Option<ModelKey>,
     /// What its prompt and answer are made of, as far as it says.
-    pub prompt: PromptFacts,
+    pub prompt: PromptMetadata,
     /// What it counts against a quota in tokens, where it says so.
     pub tokens: Option<u64>,
     /// What it shows as its organisation's key.
--- a/crates/gateway/src/control/domain.rs
+++ b/crates/gateway/src/control/domain.rs
@@ -9,8 +9,8 @@
 use reelreel_core::{
     ClockMillis,
     fleet::{
-        EngineBirth, EngineEntry, EngineName, HeldModel, ModelKey, ServiceName, UNKNOWN_BIRTH,
-        adapter_name, work::EngineWork,
+        EngineEntry, EngineIncarnation, EngineName, LoadedModel, ModelKey, ServiceName,
+        UNKNOWN_INCARNATION, adapter_name, work::EngineWork,
     },
     id::FenceToken,
     placement::{DemandEntry, EngineMemory, LeaseRules, PlacementPlanner, PlacerTenure, StorePace},
@@ -65,7 +65,7 @@
 fn note_memory(
     memories: &mut HashMap<EngineName, EngineMemory>,
     engine: &EngineName,
-    held: &[HeldModel],
+    held: &[LoadedModel],
 ) {
     let memory = memories.entry(Arc::clone(engine)).or_default();
     for model in held.iter().filter(|model| adapter_name(&model.key).is_some()) {
@@ -107,9 +107,9 @@
     /// The token of the lease that this host holds.
     pub planned_token: FenceToken,
     /// What engines hold, as the placer says.
-    pub plan: HashMap<EngineName, Vec<HeldModel>>,
+    pub plan: HashMap<EngineName, Vec<LoadedModel>>,
     /// The lives of engines whose holdings `plan` tells.
-    lives: HashMap<EngineName, EngineBirth>,
+    lives: HashMap<EngineName, EngineIncarnation>,
     /// What engines held lately, as far as plans have told; a new placer begins with it.
     pub memories: HashMap<EngineName, EngineMemory>,
     /// The weight store's pace as placers have learnt it; a new placer begins with it.
@@ -131,7 +131,7 @@
     /// The pace that was logged last.
     logged_pace: Option<StorePace>,
     /// What subscribers were told that engines hold.
-    told_plan: HashMap<EngineName, Vec<HeldModel>>,
+    told_plan: HashMap<EngineName, Vec<LoadedModel>>,
     /// The numbers by which this host's frames name engines.
     numbers: EngineNumbers,
     /// The engines by the numbers in the placer's frames.
@@ -262,7 +262,7 @@
     /// Takes how an engine's holdings changed; an engine that this host was not told of lists what it holds itself.
     fn adopt_change(&mut self, line: &ChangeLine) {
         let Some(held) = self.plan.get_mut(line.engine.as_str()) else { return };
-        let gained: Vec<HeldModel> = line.gained.iter().map(Into::into).collect();
+        let gained: Vec<LoadedModel> = line.gained.iter().map(Into::into).collect();
         let is_gained = |key: &ModelKey| gained.iter().any(|model| model.key == *key);
         held.retain(|model| {
             !is_gained(&model.key) && !line.lost.iter().any(|key| **key == *model.key)
@@ -275,8 +275,8 @@
     ///
     /// Returns whether anything was forgotten.
     pub fn engine_lives(&mut self, entry: &EngineEntry) -> bool {
-        let told = self.lives.insert(Arc::clone(&entry.name), entry.born);
-        if told.is_none_or(|told| entry.is_life(told)) {
+        let told = self.lives.insert(Arc::clone(&entry.name), entry.incarnation);
+        if told.is_none_or(|told| entry.is_incarnation(told)) {
             return false;
         }
         self.forget_engine(&entry.name);
@@ -296,8 +296,8 @@
         self.lives.remove(engine);
     }
 
-    fn born(&self, engine: &str) -> EngineBirth {
-        self.lives.get(engine).copied().unwrap_or(UNKNOWN_BIRTH)
+    fn born(&self, engine: &str) -> EngineIncarnation {
+        self.lives.get(engine).copied().unwrap_or(UNKNOWN_INCARNATION)
     }
 
     /// Reads the work that a frame of the placer tells, passing over engines whose number was not told.
@@ -320,7 +320,7 @@
         self.plan_token = frame.token;
         self.pace = frame.pace.as_ref().map(Into::into).or(self.pace);
         for line in &frame.engines {
-            let held: Vec<HeldModel> = line.held.iter().map(Into::into).collect();
+            let held: Vec<LoadedModel> = line.held.iter().map(Into::into).collect();
             let engine = EngineName::from(line.engine.as_str());
             self.lives.insert(Arc::clone(&engine), line.born);
             note_memory(&mut self.memories, &engine, &held);
--- a/crates/gateway/src/control/engine_list.rs
+++ b/crates/gateway/src/control/engine_list.rs
@@ -9,8 +9,8 @@
 use reelreel_core::{
     ClockMillis, StorePosition,
     fleet::{
-        EngineBirth, EngineEntry, EngineName, UNKNOWN_BIRTH, adapter_name,
-        relisting::{KnownWord, WRITING_AGAIN, is_believed},
+        EngineEntry, EngineIncarnation, EngineName, UNKNOWN_INCARNATION, adapter_name,
+        stale_listing::{LastKnownEngine, REWRITE_GRACE_PERIOD, is_up_to_date},
     },
 };
 
@@ -68,7 +68,7 @@
             let listed = self.engine_records.read_to(&name);
             let crosses = listed.is_some_and(|listed| listed.era < end.era);
             self.engine_records.remove(&name, end);
-            self.entry_gone(&EngineName::from(name), end, crosses.then_some(WRITING_AGAIN));
+            self.entry_gone(&EngineName::from(name), end, crosses.then_some(REWRITE_GRACE_PERIOD));
             self.feed.all_changed();
         }
         self.engine_records.known = true;
@@ -184,8 +184,8 @@
             return;
         }
         let crosses = read_to.is_some_and(|read_to| read_to.era < position.era);
-        if crosses && !is_believed(&self.known_word(name), entry) {
-            let until = self.shared.clock.now() + WRITING_AGAIN;
+        if crosses && !is_up_to_date(&self.known_word(name), entry) {
+            let until = self.shared.clock.now() + REWRITE_GRACE_PERIOD;
             self.withheld.insert(Arc::clone(&update.name), (update, until));
             return;
         }
@@ -196,15 +196,16 @@
     /// the older word in the store's copy.
     fn note_departure(&mut self, entry: &EngineEntry) {
         let Some(known) = self.engines.get(&entry.name) else { return };
-        let same_life = entry.born == known.born && entry.born != UNKNOWN_BIRTH;
+        let same_life =
+            entry.incarnation == known.incarnation && entry.incarnation != UNKNOWN_INCARNATION;
         if entry.leaving && same_life {
             self.mark_leaving(&Arc::clone(known));
         }
     }
 
     /// Takes that an incarnation of an engine has announced that it is leaving.
-    pub(super) fn engine_departs(&mut self, name: &str, born: EngineBirth) {
-        let known = self.engines.get(name).filter(|known| known.is_life(born));
+    pub(super) fn engine_departs(&mut self, name: &str, born: EngineIncarnation) {
+        let known = self.engines.get(name).filter(|known| known.is_incarnation(born));
         if let Some(known) = known.cloned() {
             self.mark_leaving(&known);
         }
@@ -229,10 +230,12 @@
     }
 
     /// Returns what is known of an engine that was listed before.
-    fn known_word(&self, name: &str) -> KnownWord<'_> {
+    fn known_word(&self, name: &str) -> LastKnownEngine<'_> {
         match self.engines.get(name) {
-            Some(entry) => KnownWord::Listed(entry),
-            None => KnownWord::Gone(self.departed.get(name).copied().unwrap_or(UNKNOWN_BIRTH)),
+            Some(entry) => LastKnownEngine::Listed(entry),
+            None => LastKnownEngine::Gone(
+                self.departed.get(name).copied().unwrap_or(UNKNOWN_INCARNATION),
+            ),
         }
     }
 
@@ -249,22 +252,22 @@
 
     /// Takes an engine's entry; returns whether something changed that all hosts must know.
     fn take_engine(&mut self, mut entry: EngineEntry) -> bool {
-        let announced = self.shared.departures().is_departing(&entry.name, entry.born);
-        let left = self.leaving.get(&entry.name).is_some_and(|born| entry.is_life(*born));
+        let announced = self.shared.departures().is_departing(&entry.name, entry.incarnation);
+        let left = self.leaving.get(&entry.name).is_some_and(|born| entry.is_incarnation(*born));
         entry.leaving |= announced;
         if entry.leaving && !left {
-            self.leaving.insert(Arc::clone(&entry.name), entry.born);
+            self.leaving.insert(Arc::clone(&entry.name), entry.incarnation);
             let now = self.shared.clock.now();
-            self.shared.departures().listed(&entry.name, entry.born, now);
+            self.shared.departures().record_listed(&entry.name, entry.incarnation, now);
             let engine = entry.name.to_string();
             self.shared.events.write(HostEvent::EngineLeaving { engine });
         }
         entry.leaving |= left;
         let old = self.engines.get(&entry.name);
-        let reborn = old.is_some_and(|old| !old.is_life(entry.born));
+        let reborn = old.is_some_and(|old| !old.is_incarnation(entry.incarnation));
         if reborn {
             let engine = entry.name.to_string();
-            self.shared.events.write(HostEvent::EngineReborn { engine, born: entry.born });
+            self.shared.events.write(HostEvent::EngineReborn { engine, born: entry.incarnation });
         }
         if let Some(domain) = self.domains.get_mut(&entry.service) {
             self.changed |= domain.engine_lives(&entry);
@@ -284,7 +287,7 @@
         }
         let unchanged = old.is_some_and(|old| {
             let same = old.leaving == entry.leaving && old.address == entry.address;
-            same && !reborn && old.held == entry.held
+            same && !reborn && old.loaded_models == entry.loaded_models
         });
         self.changed |= !unchanged;
         let told = old.is_some_and(|old| is_told_by(old, &entry));
@@ -294,7 +297,7 @@
 
     fn drop_engine(&mut self, name: &str) {
         if let Some(entry) = self.engines.remove(name) {
-            self.departed.insert(Arc::clone(&entry.name), entry.born);
+            self.departed.insert(Arc::clone(&entry.name), entry.incarnation);
             let engine = name.to_owned();
             self.shared.events.write(HostEvent::EngineGone { engine });
             if let Some(domain) = self.domains.get_mut(&entry.service) {
@@ -319,11 +322,11 @@
 /// engine holds.
 fn is_told_by(old: &EngineEntry, new: &EngineEntry) -> bool {
     let bases = |entry: &EngineEntry| {
-        let held = entry.held.iter().filter(|held| adapter_name(&held.key).is_none());
+        let held = entry.loaded_models.iter().filter(|held| adapter_name(&held.key).is_none());
         held.cloned().collect::<Vec<_>>()
     };
     old.leaving == new.leaving
-        && old.born == new.born
+        && old.incarnation == new.incarnation
         && old.address == new.address
         && old.service == new.service
         && bases(old) == bases(new)
--- a/crates/gateway/src/control/era.rs
+++ b/crates/gateway/src/control/era.rs
@@ -1,7 +1,7 @@
 //! What this host does when the store comes back from an older copy of itself.
 
 use reelreel_core::{
-    ClockMillis, StorePosition, clock::duration_millis, fleet::relisting::WRITING_AGAIN,
+    ClockMillis, StorePosition, clock::duration_millis, fleet::stale_listing::REWRITE_GRACE_PERIOD,
 };
 
 use crate::{control::state::ControlState, events::HostEvent, store::eras::StoreEras};
@@ -27,7 +27,7 @@
     /// store never fell, and where a peer answers, nothing is waited for.
     pub(super) fn note_trust(&mut self, now: ClockMillis) {
         let fell = self.eras.known() > 0;
-        let waited = now.since(self.started) >= WRITING_AGAIN;
+        let waited = now.since(self.started) >= REWRITE_GRACE_PERIOD;
         if !self.trusted && self.is_complete() && (!fell || self.has_heard_peer() || waited) {
             self.trusted = true;
             self.changed = true;
--- a/crates/gateway/src/control/freshness.rs
+++ b/crates/gateway/src/control/freshness.rs
@@ -13,8 +13,8 @@
     ///
     /// Called only after what was published holds everything up to that moment.
     pub(super) fn configuration_confirmed(&mut self, moment: ClockMillis) {
-        self.freshness.confirmed(moment, self.shared.clock.now());
-        self.shared.set_keys_until(self.freshness.keys_until());
+        self.freshness.confirm(moment, self.shared.clock.now());
+        self.shared.set_keys_until(self.freshness.keys_valid_until());
         self.tell_freshness();
     }
 
--- a/crates/gateway/src/control/operator.rs
+++ b/crates/gateway/src/control/operator.rs
@@ -75,7 +75,7 @@
         if newer {
             log::warn!("record {}: {error}; the last good one goes on", record.key);
             if matches!(error, BorderError::Configuration(_)) {
-                self.freshness.unreadable();
+                self.freshness.newer_unreadable();
             }
         }
         newer
@@ -92,8 +92,8 @@
         let StorePosition { era, offset } = position;
         self.shared.events.write(HostEvent::ConfigurationInForce { revision, era, offset });
         self.shared.metrics.revision.set(i64::try_from(revision).unwrap_or(i64::MAX));
-        let hosting = routes.hosting_services().map(|service| &service.name);
-        for service in hosting.chain(routes.leading_service()) {
+        let hosting = routes.services_with_models().map(|service| &service.name);
+        for service in hosting.chain(routes.coordinating_service()) {
             if !self.domains.contains_key(service) {
                 let partitions = self.shared.profile.partitions;
                 let domain =
@@ -102,14 +102,14 @@
             }
         }
         self.routes = Some(routes);
-        self.freshness.replaced();
+        self.freshness.configuration_replaced();
         self.changed = true;
         true
     }
 
     fn take_version(&mut self, key: ModelKey, version: WeightVersion) -> bool {
         let now = self.shared.clock.now();
-        let newer = self.versions.entry(key).or_default().name(version, now);
+        let newer = self.versions.entry(key).or_default().publish(version, now);
         self.changed |= newer;
         newer
     }
--- a/crates/gateway/src/control/plan_lines.rs
+++ b/crates/gateway/src/control/plan_lines.rs
@@ -2,7 +2,9 @@
 
 use std::{collections::HashMap, sync::Arc};
 
-use reelreel_core::fleet::{EngineBirth, EngineName, HeldModel, ModelKey, work::EngineWork};
+use reelreel_core::fleet::{
+    EngineIncarnation, EngineName, LoadedModel, ModelKey, work::EngineWork,
+};
 
 use crate::peers::frame::{ChangeLine, EngineLine, HeldLine, NumberLine};
 
@@ -28,7 +30,7 @@
                 new.push(NumberLine { number: next, engine: engine.to_string() });
                 next
             });
-            written.extend([u64::from(number), u64::from(work.open), work.unread]);
+            written.extend([u64::from(number), u64::from(work.open), work.pending_prefill_tokens]);
         }
         (new, written)
     }
@@ -45,8 +47,8 @@
 /// Writes all that a life of an engine holds.
 pub(super) fn engine_line(
     engine: &EngineName,
-    born: EngineBirth,
-    held: &[HeldModel],
+    born: EngineIncarnation,
+    held: &[LoadedModel],
 ) -> EngineLine {
     let held = held.iter().map(HeldLine::from).collect();
     EngineLine { engine: engine.to_string(), held, born }
@@ -55,8 +57,8 @@
 /// Writes what an engine holds beyond what was told of it, and what it holds no more.
 pub(super) fn change_line(
     engine: &EngineName,
-    told: &[HeldModel],
-    held: &[HeldModel],
+    told: &[LoadedModel],
+    held: &[LoadedModel],
 ) -> ChangeLine {
     let gained = held.iter().filter(|model| !told.contains(model));
     let kept = |key: &ModelKey| held.iter().any(|model| model.key == *key);
@@ -76,7 +78,7 @@
     let lines = written.chunks_exact(WORK_FIELDS).filter_map(|line| {
         let engine = numbered.get(&u32::try_from(line[0]).ok()?)?;
         let open = u32::try_from(line[1]).ok()?;
-        Some((Arc::clone(engine), EngineWork { open, unread: line[2] }))
+        Some((Arc::clone(engine), EngineWork { open, pending_prefill_tokens: line[2] }))
     });
     lines.collect()
 }
--- a/crates/gateway/src/control/state.rs
+++ b/crates/gateway/src/control/state.rs
@@ -11,8 +11,8 @@
     ClockMillis, StorePosition,
     chart::{FreshnessState, TenureState},
     fleet::{
-        EngineBirth, EngineEntry, EngineName, ModelKey, ServiceName,
-        choice::NamedVersions,
+        EngineEntry, EngineIncarnation, EngineName, ModelKey, ServiceName,
+        engine_choice::PublishedVersions,
         freshness::{ConfigurationFreshness, PeerClock},
         routes::RouteTable,
     },
@@ -49,10 +49,10 @@
     pub(super) routes: Option<Arc<RouteTable>>,
     pub(super) engines: BTreeMap<EngineName, Arc<EngineEntry>>,
     /// Engines that were ever seen leaving, and in which life; a later record of the same life does not undo it.
-    pub(super) leaving: HashMap<EngineName, EngineBirth>,
+    pub(super) leaving: HashMap<EngineName, EngineIncarnation>,
     /// The last life of each engine that is gone.
-    pub(super) departed: HashMap<EngineName, EngineBirth>,
-    pub(super) versions: HashMap<ModelKey, NamedVersions>,
+    pub(super) departed: HashMap<EngineName, EngineIncarnation>,
+    pub(super) versions: HashMap<ModelKey, PublishedVersions>,
     pub(super) domains: BTreeMap<ServiceName, PlacementDomain>,
     pub(super) owners: HashMap<u32, GroupMember>,
     /// Until when this host reads the store for others, as far as the group goes.
@@ -87,7 +87,7 @@
     /// Starts with nothing known.
     pub fn new(shared: Arc<SharedState>) -> Self {
         let freshness = ConfigurationFreshness::new(shared.profile.bounds.revocation);
-        shared.set_keys_until(freshness.keys_until());
+        shared.set_keys_until(freshness.keys_valid_until());
         let lane = SumLane::new(&shared);
         let started = shared.clock.now();
         let host_count = HostCount::new(shared.profile.bounds.retries.window);
@@ -299,7 +299,7 @@
         }
         self.publish();
         if let Some(clock) = clock.filter(|_| current && frame.confirmed > 0) {
-            let moment = clock.own_moment(ClockMillis::from_millis(frame.confirmed));
+            let moment = clock.to_local(ClockMillis::from_millis(frame.confirmed));
             self.configuration_confirmed(moment);
         }
     }
@@ -335,7 +335,7 @@
             engines.entry(Arc::clone(&entry.service)).or_default().push(Arc::clone(entry));
             let planned =
                 self.domains.get(&entry.service).and_then(|domain| domain.plan.get(&entry.name));
-            let models = planned.unwrap_or(&entry.held).clone();
+            let models = planned.unwrap_or(&entry.loaded_models).clone();
             held.insert(Arc::clone(&entry.name), models);
         }
         let estimates = self.domains.values().flat_map(|domain| &domain.estimates);
--- a/crates/gateway/src/control/sums.rs
+++ b/crates/gateway/src/control/sums.rs
@@ -17,7 +17,7 @@
 
 use reelreel_core::{
     ClockMillis,
-    fleet::{EngineBirth, EngineEntry, EngineName, ServiceName, routes::RouteTable},
+    fleet::{EngineEntry, EngineIncarnation, EngineName, ServiceName, routes::RouteTable},
     id::FenceToken,
 };
 use xxhash_rust::xxh3::xxh3_64;
@@ -60,9 +60,9 @@
 
 impl SumContext<'_> {
     /// Returns the incarnation in which an engine is listed, unless it is leaving.
-    pub fn active_life(&self, engine: &str) -> Option<EngineBirth> {
+    pub fn active_life(&self, engine: &str) -> Option<EngineIncarnation> {
         let entry = self.engines.get(engine).filter(|entry| !entry.leaving);
-        entry.map(|entry| entry.born)
+        entry.map(|entry| entry.incarnation)
     }
 
     /// Returns whether this host stands in for the coordinator for an engine: it holds the partition that the engine's name falls
@@ -207,7 +207,7 @@
 impl ControlState {
     /// Returns the service whose placer coordinates: the first one with models, or the first one where none has any.
     pub(super) fn sums_service(&self) -> Option<ServiceName> {
-        self.routes.as_ref()?.leading_service().map(Arc::clone)
+        self.routes.as_ref()?.coordinating_service().map(Arc::clone)
     }
 
     /// Sends this host's reports, or aggregates those of all; returns when it is to be called again, if that is known.
--- a/crates/gateway/src/engines/ends.rs
+++ b/crates/gateway/src/engines/ends.rs
@@ -65,7 +65,7 @@
 
 fn note_end(traffic: &TrafficState, entry: &EngineEntry, runs: &[EndedRun]) {
     let shared = &traffic.shared;
-    let life = engine_life(&entry.name, entry.born);
+    let life = engine_life(&entry.name, entry.incarnation);
     shared.quarantine().engine_ended(life, runs, traffic.now());
     shared.wake_control.notify_one();
     shared.metrics.engines_ended.inc();
--- a/crates/gateway/src/engines/pool.rs
+++ b/crates/gateway/src/engines/pool.rs
@@ -12,8 +12,8 @@
     ClockMillis,
     fleet::{
         EngineEntry, EngineName, HallName, ModelKey,
-        condition::{EngineCondition, EngineOutcome},
-        reach::{ConnectTime, HallReach},
+        health::{EngineHealth, EngineOutcome},
+        reachability::{ConnectTimeEstimator, HallReachability},
         work::EngineWork,
     },
 };
@@ -44,7 +44,7 @@
 #[derive(Default)]
 struct EngineState {
     idle: Vec<IdleConnection>,
-    condition: EngineCondition,
+    condition: EngineHealth,
     /// The engine's data hall, once a connection was tried.
     hall: Option<HallName>,
     /// What this host has there.
@@ -59,8 +59,8 @@
 #[derive(Default)]
 pub struct EnginePool {
     engines: HashMap<EngineName, EngineState>,
-    halls: HashMap<HallName, HallReach>,
-    connect_time: ConnectTime,
+    halls: HashMap<HallName, HallReachability>,
+    connect_time: ConnectTimeEstimator,
 }
 
 /// A connection to an engine, with an open request counted for as long as it lives.
@@ -76,7 +76,7 @@
 
 impl EnginePool {
     /// Returns an engine's condition and this host's work there.
-    pub fn view(&self, engine: &str) -> (EngineCondition, EngineWork) {
+    pub fn view(&self, engine: &str) -> (EngineHealth, EngineWork) {
         self.engines
             .get(engine)
             .map(|state| (state.condition.clone(), state.work))
@@ -98,22 +98,22 @@
     /// Counts how a send to an engine ended.
     pub fn note(&mut self, engine: &EngineName, outcome: EngineOutcome, now: ClockMillis) {
         let state = self.engines.entry(Arc::clone(engine)).or_default();
-        state.condition.note(outcome, now);
+        state.condition.record(outcome, now);
         let heard = matches!(
             outcome,
-            EngineOutcome::Answered(_) | EngineOutcome::Erred | EngineOutcome::Refused
+            EngineOutcome::Answered(_) | EngineOutcome::ErrorResponse | EngineOutcome::Refused
         );
         if heard
             && let Some(hall) = &state.hall
             && let Some(reach) = self.halls.get_mut(hall)
         {
-            reach.answered();
+            reach.record_success();
         }
     }
 
     /// Returns whether an engine's data hall seems to be cut off from this host.
     pub fn is_out_of_reach(&self, entry: &EngineEntry, now: ClockMillis) -> bool {
-        self.halls.get(&entry.hall).is_some_and(|reach| reach.is_resting(now))
+        self.halls.get(&entry.hall).is_some_and(|reach| reach.is_in_backoff(now))
     }
 
     /// Returns whether connections come about quickly, so that one that does not shows something of its engine.
@@ -122,14 +122,14 @@
     }
 
     fn connected(&mut self, entry: &EngineEntry, time: Duration) {
-        self.connect_time.note(time);
-        self.halls.entry(Arc::clone(&entry.hall)).or_default().answered();
+        self.connect_time.record(time);
+        self.halls.entry(Arc::clone(&entry.hall)).or_default().record_success();
     }
 
     fn not_connected(&mut self, entry: &EngineEntry, error: &std::io::Error, now: ClockMillis) {
         if error.kind() == std::io::ErrorKind::TimedOut {
-            self.connect_time.note_silence();
-            self.halls.entry(Arc::clone(&entry.hall)).or_default().silent(&entry.name, now);
+            self.connect_time.record_timeout();
+            self.halls.entry(Arc::clone(&entry.hall)).or_default().record_timeout(&entry.name, now);
         }
     }
 
@@ -220,7 +220,7 @@
         entry: &EngineEntry,
         now: ClockMillis,
     ) -> std::io::Result<HttpStream> {
-        let patience = pool.borrow().connect_time.patience();
+        let patience = pool.borrow().connect_time.timeout();
         let began = Instant::now();
         let connected = HttpStream::connect(entry.address, patience).await;
         let time = began.elapsed();
@@ -262,7 +262,7 @@
     fn new(pool: &Rc<RefCell<EnginePool>>, engine: &EngineName, terms: ConnectTerms) -> Self {
         let mut locked = pool.borrow_mut();
         let state = locked.engines.entry(Arc::clone(engine)).or_default();
-        state.work = state.work + EngineWork { open: 1, unread: terms.unread };
+        state.work = state.work + EngineWork { open: 1, pending_prefill_tokens: terms.unread };
         if let Some(key) = &terms.key {
             *state.runs.entry(Arc::clone(key)).or_default() += 1;
         }
@@ -280,7 +280,8 @@
     fn prompt_read(&mut self) {
         let unread = std::mem::take(&mut self.unread);
         if let Some(state) = self.pool.borrow_mut().engines.get_mut(&self.engine) {
-            state.work.unread = state.work.unread.saturating_sub(unread);
+            state.work.pending_prefill_tokens =
+                state.work.pending_prefill_tokens.saturating_sub(unread);
             state.touched |= unread > 0;
         }
     }
--- a/crates/gateway/src/entry.rs
+++ b/crates/gateway/src/entry.rs
@@ -36,7 +36,7 @@
 use reelreel_core::{
     ClockMillis,
     fleet::{
-        EngineEntry, EngineName, ModelKey, ServiceName, admission::ServiceAdmission,
+        EngineEntry, EngineName, ModelKey, ServiceName, admission::AdmissionController,
         retry_share::RetryShare,
     },
 };
@@ -84,7 +84,7 @@
     /// The share of each service's retry budget.
     retries: RefCell<HashMap<ServiceName, RetryShare>>,
     /// How much of what it is asked for this host sends on to each plain service.
-    pub admissions: RefCell<HashMap<ServiceName, ServiceAdmission>>,
+    pub admissions: RefCell<HashMap<ServiceName, AdmissionController>>,
     /// What engines said that they do not hold, and when.
     absences: RefCell<HashMap<(EngineName, ModelKey), ClockMillis>>,
     /// Bytes of request bodies that are held.
@@ -139,7 +139,7 @@
     /// Takes that an engine gave a first event so long after a send, with so much to read before it.
     pub fn note_reading(&self, service: &ServiceName, prompt: u64, ahead: u64, time: Duration) {
         let mut reading = self.shared.reading();
-        reading.entry(Arc::clone(service)).or_default().note(prompt, ahead, time);
+        reading.entry(Arc::clone(service)).or_default().record(prompt, ahead, time);
     }
 
     /// Returns how long an engine of a service takes to read so many tokens.
@@ -201,7 +201,7 @@
 
     /// Counts a request's first send, which earns a part of a further one.
     pub fn note_request(&self, service: &ServiceName) {
-        self.retry_share(service).note_request(self.now());
+        self.retry_share(service).record_request(self.now());
     }
 
     /// Counts what this host has at the engines that hold models, for their placers.
@@ -214,7 +214,7 @@
         }
         let mut demand = self.shared.demand();
         for (engine, work, runs) in changed {
-            let mut services = routes.hosting_services();
+            let mut services = routes.services_with_models();
             let service = services.find(|service| table.serves(&service.name, &engine));
             match service {
                 Some(service) => demand.engine_work(&service.name, &engine, work, runs),
@@ -246,7 +246,7 @@
         self.count_suspects(now);
         let allowance = &self.shared.profile.bounds.retries;
         for share in self.retries.borrow_mut().values_mut() {
-            share.forget_old(allowance, now);
+            share.expire_requests(allowance, now);
         }
     }
 }
--- a/crates/gateway/src/entry/attempt.rs
+++ b/crates/gateway/src/entry/attempt.rs
@@ -7,9 +7,9 @@
     ClockMillis,
     fleet::{
         EngineEntry, WeightVersion, adapter_name,
-        admission::AdmissionSign,
+        admission::AdmissionSignal,
         announcement::{Declared, EngineAnnouncements},
-        condition::EngineOutcome,
+        health::EngineOutcome,
         limits::share::PermitUse,
     },
 };
@@ -41,7 +41,8 @@
         let possible = possible && self.sends_are_left() && !self.is_suspect();
         let (traffic, service) = (Rc::clone(self.traffic), Arc::clone(&self.service));
         let (key, id) = (self.facts.model.clone(), self.facts.id.clone());
-        let (patience, excluded) = (self.route.target * OVERDUE_TARGETS, [Arc::clone(&entry.name)]);
+        let (patience, excluded) =
+            (self.route.latency_target * OVERDUE_TARGETS, [Arc::clone(&entry.name)]);
         async move {
             if possible {
                 tokio::time::sleep(patience).await;
@@ -111,15 +112,15 @@
             () = self.client.closed(SENT_AHEAD) => {
                 lease.close();
                 self.may_have_run = true;
-                if self.traffic.now().since(began) > self.route.target * OVERDUE_TARGETS {
-                    self.note(entry, EngineOutcome::Overdue);
+                if self.traffic.now().since(began) > self.route.latency_target * OVERDUE_TARGETS {
+                    self.note(entry, EngineOutcome::FirstByteTimeout);
                 }
                 return SendEnd::Over(ExchangeEnd::Reset, "client_gone");
             }
             () = overdue => {
                 lease.close();
                 self.may_have_run = true;
-                self.note(entry, EngineOutcome::Overdue);
+                self.note(entry, EngineOutcome::FirstByteTimeout);
                 return SendEnd::Overdue;
             }
             () = time_over => {
@@ -161,7 +162,7 @@
         if promises || (success && (!answer.facts.signed || other)) {
             // The status would promise, or claim, what the engine did not, or the answer is of other weights.
             lease.close();
-            self.note(&entry, EngineOutcome::Broken);
+            self.note(&entry, EngineOutcome::Interrupted);
             return SendEnd::Failed;
         }
         if success && self.route.kind.is_stream() {
@@ -182,11 +183,11 @@
         let delay = self.traffic.now().since(began);
         self.keep_or_close(lease, &answer);
         if answer.head.status >= 500 {
-            self.note(&entry, EngineOutcome::Erred);
+            self.note(&entry, EngineOutcome::ErrorResponse);
             return SendEnd::Erred(Box::new(answer), body);
         }
         self.note(&entry, EngineOutcome::Answered(delay));
-        self.note_admission(AdmissionSign::Answered(delay));
+        self.note_admission(AdmissionSignal::Answered(delay));
         let end = self.pass_whole(&answer, &body).await;
         SendEnd::Over(end, "answered")
     }
@@ -240,16 +241,16 @@
 
     /// Returns what an engine has to read before a request that would be sent there now. Unit: tokens.
     pub fn unread_at(&self, entry: &EngineEntry) -> u64 {
-        let told = self.traffic.shared.shared_work().at(&entry.name).unread;
+        let told = self.traffic.shared.shared_work().at(&entry.name).pending_prefill_tokens;
         let (_, own) = self.traffic.pool.borrow().view(&entry.name);
-        told.max(own.unread)
+        told.max(own.pending_prefill_tokens)
     }
 
     /// Returns what an engine has to read before this request's prompt, which counts there already.
     fn unread_before(&self, entry: &EngineEntry) -> u64 {
-        let told = self.traffic.shared.shared_work().at(&entry.name).unread;
+        let told = self.traffic.shared.shared_work().at(&entry.name).pending_prefill_tokens;
         let (_, own) = self.traffic.pool.borrow().view(&entry.name);
-        told.max(own.unread.saturating_sub(self.facts.prompt.tokens()))
+        told.max(own.pending_prefill_tokens.saturating_sub(self.facts.prompt.tokens()))
     }
 
     /// Takes what a response that has just begun announces of its engine; the request was sent at `sent`.
--- a/crates/gateway/src/entry/connection.rs
+++ b/crates/gateway/src/entry/connection.rs
@@ -161,7 +161,7 @@
     tokio::select! {
         biased;
         read = client.fill() => matches!(read, Ok(count) if count > 0),
-        () = tokio::time::sleep(limits.idle_time) => false,
+        () = tokio::time::sleep(limits.idle_timeout) => false,
         () = stopped => false,
     }
 }
@@ -173,7 +173,7 @@
 ) -> Result<(ClientRequest, BodyHold), RequestFailure> {
     let arrived = traffic.now();
     let reading = client.read_request_head(limits.head_bytes);
-    let Ok(head) = tokio::time::timeout(limits.head_time, reading).await else {
+    let Ok(head) = tokio::time::timeout(limits.head_timeout, reading).await else {
         let text = "the head took too long; send it at once";
         return Err(RequestFailure::Answered(OwnAnswer::new(408, text)));
     };
@@ -204,7 +204,7 @@
     }
     let mut decoder = BodyDecoder::new(framing);
     let reading = client.read_whole_body(&mut decoder, limits.body_bytes);
-    let Ok(body) = tokio::time::timeout(limits.idle_time, reading).await else {
+    let Ok(body) = tokio::time::timeout(limits.idle_timeout, reading).await else {
         let text = "the body took too long; send it without pauses";
         return Err(RequestFailure::Answered(OwnAnswer::new(408, text)));
     };
--- a/crates/gateway/src/entry/exchange.rs
+++ b/crates/gateway/src/entry/exchange.rs
@@ -279,7 +279,7 @@
     pub fn pick(&self) -> EnginePick {
         let mut excluded = self.unreached.clone();
         // Once the route's engines are used up, only those that were asked may be asked again.
-        let used_up = self.sent_to.len() >= self.route.most_attempts.max(1) as usize;
+        let used_up = self.sent_to.len() >= self.route.attempt_limit.max(1) as usize;
         if used_up {
             let table = self.traffic.table();
             let others = table.ready_engines(&self.service);
@@ -370,7 +370,7 @@
 
     /// Returns whether the route allows another engine.
     pub fn has_other_engine(&self) -> bool {
-        self.sent_to.len() < self.route.most_attempts as usize
+        self.sent_to.len() < self.route.attempt_limit as usize
     }
 
     /// Returns whether the request may be sent once more as far as its own bounds go.
--- a/crates/gateway/src/entry/pass.rs
+++ b/crates/gateway/src/entry/pass.rs
@@ -5,7 +5,7 @@
 use bytes::{Bytes, BytesMut};
 use reelreel_core::{
     ClockMillis,
-    fleet::{EngineEntry, condition::EngineOutcome, limits::share::PermitUse, routes::RouteKind},
+    fleet::{EngineEntry, health::EngineOutcome, limits::share::PermitUse, routes::RouteKind},
 };
 use reelreel_http::{
     BodyDecoder, ResponseHead,
@@ -83,7 +83,7 @@
     /// Keeps the engine's connection if it may serve another request.
     pub fn keep_or_close(&self, lease: EngineLease, answer: &EngineAnswer) {
         let clean = !lease.stream.has_unused_bytes() && answer.decoder.is_done();
-        let (engine, born) = (&lease.entry.name, lease.entry.born);
+        let (engine, born) = (&lease.entry.name, lease.entry.incarnation);
         let departing = self.traffic.shared.departures().is_departing(engine, born);
         if answer.reusable && clean && !departing {
             lease.keep(answer.kept(), self.traffic.now());
@@ -291,7 +291,7 @@
         broken: &EngineEntry,
         progress: &StreamProgress,
     ) -> Option<(EngineLease, EngineAnswer, ClockMillis)> {
-        let used_up = self.sent_to.len() >= self.route.most_attempts.max(1) as usize;
+        let used_up = self.sent_to.len() >= self.route.attempt_limit.max(1) as usize;
         if used_up || !self.may_send_again() {
             return None;
         }
--- a/crates/gateway/src/entry/pick.rs
+++ b/crates/gateway/src/entry/pick.rs
@@ -6,8 +6,8 @@
     ClockMillis,
     fleet::{
         EngineEntry, EngineName, ModelKey, WeightVersion, adapter_name,
-        choice::{EngineCandidate, best_engine},
-        condition::EngineCondition,
+        engine_choice::{EngineCandidate, choose_engine},
+        health::EngineHealth,
         limits::share::PermitUse,
         work::EngineWork,
     },
@@ -62,7 +62,7 @@
 struct AbleEngine {
     entry: Arc<EngineEntry>,
     version: Option<WeightVersion>,
-    condition: EngineCondition,
+    condition: EngineHealth,
     own: EngineWork,
     /// Whether its limit lets this host send something there now.
     permitted: bool,
@@ -172,7 +172,7 @@
     let pool = traffic.pool.borrow();
     let reached = |able: &AbleEngine| !pool.is_out_of_reach(&able.entry, now);
     if holds {
-        able.retain(|able| !able.condition.is_resting(now) && reached(able));
+        able.retain(|able| !able.condition.is_in_backoff(now) && reached(able));
     } else if able.iter().any(reached) {
         able.retain(reached);
     }
@@ -191,19 +191,19 @@
         .iter()
         .map(|able| {
             let told = shared.at(&able.entry.name);
-            let unread = told.unread.max(able.own.unread);
+            let unread = told.pending_prefill_tokens.max(able.own.pending_prefill_tokens);
             EngineCandidate {
                 entry: &able.entry,
-                condition: &able.condition,
-                open: able.own.open,
-                told: told.open,
-                reading: traffic.reading_time(need.service, unread),
+                health: &able.condition,
+                own_open: able.own.open,
+                reported_open: told.open,
+                pending_prefill_time: traffic.reading_time(need.service, unread),
             }
         })
         .collect();
     drop(shared);
     let hall = &traffic.shared.profile.hall;
-    let best = best_engine(&candidates, hall, xxh3_64(need.id.as_bytes()), table.hosts, now)?;
+    let best = choose_engine(&candidates, hall, xxh3_64(need.id.as_bytes()), table.hosts, now)?;
     able.iter().position(|able| able.entry.name == best)
 }
 
@@ -218,7 +218,7 @@
 /// Returns this host's share of the connections that an engine takes.
 fn connection_share(table: &ServingTable, service: &str) -> u32 {
     let service = table.routes.as_ref().and_then(|routes| routes.service(service));
-    let most = service.map_or(u32::MAX, |service| service.most_connections);
+    let most = service.map_or(u32::MAX, |service| service.connection_limit);
     (most / table.hosts.max(1)).max(1)
 }
 
--- a/crates/gateway/src/entry/plain.rs
+++ b/crates/gateway/src/entry/plain.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use reelreel_core::fleet::{EngineEntry, admission::AdmissionSign};
+use reelreel_core::fleet::{EngineEntry, admission::AdmissionSignal};
 
 use crate::{
     entry::{
@@ -26,12 +26,12 @@
         let mut admissions = self.traffic.admissions.borrow_mut();
         let admission = admissions.entry(Arc::clone(&self.service)).or_default();
         let now = self.traffic.now();
-        if admission.admits(now) {
+        if admission.try_admit(now) {
             return None;
         }
         // The smaller the part, the longer until those are served who are asked to come back.
         let (shortest, longest) = RETURN_TIMES;
-        Some(shortest.div_f64(admission.part(now)).min(longest))
+        Some(shortest.div_f64(admission.admitted_fraction(now)).min(longest))
     }
 
     /// Refuses a request that is not sent on.
@@ -44,11 +44,11 @@
     }
 
     /// Takes how a request to a plain service ended, for the part that is sent on.
-    pub(super) fn note_admission(&self, sign: AdmissionSign) {
+    pub(super) fn note_admission(&self, sign: AdmissionSignal) {
         if self.traffic.is_plain(&self.service) {
             let mut admissions = self.traffic.admissions.borrow_mut();
             let admission = admissions.entry(Arc::clone(&self.service)).or_default();
-            admission.note(sign, self.route.target, self.traffic.now());
+            admission.record(sign, self.route.latency_target, self.traffic.now());
         }
     }
 
@@ -71,7 +71,7 @@
             tokio::time::sleep(REPEAT_PAUSE).await;
             return None;
         }
-        self.note_admission(AdmissionSign::Full);
+        self.note_admission(AdmissionSignal::ServerFull);
         self.unreached.pop();
         Some(self.give_up("not_run").await)
     }
--- a/crates/gateway/src/entry/preflight.rs
+++ b/crates/gateway/src/entry/preflight.rs
@@ -71,7 +71,11 @@
             (None, _) => EngineCallKind::Repeat,
         };
         self.traffic.shared.count_engine_call(&entry.name, kind);
-        self.traffic.shared.cooldowns().sent(&entry.name, entry.born, self.traffic.now());
+        self.traffic.shared.cooldowns().record_sent(
+            &entry.name,
+            entry.incarnation,
+            self.traffic.now(),
+        );
         self.count_send(entry);
         Ok(request)
     }
--- a/crates/gateway/src/entry/prepare.rs
+++ b/crates/gateway/src/entry/prepare.rs
@@ -88,7 +88,7 @@
     let Some(route) = routes.route(host, &request.head.target) else {
         return Err(NO_ROUTE.into());
     };
-    if routes.asks_for_key(route) && !serves_keys {
+    if routes.requires_key(route) && !serves_keys {
         return Err(EarlyRefusal::new(KEYS_IN_DOUBT, "keys_in_doubt"));
     }
     let identified = routes.identify(route, &facts.key);
--- a/crates/gateway/src/entry/quarantine.rs
+++ b/crates/gateway/src/entry/quarantine.rs
@@ -3,8 +3,8 @@
 use std::{sync::Arc, time::Duration};
 
 use reelreel_core::fleet::{
-    EngineEntry, WeightVersion, base_model, choice::NamedVersions, condition::EngineOutcome,
-    quarantine::EndedRun,
+    EngineEntry, WeightVersion, base_model, engine_choice::PublishedVersions,
+    health::EngineOutcome, quarantine::EndedRun,
 };
 
 use crate::{engines::ends::run_broke, entry::exchange::Exchange};
@@ -52,7 +52,7 @@
     ///
     /// Whoever would send the request again waits for that: one engine more would end before anything is known.
     pub(super) async fn broke_off(&mut self, entry: &Arc<EngineEntry>) {
-        self.note(entry, EngineOutcome::Broken);
+        self.note(entry, EngineOutcome::Interrupted);
         let Some(run) = self.run.take() else { return };
         let looked_at = run_broke(self.traffic, entry, run);
         if self.route.kind.may_repeat() && self.has_other_engine() {
@@ -65,7 +65,7 @@
     fn named_version(&self) -> WeightVersion {
         let Some(key) = &self.facts.model else { return 0 };
         let table = self.traffic.table();
-        let named = |key: &str| table.versions.get(key).map_or(0, NamedVersions::newest);
+        let named = |key: &str| table.versions.get(key).map_or(0, PublishedVersions::newest);
         named(key).max(named(base_model(key)))
     }
 }
--- a/crates/gateway/src/entry/record.rs
+++ b/crates/gateway/src/entry/record.rs
@@ -57,7 +57,7 @@
     /// Returns whether the answer came later than the route wants it, or with too long a pause.
     fn is_late(&self) -> bool {
         let first = Duration::from_millis(self.first);
-        let pauses = self.route.longest_pause.is_some_and(|most| self.longest_pause > most);
-        first > self.route.target || pauses
+        let pauses = self.route.max_event_gap.is_some_and(|most| self.longest_pause > most);
+        first > self.route.latency_target || pauses
     }
 }
--- a/crates/gateway/src/entry/refusal.rs
+++ b/crates/gateway/src/entry/refusal.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use reelreel_core::fleet::{EngineEntry, EngineName, queued::QueuedRequest};
+use reelreel_core::fleet::{EngineEntry, EngineName, queue_admission::QueueCandidate};
 
 use crate::entry::{
     answer::{ENGINE_FAILED, OwnAnswer},
@@ -34,15 +34,15 @@
             return None;
         }
         let ahead = self.unread_at(entry);
-        let request = QueuedRequest {
+        let request = QueueCandidate {
             elapsed: self.traffic.now().since(self.request.arrived),
-            target: self.route.target,
+            latency_target: self.route.latency_target,
             remaining: self.deadline.remaining(),
-            ahead: self.traffic.reading_time(&self.service, ahead),
-            reading: self.traffic.reading_time(&self.service, self.facts.prompt.tokens()),
-            returned: self.is_returned(),
+            pending_prefill_time: self.traffic.reading_time(&self.service, ahead),
+            prefill_time: self.traffic.reading_time(&self.service, self.facts.prompt.tokens()),
+            client_retried: self.is_returned(),
         };
-        request.refusal()
+        request.refusal_retry_after()
     }
 
     /// Returns whether the client seems to have been refused before and to have come back: it has less time than its route
@@ -107,7 +107,8 @@
             EnginePick::Cold => return LOAD_PAUSE,
             EnginePick::Nowhere => return NO_ENGINE_PAUSE,
         };
-        let turn = |engine: &EngineName| self.traffic.shared.cooldowns().return_time(engine, now);
+        let turn =
+            |engine: &EngineName| self.traffic.shared.cooldowns().next_retry_after(engine, now);
         let turn = holders.engines.first().and_then(turn);
         let turn = turn.unwrap_or_else(|| holders.until.since(now));
         let load = holders.loadable.then(|| self.expected_load().unwrap_or(LOAD_PAUSE));
--- a/crates/gateway/src/entry/wait.rs
+++ b/crates/gateway/src/entry/wait.rs
@@ -5,7 +5,7 @@
 
 use reelreel_core::fleet::{
     ModelKey, ServiceName,
-    cold::{ColdChoice, ColdRequest, CoolingHolder, LATE_WORTH},
+    cold_start::{ColdDecision, ColdRequest, CoolingEngine, LATE_WORTH},
 };
 
 use crate::{
@@ -131,9 +131,9 @@
             if let Some(guard) = &mut guard {
                 guard.revalue(request.worth());
             }
-            let wait = match request.choose() {
-                ColdChoice::Wait(time) => time,
-                ColdChoice::Refuse(time) => break WaitEnd::Refused(time),
+            let wait = match request.decide() {
+                ColdDecision::Wait(time) => time,
+                ColdDecision::Refuse(time) => break WaitEnd::Refused(time),
             };
             if self.cooling.is_some() && !std::mem::replace(&mut counted, true) {
                 self.traffic.shared.metrics.cooldown_waited.inc();
@@ -160,7 +160,7 @@
             && let Some(mut guard) = guard
         {
             guard.revalue(LATE_WORTH);
-            guard.hold_for(time + self.route.target);
+            guard.hold_for(time + self.route.latency_target);
         }
         end
     }
@@ -218,16 +218,16 @@
         let estimate = self.expected_load().into_iter().chain(self.expected_permit()).min();
         ColdRequest {
             elapsed: now.since(self.request.arrived),
-            target: self.route.target,
+            latency_target: self.route.latency_target,
             remaining: self.deadline.remaining(),
             estimate,
-            cooling: self.cooling.as_ref().map(|holders| CoolingHolder {
-                time: holders.until.since(now),
-                loadable: holders.loadable,
+            cooling: self.cooling.as_ref().map(|holders| CoolingEngine {
+                available_in: holders.until.since(now),
+                loadable_elsewhere: holders.loadable,
             }),
-            reading: self.traffic.reading_time(&self.service, self.facts.prompt.tokens()),
-            longest_pause: self.route.longest_pause,
-            returned: self.is_returned(),
+            prefill_time: self.traffic.reading_time(&self.service, self.facts.prompt.tokens()),
+            max_event_gap: self.route.max_event_gap,
+            client_retried: self.is_returned(),
         }
     }
 }
--- a/crates/gateway/src/gate.rs
+++ b/crates/gateway/src/gate.rs
@@ -8,7 +8,7 @@
     ClockMillis,
     fleet::{
         EngineEntry,
-        cooldown::{CooldownStanding, CooldownTable},
+        cooldown::{CooldownState, CooldownTable},
         departures::DepartureRegistry,
         limits::share::{LimitShare, LimitStanding, PermitUse},
     },
@@ -61,12 +61,12 @@
     /// Returns whether an engine takes a call, its limit aside: an order, a question for a report, or a request that holds a
     /// permit.
     pub fn own_verdict(&self, entry: &EngineEntry) -> GateVerdict {
-        if self.departures.is_departing(&entry.name, entry.born) {
+        if self.departures.is_departing(&entry.name, entry.incarnation) {
             return GateVerdict::Departing;
         }
-        match self.cooldowns.standing(&entry.name, entry.born, self.now) {
-            CooldownStanding::Open => GateVerdict::Open,
-            CooldownStanding::Closed(time) => GateVerdict::Cooling(time),
+        match self.cooldowns.state(&entry.name, entry.incarnation, self.now) {
+            CooldownState::Open => GateVerdict::Open,
+            CooldownState::Closed(time) => GateVerdict::Cooling(time),
         }
     }
 }
--- a/crates/gateway/src/host.rs
+++ b/crates/gateway/src/host.rs
@@ -17,8 +17,8 @@
         cooldown::CooldownTable,
         departures::DepartureRegistry,
         limits::{limit::AnswerReport, share::LimitShare},
+        prefill_speed::PrefillSpeed,
         quarantine::{ENDS_UNTIL_HELD, QuarantineBook},
-        reading::ReadingSpeed,
     },
     organisation::share::QuotaShare,
 };
@@ -80,7 +80,7 @@
     pub wake_control: Notify,
     demand: Mutex<DemandCollector>,
     shared_work: Mutex<SharedWork>,
-    reading: Mutex<HashMap<ServiceName, ReadingSpeed>>,
+    reading: Mutex<HashMap<ServiceName, PrefillSpeed>>,
     quotas: Mutex<QuotaShare>,
     quarantine: Mutex<QuarantineBook>,
     limits: Mutex<LimitShare>,
@@ -131,7 +131,7 @@
     }
 
     /// Locks how fast the engines of each service read prompts for a moment.
-    pub fn reading(&self) -> MutexGuard<'_, HashMap<ServiceName, ReadingSpeed>> {
+    pub fn reading(&self) -> MutexGuard<'_, HashMap<ServiceName, PrefillSpeed>> {
         self.reading.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -192,10 +192,10 @@
         kind: ResponseKind,
     ) {
         let now = self.clock.now();
-        let (engine, born) = (&entry.name, entry.born);
+        let (engine, born) = (&entry.name, entry.incarnation);
         let mut wake = false;
         if let Declared::Present(_) = announcements.departure {
-            wake |= self.departures().announced(engine, born, now);
+            wake |= self.departures().record_announced(engine, born, now);
         }
         if !self.departures().is_departing(engine, born) {
             let would_say = kind == ResponseKind::Accepted;
@@ -204,10 +204,11 @@
         }
         let mut cooldowns = self.cooldowns();
         match announcements.cooldown {
-            Declared::Present(cooldown) => cooldowns.requested(engine, born, cooldown, now),
+            Declared::Present(cooldown) => cooldowns.record_cooldown(engine, born, cooldown, now),
             Declared::Absent | Declared::Unreadable => {
                 let accepted = kind == ResponseKind::Accepted;
-                if kind != ResponseKind::Other && cooldowns.responded(engine, born, sent, accepted)
+                if kind != ResponseKind::Other
+                    && cooldowns.record_response(engine, born, sent, accepted)
                 {
                     self.permits_changed();
                 }
--- a/crates/gateway/src/peers/departure_lines.rs
+++ b/crates/gateway/src/peers/departure_lines.rs
@@ -21,13 +21,13 @@
 impl From<&DepartureReport> for DepartureLine {
     fn from(report: &DepartureReport) -> Self {
         let engine = report.engine.to_string();
-        Self { engine, born: report.born, age: duration_millis(report.age) }
+        Self { engine, born: report.incarnation, age: duration_millis(report.age) }
     }
 }
 
 impl From<&DepartureLine> for DepartureReport {
     fn from(line: &DepartureLine) -> Self {
         let engine = Arc::from(line.engine.as_str());
-        Self { engine, born: line.born, age: Duration::from_millis(line.age) }
+        Self { engine, incarnation: line.born, age: Duration::from_millis(line.age) }
     }
 }
--- a/crates/gateway/src/peers/engine_lines.rs
+++ b/crates/gateway/src/peers/engine_lines.rs
@@ -11,7 +11,7 @@
 
 use reelreel_core::StorePosition;
 use reelreel_core::fleet::{
-    ADAPTER_SEPARATOR, EngineEntry, EngineName, HeldModel, ModelKey, adapter_name, base_model,
+    ADAPTER_SEPARATOR, EngineEntry, EngineName, LoadedModel, ModelKey, adapter_name, base_model,
 };
 
 /// What became of an engine's entry.
@@ -132,7 +132,7 @@
         log::warn!("engine {} has no address of IPv4; it is not passed on", update.name);
         return None;
     };
-    let held = entry.held.iter().map(|held| HeldRecordLine {
+    let held = entry.loaded_models.iter().map(|held| HeldRecordLine {
         base: names.place(base_model(&held.key)),
         adapter: adapter_name(&held.key).unwrap_or_default().to_owned(),
         version: held.version,
@@ -147,7 +147,7 @@
         leaving: entry.leaving,
         sequence: entry.sequence,
         held,
-        born: entry.born,
+        born: entry.incarnation,
         ..gone
     })
 }
@@ -176,25 +176,25 @@
         return Some(EngineUpdate { name: engine, position, entry: None, unlisted });
     };
     let port = u16::try_from(line.port).ok()?;
-    let held: Option<Vec<HeldModel>> = line
+    let held: Option<Vec<LoadedModel>> = line
         .held
         .iter()
         .map(|held| {
             let base = name(held.base)?;
             let key = held_key(&base, &held.adapter);
-            Some(HeldModel { key, version: held.version })
+            Some(LoadedModel { key, version: held.version })
         })
         .collect();
     let entry = EngineEntry {
         name: Arc::clone(&engine),
-        born: line.born,
+        incarnation: line.born,
         service: name(line.service)?,
         address: SocketAddr::V4(SocketAddrV4::new(Ipv4Addr::from_bits(bits), port)),
         hall: name(line.hall)?,
         slots: line.slots,
         leaving: line.leaving,
         sequence: line.sequence,
-        held: held?,
+        loaded_models: held?,
     };
     let (position, entry) = (line.position(), Some(entry));
     Some(EngineUpdate { name: engine, position, entry, unlisted: false })
--- a/crates/gateway/src/peers/frame.rs
+++ b/crates/gateway/src/peers/frame.rs
@@ -5,7 +5,7 @@
 use std::{sync::Arc, time::Duration};
 
 use reelreel_core::{
-    fleet::{EngineName, HeldModel, ModelKey, work::EngineWork},
+    fleet::{EngineName, LoadedModel, ModelKey, work::EngineWork},
     placement::{AbsentEntry, DemandEntry, HostWork, RunEntry, StorePace},
 };
 
@@ -366,13 +366,13 @@
 
 impl From<&(EngineName, EngineWork)> for WorkLine {
     fn from((engine, work): &(EngineName, EngineWork)) -> Self {
-        Self { engine: engine.to_string(), open: work.open, unread: work.unread }
+        Self { engine: engine.to_string(), open: work.open, unread: work.pending_prefill_tokens }
     }
 }
 
 impl From<&WorkLine> for (EngineName, EngineWork) {
     fn from(line: &WorkLine) -> Self {
-        let work = EngineWork { open: line.open, unread: line.unread };
+        let work = EngineWork { open: line.open, pending_prefill_tokens: line.unread };
         (Arc::from(line.engine.as_str()), work)
     }
 }
@@ -390,13 +390,13 @@
     }
 }
 
-impl From<&HeldModel> for HeldLine {
-    fn from(held: &HeldModel) -> Self {
+impl From<&LoadedModel> for HeldLine {
+    fn from(held: &LoadedModel) -> Self {
         Self { key: held.key.to_string(), version: held.version }
     }
 }
 
-impl From<&HeldLine> for HeldModel {
+impl From<&HeldLine> for LoadedModel {
     fn from(line: &HeldLine) -> Self {
         Self { key: Arc::from(line.key.as_str()), version: line.version }
     }
--- a/crates/gateway/src/peers/state_frames.rs
+++ b/crates/gateway/src/peers/state_frames.rs
@@ -78,7 +78,7 @@
     fn from(line: &ClockLine) -> Self {
         let (own, peer) =
             (ClockMillis::from_millis(line.asked), ClockMillis::from_millis(line.now));
-        Self { own, peer }
+        Self { local: own, peer }
     }
 }
 
--- a/crates/gateway/src/profile.rs
+++ b/crates/gateway/src/profile.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
 use reelreel_core::{
-    fleet::{HallName, retry_share::RetryAllowance},
+    fleet::{HallName, retry_share::RetryPolicy},
     organisation::quota::QuotaTolerance,
     placement::HostCapacity,
 };
@@ -24,7 +24,7 @@
     /// Within which time nothing may begin on an older version of an adapter.
     pub version_apply: Duration,
     /// Further sends over all hosts.
-    pub retries: RetryAllowance,
+    pub retries: RetryPolicy,
     /// The window over which loads from the weight store are counted.
     pub load_window: Duration,
     /// How far loads may exceed the store's rate within a window.
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -98,7 +98,7 @@
         let answer = self.client.call(request, patience).await?;
         let cooldown = self.dialect.cooldown(&answer);
         self.not_before =
-            cooldown.map(|cooldown| Instant::now() + cooldown.time().min(LONGEST_COOLDOWN));
+            cooldown.map(|cooldown| Instant::now() + cooldown.duration().min(LONGEST_COOLDOWN));
         let told = self.dialect.era(&answer);
         match self.eras.hear(told, STORE_TELLS) {
             EraWord::Newest => Ok(answer),
--- a/crates/gateway/src/table.rs
+++ b/crates/gateway/src/table.rs
@@ -8,8 +8,8 @@
 use reelreel_core::{
     ClockMillis,
     fleet::{
-        EngineEntry, EngineName, HeldModel, ModelKey, ServiceName, WeightVersion,
-        choice::NamedVersions, routes::RouteTable,
+        EngineEntry, EngineName, LoadedModel, ModelKey, ServiceName, WeightVersion,
+        engine_choice::PublishedVersions, routes::RouteTable,
     },
 };
 
@@ -23,7 +23,7 @@
     /// Where each model and adapter is held, and in which version.
     pub copies: HashMap<ModelKey, Vec<(EngineName, WeightVersion)>>,
     /// The versions that the operator named.
-    pub versions: HashMap<ModelKey, NamedVersions>,
+    pub versions: HashMap<ModelKey, PublishedVersions>,
     /// When a queued adapter is expected, as its placer said last.
     pub estimates: HashMap<ModelKey, ClockMillis>,
     /// Whether the list of engines has been read.
@@ -46,7 +46,7 @@
     /// Returns whether an engine that was chosen from an earlier table still takes new work, in the same life.
     pub fn takes_work(&self, chosen: &EngineEntry) -> bool {
         let mut ready = self.ready_engines(&chosen.service);
-        ready.any(|entry| entry.name == chosen.name && entry.is_life(chosen.born))
+        ready.any(|entry| entry.name == chosen.name && entry.is_incarnation(chosen.incarnation))
     }
 
     /// Returns whether an engine is listed for a service.
@@ -63,7 +63,7 @@
 
 /// Gathers copies by key from what each engine holds.
 pub fn copies_by_key(
-    held: &BTreeMap<EngineName, Vec<HeldModel>>,
+    held: &BTreeMap<EngineName, Vec<LoadedModel>>,
 ) -> HashMap<ModelKey, Vec<(EngineName, WeightVersion)>> {
     let mut copies: HashMap<ModelKey, Vec<(EngineName, WeightVersion)>> = HashMap::new();
     for (engine, models) in held {
--- a/crates/gateway/tests/demand.rs
+++ b/crates/gateway/tests/demand.rs
@@ -105,7 +105,12 @@
             holding = runs.iter().copied().collect();
             let open = holding.values().sum();
             let runs = holding.iter().map(|(key, open)| (Arc::from(*key), *open)).collect();
-            collector.engine_work(&service, &engine, EngineWork { open, unread: 0 }, runs);
+            collector.engine_work(
+                &service,
+                &engine,
+                EngineWork { open, pending_prefill_tokens: 0 },
+                runs,
+            );
         }
         if step.again {
             collector.tell_again(&service);
@@ -127,7 +132,12 @@
     let (service, engine) = (Arc::from("assist"), Arc::from("e1"));
     let mut collector = DemandCollector::default();
     let runs = BTreeMap::from([(Arc::from("m/a"), 1)]);
-    collector.engine_work(&service, &engine, EngineWork { open: 1, unread: 5 }, runs);
+    collector.engine_work(
+        &service,
+        &engine,
+        EngineWork { open: 1, pending_prefill_tokens: 5 },
+        runs,
+    );
     assert_eq!(collector.drain(ClockMillis::from_millis(10)).len(), 1);
     collector.forget_engine(&engine);
     assert!(collector.drain(ClockMillis::from_millis(5000)).is_empty());
@@ -139,11 +149,16 @@
     let mut collector = DemandCollector::default();
     let runs = BTreeMap::from([(Arc::from("m/a"), 3)]);
     let service = Arc::from("assist");
-    collector.engine_work(&service, &engine, EngineWork { open: 3, unread: 900 }, runs);
+    collector.engine_work(
+        &service,
+        &engine,
+        EngineWork { open: 3, pending_prefill_tokens: 900 },
+        runs,
+    );
     let told = collector.drain(ClockMillis::from_millis(10)).remove(&service).expect("told");
     let mut book = WorkBook::default();
     book.note(&host, &told.work, ClockMillis::from_millis(10));
-    assert_eq!(book.total(&engine), EngineWork { open: 3, unread: 900 });
+    assert_eq!(book.total(&engine), EngineWork { open: 3, pending_prefill_tokens: 900 });
     book.forget_old(ClockMillis::from_millis(4000));
     assert_eq!(book.total(&engine), EngineWork::default());
     assert_eq!(book.runs(&engine, "m/a"), 0);
--- a/crates/gateway/tests/engine_lines.rs
+++ b/crates/gateway/tests/engine_lines.rs
@@ -7,7 +7,7 @@
 use prost::Message as _;
 use reelreel_core::{
     StorePosition,
-    fleet::{EngineEntry, HeldModel},
+    fleet::{EngineEntry, LoadedModel},
 };
 use reelreel_gateway::peers::{
     engine_lines::{EngineRecordLine, EngineUpdate, HeldRecordLine, read_engines, write_engines},
@@ -18,7 +18,7 @@
     let held = ("[a-z]{1,4}[0-9]{2}", proptest::option::of("a[0-9]{1,4}"), 0..9_u64);
     let held = held.prop_map(|(base, adapter, version)| {
         let key = adapter.map_or_else(|| base.clone(), |adapter| format!("{base}/{adapter}"));
-        HeldModel { key: Arc::from(key), version }
+        LoadedModel { key: Arc::from(key), version }
     });
     let held = proptest::collection::vec(held, 0..9);
     let entry = (
@@ -37,14 +37,14 @@
             let entry = entry.map(|(service, ip, port, hall, slots, leaving, sequence, held)| {
                 EngineEntry {
                     name: Arc::clone(&name),
-                    born: offset,
+                    incarnation: offset,
                     service: Arc::from(service),
                     address: SocketAddr::from((ip, port)),
                     hall: Arc::from(hall),
                     slots,
                     leaving,
                     sequence,
-                    held,
+                    loaded_models: held,
                 }
             });
             let unlisted = entry.is_none() && offset % 2 == 0;
@@ -110,14 +110,14 @@
         position: StorePosition { era: 3, offset: 100_000 + u64::from(number) },
         entry: Some(EngineEntry {
             name: Arc::from("unused"),
-            born: 1_788_253_401_202 + u64::from(number),
+            incarnation: 1_788_253_401_202 + u64::from(number),
             service: Arc::from("huvo11a"),
             address: SocketAddr::from(([10, 128, 0, 9], 8080)),
             hall: Arc::from("nyabugogo"),
             slots: 12,
             leaving: false,
             sequence: 4,
-            held: vec![HeldModel { key: Arc::from("daka510000"), version: 1 }],
+            loaded_models: vec![LoadedModel { key: Arc::from("daka510000"), version: 1 }],
         }),
     };
     let updates: Vec<EngineUpdate> = (0..1000).map(update).collect();
--- a/crates/gateway/tests/host/dialect.rs
+++ b/crates/gateway/tests/host/dialect.rs
@@ -6,10 +6,10 @@
 use reelreel_core::{
     StorePosition,
     fleet::{
-        EngineEntry, HeldModel, ModelKey,
+        EngineEntry, LoadedModel, ModelKey,
         announcement::{Cooldown, Declared, Departure, EngineAnnouncements},
         limits::limit::RequestLimit,
-        prompt::PromptFacts,
+        prompt::PromptMetadata,
         routes::RouteTable,
     },
     id::{FenceToken, GroupGeneration, StoreEra},
@@ -60,7 +60,7 @@
             id: head.fields.text(REQUEST).ok_or(FactError::Id)?.to_owned(),
             deadline: deadline.map(Duration::from_millis),
             model: head.fields.text(MODEL).map(ModelKey::from),
-            prompt: PromptFacts::default(),
+            prompt: PromptMetadata::default(),
             tokens: head.fields.text(TOKENS).and_then(|text| text.parse().ok()),
             key: PresentedKey::from_values(head.fields.values(KEY)),
         })
@@ -144,9 +144,9 @@
 
 pub(crate) struct PlainEngines;
 
-fn held(value: &Value) -> Vec<HeldModel> {
+fn held(value: &Value) -> Vec<LoadedModel> {
     let keys = value.as_array().into_iter().flatten().filter_map(Value::as_str);
-    keys.map(|key| HeldModel { key: Arc::from(key), version: 1 }).collect()
+    keys.map(|key| LoadedModel { key: Arc::from(key), version: 1 }).collect()
 }
 
 impl EngineDialect for PlainEngines {
@@ -306,7 +306,7 @@
         let text = |name: &str| body[name].as_str().unwrap_or_default().to_owned();
         Ok(EngineEntry {
             name: Arc::from(record.key.as_str()),
-            born: body["born"].as_u64().unwrap_or_default(),
+            incarnation: body["born"].as_u64().unwrap_or_default(),
             service: Arc::from(text("service")),
             address: text("address")
                 .parse()
@@ -315,7 +315,7 @@
             slots: 16,
             leaving: body["leaving"].as_bool().unwrap_or_default(),
             sequence: body["sequence"].as_u64().unwrap_or_default(),
-            held: held(&body["held"]),
+            loaded_models: held(&body["held"]),
         })
     }
 }
--- a/crates/gateway/tests/host/site.rs
+++ b/crates/gateway/tests/host/site.rs
@@ -15,7 +15,7 @@
 use reelreel_core::{
     ClockSource, MonotonicClock,
     fleet::{
-        retry_share::RetryAllowance,
+        retry_share::RetryPolicy,
         routes::{
             ClientLimits, ModelHosting, ModelSize, RouteEntry, RouteKind, RouteTable, ServiceEntry,
             WeightedBackend,
@@ -93,11 +93,7 @@
                 lease: Duration::from_millis(600),
                 engines_check_fences: true,
                 version_apply: Duration::from_secs(2),
-                retries: RetryAllowance {
-                    ratio: 0.2,
-                    burst: 50.0,
-                    window: Duration::from_secs(10),
-                },
+                retries: RetryPolicy { ratio: 0.2, burst: 50.0, window: Duration::from_secs(10) },
                 load_window: Duration::from_secs(5),
                 load_overage: 1.1,
                 revocation,
@@ -123,11 +119,11 @@
         prefix: prefix.to_owned(),
         kind,
         timeout: Duration::from_millis(1500),
-        target: Duration::from_millis(500),
-        longest_pause: None,
+        latency_target: Duration::from_millis(500),
+        max_event_gap: None,
         priority: 1,
         backends: vec![WeightedBackend { service: Arc::from(service), weight: 1 }],
-        most_attempts: attempts,
+        attempt_limit: attempts,
         public: false,
     }
 }
@@ -136,8 +132,8 @@
     ClientLimits {
         head_bytes: 4096,
         body_bytes: 256 * 1024,
-        head_time: Duration::from_millis(400),
-        idle_time: Duration::from_millis(1500),
+        head_timeout: Duration::from_millis(400),
+        idle_timeout: Duration::from_millis(1500),
     }
 }
 
@@ -160,13 +156,13 @@
             adapter_megabytes: 10.0,
             load_time: Duration::from_millis(600),
         }],
-        weight_megabytes: 1300.0,
-        most_adapters: 8,
+        memory_megabytes: 1300.0,
+        adapter_limit: 8,
         loads_per_second: 3.3,
     };
     let service = |name: &str, hosting| ServiceEntry {
         name: Arc::from(name),
-        most_connections: 200,
+        connection_limit: 200,
         hosting,
     };
     let services = vec![service("plain", None), service("assist", Some(hosting))];
--- a/crates/gateway/tests/host/store_falls/world.rs
+++ b/crates/gateway/tests/host/store_falls/world.rs
@@ -347,7 +347,7 @@
         let table = state.shared().table.borrow().clone();
         let entries = table.engines.values().flatten();
         let mut entries = entries.filter(|entry| *entry.name == *engine_key(engine));
-        entries.next().map(|entry| (entry.born - 1, entry.leaving))
+        entries.next().map(|entry| (entry.incarnation - 1, entry.leaving))
     }
 
     /// Returns what a host went back on.
--- a/crates/gateway/tests/serving_table.rs
+++ b/crates/gateway/tests/serving_table.rs
@@ -8,14 +8,14 @@
 fn entry(service: &str, born: u64, leaving: bool) -> EngineEntry {
     EngineEntry {
         name: Arc::from("i-1"),
-        born,
+        incarnation: born,
         service: Arc::from(service),
         address: "10.0.0.1:80".parse().expect("an address"),
         hall: Arc::from("hall"),
         slots: 4,
         leaving,
         sequence: 0,
-        held: Vec::new(),
+        loaded_models: Vec::new(),
     }
 }
 
