--- a/crates/core/src/fleet/cold_start.rs
+++ b/crates/core/src/fleet/cold_start.rs
@@ -107,15 +107,15 @@
     /// Returns what becomes of the request now.
     pub fn decide(&self) -> ColdDecision {
         let estimate_deadline = self.latency_target.mul_f64(ESTIMATE_WAIT_FRACTION);
-        let left = self.client_wait_limit().saturating_sub(self.elapsed);
-        if left.is_zero() {
+        let remaining_wait = self.client_wait_limit().saturating_sub(self.elapsed);
+        if remaining_wait.is_zero() {
             return ColdDecision::Refuse(self.retry_after());
         }
         if let Some(engine) = self.cooling {
-            return self.decide_during_cooldown(engine, left);
+            return self.decide_during_cooldown(engine, remaining_wait);
         }
         if self.elapsed > estimate_deadline {
-            return ColdDecision::Wait(left);
+            return ColdDecision::Wait(remaining_wait);
         }
         let Some(estimate) = self.estimate else {
             let until_deadline = estimate_deadline.saturating_sub(self.elapsed);
@@ -126,7 +126,7 @@
             };
         };
         if self.is_useful_after(estimate) {
-            ColdDecision::Wait(left)
+            ColdDecision::Wait(remaining_wait)
         } else {
             ColdDecision::Refuse(self.retry_after())
         }
@@ -134,29 +134,37 @@
 
     /// Returns whether an answer would still be useful if an engine took the request after `time`.
     fn is_useful_after(&self, time: Duration) -> bool {
-        let useful =
+        let max_delay =
             if self.client_retried { self.client_wait_limit() } else { self.latency_target };
-        self.elapsed + time + self.prefill_time + FIRST_EVENT_OVERHEAD <= useful
+        self.elapsed + time + self.prefill_time + FIRST_EVENT_OVERHEAD <= max_delay
     }
 
     /// Returns what becomes of the request where its holders want no requests for a while: it waits for the first of them or
     /// for another copy, as long as either is expected in time.
-    fn decide_during_cooldown(&self, engine: CoolingEngine, left: Duration) -> ColdDecision {
-        let load = self.estimate.filter(|_| engine.loadable_elsewhere);
+    fn decide_during_cooldown(
+        &self,
+        engine: CoolingEngine,
+        remaining_wait: Duration,
+    ) -> ColdDecision {
+        let load_estimate = self.estimate.filter(|_| engine.loadable_elsewhere);
         if self.is_useful_after(engine.available_in) {
-            return ColdDecision::Wait(left.min(engine.available_in.max(MIN_RECHECK_INTERVAL)));
+            return ColdDecision::Wait(
+                remaining_wait.min(engine.available_in.max(MIN_RECHECK_INTERVAL)),
+            );
         }
         let estimate_deadline = self.latency_target.mul_f64(ESTIMATE_WAIT_FRACTION);
-        match load {
-            Some(load) if self.elapsed > estimate_deadline || self.is_useful_after(load) => {
-                ColdDecision::Wait(left)
+        match load_estimate {
+            Some(load_estimate)
+                if self.elapsed > estimate_deadline || self.is_useful_after(load_estimate) =>
+            {
+                ColdDecision::Wait(remaining_wait)
             }
             None if engine.loadable_elsewhere && self.elapsed < estimate_deadline => {
                 ColdDecision::Wait(estimate_deadline.saturating_sub(self.elapsed))
             }
-            _ => ColdDecision::Refuse(
-                load.map_or(engine.available_in, |load| load.min(engine.available_in)),
-            ),
+            _ => ColdDecision::Refuse(load_estimate.map_or(engine.available_in, |load_estimate| {
+                load_estimate.min(engine.available_in)
+            })),
         }
     }
 
--- a/crates/core/src/fleet/cooldown.rs
+++ b/crates/core/src/fleet/cooldown.rs
@@ -15,10 +15,10 @@
 };
 
 /// From how many probes at a time on an engine is no longer restricted.
-const RECOVERED_PROBES: usize = 32;
+const RECOVERY_ALLOWANCE: usize = 32;
 
 /// How long an engine is restricted after a cooldown that this host sends nothing.
-const RECOVERY_RETENTION: Duration = Duration::from_secs(10);
+const IDLE_RECOVERY_TIME: Duration = Duration::from_secs(10);
 
 /// How long a probe without a response keeps others back.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
@@ -34,9 +34,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CooldownState {
     /// It may.
-    Open,
+    Available,
     /// It may not; the engine is expected to take requests again after this time.
-    Closed(Duration),
+    Unavailable(Duration),
 }
 
 /// A change worth a log line.
@@ -69,7 +69,7 @@
     /// When the requests were sent that it has not responded to.
     probes: VecDeque<ClockMillis>,
     /// How often it was asked for since the engine last took requests without restriction.
-    requests: u32,
+    cooldown_requests: u32,
     /// How many clients were given a retry time after it.
     retry_times_issued: u32,
 }
@@ -77,11 +77,18 @@
 impl EngineCooldown {
     const fn new(incarnation: EngineIncarnation, now: ClockMillis) -> Self {
         let probes = VecDeque::new();
-        Self { incarnation, until: now, allowance: 1, probes, requests: 0, retry_times_issued: 0 }
+        Self {
+            incarnation,
+            until: now,
+            allowance: 1,
+            probes,
+            cooldown_requests: 0,
+            retry_times_issued: 0,
+        }
     }
 
     /// Returns after what time the engine is expected to take requests, if it takes none now.
-    fn closed_for(&self, now: ClockMillis) -> Option<Duration> {
+    fn unavailable_for(&self, now: ClockMillis) -> Option<Duration> {
         if now < self.until {
             return Some(self.until.since(now));
         }
@@ -107,21 +114,21 @@
         now: ClockMillis,
     ) {
         let new = || EngineCooldown::new(incarnation, now);
-        let known = self.engines.entry(Arc::clone(engine)).or_insert_with(new);
-        if !is_same_incarnation(known.incarnation, incarnation) {
-            *known = new();
+        let entry = self.engines.entry(Arc::clone(engine)).or_insert_with(new);
+        if !is_same_incarnation(entry.incarnation, incarnation) {
+            *entry = new();
         }
-        if known.requests == 0 {
+        if entry.cooldown_requests == 0 {
             let (engine, duration) = (Arc::clone(engine), cooldown.duration());
             self.events.push(CooldownEvent::Began { engine, incarnation, duration });
         }
-        if now >= known.until {
-            known.retry_times_issued = 0;
+        if now >= entry.until {
+            entry.retry_times_issued = 0;
         }
-        known.until = known.until.max(now + cooldown.duration());
-        known.allowance = 1;
-        known.probes.clear();
-        known.requests += 1;
+        entry.until = entry.until.max(now + cooldown.duration());
+        entry.allowance = 1;
+        entry.probes.clear();
+        entry.cooldown_requests += 1;
     }
 
     /// Returns whether a request may go to an engine.
@@ -131,21 +138,21 @@
         incarnation: EngineIncarnation,
         now: ClockMillis,
     ) -> CooldownState {
-        let known = self
+        let entry = self
             .engines
             .get(engine)
-            .filter(|known| is_same_incarnation(known.incarnation, incarnation));
-        let closed = known.and_then(|known| known.closed_for(now));
-        closed.map_or(CooldownState::Open, CooldownState::Closed)
+            .filter(|entry| is_same_incarnation(entry.incarnation, incarnation));
+        let unavailable = entry.and_then(|entry| entry.unavailable_for(now));
+        unavailable.map_or(CooldownState::Available, CooldownState::Unavailable)
     }
 
     /// Takes that a request is sent to an engine.
     pub fn record_sent(&mut self, engine: &str, incarnation: EngineIncarnation, now: ClockMillis) {
-        if let Some(known) = self.engines.get_mut(engine)
-            && is_same_incarnation(known.incarnation, incarnation)
+        if let Some(entry) = self.engines.get_mut(engine)
+            && is_same_incarnation(entry.incarnation, incarnation)
         {
-            known.probes.retain(|sent| now.since(*sent) < PROBE_TIMEOUT);
-            known.probes.push_back(now);
+            entry.probes.retain(|sent| now.since(*sent) < PROBE_TIMEOUT);
+            entry.probes.push_back(now);
         }
     }
 
@@ -158,48 +165,49 @@
         sent: ClockMillis,
         accepted: bool,
     ) -> bool {
-        let Some(known) = self.engines.get_mut(engine) else { return false };
-        if !is_same_incarnation(known.incarnation, incarnation) || sent < known.until {
+        let Some(entry) = self.engines.get_mut(engine) else { return false };
+        if !is_same_incarnation(entry.incarnation, incarnation) || sent < entry.until {
             return false;
         }
-        known.probes.pop_front();
+        entry.probes.pop_front();
         if accepted {
-            known.allowance *= 2;
+            entry.allowance *= 2;
         }
-        if known.allowance >= RECOVERED_PROBES {
+        if entry.allowance >= RECOVERY_ALLOWANCE {
             self.remove(engine);
         }
         true
     }
 
     /// Returns the engines that take no requests now.
-    pub fn closed_engines(&self, now: ClockMillis) -> impl Iterator<Item = &EngineName> {
-        let closed = self.engines.iter().filter(move |(_, known)| known.closed_for(now).is_some());
-        closed.map(|(engine, _)| engine)
+    pub fn unavailable_engines(&self, now: ClockMillis) -> impl Iterator<Item = &EngineName> {
+        let unavailable =
+            self.engines.iter().filter(move |(_, entry)| entry.unavailable_for(now).is_some());
+        unavailable.map(|(engine, _)| engine)
     }
 
     /// Returns the retry time for the next rejected client: after the cooldown of its engine, each a step later than the one
     /// before.
     pub fn next_retry_after(&mut self, engine: &str, now: ClockMillis) -> Option<Duration> {
-        let known = self.engines.get_mut(engine)?;
-        let step = RETRY_AFTER_STEP * (known.retry_times_issued % RETRY_AFTER_STEPS);
-        known.retry_times_issued += 1;
-        Some(known.until.since(now) + step)
+        let entry = self.engines.get_mut(engine)?;
+        let step = RETRY_AFTER_STEP * (entry.retry_times_issued % RETRY_AFTER_STEPS);
+        entry.retry_times_issued += 1;
+        Some(entry.until.since(now) + step)
     }
 
     /// Forgets engines whose cooldown is over and that are no longer listed in that incarnation, or were sent nothing for long
-    /// since; `listed` retry_times_issued the incarnation that is listed.
+    /// since; `listed` returns the incarnation that is listed.
     pub fn retain(&mut self, listed: impl Fn(&str) -> Option<EngineIncarnation>, now: ClockMillis) {
-        let over = |engine: &str, known: &EngineCooldown| {
-            let ended = || {
+        let is_over = |engine: &str, entry: &EngineCooldown| {
+            let is_unlisted = || {
                 listed(engine)
-                    .is_none_or(|incarnation| !is_same_incarnation(known.incarnation, incarnation))
+                    .is_none_or(|incarnation| !is_same_incarnation(entry.incarnation, incarnation))
             };
-            now >= known.until && (ended() || now.since(known.until) >= RECOVERY_RETENTION)
+            now >= entry.until && (is_unlisted() || now.since(entry.until) >= IDLE_RECOVERY_TIME)
         };
-        let known = self.engines.iter().filter(|(engine, known)| over(engine, known));
-        let ended: Vec<EngineName> = known.map(|(engine, _)| Arc::clone(engine)).collect();
-        for engine in ended {
+        let removed = self.engines.iter().filter(|(engine, entry)| is_over(engine, entry));
+        let removed: Vec<EngineName> = removed.map(|(engine, _)| Arc::clone(engine)).collect();
+        for engine in removed {
             self.remove(&engine);
         }
     }
@@ -210,8 +218,8 @@
     }
 
     fn remove(&mut self, engine: &str) {
-        if let Some((engine, known)) = self.engines.remove_entry(engine) {
-            self.events.push(CooldownEvent::Ended { engine, requests: known.requests });
+        if let Some((engine, entry)) = self.engines.remove_entry(engine) {
+            self.events.push(CooldownEvent::Ended { engine, requests: entry.cooldown_requests });
         }
     }
 }
--- a/crates/core/src/fleet/departures.rs
+++ b/crates/core/src/fleet/departures.rs
@@ -150,9 +150,9 @@
     /// incarnation that is listed.
     pub fn retain(&mut self, listed: impl Fn(&str) -> Option<EngineIncarnation>, now: ClockMillis) {
         self.departures.retain(|engine, known| {
-            let present = listed(engine);
+            let listed_incarnation = listed(engine);
             known.retain(|known| {
-                present
+                listed_incarnation
                     .is_some_and(|incarnation| is_same_incarnation(known.incarnation, incarnation))
                     || now.since(known.announced) < UNLISTED_RETENTION
             });
--- a/crates/core/src/fleet/reachability.rs
+++ b/crates/core/src/fleet/reachability.rs
@@ -26,7 +26,7 @@
 
 /// How many engines of a hall must be silent, none answering in between, for the hall to count as cut off: two may
 /// have gone dark together.
-const TIMED_OUT_ENGINES_LIMIT: usize = 3;
+const TIMED_OUT_ENGINES_THRESHOLD: usize = 3;
 
 /// How long a hall is left at first: a tenth of what short cuts last.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(400);
@@ -82,7 +82,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct HallReachability {
     /// Engines that were silent since one of the hall answered last.
-    timed_out: BTreeSet<EngineName>,
+    timed_out_engines: BTreeSet<EngineName>,
     backoff_count: u32,
     backoff_until: ClockMillis,
 }
@@ -90,16 +90,16 @@
 impl HallReachability {
     /// Takes that an engine of the hall answered.
     pub fn record_success(&mut self) {
-        if !self.timed_out.is_empty() {
+        if !self.timed_out_engines.is_empty() {
             *self = Self::default();
         }
     }
 
     /// Takes that a connection to an engine of the hall did not come about in time.
     pub fn record_timeout(&mut self, engine: &EngineName, now: ClockMillis) {
-        self.timed_out.insert(engine.clone());
+        self.timed_out_engines.insert(engine.clone());
         let in_backoff = now < self.backoff_until;
-        if self.timed_out.len() >= TIMED_OUT_ENGINES_LIMIT && !in_backoff {
+        if self.timed_out_engines.len() >= TIMED_OUT_ENGINES_THRESHOLD && !in_backoff {
             let backoff =
                 INITIAL_BACKOFF.saturating_mul(1 << self.backoff_count.min(4)).min(MAX_BACKOFF);
             self.backoff_count += 1;
--- a/crates/core/src/fleet/routes.rs
+++ b/crates/core/src/fleet/routes.rs
@@ -78,13 +78,13 @@
     /// The same number leads to the same service as long as the route does not change.
     pub fn service(&self, number: u64) -> Option<&ServiceName> {
         let total: u64 = self.backends.iter().map(|backend| u64::from(backend.weight)).sum();
-        let mut place = number.checked_rem(total)?;
+        let mut offset = number.checked_rem(total)?;
         for backend in &self.backends {
             let weight = u64::from(backend.weight);
-            if place < weight {
+            if offset < weight {
                 return Some(&backend.service);
             }
-            place -= weight;
+            offset -= weight;
         }
         None
     }
--- a/crates/core/tests/cooldown.rs
+++ b/crates/core/tests/cooldown.rs
@@ -41,42 +41,42 @@
 
 use Occurrence::{Rejects, Responds, Send};
 
-struct StandingCase {
+struct StateCase {
     name: &'static str,
-    happenings: &'static [(u64, Occurrence)],
+    occurrences: &'static [(u64, Occurrence)],
     /// At what time, for which incarnation, and after what time the engine is expected to take requests; zero: at once.
     expected: &'static [(u64, EngineIncarnation, u64)],
 }
 
-const STANDING_CASES: &[StandingCase] = &[
-    StandingCase {
+const STATE_CASES: &[StateCase] = &[
+    StateCase {
         name: "it holds until its end, for its incarnation",
-        happenings: &[(0, Rejects(1, 3000))],
+        occurrences: &[(0, Rejects(1, 3000))],
         expected: &[(0, 1, 3000), (2999, 1, 1), (3000, 1, 0), (100, 2, 0)],
     },
-    StandingCase {
+    StateCase {
         name: "the later end counts",
-        happenings: &[(0, Rejects(1, 3000)), (100, Rejects(1, 500))],
+        occurrences: &[(0, Rejects(1, 3000)), (100, Rejects(1, 500))],
         expected: &[(600, 1, 2400)],
     },
-    StandingCase {
+    StateCase {
         name: "a response to what was sent before its end does not shorten it",
-        happenings: &[(0, Rejects(1, 3000)), (50, Responds(0, true))],
+        occurrences: &[(0, Rejects(1, 3000)), (50, Responds(0, true))],
         expected: &[(60, 1, 2940)],
     },
-    StandingCase {
+    StateCase {
         name: "nor does one that comes after its end",
-        happenings: &[(0, Rejects(1, 3000)), (3000, Send), (3010, Responds(0, true))],
+        occurrences: &[(0, Rejects(1, 3000)), (3000, Send), (3010, Responds(0, true))],
         expected: &[(3020, 1, 300)],
     },
-    StandingCase {
+    StateCase {
         name: "afterwards one request probes the engine",
-        happenings: &[(0, Rejects(1, 3000)), (3000, Send)],
+        occurrences: &[(0, Rejects(1, 3000)), (3000, Send)],
         expected: &[(3001, 1, 300), (4001, 1, 0)],
     },
-    StandingCase {
+    StateCase {
         name: "more go there as it accepts them",
-        happenings: &[
+        occurrences: &[
             (0, Rejects(1, 3000)),
             (3000, Send),
             (3010, Responds(3000, true)),
@@ -84,9 +84,9 @@
         ],
         expected: &[(3011, 1, 0)],
     },
-    StandingCase {
+    StateCase {
         name: "no more than it accepted go there at a time",
-        happenings: &[
+        occurrences: &[
             (0, Rejects(1, 3000)),
             (3000, Send),
             (3010, Responds(3000, true)),
@@ -95,9 +95,9 @@
         ],
         expected: &[(3011, 1, 300)],
     },
-    StandingCase {
+    StateCase {
         name: "a rejection without a cooldown lets the next request probe it",
-        happenings: &[
+        occurrences: &[
             (0, Rejects(1, 3000)),
             (3000, Send),
             (3010, Responds(3000, false)),
@@ -105,24 +105,24 @@
         ],
         expected: &[(3011, 1, 300)],
     },
-    StandingCase {
+    StateCase {
         name: "a probe that is rejected begins the next cooldown",
-        happenings: &[(0, Rejects(1, 3000)), (3000, Send), (3010, Rejects(1, 2000))],
+        occurrences: &[(0, Rejects(1, 3000)), (3000, Send), (3010, Rejects(1, 2000))],
         expected: &[(3020, 1, 1990), (5010, 1, 0)],
     },
-    StandingCase {
+    StateCase {
         name: "another incarnation begins anew",
-        happenings: &[(0, Rejects(1, 3000)), (100, Rejects(2, 200))],
+        occurrences: &[(0, Rejects(1, 3000)), (100, Rejects(2, 200))],
         expected: &[(150, 2, 150), (300, 2, 0)],
     },
 ];
 
 #[test]
-fn an_engine_takes_requests_again_after_its_cooldown_by_steps() {
-    for case in STANDING_CASES {
+fn requests_resume_gradually_after_a_cooldown() {
+    for case in STATE_CASES {
         let mut table = CooldownTable::default();
-        for (time, happening) in case.happenings {
-            match happening {
+        for (time, occurrence) in case.occurrences {
+            match occurrence {
                 Rejects(incarnation, length) => {
                     table.record_cooldown(&engine(), *incarnation, cooldown(*length), at(*time));
                 }
@@ -132,10 +132,10 @@
                 }
             }
         }
-        for (time, incarnation, closed) in case.expected {
-            let expected = match closed {
-                0 => CooldownState::Open,
-                closed => CooldownState::Closed(millis(*closed)),
+        for (time, incarnation, unavailable_for) in case.expected {
+            let expected = match unavailable_for {
+                0 => CooldownState::Available,
+                unavailable_for => CooldownState::Unavailable(millis(*unavailable_for)),
             };
             let state = table.state("engine-1", *incarnation, at(*time));
             assert_eq!(state, expected, "{}: at {time}", case.name);
@@ -169,14 +169,14 @@
     let mut table = CooldownTable::default();
     table.record_cooldown(&engine(), 1, cooldown(3000), at(0));
     table.retain(|_| None, at(1000));
-    assert_eq!(table.state("engine-1", 1, at(1500)), CooldownState::Closed(millis(1500)));
+    assert_eq!(table.state("engine-1", 1, at(1500)), CooldownState::Unavailable(millis(1500)));
     table.retain(|_| None, at(3000));
-    assert_eq!(table.state("engine-1", 1, at(3000)), CooldownState::Open);
+    assert_eq!(table.state("engine-1", 1, at(3000)), CooldownState::Available);
 }
 
 /// Clients that are told to come back after one cooldown do not all return at the same moment.
 #[test]
-fn clients_come_back_one_after_the_other() {
+fn retry_times_after_one_cooldown_are_spread() {
     let mut table = CooldownTable::default();
     table.record_cooldown(&engine(), 1, cooldown(1000), at(0));
     let times: Vec<Duration> =
@@ -192,7 +192,7 @@
     /// The engine starts again.
     Restart,
     /// Time passes.
-    Pass(u64),
+    Wait(u64),
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -200,7 +200,7 @@
         4 => (proptest::option::of(1u64..4000), 0u64..600)
             .prop_map(|(rejects, delay)| Step::Request { rejects, delay }),
         1 => Just(Step::Restart),
-        3 => (1u64..1500).prop_map(Step::Pass),
+        3 => (1u64..1500).prop_map(Step::Wait),
     ]
 }
 
@@ -219,26 +219,26 @@
         // When responses come, what was sent when in which incarnation, and whether it was rejected.
         let mut responses: Vec<(u64, u64, EngineIncarnation, Option<u64>)> = Vec::new();
         for step in steps {
-            responses.retain(|(due, sent, life, rejects)| {
+            responses.retain(|(due, sent, request_incarnation, rejects)| {
                 if *due > now {
                     return true;
                 }
                 match rejects {
                     Some(time) => {
-                        table.record_cooldown(&engine(), *life, cooldown(*time), at(now));
-                        if *life == incarnation {
+                        table.record_cooldown(&engine(), *request_incarnation, cooldown(*time), at(now));
+                        if *request_incarnation == incarnation {
                             until = until.max(now + time);
                         }
                     }
                     None => {
-                        table.record_response("engine-1", *life, at(*sent), true);
+                        table.record_response("engine-1", *request_incarnation, at(*sent), true);
                     }
                 }
                 false
             });
             match step {
                 Step::Request { rejects, delay } => {
-                    if table.state("engine-1", incarnation, at(now)) == CooldownState::Open {
+                    if table.state("engine-1", incarnation, at(now)) == CooldownState::Available {
                         prop_assert!(now >= until, "sent at {now} within a cooldown until {until}");
                         table.record_sent("engine-1", incarnation, at(now));
                         responses.push((now + delay, now, incarnation, rejects));
@@ -249,107 +249,108 @@
                     until = 0;
                     responses.clear();
                 }
-                Step::Pass(time) => now += time,
+                Step::Wait(time) => now += time,
             }
             table.retain(|_| Some(incarnation), at(now));
         }
         let later = at(now.max(until) + 1000);
-        prop_assert_eq!(table.state("engine-1", incarnation, later), CooldownState::Open);
+        prop_assert_eq!(table.state("engine-1", incarnation, later), CooldownState::Available);
     }
 }
 
-struct ChoiceCase {
+struct DecisionCase {
     name: &'static str,
     elapsed: u64,
     /// When the holder takes requests again.
-    holder: u64,
-    loadable: bool,
+    engine_available_in: u64,
+    loadable_elsewhere: bool,
     /// When another copy is expected.
-    load: Option<u64>,
-    choice: ColdDecision,
+    load_estimate: Option<u64>,
+    decision: ColdDecision,
 }
 
-const CHOICE_CASES: &[ChoiceCase] = &[
-    ChoiceCase {
+const DECISION_CASES: &[DecisionCase] = &[
+    DecisionCase {
         name: "it waits for a cooldown that ends in time",
         elapsed: 0,
-        holder: 300,
-        loadable: false,
-        load: None,
-        choice: ColdDecision::Wait(millis(300)),
+        engine_available_in: 300,
+        loadable_elsewhere: false,
+        load_estimate: None,
+        decision: ColdDecision::Wait(millis(300)),
     },
-    ChoiceCase {
+    DecisionCase {
         name: "nothing can be loaded: it is refused at once",
         elapsed: 0,
-        holder: 3000,
-        loadable: false,
-        load: None,
-        choice: ColdDecision::Refuse(millis(3000)),
+        engine_available_in: 3000,
+        loadable_elsewhere: false,
+        load_estimate: None,
+        decision: ColdDecision::Refuse(millis(3000)),
     },
-    ChoiceCase {
+    DecisionCase {
         name: "a load that no engine takes does not count",
         elapsed: 0,
-        holder: 3000,
-        loadable: false,
-        load: Some(250),
-        choice: ColdDecision::Refuse(millis(3000)),
+        engine_available_in: 3000,
+        loadable_elsewhere: false,
+        load_estimate: Some(250),
+        decision: ColdDecision::Refuse(millis(3000)),
     },
-    ChoiceCase {
+    DecisionCase {
         name: "it waits for an estimate of another copy",
         elapsed: 2,
-        holder: 3000,
-        loadable: true,
-        load: None,
-        choice: ColdDecision::Wait(millis(100)),
+        engine_available_in: 3000,
+        loadable_elsewhere: true,
+        load_estimate: None,
+        decision: ColdDecision::Wait(millis(100)),
     },
-    ChoiceCase {
+    DecisionCase {
         name: "it waits for another copy",
         elapsed: 20,
-        holder: 3000,
-        loadable: true,
-        load: Some(250),
-        choice: ColdDecision::Wait(millis(2230)),
+        engine_available_in: 3000,
+        loadable_elsewhere: true,
+        load_estimate: Some(250),
+        decision: ColdDecision::Wait(millis(2230)),
     },
-    ChoiceCase {
+    DecisionCase {
         name: "no estimate has come: it is refused",
         elapsed: 110,
-        holder: 3000,
-        loadable: true,
-        load: None,
-        choice: ColdDecision::Refuse(millis(3000)),
+        engine_available_in: 3000,
+        loadable_elsewhere: true,
+        load_estimate: None,
+        decision: ColdDecision::Refuse(millis(3000)),
     },
-    ChoiceCase {
+    DecisionCase {
         name: "the other copy comes too late, but before the holder returns",
         elapsed: 20,
-        holder: 3000,
-        loadable: true,
-        load: Some(900),
-        choice: ColdDecision::Refuse(millis(900)),
+        engine_available_in: 3000,
+        loadable_elsewhere: true,
+        load_estimate: Some(900),
+        decision: ColdDecision::Refuse(millis(900)),
     },
-    ChoiceCase {
+    DecisionCase {
         name: "a probe keeps it back for too long",
         elapsed: 400,
-        holder: 300,
-        loadable: false,
-        load: None,
-        choice: ColdDecision::Refuse(millis(300)),
+        engine_available_in: 300,
+        loadable_elsewhere: false,
+        load_estimate: None,
+        decision: ColdDecision::Refuse(millis(300)),
     },
 ];
 
 #[test]
-fn a_request_waits_beside_a_cooldown_only_while_an_answer_is_useful() {
-    for case in CHOICE_CASES {
-        let (available_in, loadable_elsewhere) = (millis(case.holder), case.loadable);
+fn a_request_waits_during_a_cooldown_only_while_an_answer_is_useful() {
+    for case in DECISION_CASES {
+        let (available_in, loadable_elsewhere) =
+            (millis(case.engine_available_in), case.loadable_elsewhere);
         let request = ColdRequest {
             elapsed: millis(case.elapsed),
             latency_target: millis(600),
             remaining: millis(9000),
-            estimate: case.load.map(millis),
+            estimate: case.load_estimate.map(millis),
             cooling: Some(CoolingEngine { available_in, loadable_elsewhere }),
             prefill_time: millis(40),
             max_event_gap: Some(millis(250)),
             client_retried: false,
         };
-        assert_eq!(request.decide(), case.choice, "{}", case.name);
+        assert_eq!(request.decide(), case.decision, "{}", case.name);
     }
 }
--- a/crates/core/tests/departures.rs
+++ b/crates/core/tests/departures.rs
@@ -24,9 +24,9 @@
     /// A host ends and starts again, knowing nothing.
     RestartHost { host: usize },
     /// Another host becomes the coordinator.
-    Coordinate { host: usize },
+    ChangeCoordinator { host: usize },
     /// Reports between a host and the coordinator are lost, or arrive again.
-    Cut { host: usize, cut: bool },
+    SetConnection { host: usize, disconnected: bool },
     /// Reports travel.
     Exchange,
 }
@@ -37,8 +37,9 @@
         (host.clone(), engine.clone()).prop_map(|(host, engine)| Step::Announce { host, engine }),
         engine.prop_map(|engine| Step::Restart { engine }),
         host.clone().prop_map(|host| Step::RestartHost { host }),
-        host.clone().prop_map(|host| Step::Coordinate { host }),
-        (host, any::<bool>()).prop_map(|(host, cut)| Step::Cut { host, cut }),
+        host.clone().prop_map(|host| Step::ChangeCoordinator { host }),
+        (host, any::<bool>())
+            .prop_map(|(host, disconnected)| Step::SetConnection { host, disconnected }),
         Just(Step::Exchange),
         Just(Step::Exchange),
     ]
@@ -49,65 +50,65 @@
 }
 
 /// Hosts with their registries.
-struct World {
+struct Cluster {
     now: ClockMillis,
     hosts: Vec<DepartureRegistry>,
-    cut: [bool; HOSTS],
+    disconnected: [bool; HOSTS],
     coordinator: usize,
-    births: [EngineIncarnation; ENGINES],
+    incarnations: [EngineIncarnation; ENGINES],
     /// Which hosts know by a response that the present incarnation leaves.
-    told: HashMap<(usize, usize), EngineIncarnation>,
+    announced_to: HashMap<(usize, usize), EngineIncarnation>,
 }
 
-impl World {
+impl Cluster {
     fn new() -> Self {
         Self {
             now: ClockMillis::from_millis(3_600_000),
             hosts: vec![DepartureRegistry::default(); HOSTS],
-            cut: [false; HOSTS],
+            disconnected: [false; HOSTS],
             coordinator: 0,
-            births: [1; ENGINES],
-            told: HashMap::new(),
+            incarnations: [1; ENGINES],
+            announced_to: HashMap::new(),
         }
     }
 
-    fn play(&mut self, step: Step) {
+    fn apply(&mut self, step: Step) {
         self.now = self.now + Duration::from_millis(40);
         match step {
             Step::Announce { host, engine } => {
-                let incarnation = self.births[engine];
+                let incarnation = self.incarnations[engine];
                 self.hosts[host].record_announced(&name(engine), incarnation, self.now);
-                self.told.insert((host, engine), incarnation);
+                self.announced_to.insert((host, engine), incarnation);
             }
-            Step::Restart { engine } => self.births[engine] += 1,
+            Step::Restart { engine } => self.incarnations[engine] += 1,
             Step::RestartHost { host } => {
                 self.hosts[host] = DepartureRegistry::default();
-                self.told.retain(|(told, _), _| *told != host);
+                self.announced_to.retain(|(announced_to, _), _| *announced_to != host);
                 self.subscribe(host);
                 if host == self.coordinator {
-                    self.begin(host);
+                    self.set_coordinator(host);
                 }
             }
-            Step::Coordinate { host } => self.begin(host),
-            Step::Cut { host, cut } => {
-                self.cut[host] = cut;
-                if !cut {
+            Step::ChangeCoordinator { host } => self.set_coordinator(host),
+            Step::SetConnection { host, disconnected } => {
+                self.disconnected[host] = disconnected;
+                if !disconnected {
                     self.subscribe(host);
                 }
             }
             Step::Exchange => self.exchange(),
         }
-        let (births, now) = (self.births, self.now);
+        let (incarnations, now) = (self.incarnations, self.now);
         for host in &mut self.hosts {
             let listed = |engine: &str| {
                 let place = engine.strip_prefix("engine-")?.parse::<usize>().ok()?;
-                births.get(place).copied()
+                incarnations.get(place).copied()
             };
             host.retain(listed, now);
         }
     }
 
-    fn begin(&mut self, coordinator: usize) {
+    fn set_coordinator(&mut self, coordinator: usize) {
         self.coordinator = coordinator;
         self.hosts.iter_mut().for_each(DepartureRegistry::resend_all);
         for host in 0..HOSTS {
@@ -117,7 +118,7 @@
 
     /// Begins the connection of a host to the coordinator, as far as it is reached.
     fn subscribe(&mut self, host: usize) {
-        if !self.is_reached(host) {
+        if !self.is_connected(host) {
             return;
         }
         let snapshot = self.hosts[self.coordinator].snapshot(self.now);
@@ -125,14 +126,14 @@
         self.hosts[host].resend_all();
     }
 
-    fn is_reached(&self, host: usize) -> bool {
-        !self.cut[host] && !self.cut[self.coordinator]
+    fn is_connected(&self, host: usize) -> bool {
+        !self.disconnected[host] && !self.disconnected[self.coordinator]
     }
 
     fn exchange(&mut self) {
         for host in 0..HOSTS {
             let reports = self.hosts[host].take_pending(self.now);
-            if self.is_reached(host) {
+            if self.is_connected(host) {
                 self.hosts[self.coordinator].receive(&reports, self.now);
             } else {
                 self.hosts[host].resend(&reports);
@@ -141,42 +142,49 @@
         let published: Vec<DepartureReport> =
             self.hosts[self.coordinator].take_unpublished(self.now);
         for host in 0..HOSTS {
-            if self.is_reached(host) {
+            if self.is_connected(host) {
                 self.hosts[host].receive(&published, self.now);
             }
         }
     }
 
     fn knows(&self, host: usize, engine: usize) -> bool {
-        self.hosts[host].is_departing(&name(engine), self.births[engine])
+        self.hosts[host].is_departing(&name(engine), self.incarnations[engine])
     }
 
     /// A host that was told never forgets while that incarnation lives, and no host takes an incarnation to leave that has
     /// announced nothing.
     fn check(&self) {
         for engine in 0..ENGINES {
-            let announced = self.ever_announced(engine);
+            let announced = self.is_announced(engine);
             for host in 0..HOSTS {
-                let told = self.told.get(&(host, engine)) == Some(&self.births[engine]);
-                assert!(!told || self.knows(host, engine), "host {host} forgot engine {engine}");
+                let announced_to =
+                    self.announced_to.get(&(host, engine)) == Some(&self.incarnations[engine]);
+                assert!(
+                    !announced_to || self.knows(host, engine),
+                    "host {host} forgot engine {engine}"
+                );
                 assert!(announced || !self.knows(host, engine), "engine {engine} leaves nowhere");
             }
         }
     }
 
-    fn ever_announced(&self, engine: usize) -> bool {
-        let incarnation = self.births[engine];
-        (0..HOSTS).any(|host| self.hosts[host].announced_here(&name(engine), incarnation))
-            || self.told.iter().any(|((_, told), at)| *told == engine && *at == incarnation)
+    fn is_announced(&self, engine: usize) -> bool {
+        let incarnation = self.incarnations[engine];
+        (0..HOSTS).any(|host| self.hosts[host].has_announcement(&name(engine), incarnation))
+            || self
+                .announced_to
+                .iter()
+                .any(|((_, announced_to), at)| *announced_to == engine && *at == incarnation)
     }
 }
 
-trait AnnouncedHere {
-    fn announced_here(&self, engine: &EngineName, incarnation: EngineIncarnation) -> bool;
+trait HasAnnouncement {
+    fn has_announcement(&self, engine: &EngineName, incarnation: EngineIncarnation) -> bool;
 }
 
-impl AnnouncedHere for DepartureRegistry {
-    fn announced_here(&self, engine: &EngineName, incarnation: EngineIncarnation) -> bool {
+impl HasAnnouncement for DepartureRegistry {
+    fn has_announcement(&self, engine: &EngineName, incarnation: EngineIncarnation) -> bool {
         let mut copy = self.clone();
         let reports = copy.snapshot(ClockMillis::default());
         reports.iter().any(|report| report.engine == *engine && report.incarnation == incarnation)
@@ -190,20 +198,20 @@
     fn no_history_loses_a_departure_and_all_hosts_learn_it(
         steps in proptest::collection::vec(step(), 1..60),
     ) {
-        let mut world = World::new();
+        let mut cluster = Cluster::new();
         for step in steps {
-            world.play(step);
-            world.check();
+            cluster.apply(step);
+            cluster.check();
         }
         for host in 0..HOSTS {
-            world.play(Step::Cut { host, cut: false });
+            cluster.apply(Step::SetConnection { host, disconnected: false });
         }
-        world.play(Step::Exchange);
-        world.play(Step::Exchange);
-        world.check();
+        cluster.apply(Step::Exchange);
+        cluster.apply(Step::Exchange);
+        cluster.check();
         for engine in 0..ENGINES {
-            let known = (0..HOSTS).filter(|host| world.knows(*host, engine)).count();
-            prop_assert!(known == 0 || known == HOSTS, "{known} hosts know of engine {engine}");
+            let informed = (0..HOSTS).filter(|host| cluster.knows(*host, engine)).count();
+            prop_assert!(informed == 0 || informed == HOSTS, "{informed} hosts know of engine {engine}");
         }
     }
 }
@@ -212,22 +220,22 @@
 fn a_departure_belongs_to_one_incarnation() {
     struct Case {
         announced: EngineIncarnation,
-        asked: EngineIncarnation,
+        queried: EngineIncarnation,
         departing: bool,
     }
     let cases = [
-        Case { announced: 5, asked: 5, departing: true },
-        Case { announced: 5, asked: 6, departing: false },
-        Case { announced: 5, asked: 4, departing: false },
+        Case { announced: 5, queried: 5, departing: true },
+        Case { announced: 5, queried: 6, departing: false },
+        Case { announced: 5, queried: 4, departing: false },
         // An engine that does not say when it began has another name in each incarnation.
-        Case { announced: 0, asked: 6, departing: true },
-        Case { announced: 5, asked: 0, departing: true },
+        Case { announced: 0, queried: 6, departing: true },
+        Case { announced: 5, queried: 0, departing: true },
     ];
     for case in cases {
         let mut registry = DepartureRegistry::default();
         registry.record_announced(&name(0), case.announced, ClockMillis::from_millis(1));
-        let departing = registry.is_departing("engine-0", case.asked);
-        assert_eq!(departing, case.departing, "{} {}", case.announced, case.asked);
+        let departing = registry.is_departing("engine-0", case.queried);
+        assert_eq!(departing, case.departing, "{} {}", case.announced, case.queried);
         assert!(!registry.is_departing("engine-1", case.announced));
     }
 }
--- a/crates/core/tests/engine_choice.rs
+++ b/crates/core/tests/engine_choice.rs
@@ -35,88 +35,88 @@
 
 struct ChoiceCase {
     name: &'static str,
-    open: [u32; 2],
-    told: [u32; 2],
+    own_open: [u32; 2],
+    reported_open: [u32; 2],
     /// What each has to read before a new prompt. Unit: milliseconds.
-    reading: [u64; 2],
+    pending_prefill_time: [u64; 2],
     halls: [&'static str; 2],
     outcomes: [&'static [EngineOutcome]; 2],
     best: &'static str,
 }
 
-const WELL: EngineOutcome = EngineOutcome::Answered(Duration::from_millis(40));
+const FAST_ANSWER: EngineOutcome = EngineOutcome::Answered(Duration::from_millis(40));
 
 const CHOICE_CASES: &[ChoiceCase] = &[
     ChoiceCase {
         name: "the one with fewer open requests",
-        open: [3, 1],
-        told: [0, 0],
-        reading: [0, 0],
+        own_open: [3, 1],
+        reported_open: [0, 0],
+        pending_prefill_time: [0, 0],
         halls: ["here", "here"],
         outcomes: [&[], &[]],
         best: "second",
     },
     ChoiceCase {
         name: "the one with fewer open requests of all hosts",
-        open: [0, 1],
-        told: [9, 2],
-        reading: [0, 0],
+        own_open: [0, 1],
+        reported_open: [9, 2],
+        pending_prefill_time: [0, 0],
         halls: ["here", "here"],
         outcomes: [&[], &[]],
         best: "second",
     },
     ChoiceCase {
         name: "the one with less to read, though more is open there",
-        open: [0, 4],
-        told: [1, 4],
-        reading: [600, 40],
+        own_open: [0, 4],
+        reported_open: [1, 4],
+        pending_prefill_time: [600, 40],
         halls: ["here", "here"],
         outcomes: [&[], &[]],
         best: "second",
     },
     ChoiceCase {
         name: "the one with less to read in the other data hall",
-        open: [1, 1],
-        told: [1, 1],
-        reading: [300, 0],
+        own_open: [1, 1],
+        reported_open: [1, 1],
+        pending_prefill_time: [300, 0],
         halls: ["here", "there"],
         outcomes: [&[], &[]],
         best: "second",
     },
     ChoiceCase {
         name: "the own data hall among equals",
-        open: [1, 1],
-        told: [0, 0],
-        reading: [0, 0],
+        own_open: [1, 1],
+        reported_open: [0, 0],
+        pending_prefill_time: [0, 0],
         halls: ["there", "here"],
         outcomes: [&[], &[]],
         best: "second",
     },
     ChoiceCase {
         name: "not the one that broke off just now",
-        open: [0, 5],
-        told: [0, 0],
-        reading: [0, 0],
+        own_open: [0, 5],
+        reported_open: [0, 0],
+        pending_prefill_time: [0, 0],
         halls: ["here", "here"],
-        outcomes: [&[EngineOutcome::Interrupted], &[WELL]],
+        outcomes: [&[EngineOutcome::Interrupted], &[FAST_ANSWER]],
         best: "second",
     },
     ChoiceCase {
         name: "not the one that errs often",
-        open: [0, 2],
-        told: [0, 0],
-        reading: [0, 0],
+        own_open: [0, 2],
+        reported_open: [0, 0],
+        pending_prefill_time: [0, 0],
         halls: ["here", "here"],
-        outcomes: [&[EngineOutcome::ErrorResponse; 6], &[WELL]],
+        outcomes: [&[EngineOutcome::ErrorResponse; 6], &[FAST_ANSWER]],
         best: "second",
     },
     ChoiceCase {
         name: "not the one that is many times as slow",
-        open: [0, 2],
-        told: [0, 0],
-        reading: [0, 0],
+        own_open: [0, 2],
+        reported_open: [0, 0],
+        pending_prefill_time: [0, 0],
         halls: ["here", "here"],
-        outcomes: [&[EngineOutcome::Answered(Duration::from_millis(400)); 4], &[WELL]],
+        outcomes: [&[EngineOutcome::Answered(Duration::from_millis(400)); 4], &[FAST_ANSWER]],
         best: "second",
     },
 ];
@@ -131,12 +131,12 @@
                 health.record(*outcome, at(1000));
             }
         }
-        let candidates = [0, 1].map(|place| EngineCandidate {
-            entry: &entries[place],
-            health: &health_states[place],
-            own_open: case.open[place],
-            reported_open: case.told[place],
-            pending_prefill_time: millis(case.reading[place]),
+        let candidates = [0, 1].map(|index| EngineCandidate {
+            entry: &entries[index],
+            health: &health_states[index],
+            own_open: case.own_open[index],
+            reported_open: case.reported_open[index],
+            pending_prefill_time: millis(case.pending_prefill_time[index]),
         });
         let best = choose_engine(&candidates, "here", 0, 1, at(1010));
         assert_eq!(best.as_deref(), Some(case.best), "{}", case.name);
@@ -145,7 +145,7 @@
 
 /// Many hosts that were told the same loads must not all choose the engine with the least.
 #[test]
-fn many_hosts_spread_over_engines_that_are_nearly_equal() {
+fn many_hosts_spread_over_nearly_equal_engines() {
     let entries: Vec<EngineEntry> =
         (0..8).map(|number| entry(&format!("engine-{number}"), "here")).collect();
     let health = EngineHealth::default();
@@ -173,18 +173,18 @@
 }
 
 #[test]
-fn a_failed_engine_is_tried_again_after_a_rest_that_grows() {
+fn the_backoff_of_a_failing_engine_grows_to_a_limit() {
     let mut health = EngineHealth::default();
-    let mut rests = Vec::new();
+    let mut backoffs = Vec::new();
     for round in 0..5u64 {
         let now = 1000 + round * 10_000;
         health.record(EngineOutcome::Interrupted, at(now));
-        let rest = (0..6000).find(|wait| !health.is_in_backoff(at(now + wait)));
-        rests.push(rest.expect("a rest that ends"));
+        let backoff = (0..6000).find(|elapsed| !health.is_in_backoff(at(now + elapsed)));
+        backoffs.push(backoff.expect("a rest that ends"));
     }
-    assert!(rests.windows(2).all(|pair| pair[0] <= pair[1]), "{rests:?}");
-    assert!(rests[0] < 500 && rests[4] <= 3000, "{rests:?}");
-    health.record(WELL, at(90_000));
+    assert!(backoffs.windows(2).all(|pair| pair[0] <= pair[1]), "{backoffs:?}");
+    assert!(backoffs[0] < 500 && backoffs[4] <= 3000, "{backoffs:?}");
+    health.record(FAST_ANSWER, at(90_000));
     assert!(!health.is_in_backoff(at(90_000)));
 }
 
@@ -204,6 +204,6 @@
     };
     let candidates = [candidate(&slow, &health_states[0]), candidate(&quick, &health_states[1])];
     let chosen = (0..100).filter_map(|tie| choose_engine(&candidates, "hall", tie, 2, at(60_000)));
-    let times = chosen.filter(|name| &**name == "slow").count();
-    assert!(times > 0, "{times} of 100 requests go there after a minute");
+    let slow_count = chosen.filter(|name| &**name == "slow").count();
+    assert!(slow_count > 0, "{slow_count} of 100 requests go there after a minute");
 }
--- a/crates/core/tests/fleet.rs
+++ b/crates/core/tests/fleet.rs
@@ -23,17 +23,22 @@
 
 struct VersionCase {
     name: &'static str,
-    held: u64,
-    known_for: u64,
+    loaded: u64,
+    published_for: u64,
     allowed: bool,
 }
 
 const VERSION_CASES: &[VersionCase] = &[
-    VersionCase { name: "the named version", held: 2, known_for: 60_000, allowed: true },
-    VersionCase { name: "a later version", held: 3, known_for: 60_000, allowed: true },
-    VersionCase { name: "an older one just after", held: 1, known_for: 900, allowed: true },
+    VersionCase { name: "the named version", loaded: 2, published_for: 60_000, allowed: true },
+    VersionCase { name: "a later version", loaded: 3, published_for: 60_000, allowed: true },
+    VersionCase { name: "an older one just after", loaded: 1, published_for: 900, allowed: true },
     // A request may wait in an engine's queue for three seconds and more before it begins.
-    VersionCase { name: "an older one a while after", held: 1, known_for: 1100, allowed: false },
+    VersionCase {
+        name: "an older one a while after",
+        loaded: 1,
+        published_for: 1100,
+        allowed: false,
+    },
 ];
 
 #[test]
@@ -41,36 +46,51 @@
     for case in VERSION_CASES {
         let mut published = PublishedVersions::default();
         published.publish(2, at(1000));
-        let now = at(1000 + case.known_for);
-        assert_eq!(published.allows(case.held, millis(5000), now), case.allowed, "{}", case.name);
+        let now = at(1000 + case.published_for);
+        assert_eq!(published.allows(case.loaded, millis(5000), now), case.allowed, "{}", case.name);
     }
 }
 
 /// A version that was published before the last one was everywhere, and copies of all three.
-struct FollowingCase {
+struct SuccessiveVersionCase {
     name: &'static str,
-    held: u64,
+    loaded: u64,
     now: u64,
     allowed: bool,
 }
 
-const FOLLOWING_CASES: &[FollowingCase] = &[
-    FollowingCase {
+const SUCCESSIVE_VERSION_CASES: &[SuccessiveVersionCase] = &[
+    SuccessiveVersionCase {
         name: "the first, before the second is named",
-        held: 1,
+        loaded: 1,
         now: 1500,
         allowed: true,
     },
-    FollowingCase { name: "the first, by the second's time", held: 1, now: 1990, allowed: true },
-    FollowingCase {
+    SuccessiveVersionCase {
+        name: "the first, by the second's time",
+        loaded: 1,
+        now: 1990,
+        allowed: true,
+    },
+    SuccessiveVersionCase {
         name: "the first, when the third has just come",
-        held: 1,
+        loaded: 1,
         now: 2100,
         allowed: false,
     },
-    FollowingCase { name: "the second, by the third's time", held: 2, now: 2700, allowed: true },
-    FollowingCase { name: "the second, a while after", held: 2, now: 2900, allowed: false },
-    FollowingCase { name: "the third", held: 3, now: 60_000, allowed: true },
+    SuccessiveVersionCase {
+        name: "the second, by the third's time",
+        loaded: 2,
+        now: 2700,
+        allowed: true,
+    },
+    SuccessiveVersionCase {
+        name: "the second, a while after",
+        loaded: 2,
+        now: 2900,
+        allowed: false,
+    },
+    SuccessiveVersionCase { name: "the third", loaded: 3, now: 60_000, allowed: true },
 ];
 
 #[test]
@@ -79,8 +99,8 @@
     published.publish(2, at(1000));
     published.publish(3, at(1800));
     published.publish(2, at(1900));
-    for case in FOLLOWING_CASES {
-        let allowed = published.allows(case.held, millis(5000), at(case.now));
+    for case in SUCCESSIVE_VERSION_CASES {
+        let allowed = published.allows(case.loaded, millis(5000), at(case.now));
         assert_eq!(allowed, case.allowed, "{}", case.name);
     }
     // However many follow, the first of them keeps its time.
@@ -129,7 +149,7 @@
 ];
 
 #[test]
-fn the_longest_prefix_of_the_host_decides() {
+fn the_longest_matching_prefix_selects_the_route() {
     let routes =
         vec![route("a.example", "/x/", &[("s", 1)]), route("a.example", "/x/y/", &[("t", 1)])];
     let table = RouteTable::new(1, ClientLimits::default(), routes, Vec::new());
@@ -140,7 +160,7 @@
 }
 
 #[test]
-fn a_split_follows_its_weights() {
+fn requests_are_split_by_backend_weight() {
     let split = route("a.example", "/", &[("s", 90), ("t", 10), ("u", 0)]);
     let count = |name: &str| {
         (0..1000)
@@ -267,7 +287,7 @@
 proptest! {
     /// A refusal comes within a quarter of the target, or when the client would leave anyway.
     #[test]
-    fn a_refusal_is_early_or_last(
+    fn a_cold_request_is_refused_early_or_before_the_client_leaves(
         elapsed in 0u64..5000,
         latency_target in 100u64..2000,
         remaining in 0u64..15_000,
@@ -301,22 +321,22 @@
     ) {
         let allowance = RetryPolicy { ratio: 0.2, burst: 54.0, window: millis(10_000) };
         let mut shares = vec![RetryShare::unspent(); hosts as usize];
-        let (mut requests, mut repeats) = (Vec::new(), Vec::new());
+        let (mut requests, mut retries) = (Vec::new(), Vec::new());
         let mut now = 1000;
-        for (host, pause, repeat) in steps {
+        for (host, pause, is_retry) in steps {
             now += pause;
             let host = host % hosts as usize;
-            if repeat {
+            if is_retry {
                 if shares[host].take(&allowance, hosts, at(now)) {
-                    repeats.push(now);
+                    retries.push(now);
                 }
             } else {
                 shares[host].record_request(at(now));
                 requests.push(now);
             }
-            let inside = |times: &Vec<u64>| times.iter().filter(|time| **time + 10_000 >= now).count();
-            let allowed = 0.2 * inside(&requests) as f64 + 54.0;
-            prop_assert!(inside(&repeats) as f64 <= allowed);
+            let count_in_window = |times: &Vec<u64>| times.iter().filter(|time| **time + 10_000 >= now).count();
+            let allowed = 0.2 * count_in_window(&requests) as f64 + 54.0;
+            prop_assert!(count_in_window(&retries) as f64 <= allowed);
         }
     }
 }
@@ -363,7 +383,7 @@
 ];
 
 #[test]
-fn a_cold_request_is_worth_what_its_caller_still_gets() {
+fn a_cold_request_is_worth_less_if_it_misses_the_target() {
     for case in WORTH_CASES {
         let request = ColdRequest {
             elapsed: millis(case.elapsed),
--- a/crates/core/tests/freshness.rs
+++ b/crates/core/tests/freshness.rs
@@ -10,7 +10,7 @@
     fleet::freshness::{ConfigurationFreshness, PeerClock},
 };
 
-const BOUND: Duration = Duration::from_secs(5);
+const MAX_STALENESS: Duration = Duration::from_secs(5);
 
 const fn at(millis: u64) -> ClockMillis {
     ClockMillis::from_millis(millis)
@@ -22,103 +22,103 @@
     /// Time passes; whoever stands still notices nothing of it.
     Wait(u64),
     /// The operator withdraws the key, and the store acknowledges it.
-    Withdraw,
+    Revoke,
     /// The reader asks the store.
-    Ask,
+    Poll,
     /// The store's answer to the reader's last ask is made; it is taken in so long after.
-    Answer { held: u64 },
+    Reply { delay: u64 },
     /// The follower asks the reader for its clock.
-    AskClock,
+    RequestClock,
     /// The reader answers that; the answer is on its way for so long.
-    AnswerClock { held: u64 },
+    ReplyClock { delay: u64 },
     /// The reader tells what it knows; the word is on its way for so long.
-    Tell { held: u64 },
+    Forward { delay: u64 },
     /// The reader finds a newer configuration that it can not read.
     Unreadable,
 }
 
 fn any_step() -> impl Strategy<Value = Step> {
-    let held = prop_oneof![3 => 0..30_u64, 1 => 0..9000_u64];
+    let delay = prop_oneof![3 => 0..30_u64, 1 => 0..9000_u64];
     prop_oneof![
         4 => (0..1500_u64).prop_map(Step::Wait),
-        1 => Just(Step::Withdraw),
-        4 => Just(Step::Ask),
-        4 => held.clone().prop_map(|held| Step::Answer { held }),
-        2 => Just(Step::AskClock),
-        2 => held.clone().prop_map(|held| Step::AnswerClock { held }),
-        4 => held.prop_map(|held| Step::Tell { held }),
+        1 => Just(Step::Revoke),
+        4 => Just(Step::Poll),
+        4 => delay.clone().prop_map(|delay| Step::Reply { delay }),
+        2 => Just(Step::RequestClock),
+        2 => delay.clone().prop_map(|delay| Step::ReplyClock { delay }),
+        4 => delay.prop_map(|delay| Step::Forward { delay }),
         1 => Just(Step::Unreadable),
     ]
 }
 
 /// What arrives at a host at some time.
 #[derive(Debug, Clone, Copy)]
-enum Word {
-    ToReader { asked: ClockMillis, withdrawn: bool },
+enum Message {
+    ToReader { asked: ClockMillis, revoked: bool },
     Clock(PeerClock),
-    ToFollower { confirmed: Option<ClockMillis>, withdrawn: bool },
+    ToFollower { confirmed: Option<ClockMillis>, revoked: bool },
 }
 
 /// A host's belief and its clock's lead over the true time.
-struct Believer {
+struct SimulatedHost {
     freshness: ConfigurationFreshness,
-    lead: u64,
-    knows_withdrawal: bool,
+    clock_offset: u64,
+    knows_revocation: bool,
 }
 
-impl Believer {
-    fn new(lead: u64) -> Self {
-        let freshness = ConfigurationFreshness::new(Some(BOUND));
-        Self { freshness, lead, knows_withdrawal: false }
+impl SimulatedHost {
+    fn new(clock_offset: u64) -> Self {
+        let freshness = ConfigurationFreshness::new(Some(MAX_STALENESS));
+        Self { freshness, clock_offset, knows_revocation: false }
     }
 
     const fn clock(&self, now: u64) -> ClockMillis {
-        at(now + self.lead)
+        at(now + self.clock_offset)
     }
 
     /// Returns until when the key would be served if the host heard nothing more, by the true time.
     fn serves_the_key_until(&self) -> Option<u64> {
-        let until = self.freshness.keys_valid_until().as_millis().saturating_sub(self.lead);
-        (!self.knows_withdrawal).then_some(until)
+        let until = self.freshness.keys_valid_until().as_millis().saturating_sub(self.clock_offset);
+        (!self.knows_revocation).then_some(until)
     }
 }
 
 struct History {
     now: u64,
-    withdrawn: Option<u64>,
-    reader: Believer,
-    follower: Believer,
+    revoked: Option<u64>,
+    reader: SimulatedHost,
+    follower: SimulatedHost,
     asked: Option<u64>,
     clock_asked: Option<u64>,
     clock: Option<PeerClock>,
-    words: Vec<(u64, Word)>,
+    in_flight: Vec<(u64, Message)>,
 }
 
 impl History {
     fn step(&mut self, step: &Step) {
         match step {
             Step::Wait(time) => self.wait(*time),
-            Step::Withdraw => {
-                self.withdrawn.get_or_insert(self.now);
+            Step::Revoke => {
+                self.revoked.get_or_insert(self.now);
             }
-            Step::Ask => self.asked = Some(self.now),
-            Step::Answer { held } => {
+            Step::Poll => self.asked = Some(self.now),
+            Step::Reply { delay } => {
                 let Some(asked) = self.asked.take() else { return };
                 let asked = self.reader.clock(asked);
-                let word = Word::ToReader { asked, withdrawn: self.withdrawn.is_some() };
-                self.words.push((self.now + held, word));
+                let message = Message::ToReader { asked, revoked: self.revoked.is_some() };
+                self.in_flight.push((self.now + delay, message));
             }
-            Step::AskClock => self.clock_asked = Some(self.now),
-            Step::AnswerClock { held } => {
+            Step::RequestClock => self.clock_asked = Some(self.now),
+            Step::ReplyClock { delay } => {
                 let Some(asked) = self.clock_asked.take() else { return };
                 let local = self.follower.clock(asked);
                 let clock = PeerClock { local, peer: self.reader.clock(self.now) };
-                self.words.push((self.now + held, Word::Clock(clock)));
+                self.in_flight.push((self.now + delay, Message::Clock(clock)));
             }
-            Step::Tell { held } => {
+            Step::Forward { delay } => {
                 let confirmed = self.reader.freshness.confirmed_at();
-                let withdrawn = self.reader.knows_withdrawal;
-                self.words.push((self.now + held, Word::ToFollower { confirmed, withdrawn }));
+                let revoked = self.reader.knows_revocation;
+                self.in_flight.push((self.now + delay, Message::ToFollower { confirmed, revoked }));
             }
             Step::Unreadable => self.reader.freshness.newer_unreadable(),
         }
@@ -127,28 +127,28 @@
     fn wait(&mut self, time: u64) {
         let until = self.now + time;
         loop {
-            let next = (0..self.words.len()).min_by_key(|place| self.words[*place].0);
-            let Some(next) = next.filter(|next| self.words[*next].0 <= until) else { break };
-            let (due, word) = self.words.remove(next);
+            let next = (0..self.in_flight.len()).min_by_key(|place| self.in_flight[*place].0);
+            let Some(next) = next.filter(|next| self.in_flight[*next].0 <= until) else { break };
+            let (due, message) = self.in_flight.remove(next);
             self.now = self.now.max(due);
             self.check();
-            self.take(word);
+            self.deliver(message);
             self.check();
         }
         self.now = until;
         self.check();
     }
 
-    fn take(&mut self, word: Word) {
-        match word {
-            Word::ToReader { asked, withdrawn } => {
-                self.reader.knows_withdrawal |= withdrawn;
+    fn deliver(&mut self, message: Message) {
+        match message {
+            Message::ToReader { asked, revoked } => {
+                self.reader.knows_revocation |= revoked;
                 let now = self.reader.clock(self.now);
                 self.reader.freshness.confirm(asked, now);
             }
-            Word::Clock(clock) => self.clock = Some(clock),
-            Word::ToFollower { confirmed, withdrawn } => {
-                self.follower.knows_withdrawal |= withdrawn;
+            Message::Clock(clock) => self.clock = Some(clock),
+            Message::ToFollower { confirmed, revoked } => {
+                self.follower.knows_revocation |= revoked;
                 let (Some(clock), Some(confirmed)) = (self.clock, confirmed) else { return };
                 let now = self.follower.clock(self.now);
                 self.follower.freshness.confirm(clock.to_local(confirmed), now);
@@ -157,10 +157,10 @@
     }
 
     fn check(&self) {
-        let Some(withdrawn) = self.withdrawn else { return };
+        let Some(revoked) = self.revoked else { return };
         for (name, host) in [("reader", &self.reader), ("follower", &self.follower)] {
             if let Some(until) = host.serves_the_key_until() {
-                let late = until.saturating_sub(withdrawn + 5000);
+                let late = until.saturating_sub(revoked + 5000);
                 assert!(late == 0, "the {name} serves the key {late} ms beyond the bound");
             }
         }
@@ -176,19 +176,19 @@
     })]
 
     #[test]
-    fn no_history_serves_a_withdrawn_key_beyond_the_bound(
+    fn no_history_serves_a_revoked_key_beyond_the_bound(
         steps in proptest::collection::vec(any_step(), 1..60),
-        leads in (0..100_000_u64, 0..100_000_u64),
+        clock_offsets in (0..100_000_u64, 0..100_000_u64),
     ) {
         let mut history = History {
             now: 20_000,
-            withdrawn: None,
-            reader: Believer::new(leads.0),
-            follower: Believer::new(leads.1),
+            revoked: None,
+            reader: SimulatedHost::new(clock_offsets.0),
+            follower: SimulatedHost::new(clock_offsets.1),
             asked: None,
             clock_asked: None,
             clock: None,
-            words: Vec::new(),
+            in_flight: Vec::new(),
         };
         for step in &steps {
             history.step(step);
@@ -198,7 +198,7 @@
 }
 
 /// What happens to a host, and what it believes in the end.
-struct BeliefCase {
+struct FreshnessCase {
     name: &'static str,
     confirmed: &'static [u64],
     unreadable: bool,
@@ -209,8 +209,8 @@
 }
 
 #[test]
-fn keys_are_served_as_long_as_the_bound_allows_and_no_longer() {
-    let case = |name, confirmed, now, state, serves| BeliefCase {
+fn keys_are_served_until_the_staleness_bound() {
+    let case = |name, confirmed, now, state, serves| FreshnessCase {
         name,
         confirmed,
         unreadable: false,
@@ -226,18 +226,18 @@
         case("the bound is over", &[1000], 6000, FreshnessState::Expired, false),
         case("an older word after a newer one", &[4000, 1000], 6000, FreshnessState::Fresh, true),
         case("heard again after the bound", &[1000, 8000], 8100, FreshnessState::Fresh, true),
-        BeliefCase {
+        FreshnessCase {
             unreadable: true,
             ..case("a newer one can not be read", &[1000], 7000, FreshnessState::Superseded, false)
         },
-        BeliefCase {
+        FreshnessCase {
             unreadable: true,
             replaced: true,
             ..case("mended", &[7000], 7100, FreshnessState::Fresh, true)
         },
     ];
     for case in cases {
-        let mut freshness = ConfigurationFreshness::new(Some(BOUND));
+        let mut freshness = ConfigurationFreshness::new(Some(MAX_STALENESS));
         if case.unreadable {
             freshness.newer_unreadable();
             // A confirmation of the old configuration counts for nothing now.
@@ -262,7 +262,7 @@
 }
 
 #[test]
-fn a_process_that_has_just_started_knows_that_a_peers_word_is_older_than_itself() {
+fn a_peer_confirmation_from_before_process_start_keeps_its_age() {
     let clock = MonotonicClock::new();
     let now = clock.now();
     let peer = PeerClock { local: now, peer: at(10_000_000) };
--- a/crates/core/tests/prefill_speed.rs
+++ b/crates/core/tests/prefill_speed.rs
@@ -11,27 +11,27 @@
     /// Prompt, tokens ahead of it, and milliseconds to the first event; taken in turn.
     samples: &'static [(u64, u64, u64)],
     /// The shortest and the longest time for 10,000 tokens that counts as learnt. Unit: milliseconds.
-    learnt: (u64, u64),
+    expected: (u64, u64),
 }
 
 const CASES: &[SpeedCase] = &[
-    SpeedCase { name: "nothing seen", samples: &[], learnt: (0, 0) },
-    SpeedCase { name: "steady", samples: &[(9000, 0, 300)], learnt: (310, 360) },
-    SpeedCase { name: "behind others", samples: &[(9000, 9000, 600)], learnt: (310, 360) },
+    SpeedCase { name: "nothing seen", samples: &[], expected: (0, 0) },
+    SpeedCase { name: "steady", samples: &[(9000, 0, 300)], expected: (310, 360) },
+    SpeedCase { name: "behind others", samples: &[(9000, 9000, 600)], expected: (310, 360) },
     SpeedCase {
         name: "one in four kept, one in four queued",
         samples: &[(9000, 0, 300), (9000, 0, 100), (9000, 0, 300), (9000, 0, 900)],
-        learnt: (290, 380),
+        expected: (290, 380),
     },
     SpeedCase {
         name: "short prompts that show nothing",
         samples: &[(9000, 0, 300), (100, 0, 60)],
-        learnt: (310, 360),
+        expected: (310, 360),
     },
-    SpeedCase { name: "no length said", samples: &[(1, 0, 60)], learnt: (0, 0) },
+    SpeedCase { name: "no length said", samples: &[(1, 0, 60)], expected: (0, 0) },
 ];
 
-fn learnt(samples: &[(u64, u64, u64)]) -> PrefillSpeed {
+fn expected(samples: &[(u64, u64, u64)]) -> PrefillSpeed {
     let mut speed = PrefillSpeed::default();
     for (prompt, ahead, millis) in samples.iter().cycle().take(samples.len() * 100) {
         speed.record(*prompt, *ahead, Duration::from_millis(*millis));
@@ -40,10 +40,10 @@
 }
 
 #[test]
-fn the_speed_is_the_median_of_what_first_events_show() {
+fn the_prefill_speed_is_the_median_of_samples() {
     for case in CASES {
-        let time = learnt(case.samples).time_for(10_000);
-        let (least, most) = case.learnt;
+        let time = expected(case.samples).time_for(10_000);
+        let (least, most) = case.expected;
         let expected = Duration::from_millis(least)..=Duration::from_millis(most);
         assert!(expected.contains(&time), "{}: {time:?}", case.name);
     }
@@ -52,7 +52,7 @@
 /// The first request of a placer took three seconds, since its adapter was only just there: half of its
 /// tenure was planned with a speed thirty times too low.
 #[test]
-fn one_wrong_sample_at_first_is_forgotten_within_ten_requests() {
+fn a_wrong_first_sample_is_outweighed_within_ten_requests() {
     for first in [(600, 0, 3000), (9000, 0, 5000), (9000, 0, 5)] {
         let mut speed = PrefillSpeed::default();
         let (prompt, ahead, millis) = first;
@@ -67,8 +67,8 @@
 }
 
 #[test]
-fn a_slowdown_is_followed_within_sixty_requests() {
-    let mut speed = learnt(&[(9000, 0, 300)]);
+fn a_slowdown_is_learned_within_sixty_requests() {
+    let mut speed = expected(&[(9000, 0, 300)]);
     for _ in 0..60 {
         speed.record(9000, 0, Duration::from_millis(900));
     }
@@ -84,16 +84,16 @@
     })]
 
     #[test]
-    fn more_to_read_never_takes_less_time(
+    fn more_tokens_never_take_less_time(
         samples in proptest::collection::vec((1u64..50_000, 0u64..90_000, 0u64..4000), 0..60),
         tokens in 0u64..100_000,
-        more in 0u64..100_000,
+        additional in 0u64..100_000,
     ) {
         let mut speed = PrefillSpeed::default();
         for (prompt, ahead, millis) in samples {
             speed.record(prompt, ahead, Duration::from_millis(millis));
         }
-        prop_assert!(speed.time_for(tokens) <= speed.time_for(tokens + more));
-        prop_assert!(speed.utilization_for(tokens as f64) <= speed.utilization_for((tokens + more) as f64));
+        prop_assert!(speed.time_for(tokens) <= speed.time_for(tokens + additional));
+        prop_assert!(speed.utilization_for(tokens as f64) <= speed.utilization_for((tokens + additional) as f64));
     }
 }
--- a/crates/core/tests/queue_admission.rs
+++ b/crates/core/tests/queue_admission.rs
@@ -87,7 +87,7 @@
 ];
 
 #[test]
-fn what_would_be_far_too_late_is_refused() {
+fn requests_expected_far_beyond_the_target_are_refused() {
     for case in CASES {
         let request = QueueCandidate {
             elapsed: millis(case.elapsed),
@@ -111,7 +111,7 @@
         latency_target in 100..2000_u64,
         remaining in 100..15_000_u64,
         pending_prefill_time in 0..8000_u64,
-        more in 0..8000_u64,
+        additional in 0..8000_u64,
         prefill_time in 0..3000_u64,
         client_retried: bool,
     ) {
@@ -123,7 +123,7 @@
             prefill_time: millis(prefill_time),
             client_retried,
         };
-        let longer = QueueCandidate { pending_prefill_time: millis(pending_prefill_time + more), ..request };
+        let longer = QueueCandidate { pending_prefill_time: millis(pending_prefill_time + additional), ..request };
         prop_assert!(request.refusal_retry_after().is_none() || longer.refusal_retry_after().is_some());
         if let Some(time) = request.refusal_retry_after() {
             prop_assert!(time >= millis(250) && time <= millis((remaining / 3).max(250) + 1));
--- a/crates/core/tests/reachability.rs
+++ b/crates/core/tests/reachability.rs
@@ -9,121 +9,138 @@
 };
 
 /// Connections of one host, and how long the next one may take.
-struct PatienceCase {
+struct TimeoutCase {
     name: &'static str,
     /// How long they took, in turn. Unit: milliseconds.
-    times: &'static [u64],
+    connect_times: &'static [u64],
     /// The least and the most. Unit: milliseconds.
-    patience: (u64, u64),
+    timeout: (u64, u64),
 }
 
-const PATIENCE_CASES: &[PatienceCase] = &[
-    PatienceCase { name: "nothing seen", times: &[], patience: (300, 300) },
-    PatienceCase { name: "few seen", times: &[3, 3, 3], patience: (300, 300) },
-    PatienceCase { name: "quick", times: &[3, 4, 3, 5, 3, 4, 3, 3, 4], patience: (80, 80) },
-    PatienceCase {
+const TIMEOUT_CASES: &[TimeoutCase] = &[
+    TimeoutCase { name: "nothing seen", connect_times: &[], timeout: (300, 300) },
+    TimeoutCase { name: "few seen", connect_times: &[3, 3, 3], timeout: (300, 300) },
+    TimeoutCase { name: "quick", connect_times: &[3, 4, 3, 5, 3, 4, 3, 3, 4], timeout: (80, 80) },
+    TimeoutCase {
         name: "a host that is held up",
-        times: &[3, 60, 4, 50, 3, 70, 3, 55, 4, 60],
-        patience: (200, 300),
+        connect_times: &[3, 60, 4, 50, 3, 70, 3, 55, 4, 60],
+        timeout: (200, 300),
     },
-    PatienceCase {
+    TimeoutCase {
         name: "slow all the time",
-        times: &[150, 160, 150, 155, 150, 160, 150, 150, 155],
-        patience: (200, 300),
+        connect_times: &[150, 160, 150, 155, 150, 160, 150, 150, 155],
+        timeout: (200, 300),
     },
 ];
 
 #[test]
-fn connections_are_given_as_long_as_they_took_with_room() {
-    for case in PATIENCE_CASES {
-        let mut connects = ConnectTimeEstimator::default();
-        for time in case.times {
-            connects.record(Duration::from_millis(*time));
+fn the_connect_timeout_follows_recent_connect_times() {
+    for case in TIMEOUT_CASES {
+        let mut estimator = ConnectTimeEstimator::default();
+        for time in case.connect_times {
+            estimator.record(Duration::from_millis(*time));
         }
-        let (least, most) = case.patience;
+        let (least, most) = case.timeout;
         let expected = Duration::from_millis(least)..=Duration::from_millis(most);
-        let patience = connects.timeout();
-        assert!(expected.contains(&patience), "{}: {patience:?}", case.name);
+        let timeout = estimator.timeout();
+        assert!(expected.contains(&timeout), "{}: {timeout:?}", case.name);
     }
 }
 
 /// What a host hears of a hall's engines.
 #[derive(Debug, Clone, Copy)]
-enum Hears {
-    Silence(usize),
-    Answer,
+enum Observation {
+    Timeout(usize),
+    Success,
 }
 
 struct HallCase {
     name: &'static str,
     /// What is heard, and when. Unit: milliseconds.
-    heard: &'static [(u64, Hears)],
+    observations: &'static [(u64, Observation)],
     /// Whether the hall is left alone at one second.
-    left: bool,
+    in_backoff: bool,
 }
 
 const HALL_CASES: &[HallCase] = &[
     HallCase {
         name: "one engine silent again and again",
-        heard: &[(900, Hears::Silence(1)), (920, Hears::Silence(1)), (940, Hears::Silence(1))],
-        left: false,
+        observations: &[
+            (900, Observation::Timeout(1)),
+            (920, Observation::Timeout(1)),
+            (940, Observation::Timeout(1)),
+        ],
+        in_backoff: false,
     },
     HallCase {
         name: "three engines silent",
-        heard: &[(900, Hears::Silence(1)), (920, Hears::Silence(2)), (940, Hears::Silence(3))],
-        left: true,
+        observations: &[
+            (900, Observation::Timeout(1)),
+            (920, Observation::Timeout(2)),
+            (940, Observation::Timeout(3)),
+        ],
+        in_backoff: true,
     },
     HallCase {
         name: "one answered in between",
-        heard: &[
-            (900, Hears::Silence(1)),
-            (920, Hears::Silence(2)),
-            (930, Hears::Answer),
-            (940, Hears::Silence(3)),
+        observations: &[
+            (900, Observation::Timeout(1)),
+            (920, Observation::Timeout(2)),
+            (930, Observation::Success),
+            (940, Observation::Timeout(3)),
         ],
-        left: false,
+        in_backoff: false,
     },
     HallCase {
         name: "one answers after all",
-        heard: &[
-            (900, Hears::Silence(1)),
-            (920, Hears::Silence(2)),
-            (940, Hears::Silence(3)),
-            (990, Hears::Answer),
+        observations: &[
+            (900, Observation::Timeout(1)),
+            (920, Observation::Timeout(2)),
+            (940, Observation::Timeout(3)),
+            (990, Observation::Success),
         ],
-        left: false,
+        in_backoff: false,
     },
     HallCase {
         name: "long ago",
-        heard: &[(500, Hears::Silence(1)), (520, Hears::Silence(2)), (540, Hears::Silence(3))],
-        left: false,
+        observations: &[
+            (500, Observation::Timeout(1)),
+            (520, Observation::Timeout(2)),
+            (540, Observation::Timeout(3)),
+        ],
+        in_backoff: false,
     },
     HallCase {
         name: "still silent after the first rest",
-        heard: &[
-            (200, Hears::Silence(1)),
-            (220, Hears::Silence(2)),
-            (240, Hears::Silence(3)),
-            (700, Hears::Silence(1)),
+        observations: &[
+            (200, Observation::Timeout(1)),
+            (220, Observation::Timeout(2)),
+            (240, Observation::Timeout(3)),
+            (700, Observation::Timeout(1)),
         ],
-        left: true,
+        in_backoff: true,
     },
 ];
 
 #[test]
-fn a_hall_is_left_alone_once_several_engines_are_silent() {
+fn a_hall_backs_off_after_several_engines_time_out() {
     for case in HALL_CASES {
         let mut hall = HallReachability::default();
-        for (at, heard) in case.heard {
-            match heard {
-                Hears::Silence(engine) => {
+        for (at, observations) in case.observations {
+            match observations {
+                Observation::Timeout(engine) => {
                     let engine = Arc::from(format!("engine-{engine}"));
                     hall.record_timeout(&engine, ClockMillis::from_millis(*at));
                 }
-                Hears::Answer => hall.record_success(),
+                Observation::Success => hall.record_success(),
             }
         }
-        assert_eq!(hall.is_in_backoff(ClockMillis::from_millis(1000)), case.left, "{}", case.name);
+        assert_eq!(
+            hall.is_in_backoff(ClockMillis::from_millis(1000)),
+            case.in_backoff,
+            "{}",
+            case.name
+        );
     }
 }
 
@@ -132,11 +149,11 @@
 
     /// However long a cut lasts, a hall that is back is tried within two seconds.
     #[test]
-    fn a_hall_is_never_left_for_long(silences in prop::collection::vec((0..9_usize, 1..400_u64), 0..200)) {
+    fn the_backoff_of_a_hall_is_bounded(timeouts in prop::collection::vec((0..9_usize, 1..400_u64), 0..200)) {
         let mut hall = HallReachability::default();
         let mut now = 1000;
-        for (engine, passed) in silences {
-            now += passed;
+        for (engine, elapsed) in timeouts {
+            now += elapsed;
             // Nothing is sent to a hall that is left alone.
             if !hall.is_in_backoff(ClockMillis::from_millis(now)) {
                 hall.record_timeout(&Arc::from(format!("engine-{engine}")), ClockMillis::from_millis(now));
--- a/crates/core/tests/retry_budget.rs
+++ b/crates/core/tests/retry_budget.rs
@@ -20,16 +20,16 @@
 const HOSTS: usize = 6;
 
 /// The time between two requests of the site: 140 a second. Unit: milliseconds.
-const REQUEST_GAP: u64 = 7;
+const REQUEST_INTERVAL: u64 = 7;
 
 /// The pause before a request that was refused is sent again. Unit: milliseconds.
-const REPEAT_PAUSE: u64 = 60;
+const RETRY_DELAY: u64 = 60;
 
 /// How often a request is sent again at most.
-const MOST_REPEATS: u32 = 5;
+const MAX_RETRIES: u32 = 5;
 
 /// The part of the requests that engines refuse.
-const REFUSED_PART: f64 = 0.8;
+const REFUSED_FRACTION: f64 = 0.8;
 
 /// How long the load lasts. Unit: milliseconds.
 const LOAD_END: u64 = 40_000;
@@ -37,7 +37,7 @@
 /// The window of the budget. Unit: milliseconds.
 const WINDOW: u64 = 10_000;
 
-const ALLOWANCE: RetryPolicy =
+const POLICY: RetryPolicy =
     RetryPolicy { ratio: 0.2, burst: 52.0, window: Duration::from_millis(WINDOW) };
 
 /// Which hosts start again, and when.
@@ -94,10 +94,10 @@
 #[derive(Default)]
 struct BudgetLog {
     requests: Vec<u64>,
-    repeats: Vec<u64>,
+    retries: Vec<u64>,
 }
 
-fn within(times: &[u64], begin: u64) -> usize {
+fn count_in_window(times: &[u64], begin: u64) -> usize {
     times.iter().filter(|time| (begin..begin + WINDOW).contains(*time)).count()
 }
 
@@ -106,15 +106,16 @@
     ///
     /// The requests are those of the window, of the one before it, or of the one half a window before it,
     /// whichever holds the most.
-    fn most_beyond(&self) -> f64 {
+    fn max_excess(&self) -> f64 {
         let windows = (0..LOAD_END).step_by(100);
-        let beyond = windows.map(|begin: u64| {
+        let excess = windows.map(|begin: u64| {
             let windows = [0, WINDOW / 2, WINDOW].map(|before| begin.saturating_sub(before));
-            let requests = windows.map(|begin| within(&self.requests, begin)).into_iter().max();
-            let allowed = ALLOWANCE.ratio * requests.unwrap_or_default() as f64 + ALLOWANCE.burst;
-            within(&self.repeats, begin) as f64 - allowed
+            let requests =
+                windows.map(|begin| count_in_window(&self.requests, begin)).into_iter().max();
+            let allowed = POLICY.ratio * requests.unwrap_or_default() as f64 + POLICY.burst;
+            count_in_window(&self.retries, begin) as f64 - allowed
         });
-        beyond.fold(f64::MIN, f64::max)
+        excess.fold(f64::MIN, f64::max)
     }
 }
 
@@ -125,31 +126,31 @@
     due: u64,
     host: usize,
     /// The life of its host, with which it ends.
-    life: u32,
-    repeats: u32,
+    incarnation: u32,
+    retries: u32,
 }
 
 /// Plays the load of a case; a request is sent again until an engine takes it, its sends are used up, its host ends or
 /// the share says no.
-fn play(case: &RestartCase, seed: u64) -> BudgetLog {
+fn simulate(case: &RestartCase, seed: u64) -> BudgetLog {
     let mut random = Random(seed);
     let mut shares = vec![RetryShare::unspent(); HOSTS];
     let hosts = u32::try_from(HOSTS).expect("a few hosts");
-    let mut lives = [0_u32; HOSTS];
+    let mut incarnations = [0_u32; HOSTS];
     let mut log = BudgetLog::default();
     let mut waiting: Vec<RefusedRequest> = Vec::new();
     for now in 0..LOAD_END {
         for (_, hosts) in case.restarts.iter().filter(|(at, _)| *at == now) {
             for host in *hosts {
                 shares[*host] = RetryShare::default();
-                lives[*host] += 1;
+                incarnations[*host] += 1;
             }
         }
         let at = ClockMillis::from_millis(now);
         let mut sent: Vec<(usize, u32)> = Vec::new();
-        if now % REQUEST_GAP == 0 {
-            let place = random.next() * HOSTS as f64;
-            let host = (0..HOSTS).rfind(|host| *host as f64 <= place).unwrap_or_default();
+        if now % REQUEST_INTERVAL == 0 {
+            let position = random.next() * HOSTS as f64;
+            let host = (0..HOSTS).rfind(|host| *host as f64 <= position).unwrap_or_default();
             shares[host].record_request(at);
             log.requests.push(now);
             sent.push((host, 0));
@@ -158,16 +159,16 @@
         waiting = later;
         for request in due {
             let host = request.host;
-            if lives[host] == request.life && shares[host].take(&ALLOWANCE, hosts, at) {
-                log.repeats.push(now);
-                sent.push((host, request.repeats + 1));
+            if incarnations[host] == request.incarnation && shares[host].take(&POLICY, hosts, at) {
+                log.retries.push(now);
+                sent.push((host, request.retries + 1));
             }
         }
-        for (host, repeats) in sent {
-            let refused = now >= case.refused_from && random.next() < REFUSED_PART;
-            if refused && repeats < MOST_REPEATS {
-                let (due, life) = (now + REPEAT_PAUSE, lives[host]);
-                waiting.push(RefusedRequest { due, host, life, repeats });
+        for (host, retries) in sent {
+            let refused = now >= case.refused_from && random.next() < REFUSED_FRACTION;
+            if refused && retries < MAX_RETRIES {
+                let (due, incarnation) = (now + RETRY_DELAY, incarnations[host]);
+                waiting.push(RefusedRequest { due, host, incarnation, retries });
             }
         }
     }
@@ -176,11 +177,11 @@
 
 #[test]
 fn hosts_that_start_again_keep_the_retry_budget() {
-    let plays = RESTART_CASES.iter().flat_map(|case| (1..=4).map(move |seed| (case, seed)));
-    let broken = plays.filter_map(|(case, seed)| {
-        let beyond = play(case, seed).most_beyond();
-        (beyond > 0.0).then(|| format!("{}, seed {seed}: {beyond:.0} sends beyond", case.name))
+    let runs = RESTART_CASES.iter().flat_map(|case| (1..=4).map(move |seed| (case, seed)));
+    let violations = runs.filter_map(|(case, seed)| {
+        let excess = simulate(case, seed).max_excess();
+        (excess > 0.0).then(|| format!("{}, seed {seed}: {excess:.0} sends beyond", case.name))
     });
-    let broken: Vec<String> = broken.collect();
-    assert!(broken.is_empty(), "{broken:#?}");
+    let violations: Vec<String> = violations.collect();
+    assert!(violations.is_empty(), "{violations:#?}");
 }
--- a/crates/core/tests/suspended.rs
+++ b/crates/core/tests/suspended.rs
@@ -19,21 +19,21 @@
 use rustix::time::{ClockId, clock_gettime};
 
 /// When hosts are suspended, and when they are back.
-const BEFORE: ClockMillis = ClockMillis::from_millis(100_000);
-const BACK: ClockMillis = ClockMillis::from_millis(130_000);
+const SUSPENDED_AT: ClockMillis = ClockMillis::from_millis(100_000);
+const RESUMED_AT: ClockMillis = ClockMillis::from_millis(130_000);
 
 #[test]
-fn the_clock_is_the_one_that_goes_on() {
+fn the_clock_advances_during_a_suspension() {
     let clock = MonotonicClock::new();
-    let boot = || {
+    let boot_millis = || {
         let time = clock_gettime(ClockId::Boottime);
         u128::try_from(time.tv_sec).unwrap_or_default() * 1000
             + u128::try_from(time.tv_nsec).unwrap_or_default() / 1_000_000
     };
-    let (own, other) = (clock.now(), boot());
+    let (clock_before, boot_before) = (clock.now(), boot_millis());
     std::thread::sleep(Duration::from_millis(120));
-    let passed = u128::from(clock.now().as_millis() - own.as_millis());
-    assert!(passed.abs_diff(boot() - other) <= 2, "{passed}");
+    let elapsed_millis = u128::from(clock.now().as_millis() - clock_before.as_millis());
+    assert!(elapsed_millis.abs_diff(boot_millis() - boot_before) <= 2, "{elapsed_millis}");
 }
 
 #[test]
@@ -44,54 +44,59 @@
             handover_wait: Duration::from_secs(3),
             engines_check,
         });
-        tenure.joined(true, 7, BEFORE - Duration::from_secs(9), BEFORE - Duration::from_secs(9));
-        tenure.joined(true, 7, BEFORE, BEFORE);
-        assert_eq!(tenure.acting_token(BEFORE), Some(7));
-        assert_eq!(tenure.acting_token(BACK), None);
+        tenure.joined(
+            true,
+            7,
+            SUSPENDED_AT - Duration::from_secs(9),
+            SUSPENDED_AT - Duration::from_secs(9),
+        );
+        tenure.joined(true, 7, SUSPENDED_AT, SUSPENDED_AT);
+        assert_eq!(tenure.acting_token(SUSPENDED_AT), Some(7));
+        assert_eq!(tenure.acting_token(RESUMED_AT), None);
         assert_eq!(tenure.state(), TenureState::Lapsed);
     }
 }
 
 #[test]
-fn keys_are_not_served_by_what_was_known() {
+fn keys_are_not_served_after_a_suspension() {
     let mut freshness = ConfigurationFreshness::new(Some(Duration::from_secs(5)));
-    freshness.confirm(BEFORE, BEFORE);
-    assert!(freshness.keys_valid_until() >= BEFORE);
-    assert!(freshness.keys_valid_until() < BACK);
+    freshness.confirm(SUSPENDED_AT, SUSPENDED_AT);
+    assert!(freshness.keys_valid_until() >= SUSPENDED_AT);
+    assert!(freshness.keys_valid_until() < RESUMED_AT);
 }
 
 #[test]
-fn a_quota_without_word_of_the_ledger_is_an_equal_part() {
+fn a_quota_without_ledger_updates_is_an_equal_share() {
     let limit = QuotaLimit { per_second: 10.0, burst: 10.0, unit: QuotaUnit::Requests };
     let tolerance = QuotaTolerance { window: Duration::from_secs(8), overage: 0.1, extra: 1.0 };
     let (north, hosts) = (Arc::from("north"), 10);
     let terms = QuotaTerms { limit: &limit, tolerance: &tolerance, hosts };
     let mut share = QuotaShare::unspent();
-    share.ledger_received(&[], BEFORE);
-    let granted = (0..200).filter(|_| share.take(&north, 1, &terms, BACK).is_ok()).count();
+    share.ledger_received(&[], SUSPENDED_AT);
+    let granted = (0..200).filter(|_| share.take(&north, 1, &terms, RESUMED_AT).is_ok()).count();
     // Of a quota of 90 in a window and 10 hosts.
     assert!(granted <= 20, "{granted} granted at once");
 }
 
 #[test]
-fn a_retry_budget_saves_up_no_more_than_at_any_other_time() {
-    let allowance = RetryPolicy { ratio: 0.2, burst: 50.0, window: Duration::from_secs(10) };
+fn retry_credit_stays_capped_after_a_suspension() {
+    let policy = RetryPolicy { ratio: 0.2, burst: 50.0, window: Duration::from_secs(10) };
     let mut share = RetryShare::default();
     for _ in 0..100 {
-        share.record_request(BEFORE);
+        share.record_request(SUSPENDED_AT);
     }
-    let taken = (0..200).filter(|_| share.take(&allowance, 5, BACK)).count();
+    let taken = (0..200).filter(|_| share.take(&policy, 5, RESUMED_AT)).count();
     assert!(taken <= 10, "{taken} sends at once");
 }
 
 #[test]
-fn a_request_is_held_back_until_its_time_is_over() {
+fn a_quarantine_ends_during_a_suspension() {
     let mut book = QuarantineBook::new("host", ENDS_UNTIL_HELD);
     for (engine, began) in [("a", 0), ("b", 200)] {
-        let began = BEFORE + Duration::from_millis(began);
+        let began = SUSPENDED_AT + Duration::from_millis(began);
         let run = EndedRun { mark: 1, organisation: None, began, version: 0 };
         book.engine_ended(engine_life(engine, 0), &[run], began + Duration::from_millis(50));
     }
-    assert!(book.held(1, 0, BEFORE + Duration::from_secs(1)).is_some());
-    assert_eq!(book.held(1, 0, BACK), None);
+    assert!(book.held(1, 0, SUSPENDED_AT + Duration::from_secs(1)).is_some());
+    assert_eq!(book.held(1, 0, RESUMED_AT), None);
 }
--- a/crates/gateway/src/control/announcements.rs
+++ b/crates/gateway/src/control/announcements.rs
@@ -20,7 +20,7 @@
         drop(departures);
         let mut cooldowns = self.shared.cooldowns();
         cooldowns.retain(listed, now);
-        let cooling = cooldowns.closed_engines(now).count();
+        let cooling = cooldowns.unavailable_engines(now).count();
         let events = cooldowns.take_events();
         drop(cooldowns);
         let metrics = &self.shared.metrics;
--- a/crates/gateway/src/control/placing.rs
+++ b/crates/gateway/src/control/placing.rs
@@ -187,7 +187,8 @@
         }
         planner.versions_named(&versions);
         planner.limits_known(self.shared.limits().known());
-        planner.cooldowns_known(self.shared.cooldowns().closed_engines(now).cloned().collect());
+        planner
+            .cooldowns_known(self.shared.cooldowns().unavailable_engines(now).cloned().collect());
         if let Some(speed) = self.shared.reading().get(service) {
             planner.reading_learnt(speed);
         }
--- a/crates/gateway/src/gate.rs
+++ b/crates/gateway/src/gate.rs
@@ -65,8 +65,8 @@
             return GateVerdict::Departing;
         }
         match self.cooldowns.state(&entry.name, entry.incarnation, self.now) {
-            CooldownState::Open => GateVerdict::Open,
-            CooldownState::Closed(time) => GateVerdict::Cooling(time),
+            CooldownState::Available => GateVerdict::Open,
+            CooldownState::Unavailable(time) => GateVerdict::Cooling(time),
         }
     }
 }
