--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -1,58 +1,74 @@
-//! What an entry host knows of the engines and routes that it serves, and how it chooses.
+//! State that an entry host keeps about engines and routes, and the decisions that it bases on it.
 //!
-//! The types here hold for engines that admit requests by themselves: they queue, refuse and fence
-//! on their own, so that a request needs no permit of an owner. [`routes`] says where a request may
-//! go, [`engine_choice`] which engine it is sent to,
-//! [`cold_start`] whether it waits for its adapter, [`queue_admission`] whether it joins an engine's queue, [`health`] what the host's own requests tell about
-//! an engine, [`announcement`] what engines announce in their responses, [`departures`] which of them are leaving,
-//! [`cooldown`] which of them want no requests from this host for a while, [`freshness`] until when keys may be served, [`limits`] how many requests a second engines say that they take, [`quarantine`] which requests are held back since engines ended under them, [`reachability`] what its connections tell about a data hall, [`stale_listing`] whether a listing of a store that came back older is believed, and [`retry_share`] how often it
-//! may be sent again.
+//! These types are for engines that run their own admission: they queue, refuse and fence requests
+//! themselves, so that a request needs no permit from an owner.
+//!
+//! - [`admission`]: adaptive load shedding for plain services
+//! - [`announcement`]: what engines announce in response headers
+//! - [`cold_start`]: whether a request waits for its adapter to load
+//! - [`cooldown`]: engines that accept no requests from this host for a while
+//! - [`departures`]: engines that announced that they are leaving
+//! - [`engine_choice`]: the engine that a request is sent to
+//! - [`freshness`]: until when keys are accepted without a confirmed configuration
+//! - [`health`]: engine health from the outcomes of this host's requests
+//! - [`limits`]: request rate limits declared by engines
+//! - [`prefill_speed`]: prefill throughput of a service's engines
+//! - [`prompt`]: prompt metadata of a request
+//! - [`quarantine`]: requests held back because engines ended while running them
+//! - [`queue_admission`]: whether a request joins an engine's queue
+//! - [`reachability`]: reachability of data halls
+//! - [`retry_share`]: this host's share of the retry budget
+//! - [`routes`]: routes and services of the configuration
+//! - [`stale_listing`]: engine entries from a store that was restored from an older copy
+//! - [`work`]: open requests and pending prefill of an engine
 
 use std::{net::SocketAddr, sync::Arc};
 
 pub mod admission;
 pub mod announcement;
-pub mod engine_choice;
 pub mod cold_start;
-pub mod health;
 pub mod cooldown;
 pub mod departures;
+pub mod engine_choice;
 pub mod freshness;
+pub mod health;
 pub mod limits;
+pub mod prefill_speed;
 pub mod prompt;
 pub mod quarantine;
 pub mod queue_admission;
 pub mod reachability;
-pub mod prefill_speed;
-pub mod stale_listing;
 pub mod retry_share;
 pub mod routes;
+pub mod stale_listing;
 pub mod work;
 
-/// Names an engine. One that starts again may have the name that it had; its [`EngineEntry::incarnation`] tells its lives apart.
+/// Name of an engine. A restarted engine may keep its name; [`EngineEntry::incarnation`]
+/// distinguishes its incarnations.
 pub type EngineName = Arc<str>;
 
-/// When a life of an engine began, by its own clock; only equal or not counts.
+/// Identifies an incarnation of an engine by its start time on the engine's own clock. Unit:
+/// milliseconds since 1970.
 pub type EngineIncarnation = u64;
 
-/// The birth of an engine that does not say when it began.
+/// The incarnation of an engine that does not report its start time.
 pub const UNKNOWN_INCARNATION: EngineIncarnation = 0;
 
-/// Returns whether two births are of one life, as far as both are told.
+/// Returns whether two values identify the same incarnation; an unknown one matches any.
 pub const fn is_same_incarnation(one: EngineIncarnation, other: EngineIncarnation) -> bool {
     one == other || one == UNKNOWN_INCARNATION || other == UNKNOWN_INCARNATION
 }
 
-/// Names a service.
+/// Name of a service.
 pub type ServiceName = Arc<str>;
 
-/// Names a data hall.
+/// Name of a data hall.
 pub type HallName = Arc<str>;
 
-/// Names a base model, or an adapter of one as `MODEL/ADAPTER`.
+/// Key of a base model, or of an adapter as `MODEL/ADAPTER`.
 pub type ModelKey = Arc<str>;
 
-/// A version of a model's or adapter's weights; versions of one key only rise.
+/// Version of the weights of a model or adapter; versions of one key only increase.
 pub type WeightVersion = u64;
 
 /// Separates a base model from its adapter in a [`ModelKey`].
@@ -68,7 +84,7 @@
     key.split_once(ADAPTER_SEPARATOR).map(|(_, adapter)| adapter)
 }
 
-/// Something that an engine holds.
+/// A model or adapter that an engine has loaded.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LoadedModel {
     /// The base model or adapter.
@@ -77,31 +93,31 @@
     pub version: WeightVersion,
 }
 
-/// One engine as it lists itself.
+/// An engine's entry in the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineEntry {
-    /// The engine.
+    /// The engine's name.
     pub name: EngineName,
-    /// When this life of it began, by its own clock; zero where it does not say. Unit: milliseconds since 1970.
+    /// Its incarnation, or [`UNKNOWN_INCARNATION`].
     pub incarnation: EngineIncarnation,
     /// The service that it belongs to.
     pub service: ServiceName,
-    /// Where it takes requests and orders.
+    /// The address for requests and orders.
     pub address: SocketAddr,
-    /// The data hall that it stands in.
+    /// The data hall that it runs in.
     pub hall: HallName,
-    /// How many requests it runs at a time.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it is leaving and must get no new work.
+    /// Whether it is leaving and must get no new requests.
     pub leaving: bool,
-    /// How many orders it had taken.
+    /// Number of orders that it had accepted.
     pub sequence: u64,
-    /// What it held.
+    /// The models and adapters that it had loaded.
     pub loaded_models: Vec<LoadedModel>,
 }
 
 impl EngineEntry {
-    /// Returns whether a life that began at `incarnation` is this one, as far as both say when they began.
+    /// Returns whether this entry belongs to `incarnation`; an unknown one matches any.
     pub const fn is_incarnation(&self, incarnation: EngineIncarnation) -> bool {
         is_same_incarnation(self.incarnation, incarnation)
     }
--- a/crates/core/src/fleet/admission.rs
+++ b/crates/core/src/fleet/admission.rs
@@ -1,64 +1,61 @@
-//! How much of what it is asked for a host sends on to a plain service that carries less than that.
+//! Adaptive admission control for plain services.
 //!
-//! When servers of a service are lost, the others are asked for more than they carry: their queues fill, and
-//! every answer comes after the time within which it is wanted, although the server works all the time. Each
-//! host then sees its own answers come late, or its requests refused, and sends on a smaller part of what
-//! it is asked for; the rest is told at once to come back. Queues stay short, and what the servers carry is
-//! answered in time. No host knows the others or the servers' number: all see the same queue and move
-//! the same way.
+//! When servers of a service fail, the remaining ones get more requests than they can serve: queues
+//! fill up and every answer misses its latency target. Each host therefore admits a fraction of its
+//! requests and refuses the others at once with a retry time. It lowers the fraction when answers
+//! are slow or servers are full, and raises it when answers are fast. Hosts do not coordinate: they
+//! all observe the same queues, so their fractions move in the same direction.
 
 use std::time::Duration;
 
 use crate::clock::ClockMillis;
 
-/// The part of its latency_target up to which an answer shows that the servers carry more.
+/// Fraction of the latency target up to which an answer shows spare capacity.
 const LOW_DELAY_FRACTION: f64 = 0.5;
 
-/// The part of its latency_target beyond which an answer shows that the servers are asked for too much: what is left covers
-/// answers that take longer than most.
+/// Fraction of the latency target beyond which an answer shows overload; the rest of the target
+/// leaves room for answers that are slower than average.
 const HIGH_DELAY_FRACTION: f64 = 0.75;
 
-/// By which factor a host sends on more of its requests after an easy answer: one that sent on a fifth is back at everything
-/// after six of them. At 2.0 the last server of three answers 0.87 of what it carries in time, at this 0.95 (simulated).
+/// Factor applied to the admitted fraction after an answer with a low delay.
 const LOW_DELAY_INCREASE_FACTOR: f64 = 1.35;
 
-/// By how much more after one between easy and late.
+/// Added to the admitted fraction after an answer with an intermediate delay.
 const INTERMEDIATE_DELAY_INCREASE: f64 = 0.01;
 
-/// To which part a host cuts what it sends on after a late answer: in a fleet where each host has two or three answers
-/// a second, a service that is asked for twice what it carries is down to that within two seconds.
+/// Factor applied to the admitted fraction after an answer with a high delay.
 const HIGH_DELAY_DECREASE_FACTOR: f64 = 0.85;
 
-/// To which part after a refusal by a full server.
+/// Factor applied to the admitted fraction after a server was full.
 const SERVER_FULL_DECREASE_FACTOR: f64 = 0.5;
 
-/// The least part that is sent on: without answers nobody would hear that the servers carry more again.
+/// Minimum admitted fraction: without answers, a host could not notice that capacity is back.
 const MIN_ADMITTED_FRACTION: f64 = 0.1;
 
-/// How long without any answer until a host sends on more by the time alone: hosts of a large fleet have an answer in
-/// several seconds each, and would be back at everything only after half a minute.
+/// Time without an answer after which the admitted fraction grows by itself, since a host of a
+/// large fleet may get an answer only every few seconds.
 const SILENCE_BEFORE_INCREASE: Duration = Duration::from_millis(1500);
 
-/// In which further time it doubles then.
+/// Time in which the admitted fraction then doubles.
 const SILENCE_DOUBLING_PERIOD: Duration = Duration::from_secs(1);
 
-/// How long without any answer until nothing is known any more and everything is sent on.
+/// Time without an answer after which everything is admitted.
 const SIGNAL_EXPIRY: Duration = Duration::from_secs(3);
 
-/// How a request that was sent on ended, as far as the service's load goes.
+/// Outcome of an admitted request, as a signal of the service's load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdmissionSignal {
-    /// It was answered, so long after it was sent.
+    /// Answered, with the delay since it was sent.
     Answered(Duration),
-    /// A server was full.
+    /// Refused by a full server.
     ServerFull,
 }
 
-/// One host's part of the requests to a plain service that it sends on.
+/// Decides which of a host's requests to a plain service are admitted.
 #[derive(Debug, Clone)]
 pub struct AdmissionController {
     fraction: f64,
-    /// What is credit up towards the next request that is sent on.
+    /// Accumulated fractions; one request is admitted for each whole unit.
     credit: f64,
     last_signal: ClockMillis,
 }
@@ -70,10 +67,10 @@
 }
 
 impl AdmissionController {
-    /// Returns whether the next request is sent on.
+    /// Returns whether the next request is admitted, and uses up its credit.
     pub fn try_admit(&mut self, now: ClockMillis) -> bool {
         self.credit += self.admitted_fraction(now);
-        // Parts add up to one only nearly.
+        // Tolerates rounding errors in the sum of fractions.
         let admitted = self.credit > 0.999;
         if admitted {
             self.credit = (self.credit - 1.0).max(0.0);
@@ -81,7 +78,7 @@
         admitted
     }
 
-    /// Takes how a request ended whose answer is wanted within `latency_target`.
+    /// Records the outcome of a request to be answered within `latency_target`.
     pub fn record(&mut self, signal: AdmissionSignal, latency_target: Duration, now: ClockMillis) {
         let previous = self.admitted_fraction(now);
         self.last_signal = now;
@@ -102,7 +99,7 @@
         self.fraction = fraction.clamp(MIN_ADMITTED_FRACTION, 1.0);
     }
 
-    /// Returns the part of the requests that is sent on now.
+    /// Returns the fraction of requests that is admitted at `now`.
     pub fn admitted_fraction(&self, now: ClockMillis) -> f64 {
         let silent = now.since(self.last_signal);
         if silent >= SIGNAL_EXPIRY {
--- a/crates/core/src/fleet/announcement.rs
+++ b/crates/core/src/fleet/announcement.rs
@@ -1,27 +1,27 @@
-//! What engines announce about themselves in the heads of their responses.
+//! Announcements that engines make about themselves in response headers.
 
 use std::time::Duration;
 
 use crate::fleet::limits::limit::RequestLimit;
 
-/// The longest cooldown that is honoured at a time. The engine is probed with one request afterwards, so that a
-/// mistyped value does not take it out of service for good.
+/// Maximum cooldown that is honoured at a time. Afterwards one request probes the engine, so that
+/// an erroneous value does not exclude it forever.
 pub const MAX_COOLDOWN: Duration = Duration::from_mins(10);
 
-/// What a response says on one matter.
+/// A value that a response may declare.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Declared<Value> {
-    /// Nothing.
+    /// The response declares no value.
     #[default]
     Absent,
-    /// This value.
+    /// The response declares this value.
     Present(Value),
-    /// Something that is no such value; it has no effect.
+    /// The response declares a malformed value, which has no effect.
     Unreadable,
 }
 
 impl<Value> Declared<Value> {
-    /// Returns the value, if there is one.
+    /// Returns the value, if one is present.
     pub fn value(self) -> Option<Value> {
         match self {
             Self::Present(value) => Some(value),
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Returns this, or `other` where this says nothing that can be read.
+    /// Returns this, or `other` if only that one is present, or this one is absent.
     #[must_use]
     pub fn or(self, other: Self) -> Self {
         match (&self, &other) {
@@ -39,16 +39,17 @@
     }
 }
 
-/// An engine's statement that it is leaving: it takes no new requests, and ends after those that it runs.
+/// Announcement that an engine is leaving: it accepts no new requests and ends once its running
+/// ones are done.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Departure;
 
-/// How long an engine that rejected a request wants none from the host that sent it.
+/// Time for which an engine that rejected a request accepts none from the same host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Cooldown(Duration);
 
 impl Cooldown {
-    /// Wraps a number of seconds, at most [`MAX_COOLDOWN`]; `None` unless it is above zero.
+    /// Creates a cooldown of up to [`MAX_COOLDOWN`]; `None` unless `seconds` is positive.
     pub fn from_seconds(seconds: f64) -> Option<Self> {
         (seconds > 0.0).then(|| {
             let duration = Duration::try_from_secs_f64(seconds).unwrap_or(MAX_COOLDOWN);
@@ -56,25 +57,26 @@
         })
     }
 
-    /// Returns its length.
+    /// Returns the length of the cooldown.
     pub const fn duration(self) -> Duration {
         self.0
     }
 }
 
-/// Everything that one response announces about its engine.
+/// All announcements of one response.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct EngineAnnouncements {
-    /// How many requests it takes from all hosts together.
+    /// Request rate that the engine accepts from all hosts together.
     pub limit: Declared<RequestLimit>,
-    /// Whether it is leaving.
+    /// Whether the engine is leaving.
     pub departure: Declared<Departure>,
-    /// How long it wants no requests from this host.
+    /// How long the engine accepts no requests from this host.
     pub cooldown: Declared<Cooldown>,
 }
 
 impl EngineAnnouncements {
-    /// Returns what this and an earlier response over the same connection announce together.
+    /// Combines this with the announcements of an earlier response on the same connection; this one
+    /// takes precedence.
     #[must_use]
     pub fn merged(self, earlier: Self) -> Self {
         Self {
--- a/crates/core/src/fleet/cold_start.rs
+++ b/crates/core/src/fleet/cold_start.rs
@@ -1,95 +1,95 @@
-//! Whether a request waits for an adapter that no engine holds, or is refused at once.
+//! Decides whether a request waits for an adapter that no engine has loaded, or is refused.
 //!
-//! A client that is refused quickly and comes back once the adapter is there is served better than
-//! one that is held until it gives up. So a request waits when the load is expected in time, and is
-//! refused with a truthful time to come back otherwise. A short wait for the placer's estimate comes
-//! before either.
+//! A client that is refused quickly and retries once the adapter is loaded is served better than
+//! one that waits until it times out. A request therefore waits if the load is expected in time;
+//! otherwise it is refused with the expected time as its retry time. Before either, it waits a
+//! short time for the placer's estimate.
 
 use std::time::Duration;
 
 use crate::placement::store_pace::LEAST_LOAD_TIME;
 
-/// The part of the target for which a request waits for an estimate.
+/// Fraction of the latency target for which a request waits for a load estimate.
 const ESTIMATE_WAIT_FRACTION: f64 = 0.17;
 
-/// What the first event of an answer takes beside reading its prompt, once the adapter is there: the plan's
-/// way to the host (15 ms apart at least), the request's way to the engine, and a step of the engine.
-/// Engines gave short prompts their first event after 20 to 44 ms in the quickest quarter of a played day
-/// (docs/DECISIONS.md).
+/// Time to the first event after the adapter is loaded, without the prefill: publication of the
+/// plan to the host, transfer to the engine, and one engine step.
 const FIRST_EVENT_OVERHEAD: Duration = Duration::from_millis(60);
 
-/// How many pauses that a stream may have a client waits for a first event.
+/// How long a client waits for the first event, in maximum event gaps.
 const CLIENT_WAIT_EVENT_GAPS: u32 = 8;
 
-/// What is added to an estimate before a client is told to come back.
+/// Added to an estimate to get a retry time.
 const RETRY_AFTER_MARGIN: Duration = Duration::from_millis(120);
 
-/// The shortest time after which a client is told to come back.
+/// Minimum retry time given to a client.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(250);
 
-/// When a client comes back where nobody knows when the load comes.
+/// Retry time without an estimate.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(3);
 
-/// The part of its time for which a client waits before it comes back, at most.
+/// Divides the remaining time of a request to get its maximum retry time.
 const RETRY_AFTER_DIVISOR: u32 = 3;
 
-/// How many targets a client waits for a first event.
+/// How long a client waits for the first event, in latency targets.
 const CLIENT_WAIT_LATENCY_TARGETS: u32 = 4;
 
-/// How long a client waits for a first event at least.
+/// Minimum time that a client is assumed to wait for the first event.
 const MIN_CLIENT_WAIT: Duration = Duration::from_secs(2);
 
-/// What is left of a client's client_wait_limit when a request that still waits is refused.
+/// How long before the client gives up a waiting request is refused.
 const REFUSAL_MARGIN: Duration = Duration::from_millis(150);
 
-/// What a request is worth to its caller that can only be answered after its target; one in time is worth one. Source:
-/// the users' sheets, a tenth to a third.
+/// Worth of a request that can only be answered after its latency target; one answered in time is
+/// worth one.
 pub const LATE_WORTH: f64 = 0.2;
 
-/// The least time after which a request looks again for an engine.
+/// Minimum time until a waiting request is checked again.
 const MIN_RECHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What is known of a request whose adapter is not there.
+/// State of a request whose adapter is not available.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ColdRequest {
-    /// Since when it waits.
+    /// Time since the request arrived.
     pub elapsed: Duration,
-    /// Within which time its first event is wanted.
+    /// Target for the time to the first event.
     pub latency_target: Duration,
-    /// What is left of its time.
+    /// Time until the request's deadline.
     pub remaining: Duration,
-    /// In what time the adapter is expected, if a placer has said so.
+    /// Time until the adapter is expected, if the placer has published an estimate.
     pub estimate: Option<Duration>,
-    /// An engine that holds the adapter, or needs none, where all of them want no requests for a while.
+    /// The first engine to become available, if all engines that could run the request are in a
+    /// cooldown.
     pub cooling: Option<CoolingEngine>,
-    /// How long an engine takes to read its prompt, as far as that is known.
+    /// Expected prefill time of the prompt, or zero if unknown.
     pub prefill_time: Duration,
-    /// The longest pause with which its stream is in time, where one is named.
+    /// Target for the maximum gap between two events of the stream, if configured.
     pub max_event_gap: Option<Duration>,
-    /// Whether the client was refused before and came back.
+    /// Whether this is the client's retry after a refusal.
     pub client_retried: bool,
 }
 
-/// An engine that could run a request, but wants none for a while.
+/// An engine that could run a request, but is in a cooldown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CoolingEngine {
-    /// After what time it is expected to take requests again.
+    /// Time until it is expected to accept requests.
     pub available_in: Duration,
-    /// Whether another engine could load what the request names.
+    /// Whether another engine could load the requested adapter.
     pub loadable_elsewhere: bool,
 }
 
-/// What becomes of the request now.
+/// Decision on a request at this moment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ColdDecision {
-    /// It waits, for so long at most before it is looked at again.
+    /// Wait, and decide again after this time at the latest.
     Wait(Duration),
-    /// It is refused, and the client comes back after so long.
+    /// Refuse, with this retry time.
     Refuse(Duration),
 }
 
 impl ColdRequest {
-    /// Returns how long the client waits for a first event at all.
+    /// Returns the time since arrival after which a waiting request is refused, shortly before its
+    /// client gives up.
     fn client_wait_limit(&self) -> Duration {
         let event_gaps = self.max_event_gap.unwrap_or_default() * CLIENT_WAIT_EVENT_GAPS;
         let client_wait_limit = (self.latency_target * CLIENT_WAIT_LATENCY_TARGETS)
@@ -98,13 +98,13 @@
         client_wait_limit.min(self.elapsed + self.remaining).saturating_sub(REFUSAL_MARGIN)
     }
 
-    /// Returns what the request is worth to its caller if its adapter is ordered now.
+    /// Returns the worth of the request if its adapter is loaded now.
     pub fn worth(&self) -> f64 {
         let first_event = self.elapsed + LEAST_LOAD_TIME + self.prefill_time + FIRST_EVENT_OVERHEAD;
         if self.client_retried || first_event > self.latency_target { LATE_WORTH } else { 1.0 }
     }
 
-    /// Returns what becomes of the request now.
+    /// Returns whether the request waits or is refused.
     pub fn decide(&self) -> ColdDecision {
         let estimate_deadline = self.latency_target.mul_f64(ESTIMATE_WAIT_FRACTION);
         let remaining_wait = self.client_wait_limit().saturating_sub(self.elapsed);
@@ -132,15 +132,16 @@
         }
     }
 
-    /// Returns whether an answer would still be useful if an engine took the request after `time`.
+    /// Returns whether an answer would still be in time if an engine accepted the request after
+    /// `time`.
     fn is_useful_after(&self, time: Duration) -> bool {
         let max_delay =
             if self.client_retried { self.client_wait_limit() } else { self.latency_target };
         self.elapsed + time + self.prefill_time + FIRST_EVENT_OVERHEAD <= max_delay
     }
 
-    /// Returns what becomes of the request where its holders want no requests for a while: it waits for the first of them or
-    /// for another copy, as long as either is expected in time.
+    /// Decides while all engines that could run the request are in a cooldown: it waits for the
+    /// first of them or for another copy, if either is expected in time.
     fn decide_during_cooldown(
         &self,
         engine: CoolingEngine,
@@ -168,7 +169,7 @@
         }
     }
 
-    /// Returns when the client should come back.
+    /// Returns the retry time for the client.
     fn retry_after(&self) -> Duration {
         let time =
             self.estimate.map_or(DEFAULT_RETRY_AFTER, |estimate| estimate + RETRY_AFTER_MARGIN);
--- a/crates/core/src/fleet/cooldown.rs
+++ b/crates/core/src/fleet/cooldown.rs
@@ -1,7 +1,8 @@
-//! Engines that have asked this host for a cooldown, and how their requests resume afterwards.
+//! Cooldowns that engines have requested from this host, and the gradual recovery afterwards.
 //!
-//! A cooldown is between one host and one incarnation of an engine. Afterwards one request probes the engine, and each
-//! request that it accepts doubles those that the host may send before the engine responds.
+//! A cooldown applies to one host and one incarnation of an engine. After it, a single request
+//! probes the engine; each accepted request doubles the number of requests that may be sent before
+//! the engine responds.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -14,48 +15,49 @@
     fleet::{EngineIncarnation, EngineName, announcement::Cooldown, is_same_incarnation},
 };
 
-/// From how many probes at a time on an engine is no longer restricted.
+/// Allowance from which on an engine is no longer restricted.
 const RECOVERY_ALLOWANCE: usize = 32;
 
-/// How long an engine is restricted after a cooldown that this host sends nothing.
+/// Time without requests to an engine after which its restriction ends.
 const IDLE_RECOVERY_TIME: Duration = Duration::from_secs(10);
 
-/// How long a probe without a response keeps others back.
+/// Time after which a probe without a response no longer counts.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long a probe is expected to take until its response begins.
+/// Expected time until the response to a probe begins.
 const EXPECTED_PROBE_TIME: Duration = Duration::from_millis(300);
 
-/// The step between the retry times given to clients after one cooldown, and the number of steps before they begin again.
+/// Step between the retry times of clients after one cooldown, and the number of steps before they
+/// start over; spreads the clients' retries.
 const RETRY_AFTER_STEP: Duration = Duration::from_millis(25);
 const RETRY_AFTER_STEPS: u32 = 40;
 
-/// Whether a request may go to an engine as far as its cooldowns go.
+/// Whether an engine's cooldown permits a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CooldownState {
-    /// It may.
+    /// A request may be sent.
     Available,
-    /// It may not; the engine is expected to take requests again after this time.
+    /// No request may be sent; the engine is expected to accept requests after this time.
     Unavailable(Duration),
 }
 
-/// A change worth a log line.
+/// A change to be logged.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CooldownEvent {
-    /// An engine asked for a cooldown while it had none.
+    /// An unrestricted engine requested a cooldown.
     Began {
         /// The engine.
         engine: EngineName,
-        /// Its incarnation.
+        /// The engine's incarnation.
         incarnation: EngineIncarnation,
-        /// The length.
+        /// Length of the cooldown.
         duration: Duration,
     },
-    /// The engine takes requests without restriction again, or has ended.
+    /// The engine is unrestricted again, or has ended.
     Ended {
         /// The engine.
         engine: EngineName,
-        /// How often it asked for a cooldown since the first.
+        /// Number of cooldowns that it requested since it was last unrestricted.
         requests: u32,
     },
 }
@@ -64,13 +66,13 @@
 struct EngineCooldown {
     incarnation: EngineIncarnation,
     until: ClockMillis,
-    /// Requests that may be sent before the engine responds, once the cooldown is over.
+    /// Number of requests that may await a response once the cooldown is over.
     allowance: usize,
-    /// When the requests were sent that it has not responded to.
+    /// Send times of the requests that await a response.
     probes: VecDeque<ClockMillis>,
-    /// How often it was asked for since the engine last took requests without restriction.
+    /// Number of cooldowns requested since the engine was last unrestricted.
     cooldown_requests: u32,
-    /// How many clients were given a retry time after it.
+    /// Number of retry times given to clients since the cooldown began.
     retry_times_issued: u32,
 }
 
@@ -87,7 +89,7 @@
         }
     }
 
-    /// Returns after what time the engine is expected to take requests, if it takes none now.
+    /// Returns the time until the engine is expected to accept requests, if none may be sent now.
     fn unavailable_for(&self, now: ClockMillis) -> Option<Duration> {
         if now < self.until {
             return Some(self.until.since(now));
@@ -97,7 +99,7 @@
     }
 }
 
-/// The cooldowns that engines have asked one host for.
+/// The cooldowns of the engines that one host sends to.
 #[derive(Debug, Clone, Default)]
 pub struct CooldownTable {
     engines: HashMap<EngineName, EngineCooldown>,
@@ -105,7 +107,7 @@
 }
 
 impl CooldownTable {
-    /// Takes that an incarnation of an engine asked this host for a cooldown; the later end counts.
+    /// Records that an engine requested a cooldown. Overlapping cooldowns last until the later end.
     pub fn record_cooldown(
         &mut self,
         engine: &EngineName,
@@ -131,7 +133,7 @@
         entry.cooldown_requests += 1;
     }
 
-    /// Returns whether a request may go to an engine.
+    /// Returns whether a request may be sent to an engine.
     pub fn state(
         &self,
         engine: &str,
@@ -146,7 +148,7 @@
         unavailable.map_or(CooldownState::Available, CooldownState::Unavailable)
     }
 
-    /// Takes that a request is sent to an engine.
+    /// Records that a request is sent to an engine.
     pub fn record_sent(&mut self, engine: &str, incarnation: EngineIncarnation, now: ClockMillis) {
         if let Some(entry) = self.engines.get_mut(engine)
             && is_same_incarnation(entry.incarnation, incarnation)
@@ -156,8 +158,8 @@
         }
     }
 
-    /// Takes that an engine has responded to a request that was sent at `sent`, and whether it accepted it; one that was
-    /// sent before the end of the cooldown changes nothing. Returns whether more requests may go there.
+    /// Records the response to a request that was sent at `sent`, and returns whether more requests
+    /// may be sent. The response to a request sent before the end of the cooldown is ignored.
     pub fn record_response(
         &mut self,
         engine: &str,
@@ -179,15 +181,15 @@
         true
     }
 
-    /// Returns the engines that take no requests now.
+    /// Returns the engines to which no request may be sent.
     pub fn unavailable_engines(&self, now: ClockMillis) -> impl Iterator<Item = &EngineName> {
         let unavailable =
             self.engines.iter().filter(move |(_, entry)| entry.unavailable_for(now).is_some());
         unavailable.map(|(engine, _)| engine)
     }
 
-    /// Returns the retry time for the next rejected client: after the cooldown of its engine, each a step later than the one
-    /// before.
+    /// Returns the retry time for the next refused client: the end of the engine's cooldown, plus a
+    /// step for each client before it.
     pub fn next_retry_after(&mut self, engine: &str, now: ClockMillis) -> Option<Duration> {
         let entry = self.engines.get_mut(engine)?;
         let step = RETRY_AFTER_STEP * (entry.retry_times_issued % RETRY_AFTER_STEPS);
@@ -195,8 +197,8 @@
         Some(entry.until.since(now) + step)
     }
 
-    /// Forgets engines whose cooldown is over and that are no longer listed in that incarnation, or were sent nothing for long
-    /// since; `listed` returns the incarnation that is listed.
+    /// Removes engines whose cooldown is over if that incarnation is no longer listed, or got no
+    /// requests for [`IDLE_RECOVERY_TIME`]. `listed` returns the listed incarnation of an engine.
     pub fn retain(&mut self, listed: impl Fn(&str) -> Option<EngineIncarnation>, now: ClockMillis) {
         let is_over = |engine: &str, entry: &EngineCooldown| {
             let is_unlisted = || {
@@ -212,7 +214,7 @@
         }
     }
 
-    /// Returns what is to be logged since the last call.
+    /// Returns the events since the last call.
     pub fn take_events(&mut self) -> Vec<CooldownEvent> {
         std::mem::take(&mut self.events)
     }
--- a/crates/core/src/fleet/departures.rs
+++ b/crates/core/src/fleet/departures.rs
@@ -1,7 +1,8 @@
-//! Engines that have announced that they are leaving, as one host knows them.
+//! Departures announced by engines, as known to one host.
 //!
-//! A departure belongs to one incarnation of an engine and holds until that incarnation ends, whatever its entry in the
-//! store says meanwhile. The host that receives the announcement reports it to the coordinator, which publishes it to all.
+//! A departure belongs to one incarnation of an engine and stays in force until that incarnation
+//! ends, whatever the engine's entry in the store says. The host that receives the announcement
+//! reports it to the coordinator, which publishes it to all hosts.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -14,22 +15,22 @@
     fleet::{EngineIncarnation, EngineName, is_same_incarnation},
 };
 
-/// How long the departure of an engine that is not listed is remembered.
+/// How long the departure of an unlisted engine is kept.
 const UNLISTED_RETENTION: Duration = Duration::from_mins(10);
 
-/// Where a host learned of a departure.
+/// How a host learned of a departure.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DepartureSource {
-    /// From a response of the engine.
+    /// By a response of the engine.
     Response,
-    /// From another host.
+    /// By a message from another host.
     Peer,
-    /// From the engine's entry.
+    /// By the engine's entry in the store.
     Listing,
 }
 
 impl DepartureSource {
-    /// Returns its name in log lines.
+    /// Returns the name used in log lines.
     pub const fn name(self) -> &'static str {
         match self {
             Self::Response => "response",
@@ -39,27 +40,27 @@
     }
 }
 
-/// A departure, as hosts report and publish it.
+/// A departure as hosts report and publish it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DepartureReport {
     /// The engine.
     pub engine: EngineName,
-    /// Its incarnation.
+    /// The engine's incarnation.
     pub incarnation: EngineIncarnation,
-    /// How long ago it was announced.
+    /// Time since it was announced.
     pub age: Duration,
 }
 
-/// A departure that this host has just learned of.
+/// A departure that this host has newly learned of.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LearnedDeparture {
     /// The engine.
     pub engine: EngineName,
-    /// Its incarnation.
+    /// The engine's incarnation.
     pub incarnation: EngineIncarnation,
-    /// Where this host learned of it.
+    /// How this host learned of it.
     pub source: DepartureSource,
-    /// How long ago it was announced.
+    /// Time since it was announced.
     pub age: Duration,
 }
 
@@ -68,13 +69,13 @@
     incarnation: EngineIncarnation,
     announced: ClockMillis,
     source: DepartureSource,
-    /// Whether the coordinator has to receive it.
+    /// Whether it has yet to be reported to the coordinator.
     pending: bool,
-    /// Whether this host, as the coordinator, has to publish it.
+    /// Whether this host has yet to publish it if it is the coordinator.
     unpublished: bool,
 }
 
-/// The departures that one host knows.
+/// The departures known to one host.
 #[derive(Debug, Clone, Default)]
 pub struct DepartureRegistry {
     departures: HashMap<EngineName, Vec<KnownDeparture>>,
@@ -82,7 +83,7 @@
 }
 
 impl DepartureRegistry {
-    /// Takes the announcement of an incarnation in a response to this host; returns whether it is new.
+    /// Records an announcement that this host received in a response; returns whether it is new.
     pub fn record_announced(
         &mut self,
         engine: &EngineName,
@@ -92,7 +93,7 @@
         self.learn(engine, incarnation, now, DepartureSource::Response, now)
     }
 
-    /// Takes a departure that the engine's entry shows, which all hosts read.
+    /// Records a departure shown by the engine's entry in the store, which all hosts read.
     pub fn record_listed(
         &mut self,
         engine: &EngineName,
@@ -102,7 +103,7 @@
         self.learn(engine, incarnation, now, DepartureSource::Listing, now);
     }
 
-    /// Takes what another host reports or publishes.
+    /// Records departures that another host reported or published.
     pub fn receive(&mut self, reports: &[DepartureReport], now: ClockMillis) {
         for report in reports {
             let announced = now - report.age;
@@ -138,7 +139,8 @@
         })
     }
 
-    /// Returns how many of the listed incarnations are leaving; `listed` returns the one that is listed.
+    /// Returns the number of listed engines that are leaving; `listed` returns the listed
+    /// incarnation of an engine.
     pub fn count_departing(&self, listed: impl Fn(&str) -> Option<EngineIncarnation>) -> usize {
         let departing = |engine: &EngineName| {
             listed(engine).is_some_and(|incarnation| self.is_departing(engine, incarnation))
@@ -146,8 +148,8 @@
         self.departures.keys().filter(|engine| departing(engine)).count()
     }
 
-    /// Forgets departures of engines that have not been listed in that incarnation for long; `listed` returns the
-    /// incarnation that is listed.
+    /// Removes departures that are older than [`UNLISTED_RETENTION`] and whose incarnation is not
+    /// listed; `listed` returns the listed incarnation of an engine.
     pub fn retain(&mut self, listed: impl Fn(&str) -> Option<EngineIncarnation>, now: ClockMillis) {
         self.departures.retain(|engine, known| {
             let listed_incarnation = listed(engine);
@@ -160,24 +162,25 @@
         });
     }
 
-    /// Returns what this host has learned since the last call.
+    /// Returns the departures learned since the last call.
     pub fn take_learned(&mut self) -> Vec<LearnedDeparture> {
         std::mem::take(&mut self.learned)
     }
 }
 
 impl DepartureRegistry {
-    /// Returns the reports that the coordinator has to receive.
+    /// Takes the reports to send to the coordinator.
     pub fn take_pending(&mut self, now: ClockMillis) -> Vec<DepartureReport> {
         self.take(now, |known| std::mem::take(&mut known.pending))
     }
 
-    /// Returns what this host, as the coordinator, has to publish.
+    /// Takes the reports to publish as the coordinator.
     pub fn take_unpublished(&mut self, now: ClockMillis) -> Vec<DepartureReport> {
         self.take(now, |known| std::mem::take(&mut known.unpublished))
     }
 
-    /// Marks reports that could not be sent as pending again.
+    /// Marks the departures of these engines as pending again after their reports could not be
+    /// sent.
     pub fn resend(&mut self, reports: &[DepartureReport]) {
         let engines: HashSet<&str> = reports.iter().map(|report| &*report.engine).collect();
         let known = self.departures.iter_mut();
@@ -185,7 +188,8 @@
         known.flat_map(|(_, known)| known).for_each(|known| known.pending = true);
     }
 
-    /// Marks as pending what no entry shows, since another host has become the coordinator.
+    /// Marks all departures that no entry shows as pending and unpublished, since the coordinator
+    /// has changed.
     pub fn resend_all(&mut self) {
         let known = self.departures.values_mut().flatten();
         for known in known.filter(|known| known.source != DepartureSource::Listing) {
--- a/crates/core/src/fleet/engine_choice.rs
+++ b/crates/core/src/fleet/engine_choice.rs
@@ -1,4 +1,4 @@
-//! Which engine a request is sent to.
+//! Choice of the engine that a request is sent to.
 
 use std::time::Duration;
 
@@ -7,56 +7,55 @@
     fleet::{EngineEntry, EngineName, WeightVersion, health::EngineHealth},
 };
 
-/// What an open request costs an engine, compared with a failure share of one.
+/// Cost of a failure rate of one, in open requests.
 const FAILURE_WEIGHT: f64 = 40.0;
 
-/// What leaving the own data hall costs, in open requests.
+/// Cost of an engine in another data hall, in open requests.
 const OTHER_HALL_COST: f64 = 2.0;
 
-/// How much reading ahead costs as much as an open request: about what one prompt of some hundred tokens
-/// takes.
+/// Pending prefill time that costs as much as one open request.
 const PREFILL_TIME_PER_OPEN_REQUEST: Duration = Duration::from_millis(30);
 
-/// What being left alone costs: more than any load.
+/// Cost of an engine in backoff; exceeds that of any load.
 const BACKOFF_COST: f64 = 10_000.0;
 
-/// Over how many open requests each host that chooses spreads its choice.
+/// Range over which choices are spread, for each choosing host, in open requests.
 const TIE_SPREAD_PER_HOST: f64 = 1.0 / 25.0;
 
-/// Over how many open requests a choice is spread at most.
+/// Maximum range over which choices are spread, in open requests.
 const MAX_TIE_SPREAD: f64 = 4.0;
 
-/// How much of a slow engine's delay counts, in open requests for each multiple of the median.
+/// Cost of an engine's delay for each multiple of the median delay, in open requests.
 const DELAY_WEIGHT: f64 = 2.0;
 
-/// The part of the operator's time for which an older version is still used.
-///
-/// A request may wait in an engine's queue for seconds before it begins; what is left of the time
-/// covers that.
+/// Fraction of the operator's apply time during which an older version is still used. The rest
+/// covers the time that a request may wait in an engine's queue before it begins.
 const OLD_VERSION_FRACTION: f64 = 0.2;
 
-/// How many versions of one adapter are remembered: operators name one in seconds at the most, and after a second
-/// nothing older than the first of two is used.
+/// Maximum number of versions tracked for one model or adapter.
 const MAX_TRACKED_VERSIONS: usize = 8;
 
-/// The versions that the operator versions of one model or adapter, and since when a host knows each.
+/// The published versions of one model or adapter, with the time at which this host learned of
+/// each.
 ///
-/// A newer one may be versions before the last is everywhere. What is older than any of them is judged by that one's
-/// own time; a later one gives it no more.
+/// A version may be published before the previous one is loaded everywhere. An older copy is judged
+/// by the first version that superseded it; later versions do not extend its time.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct PublishedVersions {
-    /// Rising versions with the time at which the host heard of each.
+    /// Versions in ascending order, with the time at which this host learned of each.
     versions: Vec<(WeightVersion, ClockMillis)>,
 }
 
 impl PublishedVersions {
-    /// Takes that the operator versions a version; one that is not newer than the newest changes nothing. Returns whether it is.
+    /// Adds a version that the operator published and returns true, or returns false if it is not
+    /// newer than the newest one.
     pub fn publish(&mut self, version: WeightVersion, now: ClockMillis) -> bool {
         if version <= self.newest() {
             return false;
         }
         if self.versions.len() == MAX_TRACKED_VERSIONS {
-            // The oldest one's time is kept for the next: what is older than both stays as late as it was.
+            // The next version takes over the time of the removed one, so that copies older than
+            // both get no additional time.
             let (_, since) = self.versions.remove(0);
             self.versions[0].1 = since;
         }
@@ -64,14 +63,14 @@
         true
     }
 
-    /// Returns the newest version that was versions, zero before the first.
+    /// Returns the newest published version, or zero if there is none.
     pub fn newest(&self) -> WeightVersion {
         self.versions.last().map_or(0, |(version, _)| *version)
     }
 
-    /// Returns whether a request may still be sent to a copy in version `loaded`.
+    /// Returns whether a request may still be sent to a copy of version `loaded`.
     ///
-    /// `apply_time` is the time within which the operator wants nothing to begin on an older version.
+    /// `apply_time` is the time after which no request should begin on an older version.
     pub fn allows(&self, loaded: WeightVersion, apply_time: Duration, now: ClockMillis) -> bool {
         let first_newer = self.versions.iter().find(|(version, _)| *version > loaded);
         first_newer
@@ -79,26 +78,26 @@
     }
 }
 
-/// One engine that could take a request.
+/// An engine that could run a request.
 #[derive(Debug, Clone, Copy)]
 pub struct EngineCandidate<'table> {
-    /// The engine.
+    /// The engine's entry.
     pub entry: &'table EngineEntry,
-    /// What this host's requests tell about it.
+    /// Its health, as seen by this host.
     pub health: &'table EngineHealth,
-    /// This host's open requests there.
+    /// This host's open requests at the engine.
     pub own_open: u32,
-    /// The open requests of all hosts there, as far as this host was reported_open.
+    /// Open requests of all hosts at the engine, as last reported to this host.
     pub reported_open: u32,
-    /// How long it takes to read what it has not read yet.
+    /// Time that the engine needs for the prompts it has not processed yet.
     pub pending_prefill_time: Duration,
 }
 
-/// Returns the best of the candidates, by open requests, reading ahead, failures, delay and
-/// data hall.
+/// Returns the candidate with the lowest cost.
 ///
-/// `tie_breaker` spreads equal candidates; any number that differs between requests does. `hosts` choose with
-/// the same word of the engines' loads, so that many of them must not all choose the same engine.
+/// `tie_breaker` is any number that differs between requests. All `hosts` choose from the same
+/// reported loads, so choices are spread over nearly equal candidates to keep hosts from all
+/// picking the same one.
 pub fn choose_engine(
     candidates: &[EngineCandidate<'_>],
     hall: &str,
--- a/crates/core/src/fleet/freshness.rs
+++ b/crates/core/src/fleet/freshness.rs
@@ -1,11 +1,9 @@
-//! Up to which moment a host's configuration is known to have been the newest, and until when keys may
-//! be served by it.
+//! Freshness of a host's configuration, which bounds how long keys are accepted.
 //!
-//! The operator withdraws a key by a new configuration; a host that does not hear of it must stop serving
-//! keys before the operator's bound is over. What counts is when the store was asked, not when it
-//! answered: an answer may be held up on its way, or lie unread while the host stands still. Once the
-//! bound has passed, requests with keys are refused as not run; until then they are served, since in most
-//! outages no key is withdrawn.
+//! Operators revoke a key by publishing a new configuration. A host that can not learn of it must
+//! stop accepting keys before the operator's staleness bound is over. The bound counts from when
+//! the store was asked, not from when it answered: the answer may be delayed on its way, or read
+//! late because the host was suspended. After the bound, requests with keys are refused as not run.
 
 use std::time::Duration;
 
@@ -14,28 +12,27 @@
     clock::ClockMillis,
 };
 
-/// How much earlier than the operator's bound a host stops: what two monotonic clocks may run apart between two
-/// comparisons (100 parts in a million for half a minute), rounding to milliseconds, and as much again.
+/// How much earlier than the bound a host stops accepting keys: covers the drift between two
+/// monotonic clocks and rounding to milliseconds.
 const CLOCK_MARGIN: Duration = Duration::from_millis(20);
 
-/// Up to which moment a host's configuration is known to have been the newest.
+/// Tracks until when a host's configuration is known to have been the newest.
 #[derive(Debug, Clone)]
 pub struct ConfigurationFreshness {
-    /// How long after its withdrawal a key may be served; absent where nothing bounds it.
+    /// How long a revoked key may still be accepted; unbounded if absent.
     max_staleness: Option<Duration>,
     state: FreshnessState,
     confirmed_at: Option<ClockMillis>,
 }
 
 impl ConfigurationFreshness {
-    /// Starts with nothing known; `bound` is how long a withdrawn key may be served.
+    /// Creates a state without any confirmation.
     pub fn new(max_staleness: Option<Duration>) -> Self {
         Self { max_staleness, state: FreshnessState::initial(), confirmed_at: None }
     }
 
-    /// Takes that the configuration was the newest one at `moment`, when the store or a peer was asked.
-    ///
-    /// Earlier moments than known ones change nothing.
+    /// Records that the configuration was the newest one at `moment`, the time at which the store
+    /// or a peer was asked. Ignored if a later moment is known.
     pub fn confirm(&mut self, moment: ClockMillis, now: ClockMillis) {
         if self.state == FreshnessState::Superseded {
             return;
@@ -46,17 +43,18 @@
         }
     }
 
-    /// Takes that a newer configuration exists and can not be read: nothing confirms the old one any more.
+    /// Records that a newer configuration exists but can not be read; from now on confirmations are
+    /// ignored.
     pub fn newer_unreadable(&mut self) {
         self.state = self.state.after(FreshnessEvent::Unreadable);
     }
 
-    /// Takes that a configuration came into force.
+    /// Records that a new configuration is in force.
     pub fn configuration_replaced(&mut self) {
         self.state = self.state.after(FreshnessEvent::Replaced);
     }
 
-    /// Moves on with the time.
+    /// Updates the state to the current time.
     pub fn tick(&mut self, now: ClockMillis) {
         if !self.serves_keys(now) {
             self.state = self.state.after(FreshnessEvent::Aged);
@@ -68,12 +66,12 @@
         self.state
     }
 
-    /// Returns the moment up to which the configuration is known to have been the newest.
+    /// Returns the latest moment at which the configuration is known to have been the newest.
     pub const fn confirmed_at(&self) -> Option<ClockMillis> {
         self.confirmed_at
     }
 
-    /// Returns until when requests with keys may arrive and be served.
+    /// Returns the latest arrival time at which requests with keys are accepted.
     pub fn keys_valid_until(&self) -> ClockMillis {
         let Some(max_staleness) = self.max_staleness else {
             return ClockMillis::from_millis(u64::MAX);
@@ -87,20 +85,20 @@
     }
 }
 
-/// A peer's clock as a host can tell it: never later than it truly was.
+/// Converts a peer's clock readings to the local clock without ever being too late.
 ///
-/// The peer read `peer` after the host had asked at `own`. What happened at a later reading of the peer's clock
-/// thus happened at least as much later than `own`, however long the answer took.
+/// The peer read `peer` after this host asked at `local`. An event at a later reading of the peer's
+/// clock was therefore at least as much later than `local`, however long the answer took.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PeerClock {
-    /// When the host asked, by its own clock.
+    /// Local time at which the peer was asked.
     pub local: ClockMillis,
-    /// What the peer's clock showed when it answered.
+    /// The peer's clock reading in its answer.
     pub peer: ClockMillis,
 }
 
 impl PeerClock {
-    /// Returns the latest moment of the own clock that is sure not to lie after a moment of the peer's clock.
+    /// Returns a local time that is never later than the given time on the peer's clock.
     pub fn to_local(&self, moment: ClockMillis) -> ClockMillis {
         if moment >= self.peer {
             self.local + moment.since(self.peer)
--- a/crates/core/src/fleet/health.rs
+++ b/crates/core/src/fleet/health.rs
@@ -1,46 +1,47 @@
-//! What a host's own requests tell about an engine's condition.
+//! Engine health from the outcomes of a host's own requests.
 //!
-//! An engine's health check may be good while its requests fail, and the other way round. So a host
-//! judges an engine by the outcomes of its own requests: after failures the engine is left for a
-//! while that doubles, then tried again with one request at a time.
+//! An engine may pass its health check while its requests fail, and vice versa. After a failure the
+//! engine is put in a backoff that doubles with each consecutive failure.
 
 use std::time::Duration;
 
 use crate::clock::ClockMillis;
 
-/// How long an engine is left after its initial failure in a row that counts.
+/// Backoff after the first failure.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(400);
 
-/// The longest time for which an engine is left.
+/// Maximum backoff.
 const MAX_BACKOFF: Duration = Duration::from_secs(3);
 
-/// How strongly the newest outcome moves the failure share.
+/// Weight of the newest sample in the failure rate.
 const FAILURE_SMOOTHING: f64 = 0.2;
 
-/// What a refusal counts as, compared with a failure.
+/// Failure rate sample of a refusal; that of a failure is one.
 const REFUSAL_FAILURE_VALUE: f64 = 0.2;
 
-/// How strongly the newest initial byte moves the smoothed delay.
+/// Weight of the newest sample in the smoothed delay.
 const DELAY_SMOOTHING: f64 = 0.25;
 
-/// How a send to an engine ended, as far as the engine's condition goes.
+/// Outcome of a request that was sent to an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EngineOutcome {
-    /// It answered well, so long after the send.
+    /// Answered without an error status; the delay until the whole answer, or until the first event
+    /// of a stream.
     Answered(Duration),
-    /// It answered with an error of its own.
+    /// Answered with an error status.
     ErrorResponse,
-    /// It refused to run the request.
+    /// Refused without being run.
     Refused,
-    /// It gave no initial byte for so long that its client left or it was left for another one.
+    /// No first byte within the time allowed: the client left, or the request was sent to another
+    /// engine.
     FirstByteTimeout,
-    /// No connection came about.
+    /// The connection could not be established.
     Unreachable,
-    /// It fell silent or broke off.
+    /// The answer was interrupted, or was unusable.
     Interrupted,
 }
 
-/// One host's view of one engine.
+/// One host's view of an engine's health.
 #[derive(Debug, Clone, Default)]
 pub struct EngineHealth {
     failure_rate: f64,
@@ -50,7 +51,7 @@
 }
 
 impl EngineHealth {
-    /// Counts an outcome.
+    /// Records the outcome of a request.
     pub fn record(&mut self, outcome: EngineOutcome, now: ClockMillis) {
         match outcome {
             EngineOutcome::Answered(delay) => {
@@ -58,9 +59,11 @@
                 self.update_failure_rate(0.0);
                 self.update_delay(delay);
             }
-            // An error of its own is part of an ordinary day; only its share counts.
+            // Error statuses are common, so they count only towards the failure rate and cause no
+            // backoff.
             EngineOutcome::ErrorResponse => self.update_failure_rate(1.0),
-            // It may be full, or not have one adapter yet: others are asked initial, if there are any.
+            // The engine may be full or lack one adapter: prefers other engines without causing a
+            // backoff.
             EngineOutcome::Refused => self.update_failure_rate(REFUSAL_FAILURE_VALUE),
             EngineOutcome::Unreachable
             | EngineOutcome::Interrupted
@@ -88,17 +91,17 @@
         self.backoff_until = self.backoff_until.max(now + backoff);
     }
 
-    /// Returns whether the engine is left alone now.
+    /// Returns whether the engine is in a backoff.
     pub fn is_in_backoff(&self, now: ClockMillis) -> bool {
         now < self.backoff_until
     }
 
-    /// Returns the smoothed share of failures, from zero to one.
+    /// Returns the smoothed failure rate, from zero to one.
     pub const fn failure_rate(&self) -> f64 {
         self.failure_rate
     }
 
-    /// Returns the smoothed delay to the initial byte, once there is one. Unit: milliseconds.
+    /// Returns the smoothed delay of answers, if there were any. Unit: milliseconds.
     pub const fn delay_millis(&self) -> Option<f64> {
         self.delay_millis
     }
--- a/crates/core/src/fleet/prefill_speed.rs
+++ b/crates/core/src/fleet/prefill_speed.rs
@@ -1,40 +1,39 @@
-//! How fast the engines of a service read prompts, learnt from a host's own requests.
+//! Prefill speed of a service's engines, learned from a host's own requests.
 //!
-//! Nobody tells the speed. A request that was sent to an engine shows it by its first event: until then
-//! the engine read what was ahead of it and its own prompt. Single samples mislead, since an engine may
-//! have kept a part of the prompt (it seems faster) or have had more ahead than was known (it seems
-//! slower); the median of the latest ones does not.
+//! The time to the first event of a request covers the pending prefill at the engine and the
+//! request's own prompt. Single samples are unreliable: an engine may have cached a part of the
+//! prompt, or had more pending prefill than was known. The speed is therefore the median of the
+//! latest samples.
 
 use std::{collections::VecDeque, time::Duration};
 
-/// How many samples the median is taken of: enough that several wrong ones in a row do not move it far,
-/// few enough that a host with one request a second follows a change within half a minute.
+/// Number of samples that the median is taken of.
 const MAX_SAMPLES: usize = 31;
 
-/// How many samples must have come before the speed counts as known.
+/// Number of samples from which on the speed counts as known.
 const MIN_SAMPLES: usize = 5;
 
-/// The shortest prompt that shows a speed, as a part of the mean one: what comes before the first event
-/// beside reading weighs more in shorter ones.
+/// Minimum length of a prompt to be used as a sample, relative to the mean prompt: in shorter ones
+/// other delays weigh more.
 const MIN_PROMPT_FRACTION: f64 = 0.5;
 
-/// How strongly the newest prompt moves the mean one.
+/// Weight of the newest prompt in the mean prompt length.
 const MEAN_PROMPT_SMOOTHING: f64 = 0.02;
 
-/// The reading speed of a service's engines, once samples have come.
+/// Prefill speed of a service's engines, known once there are enough samples.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct PrefillSpeed {
-    /// The latest samples, the newest last. Unit: tokens per millisecond.
+    /// Latest samples, the newest one last. Unit: tokens per millisecond.
     samples: VecDeque<f64>,
-    /// Their median, once there are enough.
+    /// Median of the samples, once there are enough.
     tokens_per_millisecond: Option<f64>,
-    /// The mean prompt. Unit: tokens.
+    /// Mean prompt length. Unit: tokens.
     mean_prompt: f64,
 }
 
 impl PrefillSpeed {
-    /// Takes that an engine gave a first event so long after a request was sent, with `prompt` tokens of
-    /// its own and `ahead` tokens of others before it.
+    /// Records that the first event came `time` after a request with `prompt` tokens was sent, with
+    /// `ahead` tokens of other requests pending before it.
     pub fn record(&mut self, prompt: u64, ahead: u64, time: Duration) {
         let prompt = prompt as f64;
         if self.mean_prompt == 0.0 {
@@ -58,13 +57,14 @@
         samples[samples.len() / 2]
     }
 
-    /// Returns the part of its time that an engine reads so many tokens a second in, none while the speed is
-    /// not known.
+    /// Returns the fraction of an engine's time taken by the prefill of so many tokens a second, or
+    /// zero if the speed is unknown.
     pub fn utilization_for(&self, tokens_per_second: f64) -> f64 {
         self.tokens_per_millisecond.map_or(0.0, |speed| tokens_per_second / (speed * 1000.0))
     }
 
-    /// Returns how many tokens engines read within a time, none while the speed is not known.
+    /// Returns the number of tokens that engines prefill within a time, or zero if the speed is
+    /// unknown.
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
@@ -74,7 +74,7 @@
         self.tokens_per_millisecond.map_or(0, |speed| (speed * time.as_secs_f64() * 1000.0) as u64)
     }
 
-    /// Returns how long engines take to read so many tokens, nothing while that is not known.
+    /// Returns the prefill time of so many tokens, or zero if the speed is unknown.
     pub fn time_for(&self, tokens: u64) -> Duration {
         let time = |speed: f64| Duration::from_secs_f64(tokens as f64 / speed / 1000.0);
         self.tokens_per_millisecond.map_or(Duration::ZERO, time)
--- a/crates/core/src/fleet/prompt.rs
+++ b/crates/core/src/fleet/prompt.rs
@@ -1,31 +1,31 @@
-//! What a request says of its prompt.
+//! Prompt metadata of a request.
 //!
-//! An engine reads a prompt before the first event of the answer, and keeps what it has read for later
-//! requests on the same adapter that begin with the same parts.
+//! An engine prefills the prompt before the first event of its answer. It caches what it has
+//! processed for later requests to the same adapter that begin with the same parts.
 
-/// Names a part of a prompt; equal parts of different requests have the same name.
+/// Identifies a prompt part; equal parts of different requests have the same ID.
 pub type PromptPartId = u64;
 
-/// One part of a prompt.
+/// A part of a prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptPart {
-    /// The part's name.
+    /// The part's ID.
     pub id: PromptPartId,
-    /// Its length. Unit: tokens.
+    /// Length of the part. Unit: tokens.
     pub tokens: u32,
 }
 
-/// What a request says of its prompt and of its answer's length.
+/// What a request declares about its prompt.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PromptMetadata {
-    /// The whole prompt's length. Unit: tokens.
+    /// Length of the whole prompt. Unit: tokens.
     pub length: u32,
-    /// The prompt's parts in their order; the last one belongs to the request or its session alone.
+    /// Parts of the prompt in order; the last one is specific to the request or its session.
     pub parts: Vec<PromptPart>,
 }
 
 impl PromptMetadata {
-    /// Returns how many tokens an engine that keeps nothing reads, at least one.
+    /// Returns the number of tokens to prefill without a cache, at least one.
     pub fn tokens(&self) -> u64 {
         let parts: u64 = self.parts.iter().map(|part| u64::from(part.tokens)).sum();
         parts.max(u64::from(self.length)).max(1)
--- a/crates/core/src/fleet/queue_admission.rs
+++ b/crates/core/src/fleet/queue_admission.rs
@@ -1,46 +1,45 @@
-//! Whether a request joins the queue of an engine, or is refused before it does.
+//! Decides whether a request joins an engine's queue.
 //!
-//! Where prompts come faster than engines read them, queues grow until every answer is late. A client that is told at
-//! once can do something else, and those who are admitted are answered in time.
+//! If prompts arrive faster than engines process them, queues grow until every answer is late.
+//! Refusing some requests at once lets their clients do something else and keeps the admitted ones
+//! in time.
 
 use std::time::Duration;
 
-/// The part of its latency_target within which a request must be expected to have its first event to join a queue: each one that
-/// joins a longer queue is late itself and makes the next ones late. What is ahead is counted as if no part of its prompts
-/// were kept, so that more than the latency_target is allowed. Tried on one site, with few plays: 1.0 lost a little there, 1.5 gained
-/// nothing under lasting overload; 1.3 was not tried under such load (docs/DECISIONS.md).
+/// Maximum expected time to the first event for which a request joins a queue, in latency targets.
+/// It may exceed one, because pending prefill is counted as if nothing were cached.
 const MAX_EXPECTED_DELAY_FACTOR: f64 = 1.3;
 
-/// The shortest time after which a client is told to come back.
+/// Minimum retry time given to a client.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(250);
 
-/// The part of its time for which a client waits before it comes back, at most.
+/// Divides the remaining time of a request to get its maximum retry time.
 const RETRY_AFTER_DIVISOR: u32 = 3;
 
-/// What is known of a request at the engine that would answer it first.
+/// A request at the engine that would answer it first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QueueCandidate {
-    /// How long ago it came.
+    /// Time since the request arrived.
     pub elapsed: Duration,
-    /// Within which time its first event is wanted.
+    /// Target for the time to the first event.
     pub latency_target: Duration,
-    /// What is left of its time.
+    /// Time until the request's deadline.
     pub remaining: Duration,
-    /// How long the engine takes to read what it has not read yet.
+    /// Time that the engine needs for the prompts it has not processed yet.
     pub pending_prefill_time: Duration,
-    /// How long it takes to read the request's own prompt.
+    /// Expected prefill time of the request's own prompt.
     pub prefill_time: Duration,
-    /// Whether the client was refused before and came back.
+    /// Whether this is the client's retry after a refusal.
     pub client_retried: bool,
 }
 
 impl QueueCandidate {
-    /// Returns after what time the client should come back if it is not to join the queue.
+    /// Returns the retry time for the client if the request is to be refused.
     pub fn refusal_retry_after(&self) -> Option<Duration> {
-        // Who came back is late already, and joins a queue in which others are in time.
+        // A retried request is late anyway, so that only its delay from now on counts.
         let elapsed = if self.client_retried { Duration::ZERO } else { self.elapsed };
         let first_event = elapsed + self.pending_prefill_time + self.prefill_time;
-        // A prompt that takes that long by itself would be refused for ever.
+        // Without this, a prompt that alone takes longer would be refused on every retry.
         let max_delay =
             self.latency_target.mul_f64(MAX_EXPECTED_DELAY_FACTOR).max(elapsed + self.prefill_time);
         if self.pending_prefill_time.is_zero() || first_event <= max_delay {
--- a/crates/core/src/fleet/reachability.rs
+++ b/crates/core/src/fleet/reachability.rs
@@ -1,40 +1,42 @@
-//! Whether a data hall can be reached, and how long a connection to an engine may take to come about.
+//! Connect timeouts, and reachability of data halls.
 //!
-//! A hall that is cut off is silent: each connection to its engines ends only with the patience of who tries. A host
-//! that found out for each engine by itself would spend the target of many requests on it. So connections are given as
-//! long as they have taken lately, with room, and a hall of which several engines are silent is left as a whole.
+//! Connections to a data hall that is cut off fail only by timeout. If a host had to find this out
+//! for each engine separately, many requests would miss their latency target. The connect timeout
+//! therefore follows recent connect times, and a hall with several engines that timed out is put in
+//! a backoff as a whole.
 
 use std::{collections::BTreeSet, time::Duration};
 
 use crate::{clock::ClockMillis, fleet::EngineName};
 
-/// How long a connection may take before any was made, and at most.
+/// Maximum connect timeout, and its value before enough connections were made.
 const MAX_CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// How long a connection may take at least: a round trip between data halls and back takes some five milliseconds, and a
-/// small host may be held up for fifty.
+/// Minimum connect timeout: leaves room for the round trip between data halls and for scheduling
+/// delays on a small host.
 const MIN_CONNECT_TIMEOUT: Duration = Duration::from_millis(80);
 
-/// How strongly the newest connection moves the mean, and the deviation from it; as in TCP's own estimate.
+/// Weight of the newest connect time in the mean and deviation, as in TCP's retransmission timer.
 const ESTIMATE_GAIN: f64 = 0.125;
 
-/// How many deviations beyond the mean a connection may take; twice those of TCP's own estimate.
+/// Deviations above the mean that the timeout allows, twice as many as in TCP's retransmission
+/// timer.
 const DEVIATION_MULTIPLIER: f64 = 8.0;
 
-/// How many connections must have been made for the estimate to count.
+/// Number of connections from which on the estimate is used.
 const MIN_SAMPLES: u32 = 8;
 
-/// How many engines of a hall must be silent, none answering in between, for the hall to count as cut off: two may
-/// have gone dark together.
+/// Number of engines of a hall that must time out without a success in between for the hall to
+/// count as cut off: two engines may have failed at the same time.
 const TIMED_OUT_ENGINES_THRESHOLD: usize = 3;
 
-/// How long a hall is left at first: a tenth of what short cuts last.
+/// Initial backoff of a hall.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(400);
 
-/// The longest time for which a hall is left.
+/// Maximum backoff of a hall.
 const MAX_BACKOFF: Duration = Duration::from_millis(1600);
 
-/// How long connections to engines have taken lately.
+/// Estimates the connect timeout from recent connect times.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ConnectTimeEstimator {
     /// Unit: milliseconds.
@@ -45,7 +47,7 @@
 }
 
 impl ConnectTimeEstimator {
-    /// Takes how long a connection took.
+    /// Records the time that a connection took.
     pub fn record(&mut self, time: Duration) {
         let sample = time.as_secs_f64() * 1000.0;
         if self.sample_count == 0 {
@@ -57,17 +59,18 @@
         self.sample_count = self.sample_count.saturating_add(1);
     }
 
-    /// Takes that a connection did not come about in time: the patience may be too short for this host.
+    /// Records a timeout; raises the estimate, since the timeout may be too short for this host.
     pub fn record_timeout(&mut self) {
         self.deviation += ESTIMATE_GAIN * self.mean;
     }
 
-    /// Returns whether connections come about quickly, so that one that does not shows something of its engine.
+    /// Returns whether connections are established quickly, so that a timeout indicates a failure
+    /// of the engine.
     pub fn is_quick(&self) -> bool {
         self.timeout() <= MIN_CONNECT_TIMEOUT
     }
 
-    /// Returns how long the next connection may take.
+    /// Returns the timeout for the next connection.
     pub fn timeout(&self) -> Duration {
         if self.sample_count < MIN_SAMPLES {
             return MAX_CONNECT_TIMEOUT;
@@ -78,24 +81,24 @@
     }
 }
 
-/// Whether a data hall can be reached, as connections to its engines tell.
+/// Reachability of a data hall, as shown by connections to its engines.
 #[derive(Debug, Clone, Default)]
 pub struct HallReachability {
-    /// Engines that were silent since one of the hall answered last.
+    /// Engines that timed out since the last success of any engine in the hall.
     timed_out_engines: BTreeSet<EngineName>,
     backoff_count: u32,
     backoff_until: ClockMillis,
 }
 
 impl HallReachability {
-    /// Takes that an engine of the hall answered.
+    /// Records a connection to, or an answer from, an engine of the hall.
     pub fn record_success(&mut self) {
         if !self.timed_out_engines.is_empty() {
             *self = Self::default();
         }
     }
 
-    /// Takes that a connection to an engine of the hall did not come about in time.
+    /// Records that a connection to an engine of the hall timed out.
     pub fn record_timeout(&mut self, engine: &EngineName, now: ClockMillis) {
         self.timed_out_engines.insert(engine.clone());
         let in_backoff = now < self.backoff_until;
@@ -107,7 +110,7 @@
         }
     }
 
-    /// Returns whether the hall is left alone now.
+    /// Returns whether the hall is in a backoff.
     pub fn is_in_backoff(&self, now: ClockMillis) -> bool {
         now < self.backoff_until
     }
--- a/crates/core/src/fleet/routes.rs
+++ b/crates/core/src/fleet/routes.rs
@@ -1,4 +1,4 @@
-//! Routes and services as the operator's configuration gives them.
+//! Routes and services of the operator's configuration.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -7,19 +7,19 @@
     organisation::{KeyError, OrganisationDirectory, OrganisationEntry, key::PresentedKey},
 };
 
-/// Counts configurations; later ones have higher numbers.
+/// Revision of the configuration; later ones are higher.
 pub type ConfigRevision = u64;
 
-/// What may be done with a request whose outcome is not known.
+/// Whether a request may be sent again if its outcome is unknown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteKind {
-    /// It may run any number of times.
+    /// May run any number of times.
     Repeatable,
-    /// It may run at most once.
+    /// May run at most once.
     Single,
-    /// Its answer is a stream of events; a resumable one may go on at another engine.
+    /// Answered by a stream of events.
     Stream {
-        /// Whether a broken stream may go on at another engine.
+        /// Whether an interrupted stream may be continued on another engine.
         resumable: bool,
     },
 }
@@ -36,46 +36,46 @@
     }
 }
 
-/// A service with its share of a route's requests.
+/// A service with its weight among the services of a route.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WeightedBackend {
     /// The service.
     pub service: ServiceName,
-    /// Its share, relative to the other services of the route.
+    /// Its weight relative to the route's other services.
     pub weight: u32,
 }
 
-/// One route.
+/// A route.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RouteEntry {
-    /// The operator's name for it.
+    /// Name given by the operator.
     pub name: String,
-    /// The value of `Host` that it answers to.
+    /// The value of the `Host` header that it matches.
     pub host: String,
-    /// The beginning of the paths that it answers to, with a slash at both ends.
+    /// The path prefix that it matches, with a slash at both ends.
     pub prefix: String,
-    /// What may be done with its requests.
+    /// Whether its requests may be sent again.
     pub kind: RouteKind,
-    /// How long a request may be held.
+    /// Maximum time for a request.
     pub timeout: Duration,
-    /// Within which time an answer, or its first event, is wanted.
+    /// Target for the time to the answer, or to its first event.
     pub latency_target: Duration,
-    /// The longest pause between two events with which a stream is still in time, where one is named.
+    /// Target for the maximum gap between two events of a stream, if configured.
     pub max_event_gap: Option<Duration>,
-    /// The rank of its requests; zero is the most urgent.
+    /// Priority of its requests; zero is the most urgent.
     pub priority: u8,
-    /// The services that run its requests, at least one.
+    /// Services that run its requests, at least one.
     pub backends: Vec<WeightedBackend>,
-    /// To how many engines one request may be sent.
+    /// Maximum number of engines that one request is sent to.
     pub attempt_limit: u32,
-    /// Whether it serves everybody, without a key.
+    /// Whether it serves requests without a key.
     pub public: bool,
 }
 
 impl RouteEntry {
-    /// Returns the service for a request with this number, spread by weight.
+    /// Returns the service for a request, distributed by weight.
     ///
-    /// The same number leads to the same service as long as the route does not change.
+    /// The same `number` maps to the same service as long as the route does not change.
     pub fn service(&self, number: u64) -> Option<&ServiceName> {
         let total: u64 = self.backends.iter().map(|backend| u64::from(backend.weight)).sum();
         let mut offset = number.checked_rem(total)?;
@@ -90,65 +90,65 @@
     }
 }
 
-/// The size of one base model and of its adapters.
+/// Sizes of a base model and its adapters.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ModelSize {
     /// The model's name.
     pub name: String,
-    /// The size of its weights. Unit: megabytes.
+    /// Size of the model's weights. Unit: megabytes.
     pub weight_megabytes: f64,
-    /// The size of one adapter. Unit: megabytes.
+    /// Size of one adapter. Unit: megabytes.
     pub adapter_megabytes: f64,
-    /// How long its weights take to load when nothing else loads.
+    /// Time to load the model's weights if nothing else is being loaded.
     pub load_time: Duration,
 }
 
-/// What the engines of a service can hold.
+/// Capacity of a service's engines for models and adapters.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ModelHosting {
-    /// The models that may be ordered.
+    /// The models that may be loaded.
     pub models: Vec<ModelSize>,
-    /// Room for weights and adapters together. Unit: megabytes.
+    /// Memory for weights and adapters. Unit: megabytes.
     pub memory_megabytes: f64,
-    /// Places for adapters.
+    /// Maximum number of adapters.
     pub adapter_limit: u32,
-    /// How many loads a second the weight store allows over all engines.
+    /// Loads per second that the weight store allows over all engines.
     pub loads_per_second: f64,
 }
 
 impl ModelHosting {
-    /// Returns the size of a model.
+    /// Returns the sizes of a model.
     pub fn model(&self, name: &str) -> Option<&ModelSize> {
         self.models.iter().find(|model| model.name == name)
     }
 }
 
-/// One service.
+/// A service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServiceEntry {
-    /// Its name.
+    /// The service's name.
     pub name: ServiceName,
-    /// The most connections that one of its engines takes from all hosts together.
+    /// Maximum number of connections to one of its engines from all hosts.
     pub connection_limit: u32,
-    /// What its engines can hold; absent for plain services.
+    /// Capacity of its engines; absent for plain services, whose engines hold no models.
     pub hosting: Option<ModelHosting>,
 }
 
-/// What a client may send, and how long it may take.
+/// Limits on client connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClientLimits {
-    /// The longest head. Unit: bytes.
+    /// Maximum size of a request head. Unit: bytes.
     pub head_bytes: usize,
-    /// The longest body. Unit: bytes.
+    /// Maximum size of a request body. Unit: bytes.
     pub body_bytes: usize,
-    /// How long a head may take from its first byte on.
+    /// Maximum time for a request head, from its first byte.
     pub head_timeout: Duration,
-    /// How long a connection may rest between requests.
+    /// Maximum idle time of a connection between requests.
     pub idle_timeout: Duration,
 }
 
 impl Default for ClientLimits {
-    /// Limits for the time before any configuration is known.
+    /// Limits until the first configuration is known.
     fn default() -> Self {
         Self {
             head_bytes: 16 * 1024,
@@ -159,20 +159,20 @@
     }
 }
 
-/// One whole configuration.
+/// A configuration.
 #[derive(Debug, Clone, Default)]
 pub struct RouteTable {
     revision: ConfigRevision,
     limits: ClientLimits,
-    /// Routes by host, the longest prefix first.
+    /// Routes by host, with the longest prefix first.
     routes: HashMap<String, Vec<Arc<RouteEntry>>>,
     services: HashMap<ServiceName, Arc<ServiceEntry>>,
-    /// Absent where requests carry no keys.
+    /// Absent if requests carry no keys.
     organisations: Option<OrganisationDirectory>,
 }
 
 impl RouteTable {
-    /// Builds the table of one configuration.
+    /// Creates the table of one configuration.
     pub fn new(
         revision: ConfigRevision,
         limits: ClientLimits,
@@ -193,28 +193,28 @@
         table
     }
 
-    /// Sets the organisations; from then on every route that is not public asks for a key.
+    /// Sets the organisations; every route that is not public then requires a key.
     #[must_use]
     pub fn with_organisations(self, organisations: OrganisationDirectory) -> Self {
         Self { organisations: Some(organisations), ..self }
     }
 
-    /// Returns the organisations, where requests carry keys.
+    /// Returns the organisations, if requests carry keys.
     pub const fn organisations(&self) -> Option<&OrganisationDirectory> {
         self.organisations.as_ref()
     }
 
-    /// Returns whether a route's requests are served only with a key.
+    /// Returns whether requests to a route require a key.
     pub const fn requires_key(&self, route: &RouteEntry) -> bool {
         self.organisations.is_some() && !route.public
     }
 
-    /// Returns the organisation that asks on a route; none where the route asks for no key.
+    /// Returns the organisation of a request, or `None` if the route requires no key.
     ///
-    /// A key that is shown on a public route is passed over.
+    /// A key presented on a public route is ignored.
     ///
     /// # Errors
-    /// Returns why the request belongs to no organisation.
+    /// Returns why the key belongs to no organisation.
     pub fn identify(
         &self,
         route: &RouteEntry,
@@ -228,19 +228,19 @@
         }
     }
 
-    /// Returns the configuration's number.
+    /// Returns the revision of the configuration.
     pub const fn revision(&self) -> ConfigRevision {
         self.revision
     }
 
-    /// Returns what clients may send.
+    /// Returns the limits on client connections.
     pub const fn limits(&self) -> &ClientLimits {
         &self.limits
     }
 
-    /// Returns the route of a request: of those of its host, the one with the longest prefix.
+    /// Returns the route of a request: the one with the longest matching prefix for its host.
     ///
-    /// A port in `host` and a query in `target` are passed over.
+    /// A port in `host` and a query in `target` are ignored.
     pub fn route(&self, host: &str, target: &str) -> Option<&Arc<RouteEntry>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name).to_ascii_lowercase();
         let path = target.split('?').next().unwrap_or(target);
@@ -252,14 +252,14 @@
         self.services.get(name)
     }
 
-    /// Returns the service whose placer also does what is done once for all services: the first one with models by name, and the
-    /// first of all where none has any.
+    /// Returns the service whose placer also does the tasks that are common to all services: the
+    /// first service with models by name, or the first of all if none has models.
     pub fn coordinating_service(&self) -> Option<&ServiceName> {
         let hosting = self.services_with_models().map(|service| &service.name).min();
         hosting.or_else(|| self.services.keys().min())
     }
 
-    /// Iterates over the services whose engines hold models.
+    /// Returns the services whose engines hold models.
     pub fn services_with_models(&self) -> impl Iterator<Item = &Arc<ServiceEntry>> {
         self.services.values().filter(|service| service.hosting.is_some())
     }
--- a/crates/core/src/fleet/stale_listing.rs
+++ b/crates/core/src/fleet/stale_listing.rs
@@ -1,28 +1,29 @@
-//! Whether an engine's listing is believed that was read in a later era of the store than what is known of the engine.
+//! Detects stale engine entries after the store was restored from an older copy.
 //!
-//! A store that comes back from an older copy of itself lists engines as they were: one that has left since is ready again, one that
-//! is gone is back, one has the life before, or fewer adapters. By its position such a listing is the newest. What the engine said
-//! later holds until it had the time to write again.
+//! A restored store lists engines as they were earlier: engines that have left since are ready
+//! again, engines that ended are back, or entries have an older incarnation or fewer adapters. By
+//! its position in the new era of the store such an entry is the newest. It is therefore withheld
+//! until engines had the time to write their entries again, unless it is consistent with what was
+//! known.
 
 use std::time::Duration;
 
 use super::{EngineEntry, EngineIncarnation};
 
-/// How long engines have to write their entries again after the store has come back from an older copy.
-///
-/// They write every 1.2 s or so, and a store takes three times that without a word for a departure itself.
+/// Time for engines to write their entries again after the store was restored from an older copy.
+/// Covers about three of their write intervals.
 pub const REWRITE_GRACE_PERIOD: Duration = Duration::from_secs(4);
 
-/// What is known of an engine that was listed in an earlier era.
+/// What is known of an engine from an earlier era of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LastKnownEngine<'entry> {
-    /// Its entry.
+    /// The engine's last entry.
     Listed(&'entry EngineEntry),
-    /// It is gone; this was its last life.
+    /// The engine has ended; its last incarnation.
     Gone(EngineIncarnation),
 }
 
-/// Returns whether a listing from a later era is believed at once.
+/// Returns whether an entry from a later era is at least as new as what is known.
 pub fn is_up_to_date(known: &LastKnownEngine<'_>, listed: &EngineEntry) -> bool {
     match known {
         LastKnownEngine::Listed(known) if listed.is_incarnation(known.incarnation) => {
--- a/crates/core/src/fleet/work.rs
+++ b/crates/core/src/fleet/work.rs
@@ -1,24 +1,24 @@
-//! What an engine has to do: requests that are open there and prompts that it has not read yet.
+//! Work of an engine: open requests and pending prefill.
 
 use std::ops::Add;
 
-/// What an engine has to do.
+/// The work of an engine.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct EngineWork {
-    /// Requests that are open.
+    /// Number of open requests.
     pub open: u32,
-    /// Prompts of those that have not had their first event. Unit: tokens.
+    /// Prompt lengths of the requests that have not had their first event. Unit: tokens.
     pub pending_prefill_tokens: u64,
 }
 
-/// By which part of the open requests that were reported they must have moved to be reported again: hosts add their own
-/// requests to what they hear, and an engine with eleven or twelve is as good as one with ten.
+/// Divides the reported open requests to get the change that is not yet reported.
 const OPEN_CHANGE_DIVISOR: u32 = 5;
 
 impl EngineWork {
-    /// Returns whether the work has moved so far from what was reported that it makes a difference.
+    /// Returns whether the work has changed enough since it was reported to affect the choice of
+    /// engines.
     ///
-    /// That an engine has work at all, or none any more, always does.
+    /// The first request of an idle engine and the end of the last one always count.
     pub const fn differs_significantly(&self, reported: &Self, token_step: u64) -> bool {
         let began_or_ended = (self.open == 0) != (reported.open == 0);
         let open = self.open.abs_diff(reported.open) > reported.open / OPEN_CHANGE_DIVISOR;
