--- a/crates/core/src/fleet/engine_choice.rs
+++ b/crates/core/src/fleet/engine_choice.rs
@@ -20,10 +20,10 @@
 const BACKOFF_COST: f64 = 10_000.0;
 
 /// Range over which choices are spread, for each choosing host, in open requests.
-const TIE_SPREAD_PER_HOST: f64 = 1.0 / 25.0;
+const SPREAD_PER_HOST: f64 = 1.0 / 25.0;
 
 /// Maximum range over which choices are spread, in open requests.
-const MAX_TIE_SPREAD: f64 = 4.0;
+const MAX_SPREAD: f64 = 4.0;
 
 /// Cost of an engine's delay for each multiple of the median delay, in open requests.
 const DELAY_WEIGHT: f64 = 2.0;
@@ -106,7 +106,7 @@
     now: ClockMillis,
 ) -> Option<EngineName> {
     let median = median_delay(candidates);
-    let spread = (f64::from(hosts) * TIE_SPREAD_PER_HOST).min(MAX_TIE_SPREAD);
+    let spread = (f64::from(hosts) * SPREAD_PER_HOST).min(MAX_SPREAD);
     let count = candidates.len() as u64;
     candidates
         .iter()
--- a/crates/core/src/fleet/health.rs
+++ b/crates/core/src/fleet/health.rs
@@ -38,7 +38,7 @@
     /// The connection could not be established.
     Unreachable,
     /// The answer was interrupted, or was unusable.
-    Interrupted,
+    Failed,
 }
 
 /// One host's view of an engine's health.
@@ -66,7 +66,7 @@
             // backoff.
             EngineOutcome::Refused => self.update_failure_rate(REFUSAL_FAILURE_VALUE),
             EngineOutcome::Unreachable
-            | EngineOutcome::Interrupted
+            | EngineOutcome::Failed
             | EngineOutcome::FirstByteTimeout => {
                 self.update_failure_rate(1.0);
                 self.back_off(now, INITIAL_BACKOFF);
--- a/crates/core/src/fleet/routes.rs
+++ b/crates/core/src/fleet/routes.rs
@@ -75,10 +75,10 @@
 impl RouteEntry {
     /// Returns the service for a request, distributed by weight.
     ///
-    /// The same `number` maps to the same service as long as the route does not change.
-    pub fn service(&self, number: u64) -> Option<&ServiceName> {
+    /// The same `request_hash` maps to the same service as long as the route does not change.
+    pub fn service(&self, request_hash: u64) -> Option<&ServiceName> {
         let total: u64 = self.backends.iter().map(|backend| u64::from(backend.weight)).sum();
-        let mut offset = number.checked_rem(total)?;
+        let mut offset = request_hash.checked_rem(total)?;
         for backend in &self.backends {
             let weight = u64::from(backend.weight);
             if offset < weight {
--- a/crates/core/tests/departures.rs
+++ b/crates/core/tests/departures.rs
@@ -83,7 +83,7 @@
             Step::Restart { engine } => self.incarnations[engine] += 1,
             Step::RestartHost { host } => {
                 self.hosts[host] = DepartureRegistry::default();
-                self.announced_to.retain(|(announced_to, _), _| *announced_to != host);
+                self.announced_to.retain(|(informed_host, _), _| *informed_host != host);
                 self.subscribe(host);
                 if host == self.coordinator {
                     self.set_coordinator(host);
@@ -101,8 +101,8 @@
         let (incarnations, now) = (self.incarnations, self.now);
         for host in &mut self.hosts {
             let listed = |engine: &str| {
-                let place = engine.strip_prefix("engine-")?.parse::<usize>().ok()?;
-                incarnations.get(place).copied()
+                let index = engine.strip_prefix("engine-")?.parse::<usize>().ok()?;
+                incarnations.get(index).copied()
             };
             host.retain(listed, now);
         }
@@ -158,10 +158,10 @@
         for engine in 0..ENGINES {
             let announced = self.is_announced(engine);
             for host in 0..HOSTS {
-                let announced_to =
+                let is_informed =
                     self.announced_to.get(&(host, engine)) == Some(&self.incarnations[engine]);
                 assert!(
-                    !announced_to || self.knows(host, engine),
+                    !is_informed || self.knows(host, engine),
                     "host {host} forgot engine {engine}"
                 );
                 assert!(announced || !self.knows(host, engine), "engine {engine} leaves nowhere");
@@ -172,10 +172,9 @@
     fn is_announced(&self, engine: usize) -> bool {
         let incarnation = self.incarnations[engine];
         (0..HOSTS).any(|host| self.hosts[host].has_announcement(&name(engine), incarnation))
-            || self
-                .announced_to
-                .iter()
-                .any(|((_, announced_to), at)| *announced_to == engine && *at == incarnation)
+            || self.announced_to.iter().any(|((_, announced_engine), known)| {
+                *announced_engine == engine && *known == incarnation
+            })
     }
 }
 
--- a/crates/core/tests/engine_choice.rs
+++ b/crates/core/tests/engine_choice.rs
@@ -98,7 +98,7 @@
         reported_open: [0, 0],
         pending_prefill_time: [0, 0],
         halls: ["here", "here"],
-        outcomes: [&[EngineOutcome::Interrupted], &[FAST_ANSWER]],
+        outcomes: [&[EngineOutcome::Failed], &[FAST_ANSWER]],
         best: "second",
     },
     ChoiceCase {
@@ -178,7 +178,7 @@
     let mut backoffs = Vec::new();
     for round in 0..5u64 {
         let now = 1000 + round * 10_000;
-        health.record(EngineOutcome::Interrupted, at(now));
+        health.record(EngineOutcome::Failed, at(now));
         let backoff = (0..6000).find(|elapsed| !health.is_in_backoff(at(now + elapsed)));
         backoffs.push(backoff.expect("a rest that ends"));
     }
@@ -203,7 +203,8 @@
         pending_prefill_time: Duration::ZERO,
     };
     let candidates = [candidate(&slow, &health_states[0]), candidate(&quick, &health_states[1])];
-    let chosen = (0..100).filter_map(|tie| choose_engine(&candidates, "hall", tie, 2, at(60_000)));
+    let chosen = (0..100)
+        .filter_map(|tie_breaker| choose_engine(&candidates, "hall", tie_breaker, 2, at(60_000)));
     let slow_count = chosen.filter(|name| &**name == "slow").count();
     assert!(slow_count > 0, "{slow_count} of 100 requests go there after a minute");
 }
--- a/crates/core/tests/freshness.rs
+++ b/crates/core/tests/freshness.rs
@@ -127,7 +127,7 @@
     fn wait(&mut self, time: u64) {
         let until = self.now + time;
         loop {
-            let next = (0..self.in_flight.len()).min_by_key(|place| self.in_flight[*place].0);
+            let next = (0..self.in_flight.len()).min_by_key(|index| self.in_flight[*index].0);
             let Some(next) = next.filter(|next| self.in_flight[*next].0 <= until) else { break };
             let (due, message) = self.in_flight.remove(next);
             self.now = self.now.max(due);
--- a/crates/gateway/src/entry/attempt.rs
+++ b/crates/gateway/src/entry/attempt.rs
@@ -162,7 +162,7 @@
         if promises || (success && (!answer.facts.signed || other)) {
             // The status would promise, or claim, what the engine did not, or the answer is of other weights.
             lease.close();
-            self.note(&entry, EngineOutcome::Interrupted);
+            self.note(&entry, EngineOutcome::Failed);
             return SendEnd::Failed;
         }
         if success && self.route.kind.is_stream() {
--- a/crates/gateway/src/entry/quarantine.rs
+++ b/crates/gateway/src/entry/quarantine.rs
@@ -52,7 +52,7 @@
     ///
     /// Whoever would send the request again waits for that: one engine more would end before anything is known.
     pub(super) async fn broke_off(&mut self, entry: &Arc<EngineEntry>) {
-        self.note(entry, EngineOutcome::Interrupted);
+        self.note(entry, EngineOutcome::Failed);
         let Some(run) = self.run.take() else { return };
         let looked_at = run_broke(self.traffic, entry, run);
         if self.route.kind.may_repeat() && self.has_other_engine() {
