--- a/crates/core/src/fleet/prefill_speed.rs
+++ b/crates/core/src/fleet/prefill_speed.rs
@@ -32,22 +32,30 @@
 }
 
 impl PrefillSpeed {
-    /// Records that the first event came `time` after a request with `prompt` tokens was sent, with
-    /// `ahead` tokens of other requests pending before it.
-    pub fn record(&mut self, prompt: u64, ahead: u64, time: Duration) {
-        let prompt = prompt as f64;
+    /// Records that the first event came `time_to_first_event` after a request with `prompt_tokens` tokens was sent, with
+    /// `pending_tokens` tokens of other requests pending before it.
+    pub fn record(
+        &mut self,
+        prompt_tokens: u64,
+        pending_tokens: u64,
+        time_to_first_event: Duration,
+    ) {
+        let prompt_tokens = prompt_tokens as f64;
         if self.mean_prompt == 0.0 {
-            self.mean_prompt = prompt;
+            self.mean_prompt = prompt_tokens;
         }
-        self.mean_prompt += MEAN_PROMPT_SMOOTHING * (prompt - self.mean_prompt);
-        let millis = time.as_secs_f64() * 1000.0;
-        if millis <= 0.0 || prompt <= 1.0 || prompt < MIN_PROMPT_FRACTION * self.mean_prompt {
+        self.mean_prompt += MEAN_PROMPT_SMOOTHING * (prompt_tokens - self.mean_prompt);
+        let millis = time_to_first_event.as_secs_f64() * 1000.0;
+        if millis <= 0.0
+            || prompt_tokens <= 1.0
+            || prompt_tokens < MIN_PROMPT_FRACTION * self.mean_prompt
+        {
             return;
         }
         if self.samples.len() == MAX_SAMPLES {
             self.samples.pop_front();
         }
-        self.samples.push_back((prompt + ahead as f64) / millis);
+        self.samples.push_back((prompt_tokens + pending_tokens as f64) / millis);
         self.tokens_per_millisecond = (self.samples.len() >= MIN_SAMPLES).then(|| self.median());
     }
 
--- a/crates/core/src/fleet/retry_share.rs
+++ b/crates/core/src/fleet/retry_share.rs
@@ -73,7 +73,7 @@
 impl RetryShare {
     /// Creates a share with full credit, for the very first start of the whole system;
     /// [`RetryShare::default`] is for any other start.
-    pub fn unspent() -> Self {
+    pub fn with_full_credit() -> Self {
         Self { credit: f64::INFINITY, ..Self::default() }
     }
 
@@ -87,7 +87,7 @@
     /// Spends one retry and returns true, or returns false if there is no credit.
     ///
     /// `hosts` is the number of hosts that share the budget, at least one.
-    pub fn take(&mut self, policy: &RetryPolicy, hosts: u32, now: ClockMillis) -> bool {
+    pub fn try_spend(&mut self, policy: &RetryPolicy, hosts: u32, now: ClockMillis) -> bool {
         self.expire_requests(policy, now);
         let earned = policy.earned_by(std::mem::take(&mut self.uncredited_requests));
         let since = self.refilled_until.replace(now).unwrap_or(now);
--- a/crates/core/src/fleet/routes.rs
+++ b/crates/core/src/fleet/routes.rs
@@ -14,9 +14,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteKind {
     /// May run any number of times.
-    Repeatable,
+    Idempotent,
     /// May run at most once.
-    Single,
+    AtMostOnce,
     /// Answered by a stream of events.
     Stream {
         /// Whether an interrupted stream may be continued on another engine.
@@ -26,8 +26,8 @@
 
 impl RouteKind {
     /// Returns whether a request that may have run may be sent again.
-    pub const fn may_repeat(self) -> bool {
-        matches!(self, Self::Repeatable | Self::Stream { resumable: true })
+    pub const fn is_retryable(self) -> bool {
+        matches!(self, Self::Idempotent | Self::Stream { resumable: true })
     }
 
     /// Returns whether the answer is a stream of events.
--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -183,13 +183,13 @@
         if now >= end {
             break;
         }
-        let counts = u64::from(now >= start);
+        let is_counted = u64::from(now >= start);
         match event {
             Event::Sent { host, arrived, attempt } => {
                 if strategy == HostStrategy::LimitAdmission && !hosts[host].try_admit(at(now)) {
                     continue;
                 }
-                tally.sends += counts;
+                tally.sends += is_counted;
                 if server.running < load.slots {
                     server.running += 1;
                     let finish = now + service_time(&mut random);
@@ -197,7 +197,7 @@
                 } else if server.queue.len() < load.queue_capacity {
                     server.queue.push_back((host, arrived, now));
                 } else {
-                    tally.rejected += counts;
+                    tally.rejected += is_counted;
                     hosts[host].record(AdmissionSignal::ServerFull, latency_target, at(now));
                     if strategy == HostStrategy::RetryWhenFull && attempt < 6 {
                         let retrying = Event::Sent { host, arrived, attempt: attempt + 1 };
@@ -209,9 +209,9 @@
                 let delay = Duration::from_micros(now - sent);
                 hosts[host].record(AdmissionSignal::Answered(delay), latency_target, at(now));
                 if now - arrived <= load.latency_target * 1000 {
-                    tally.in_time += counts;
+                    tally.in_time += is_counted;
                 } else {
-                    tally.late += counts;
+                    tally.late += is_counted;
                 }
                 match server.queue.pop_front() {
                     Some((host, arrived, sent)) => {
--- a/crates/core/tests/fleet.rs
+++ b/crates/core/tests/fleet.rs
@@ -125,7 +125,7 @@
         name: prefix.to_owned(),
         host: host.to_owned(),
         prefix: prefix.to_owned(),
-        kind: RouteKind::Single,
+        kind: RouteKind::AtMostOnce,
         timeout: millis(1000),
         latency_target: millis(100),
         max_event_gap: None,
@@ -325,15 +325,15 @@
         hosts in 1u32..8,
         steps in proptest::collection::vec((0usize..8, 0u64..40, any::<bool>()), 1..600),
     ) {
-        let allowance = RetryPolicy { ratio: 0.2, burst: 54.0, window: millis(10_000) };
-        let mut shares = vec![RetryShare::unspent(); hosts as usize];
+        let policy = RetryPolicy { ratio: 0.2, burst: 54.0, window: millis(10_000) };
+        let mut shares = vec![RetryShare::with_full_credit(); hosts as usize];
         let (mut requests, mut retries) = (Vec::new(), Vec::new());
         let mut now = 1000;
         for (host, pause, is_retry) in steps {
             now += pause;
             let host = host % hosts as usize;
             if is_retry {
-                if shares[host].take(&allowance, hosts, at(now)) {
+                if shares[host].try_spend(&policy, hosts, at(now)) {
                     retries.push(now);
                 }
             } else {
--- a/crates/core/tests/freshness.rs
+++ b/crates/core/tests/freshness.rs
@@ -54,7 +54,7 @@
 /// A message to a host.
 #[derive(Debug, Clone, Copy)]
 enum Message {
-    ToReader { asked: ClockMillis, revoked: bool },
+    ToReader { polled_at: ClockMillis, revoked: bool },
     Clock(PeerClock),
     ToFollower { confirmed: Option<ClockMillis>, revoked: bool },
 }
@@ -86,11 +86,11 @@
 
 struct History {
     now: u64,
-    revoked: Option<u64>,
+    revoked_at: Option<u64>,
     reader: SimulatedHost,
     follower: SimulatedHost,
-    asked: Option<u64>,
-    clock_asked: Option<u64>,
+    polled_at: Option<u64>,
+    clock_requested_at: Option<u64>,
     clock: Option<PeerClock>,
     in_flight: Vec<(u64, Message)>,
 }
@@ -100,19 +100,19 @@
         match step {
             Step::Wait(time) => self.wait(*time),
             Step::Revoke => {
-                self.revoked.get_or_insert(self.now);
+                self.revoked_at.get_or_insert(self.now);
             }
-            Step::Poll => self.asked = Some(self.now),
+            Step::Poll => self.polled_at = Some(self.now),
             Step::Reply { delay } => {
-                let Some(asked) = self.asked.take() else { return };
-                let asked = self.reader.clock(asked);
-                let message = Message::ToReader { asked, revoked: self.revoked.is_some() };
+                let Some(polled_at) = self.polled_at.take() else { return };
+                let polled_at = self.reader.clock(polled_at);
+                let message = Message::ToReader { polled_at, revoked: self.revoked_at.is_some() };
                 self.in_flight.push((self.now + delay, message));
             }
-            Step::RequestClock => self.clock_asked = Some(self.now),
+            Step::RequestClock => self.clock_requested_at = Some(self.now),
             Step::ReplyClock { delay } => {
-                let Some(asked) = self.clock_asked.take() else { return };
-                let local = self.follower.clock(asked);
+                let Some(requested_at) = self.clock_requested_at.take() else { return };
+                let local = self.follower.clock(requested_at);
                 let clock = PeerClock { local, peer: self.reader.clock(self.now) };
                 self.in_flight.push((self.now + delay, Message::Clock(clock)));
             }
@@ -142,10 +142,10 @@
 
     fn deliver(&mut self, message: Message) {
         match message {
-            Message::ToReader { asked, revoked } => {
+            Message::ToReader { polled_at, revoked } => {
                 self.reader.knows_revocation |= revoked;
                 let now = self.reader.clock(self.now);
-                self.reader.freshness.confirm(asked, now);
+                self.reader.freshness.confirm(polled_at, now);
             }
             Message::Clock(clock) => self.clock = Some(clock),
             Message::ToFollower { confirmed, revoked } => {
@@ -158,10 +158,10 @@
     }
 
     fn check(&self) {
-        let Some(revoked) = self.revoked else { return };
+        let Some(revoked_at) = self.revoked_at else { return };
         for (name, host) in [("reader", &self.reader), ("follower", &self.follower)] {
             if let Some(until) = host.serves_the_key_until() {
-                let late = until.saturating_sub(revoked + 5000);
+                let late = until.saturating_sub(revoked_at + 5000);
                 assert!(late == 0, "the {name} accepts the key {late} ms beyond the bound");
             }
         }
@@ -183,11 +183,11 @@
     ) {
         let mut history = History {
             now: 20_000,
-            revoked: None,
+            revoked_at: None,
             reader: SimulatedHost::new(clock_offsets.0),
             follower: SimulatedHost::new(clock_offsets.1),
-            asked: None,
-            clock_asked: None,
+            polled_at: None,
+            clock_requested_at: None,
             clock: None,
             in_flight: Vec::new(),
         };
--- a/crates/core/tests/prefill_speed.rs
+++ b/crates/core/tests/prefill_speed.rs
@@ -35,10 +35,10 @@
     SpeedCase { name: "prompt length not declared", samples: &[(1, 0, 60)], expected: (0, 0) },
 ];
 
-fn expected(samples: &[(u64, u64, u64)]) -> PrefillSpeed {
+fn trained_speed(samples: &[(u64, u64, u64)]) -> PrefillSpeed {
     let mut speed = PrefillSpeed::default();
-    for (prompt, ahead, millis) in samples.iter().cycle().take(samples.len() * 100) {
-        speed.record(*prompt, *ahead, Duration::from_millis(*millis));
+    for (prompt, pending_tokens, millis) in samples.iter().cycle().take(samples.len() * 100) {
+        speed.record(*prompt, *pending_tokens, Duration::from_millis(*millis));
     }
     speed
 }
@@ -46,7 +46,7 @@
 #[test]
 fn the_prefill_speed_is_the_median_of_samples() {
     for case in CASES {
-        let time = expected(case.samples).time_for(10_000);
+        let time = trained_speed(case.samples).time_for(10_000);
         let (least, most) = case.expected;
         let expected = Duration::from_millis(least)..=Duration::from_millis(most);
         assert!(expected.contains(&time), "{}: {time:?}", case.name);
@@ -59,8 +59,8 @@
 fn a_wrong_first_sample_is_outweighed_within_ten_requests() {
     for first in [(600, 0, 3000), (9000, 0, 5000), (9000, 0, 5)] {
         let mut speed = PrefillSpeed::default();
-        let (prompt, ahead, millis) = first;
-        speed.record(prompt, ahead, Duration::from_millis(millis));
+        let (prompt, pending_tokens, millis) = first;
+        speed.record(prompt, pending_tokens, Duration::from_millis(millis));
         for _ in 0..10 {
             speed.record(9000, 0, Duration::from_millis(300));
         }
@@ -72,7 +72,7 @@
 
 #[test]
 fn a_slowdown_is_learned_within_sixty_requests() {
-    let mut speed = expected(&[(9000, 0, 300)]);
+    let mut speed = trained_speed(&[(9000, 0, 300)]);
     for _ in 0..60 {
         speed.record(9000, 0, Duration::from_millis(900));
     }
@@ -94,8 +94,8 @@
         additional in 0u64..100_000,
     ) {
         let mut speed = PrefillSpeed::default();
-        for (prompt, ahead, millis) in samples {
-            speed.record(prompt, ahead, Duration::from_millis(millis));
+        for (prompt, pending_tokens, millis) in samples {
+            speed.record(prompt, pending_tokens, Duration::from_millis(millis));
         }
         prop_assert!(speed.time_for(tokens) <= speed.time_for(tokens + additional));
         prop_assert!(speed.utilization_for(tokens as f64) <= speed.utilization_for((tokens + additional) as f64));
--- a/crates/core/tests/reachability.rs
+++ b/crates/core/tests/reachability.rs
@@ -126,8 +126,8 @@
 fn a_hall_backs_off_after_several_engines_time_out() {
     for case in HALL_CASES {
         let mut hall = HallReachability::default();
-        for (at, observations) in case.observations {
-            match observations {
+        for (at, observation) in case.observations {
+            match observation {
                 Observation::Timeout(engine) => {
                     let engine = Arc::from(format!("engine-{engine}"));
                     hall.record_timeout(&engine, ClockMillis::from_millis(*at));
--- a/crates/core/tests/retry_budget.rs
+++ b/crates/core/tests/retry_budget.rs
@@ -128,7 +128,7 @@
 /// host, or finds no retry credit.
 fn simulate(case: &RestartCase, seed: u64) -> BudgetLog {
     let mut random = Random(seed);
-    let mut shares = vec![RetryShare::unspent(); HOSTS];
+    let mut shares = vec![RetryShare::with_full_credit(); HOSTS];
     let hosts = u32::try_from(HOSTS).expect("a few hosts");
     let mut incarnations = [0_u32; HOSTS];
     let mut log = BudgetLog::default();
@@ -153,7 +153,9 @@
         waiting = later;
         for request in due {
             let host = request.host;
-            if incarnations[host] == request.incarnation && shares[host].take(&POLICY, hosts, at) {
+            if incarnations[host] == request.incarnation
+                && shares[host].try_spend(&POLICY, hosts, at)
+            {
                 log.retries.push(now);
                 sent.push((host, request.retries + 1));
             }
--- a/crates/core/tests/suspended.rs
+++ b/crates/core/tests/suspended.rs
@@ -86,7 +86,7 @@
     for _ in 0..100 {
         share.record_request(SUSPENDED_AT);
     }
-    let taken = (0..200).filter(|_| share.take(&policy, 5, RESUMED_AT)).count();
+    let taken = (0..200).filter(|_| share.try_spend(&policy, 5, RESUMED_AT)).count();
     assert!(taken <= 10, "{taken} retries at once");
 }
 
--- a/crates/gateway/src/entry.rs
+++ b/crates/gateway/src/entry.rs
@@ -183,7 +183,7 @@
     pub fn take_retry(&self, service: &ServiceName) -> bool {
         let allowance = &self.shared.profile.bounds.retries;
         let hosts = self.table().hosts;
-        let taken = self.retry_share(service).take(allowance, hosts, self.now());
+        let taken = self.retry_share(service).try_spend(allowance, hosts, self.now());
         let metrics = &self.shared.metrics;
         let counter = if taken { &metrics.retries } else { &metrics.retries_refused };
         counter.inc();
@@ -193,7 +193,8 @@
     /// Returns this host's share of the retry budget of a service.
     fn retry_share(&self, service: &ServiceName) -> RefMut<'_, RetryShare> {
         let first_start = self.shared.profile.first_start;
-        let new = || if first_start { RetryShare::unspent() } else { RetryShare::default() };
+        let new =
+            || if first_start { RetryShare::with_full_credit() } else { RetryShare::default() };
         RefMut::map(self.retries.borrow_mut(), |retries| {
             retries.entry(Arc::clone(service)).or_insert_with(new)
         })
--- a/crates/gateway/src/entry/attempt.rs
+++ b/crates/gateway/src/entry/attempt.rs
@@ -36,7 +36,7 @@
     /// Waits until the first byte is overdue and the request may go to another engine that could
     /// run it; takes the further send from the budgets.
     fn overdue(&self, entry: &EngineEntry) -> impl Future<Output = ()> + use<> {
-        let possible = self.route.kind.may_repeat() && self.has_other_engine();
+        let possible = self.route.kind.is_retryable() && self.has_other_engine();
         // What may have ended an engine does not run at two at a time.
         let possible = possible && self.sends_are_left() && !self.is_suspect();
         let (traffic, service) = (Rc::clone(self.traffic), Arc::clone(&self.service));
@@ -71,7 +71,7 @@
             return SendEnd::Rejected(SendRejection::LimitUsed);
         };
         self.permit_wait = None;
-        let terms = self.connect_terms(!self.route.kind.may_repeat());
+        let terms = self.connect_terms(!self.route.kind.is_retryable());
         let connecting = EnginePool::connect(&self.traffic.pool, entry, terms, now);
         let connected = tokio::select! {
             biased;
--- a/crates/gateway/src/entry/exchange.rs
+++ b/crates/gateway/src/entry/exchange.rs
@@ -349,7 +349,7 @@
                 None
             }
             SendEnd::Failed => {
-                let repeat = self.route.kind.may_repeat() && self.has_other_engine();
+                let repeat = self.route.kind.is_retryable() && self.has_other_engine();
                 if repeat && self.may_send_again() {
                     self.unreached.push(Arc::clone(&entry.name));
                     return None;
@@ -357,7 +357,7 @@
                 Some(self.answer(ENGINE_FAILED, "engine_failed").await)
             }
             SendEnd::Erred(answer, body) => {
-                let repeat = self.route.kind.may_repeat() && self.has_other_engine();
+                let repeat = self.route.kind.is_retryable() && self.has_other_engine();
                 if repeat && self.may_send_again() {
                     self.unreached.push(Arc::clone(&entry.name));
                     return None;
--- a/crates/gateway/src/entry/quarantine.rs
+++ b/crates/gateway/src/entry/quarantine.rs
@@ -55,7 +55,7 @@
         self.note(entry, EngineOutcome::Failed);
         let Some(run) = self.run.take() else { return };
         let looked_at = run_broke(self.traffic, entry, run);
-        if self.route.kind.may_repeat() && self.has_other_engine() {
+        if self.route.kind.is_retryable() && self.has_other_engine() {
             // Not known in time is as good as not ended: whoever comes next finds out.
             let _ = tokio::time::timeout(END_PATIENCE, looked_at).await;
         }
--- a/crates/gateway/tests/host/site.rs
+++ b/crates/gateway/tests/host/site.rs
@@ -139,15 +139,15 @@
 
 fn routes(revision: u64, with_late_route: bool) -> RouteTable {
     let mut routes = vec![
-        route("/safe/", RouteKind::Repeatable, "plain", 2),
-        route("/single/", RouteKind::Single, "plain", 1),
+        route("/safe/", RouteKind::Idempotent, "plain", 2),
+        route("/single/", RouteKind::AtMostOnce, "plain", 1),
         route("/stream/", RouteKind::Stream { resumable: false }, "assist", 1),
         route("/resumable/", RouteKind::Stream { resumable: true }, "assist", 2),
-        route("/safe/deeper/", RouteKind::Single, "plain", 1),
+        route("/safe/deeper/", RouteKind::AtMostOnce, "plain", 1),
     ];
-    routes.push(RouteEntry { public: true, ..route("/open/", RouteKind::Single, "plain", 1) });
+    routes.push(RouteEntry { public: true, ..route("/open/", RouteKind::AtMostOnce, "plain", 1) });
     if with_late_route {
-        routes.push(route("/late/", RouteKind::Single, "plain", 1));
+        routes.push(route("/late/", RouteKind::AtMostOnce, "plain", 1));
     }
     let hosting = ModelHosting {
         models: vec![ModelSize {
