--- a/crates/core/src/fleet/announcement.rs
+++ b/crates/core/src/fleet/announcement.rs
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Returns this, or `other` if only that one is present, or this one is absent.
+    /// Returns this if it is present, or unreadable while `other` is absent; otherwise `other`.
     #[must_use]
     pub fn or(self, other: Self) -> Self {
         match (&self, &other) {
--- a/crates/core/src/fleet/cold_start.rs
+++ b/crates/core/src/fleet/cold_start.rs
@@ -56,7 +56,7 @@
     pub latency_target: Duration,
     /// Time until the request's deadline.
     pub remaining: Duration,
-    /// Time until the adapter is expected, if the placer has published an estimate.
+    /// Expected time until the adapter is loaded or a permit is granted, if known.
     pub estimate: Option<Duration>,
     /// The first engine to become available, if all engines that could run the request are in a
     /// cooldown.
@@ -98,7 +98,7 @@
         client_wait_limit.min(self.elapsed + self.remaining).saturating_sub(REFUSAL_MARGIN)
     }
 
-    /// Returns the worth of the request if its adapter is loaded now.
+    /// Returns the worth of the request if a load of its adapter begins now.
     pub fn worth(&self) -> f64 {
         let first_event = self.elapsed + LEAST_LOAD_TIME + self.prefill_time + FIRST_EVENT_OVERHEAD;
         if self.client_retried || first_event > self.latency_target { LATE_WORTH } else { 1.0 }
--- a/crates/core/src/fleet/prefill_speed.rs
+++ b/crates/core/src/fleet/prefill_speed.rs
@@ -32,8 +32,8 @@
 }
 
 impl PrefillSpeed {
-    /// Records that the first event came `time_to_first_event` after a request with `prompt_tokens` tokens was sent, with
-    /// `pending_tokens` tokens of other requests pending before it.
+    /// Records the time to the first event of a request with `prompt_tokens`, while `pending_tokens`
+    /// of other requests were ahead of it.
     pub fn record(
         &mut self,
         prompt_tokens: u64,
