--- a/crates/core/src/fleet/cooldown.rs
+++ b/crates/core/src/fleet/cooldown.rs
@@ -19,7 +19,7 @@
 const RECOVERY_ALLOWANCE: usize = 32;
 
 /// Time without requests to an engine after which its restriction ends.
-const IDLE_RECOVERY_TIME: Duration = Duration::from_secs(10);
+const MAX_RECOVERY_TIME: Duration = Duration::from_secs(10);
 
 /// Time after which a probe without a response no longer counts.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
@@ -198,14 +198,14 @@
     }
 
     /// Removes engines whose cooldown is over if that incarnation is no longer listed, or got no
-    /// requests for `IDLE_RECOVERY_TIME`. `listed` returns the listed incarnation of an engine.
+    /// requests for `MAX_RECOVERY_TIME`. `listed` returns the listed incarnation of an engine.
     pub fn retain(&mut self, listed: impl Fn(&str) -> Option<EngineIncarnation>, now: ClockMillis) {
         let is_over = |engine: &str, entry: &EngineCooldown| {
             let is_unlisted = || {
                 listed(engine)
                     .is_none_or(|incarnation| !is_same_incarnation(entry.incarnation, incarnation))
             };
-            now >= entry.until && (is_unlisted() || now.since(entry.until) >= IDLE_RECOVERY_TIME)
+            now >= entry.until && (is_unlisted() || now.since(entry.until) >= MAX_RECOVERY_TIME)
         };
         let removed = self.engines.iter().filter(|(engine, entry)| is_over(engine, entry));
         let removed: Vec<EngineName> = removed.map(|(engine, _)| Arc::clone(engine)).collect();
--- a/crates/core/tests/cooldown.rs
+++ b/crates/core/tests/cooldown.rs
@@ -145,7 +145,7 @@
 
 /// Five accepted requests in a row end the restriction, and so does a time without requests.
 #[test]
-fn a_restriction_ends_with_accepted_requests_or_silence() {
+fn a_restriction_ends_with_accepted_requests_or_time() {
     let mut table = CooldownTable::default();
     table.record_cooldown(&engine(), 1, cooldown(1000), at(0));
     for probe in 0..5 {
