--- a/crates/core/src/fleet/cooldown.rs
+++ b/crates/core/src/fleet/cooldown.rs
@@ -18,7 +18,7 @@
 /// Allowance from which on an engine is no longer restricted.
 const RECOVERY_ALLOWANCE: usize = 32;
 
-/// Time without requests to an engine after which its restriction ends.
+/// Time after the end of a cooldown at which the restriction ends in any case.
 const MAX_RECOVERY_TIME: Duration = Duration::from_secs(10);
 
 /// Time after which a probe without a response no longer counts.
@@ -197,8 +197,8 @@
         Some(entry.until.since(now) + step)
     }
 
-    /// Removes engines whose cooldown is over if that incarnation is no longer listed, or got no
-    /// requests for `MAX_RECOVERY_TIME`. `listed` returns the listed incarnation of an engine.
+    /// Removes engines whose cooldown is over if that incarnation is no longer listed, or after
+    /// `MAX_RECOVERY_TIME`. `listed` returns the listed incarnation of an engine.
     pub fn retain(&mut self, listed: impl Fn(&str) -> Option<EngineIncarnation>, now: ClockMillis) {
         let is_over = |engine: &str, entry: &EngineCooldown| {
             let is_unlisted = || {
--- a/crates/core/tests/cooldown.rs
+++ b/crates/core/tests/cooldown.rs
@@ -143,7 +143,7 @@
     }
 }
 
-/// Five accepted requests in a row end the restriction, and so does a time without requests.
+/// Five accepted requests in a row end the restriction, and so does enough time.
 #[test]
 fn a_restriction_ends_with_accepted_requests_or_time() {
     let mut table = CooldownTable::default();
