--- a/crates/core/src/fleet/cooldown.rs
+++ b/crates/core/src/fleet/cooldown.rs
@@ -1,7 +1,8 @@
-//! Engines that have asked this host for a cooldown, and how their requests resume afterwards.
+//! Cooldowns that engines have requested from this host, and the gradual recovery afterwards.
 //!
-//! A cooldown is between one host and one incarnation of an engine. Afterwards one request probes the engine, and each
-//! request that it accepts doubles those that the host may send before the engine responds.
+//! A cooldown applies to one host and one incarnation of an engine. After it, a single request
+//! probes the engine; each accepted request doubles the number of requests that may be sent before
+//! the engine responds.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -11,86 +12,94 @@
 
 use crate::{
     clock::ClockMillis,
-    fleet::{EngineBirth, EngineName, announcement::Cooldown, is_same_incarnation},
+    fleet::{EngineIncarnation, EngineName, announcement::Cooldown, is_same_incarnation},
 };
 
-/// From how many probes at a time on an engine is no longer restricted.
-const RECOVERED_PROBES: usize = 32;
+/// Allowance from which on an engine is no longer restricted.
+const RECOVERY_ALLOWANCE: usize = 32;
 
-/// How long an engine is restricted after a cooldown that this host sends nothing.
-const RECOVERY_RETENTION: Duration = Duration::from_secs(10);
+/// Time after the end of a cooldown at which the restriction ends in any case.
+const MAX_RECOVERY_TIME: Duration = Duration::from_secs(10);
 
-/// How long a probe without a response keeps others back.
-const PROBE_PATIENCE: Duration = Duration::from_secs(1);
+/// Time after which a probe without a response no longer counts.
+const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long a probe is expected to take until its response begins.
-const PROBE_TIME: Duration = Duration::from_millis(300);
+/// Expected time until the response to a probe begins.
+const EXPECTED_PROBE_TIME: Duration = Duration::from_millis(300);
 
-/// The step between the retry times given to clients after one cooldown, and the number of steps before they begin again.
-const RETURN_STEP: Duration = Duration::from_millis(25);
-const RETURN_STEPS: u32 = 40;
+/// Step between the retry times of clients after one cooldown, and the number of steps before they
+/// start over; spreads the clients' retries.
+const RETRY_AFTER_STEP: Duration = Duration::from_millis(25);
+const RETRY_AFTER_STEPS: u32 = 40;
 
-/// Whether a request may go to an engine as far as its cooldowns go.
+/// Whether an engine's cooldown permits a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CooldownStanding {
-    /// It may.
-    Open,
-    /// It may not; the engine is expected to take requests again after this time.
-    Closed(Duration),
+pub enum CooldownState {
+    /// A request may be sent.
+    Available,
+    /// No request may be sent; the engine is expected to accept requests after this time.
+    Unavailable(Duration),
 }
 
-/// A change worth a log line.
+/// A change to be logged.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CooldownEvent {
-    /// An engine asked for a cooldown while it had none.
+    /// An unrestricted engine requested a cooldown.
     Began {
         /// The engine.
         engine: EngineName,
-        /// Its incarnation.
-        born: EngineBirth,
-        /// The length.
-        time: Duration,
+        /// The engine's incarnation.
+        incarnation: EngineIncarnation,
+        /// Length of the cooldown.
+        duration: Duration,
     },
-    /// The engine takes requests without restriction again, or has ended.
+    /// The engine is unrestricted again, or has ended.
     Ended {
         /// The engine.
         engine: EngineName,
-        /// How often it asked for a cooldown since the first.
+        /// Number of cooldowns that it requested since it was last unrestricted.
         requests: u32,
     },
 }
 
 #[derive(Debug, Clone)]
 struct EngineCooldown {
-    born: EngineBirth,
+    incarnation: EngineIncarnation,
     until: ClockMillis,
-    /// Requests that may be sent before the engine responds, once the cooldown is over.
+    /// Number of requests that may await a response once the cooldown is over.
     allowance: usize,
-    /// When the requests were sent that it has not responded to.
+    /// Send times of the requests that await a response.
     probes: VecDeque<ClockMillis>,
-    /// How often it was asked for since the engine last took requests without restriction.
-    requests: u32,
-    /// How many clients were given a retry time after it.
-    returns: u32,
+    /// Number of cooldowns requested since the engine was last unrestricted.
+    cooldown_requests: u32,
+    /// Number of retry times given to clients since the cooldown began.
+    retry_times_issued: u32,
 }
 
 impl EngineCooldown {
-    const fn new(born: EngineBirth, now: ClockMillis) -> Self {
+    const fn new(incarnation: EngineIncarnation, now: ClockMillis) -> Self {
         let probes = VecDeque::new();
-        Self { born, until: now, allowance: 1, probes, requests: 0, returns: 0 }
+        Self {
+            incarnation,
+            until: now,
+            allowance: 1,
+            probes,
+            cooldown_requests: 0,
+            retry_times_issued: 0,
+        }
     }
 
-    /// Returns after what time the engine is expected to take requests, if it takes none now.
-    fn closed_for(&self, now: ClockMillis) -> Option<Duration> {
+    /// Returns the time until the engine is expected to accept requests, if none may be sent now.
+    fn unavailable_for(&self, now: ClockMillis) -> Option<Duration> {
         if now < self.until {
             return Some(self.until.since(now));
         }
-        let pending = self.probes.iter().filter(|sent| now.since(**sent) < PROBE_PATIENCE);
-        (pending.count() >= self.allowance).then_some(PROBE_TIME)
+        let pending = self.probes.iter().filter(|sent| now.since(**sent) < PROBE_TIMEOUT);
+        (pending.count() >= self.allowance).then_some(EXPECTED_PROBE_TIME)
     }
 }
 
-/// The cooldowns that engines have asked one host for.
+/// The cooldowns of the engines that one host sends to.
 #[derive(Debug, Clone, Default)]
 pub struct CooldownTable {
     engines: HashMap<EngineName, EngineCooldown>,
@@ -98,109 +107,121 @@
 }
 
 impl CooldownTable {
-    /// Takes that an incarnation of an engine asked this host for a cooldown; the later end counts.
-    pub fn requested(
+    /// Records that an engine requested a cooldown. Overlapping cooldowns last until the later end.
+    pub fn record_cooldown(
         &mut self,
         engine: &EngineName,
-        born: EngineBirth,
+        incarnation: EngineIncarnation,
         cooldown: Cooldown,
         now: ClockMillis,
     ) {
-        let new = || EngineCooldown::new(born, now);
-        let known = self.engines.entry(Arc::clone(engine)).or_insert_with(new);
-        if !is_same_incarnation(known.born, born) {
-            *known = new();
+        let new = || EngineCooldown::new(incarnation, now);
+        let entry = self.engines.entry(Arc::clone(engine)).or_insert_with(new);
+        if !is_same_incarnation(entry.incarnation, incarnation) {
+            *entry = new();
         }
-        if known.requests == 0 {
-            let (engine, time) = (Arc::clone(engine), cooldown.time());
-            self.events.push(CooldownEvent::Began { engine, born, time });
+        if entry.cooldown_requests == 0 {
+            let (engine, duration) = (Arc::clone(engine), cooldown.duration());
+            self.events.push(CooldownEvent::Began { engine, incarnation, duration });
         }
-        if now >= known.until {
-            known.returns = 0;
+        if now >= entry.until {
+            entry.retry_times_issued = 0;
         }
-        known.until = known.until.max(now + cooldown.time());
-        known.allowance = 1;
-        known.probes.clear();
-        known.requests += 1;
+        entry.until = entry.until.max(now + cooldown.duration());
+        entry.allowance = 1;
+        entry.probes.clear();
+        entry.cooldown_requests += 1;
     }
 
-    /// Returns whether a request may go to an engine.
-    pub fn standing(&self, engine: &str, born: EngineBirth, now: ClockMillis) -> CooldownStanding {
-        let known = self.engines.get(engine).filter(|known| is_same_incarnation(known.born, born));
-        let closed = known.and_then(|known| known.closed_for(now));
-        closed.map_or(CooldownStanding::Open, CooldownStanding::Closed)
+    /// Returns whether a request may be sent to an engine.
+    pub fn state(
+        &self,
+        engine: &str,
+        incarnation: EngineIncarnation,
+        now: ClockMillis,
+    ) -> CooldownState {
+        let entry = self
+            .engines
+            .get(engine)
+            .filter(|entry| is_same_incarnation(entry.incarnation, incarnation));
+        let unavailable = entry.and_then(|entry| entry.unavailable_for(now));
+        unavailable.map_or(CooldownState::Available, CooldownState::Unavailable)
     }
 
-    /// Takes that a request is sent to an engine.
-    pub fn sent(&mut self, engine: &str, born: EngineBirth, now: ClockMillis) {
-        if let Some(known) = self.engines.get_mut(engine)
-            && is_same_incarnation(known.born, born)
+    /// Records that a request is sent to an engine.
+    pub fn record_sent(&mut self, engine: &str, incarnation: EngineIncarnation, now: ClockMillis) {
+        if let Some(entry) = self.engines.get_mut(engine)
+            && is_same_incarnation(entry.incarnation, incarnation)
         {
-            known.probes.retain(|sent| now.since(*sent) < PROBE_PATIENCE);
-            known.probes.push_back(now);
+            entry.probes.retain(|sent| now.since(*sent) < PROBE_TIMEOUT);
+            entry.probes.push_back(now);
         }
     }
 
-    /// Takes that an engine has responded to a request that was sent at `sent`, and whether it accepted it; one that was
-    /// sent before the end of the cooldown changes nothing. Returns whether more requests may go there.
-    pub fn responded(
+    /// Records the response to a request that was sent at `sent`, and returns whether more requests
+    /// may be sent. The response to a request sent before the end of the cooldown is ignored.
+    pub fn record_response(
         &mut self,
         engine: &str,
-        born: EngineBirth,
+        incarnation: EngineIncarnation,
         sent: ClockMillis,
         accepted: bool,
     ) -> bool {
-        let Some(known) = self.engines.get_mut(engine) else { return false };
-        if !is_same_incarnation(known.born, born) || sent < known.until {
+        let Some(entry) = self.engines.get_mut(engine) else { return false };
+        if !is_same_incarnation(entry.incarnation, incarnation) || sent < entry.until {
             return false;
         }
-        known.probes.pop_front();
+        entry.probes.pop_front();
         if accepted {
-            known.allowance *= 2;
+            entry.allowance *= 2;
         }
-        if known.allowance >= RECOVERED_PROBES {
-            self.end(engine);
+        if entry.allowance >= RECOVERY_ALLOWANCE {
+            self.remove(engine);
         }
         true
     }
 
-    /// Returns the engines that take no requests now.
-    pub fn closed(&self, now: ClockMillis) -> impl Iterator<Item = &EngineName> {
-        let closed = self.engines.iter().filter(move |(_, known)| known.closed_for(now).is_some());
-        closed.map(|(engine, _)| engine)
+    /// Returns the engines to which no request may be sent.
+    pub fn unavailable_engines(&self, now: ClockMillis) -> impl Iterator<Item = &EngineName> {
+        let unavailable =
+            self.engines.iter().filter(move |(_, entry)| entry.unavailable_for(now).is_some());
+        unavailable.map(|(engine, _)| engine)
     }
 
-    /// Returns the retry time for the next rejected client: after the cooldown of its engine, each a step later than the one
-    /// before.
-    pub fn return_time(&mut self, engine: &str, now: ClockMillis) -> Option<Duration> {
-        let known = self.engines.get_mut(engine)?;
-        let step = RETURN_STEP * (known.returns % RETURN_STEPS);
-        known.returns += 1;
-        Some(known.until.since(now) + step)
+    /// Returns the retry time for the next refused client: the end of the engine's cooldown, plus a
+    /// step for each client before it.
+    pub fn next_retry_after(&mut self, engine: &str, now: ClockMillis) -> Option<Duration> {
+        let entry = self.engines.get_mut(engine)?;
+        let step = RETRY_AFTER_STEP * (entry.retry_times_issued % RETRY_AFTER_STEPS);
+        entry.retry_times_issued += 1;
+        Some(entry.until.since(now) + step)
     }
 
-    /// Forgets engines whose cooldown is over and that are no longer listed in that incarnation, or were sent nothing for long
-    /// since; `listed` returns the incarnation that is listed.
-    pub fn retain(&mut self, listed: impl Fn(&str) -> Option<EngineBirth>, now: ClockMillis) {
-        let over = |engine: &str, known: &EngineCooldown| {
-            let ended = || listed(engine).is_none_or(|born| !is_same_incarnation(known.born, born));
-            now >= known.until && (ended() || now.since(known.until) >= RECOVERY_RETENTION)
+    /// Removes engines whose cooldown is over if that incarnation is no longer listed, or after
+    /// `MAX_RECOVERY_TIME`. `listed` returns the listed incarnation of an engine.
+    pub fn retain(&mut self, listed: impl Fn(&str) -> Option<EngineIncarnation>, now: ClockMillis) {
+        let is_over = |engine: &str, entry: &EngineCooldown| {
+            let is_unlisted = || {
+                listed(engine)
+                    .is_none_or(|incarnation| !is_same_incarnation(entry.incarnation, incarnation))
+            };
+            now >= entry.until && (is_unlisted() || now.since(entry.until) >= MAX_RECOVERY_TIME)
         };
-        let known = self.engines.iter().filter(|(engine, known)| over(engine, known));
-        let ended: Vec<EngineName> = known.map(|(engine, _)| Arc::clone(engine)).collect();
-        for engine in ended {
-            self.end(&engine);
+        let removed = self.engines.iter().filter(|(engine, entry)| is_over(engine, entry));
+        let removed: Vec<EngineName> = removed.map(|(engine, _)| Arc::clone(engine)).collect();
+        for engine in removed {
+            self.remove(&engine);
         }
     }
 
-    /// Returns what is to be logged since the last call.
+    /// Returns the events since the last call.
     pub fn take_events(&mut self) -> Vec<CooldownEvent> {
         std::mem::take(&mut self.events)
     }
 
-    fn end(&mut self, engine: &str) {
-        if let Some((engine, known)) = self.engines.remove_entry(engine) {
-            self.events.push(CooldownEvent::Ended { engine, requests: known.requests });
+    fn remove(&mut self, engine: &str) {
+        if let Some((engine, entry)) = self.engines.remove_entry(engine) {
+            self.events.push(CooldownEvent::Ended { engine, requests: entry.cooldown_requests });
         }
     }
 }
--- a/crates/core/tests/departures.rs
+++ b/crates/core/tests/departures.rs
@@ -1,4 +1,4 @@
-//! Departures of engines, as registries of several hosts and a changing coordinator spread them.
+//! Propagation of departures between the registries of several hosts and a changing coordinator.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -6,7 +6,7 @@
 use reelreel_core::{
     ClockMillis,
     fleet::{
-        EngineBirth, EngineName,
+        EngineIncarnation, EngineName,
         departures::{DepartureRegistry, DepartureReport},
     },
 };
@@ -14,20 +14,20 @@
 const HOSTS: usize = 4;
 const ENGINES: usize = 3;
 
-/// What happens between two rounds of reports.
+/// An event in the cluster.
 #[derive(Debug, Clone, Copy)]
 enum Step {
-    /// A response to a host announces that an engine leaves.
+    /// A response to a host announces that an engine is leaving.
     Announce { host: usize, engine: usize },
-    /// An engine ends and starts again under the same name.
+    /// An engine restarts under the same name.
     Restart { engine: usize },
-    /// A host ends and starts again, knowing nothing.
+    /// A host restarts and loses its state.
     RestartHost { host: usize },
     /// Another host becomes the coordinator.
-    Coordinate { host: usize },
-    /// Reports between a host and the coordinator are lost, or arrive again.
-    Cut { host: usize, cut: bool },
-    /// Reports travel.
+    ChangeCoordinator { host: usize },
+    /// The connection between a host and the coordinator fails or is restored.
+    SetConnection { host: usize, disconnected: bool },
+    /// Hosts exchange reports with the coordinator.
     Exchange,
 }
 
@@ -37,8 +37,9 @@
         (host.clone(), engine.clone()).prop_map(|(host, engine)| Step::Announce { host, engine }),
         engine.prop_map(|engine| Step::Restart { engine }),
         host.clone().prop_map(|host| Step::RestartHost { host }),
-        host.clone().prop_map(|host| Step::Coordinate { host }),
-        (host, any::<bool>()).prop_map(|(host, cut)| Step::Cut { host, cut }),
+        host.clone().prop_map(|host| Step::ChangeCoordinator { host }),
+        (host, any::<bool>())
+            .prop_map(|(host, disconnected)| Step::SetConnection { host, disconnected }),
         Just(Step::Exchange),
         Just(Step::Exchange),
     ]
@@ -49,65 +50,65 @@
 }
 
 /// Hosts with their registries.
-struct World {
+struct Cluster {
     now: ClockMillis,
     hosts: Vec<DepartureRegistry>,
-    cut: [bool; HOSTS],
+    disconnected: [bool; HOSTS],
     coordinator: usize,
-    births: [EngineBirth; ENGINES],
-    /// Which hosts know by a response that the present incarnation leaves.
-    told: HashMap<(usize, usize), EngineBirth>,
+    incarnations: [EngineIncarnation; ENGINES],
+    /// Hosts that received an announcement in a response, with the incarnation that is leaving.
+    announced_to: HashMap<(usize, usize), EngineIncarnation>,
 }
 
-impl World {
+impl Cluster {
     fn new() -> Self {
         Self {
             now: ClockMillis::from_millis(3_600_000),
             hosts: vec![DepartureRegistry::default(); HOSTS],
-            cut: [false; HOSTS],
+            disconnected: [false; HOSTS],
             coordinator: 0,
-            births: [1; ENGINES],
-            told: HashMap::new(),
+            incarnations: [1; ENGINES],
+            announced_to: HashMap::new(),
         }
     }
 
-    fn play(&mut self, step: Step) {
+    fn apply(&mut self, step: Step) {
         self.now = self.now + Duration::from_millis(40);
         match step {
             Step::Announce { host, engine } => {
-                let born = self.births[engine];
-                self.hosts[host].announced(&name(engine), born, self.now);
-                self.told.insert((host, engine), born);
+                let incarnation = self.incarnations[engine];
+                self.hosts[host].record_announced(&name(engine), incarnation, self.now);
+                self.announced_to.insert((host, engine), incarnation);
             }
-            Step::Restart { engine } => self.births[engine] += 1,
+            Step::Restart { engine } => self.incarnations[engine] += 1,
             Step::RestartHost { host } => {
                 self.hosts[host] = DepartureRegistry::default();
-                self.told.retain(|(told, _), _| *told != host);
+                self.announced_to.retain(|(informed_host, _), _| *informed_host != host);
                 self.subscribe(host);
                 if host == self.coordinator {
-                    self.begin(host);
+                    self.set_coordinator(host);
                 }
             }
-            Step::Coordinate { host } => self.begin(host),
-            Step::Cut { host, cut } => {
-                self.cut[host] = cut;
-                if !cut {
+            Step::ChangeCoordinator { host } => self.set_coordinator(host),
+            Step::SetConnection { host, disconnected } => {
+                self.disconnected[host] = disconnected;
+                if !disconnected {
                     self.subscribe(host);
                 }
             }
             Step::Exchange => self.exchange(),
         }
-        let (births, now) = (self.births, self.now);
+        let (incarnations, now) = (self.incarnations, self.now);
         for host in &mut self.hosts {
             let listed = |engine: &str| {
-                let place = engine.strip_prefix("engine-")?.parse::<usize>().ok()?;
-                births.get(place).copied()
+                let index = engine.strip_prefix("engine-")?.parse::<usize>().ok()?;
+                incarnations.get(index).copied()
             };
             host.retain(listed, now);
         }
     }
 
-    fn begin(&mut self, coordinator: usize) {
+    fn set_coordinator(&mut self, coordinator: usize) {
         self.coordinator = coordinator;
         self.hosts.iter_mut().for_each(DepartureRegistry::resend_all);
         for host in 0..HOSTS {
@@ -115,9 +116,9 @@
         }
     }
 
-    /// Begins the connection of a host to the coordinator, as far as it is reached.
+    /// Connects a host to the coordinator, if it is reachable.
     fn subscribe(&mut self, host: usize) {
-        if !self.is_reached(host) {
+        if !self.is_connected(host) {
             return;
         }
         let snapshot = self.hosts[self.coordinator].snapshot(self.now);
@@ -125,14 +126,14 @@
         self.hosts[host].resend_all();
     }
 
-    fn is_reached(&self, host: usize) -> bool {
-        !self.cut[host] && !self.cut[self.coordinator]
+    fn is_connected(&self, host: usize) -> bool {
+        !self.disconnected[host] && !self.disconnected[self.coordinator]
     }
 
     fn exchange(&mut self) {
         for host in 0..HOSTS {
             let reports = self.hosts[host].take_pending(self.now);
-            if self.is_reached(host) {
+            if self.is_connected(host) {
                 self.hosts[self.coordinator].receive(&reports, self.now);
             } else {
                 self.hosts[host].resend(&reports);
@@ -141,45 +142,54 @@
         let published: Vec<DepartureReport> =
             self.hosts[self.coordinator].take_unpublished(self.now);
         for host in 0..HOSTS {
-            if self.is_reached(host) {
+            if self.is_connected(host) {
                 self.hosts[host].receive(&published, self.now);
             }
         }
     }
 
     fn knows(&self, host: usize, engine: usize) -> bool {
-        self.hosts[host].is_departing(&name(engine), self.births[engine])
+        self.hosts[host].is_departing(&name(engine), self.incarnations[engine])
     }
 
-    /// A host that was told never forgets while that incarnation lives, and no host takes an incarnation to leave that has
-    /// announced nothing.
+    /// A host that received an announcement must not forget it during that incarnation, and no host
+    /// may consider an incarnation leaving that announced nothing.
     fn check(&self) {
         for engine in 0..ENGINES {
-            let announced = self.ever_announced(engine);
+            let announced = self.is_announced(engine);
             for host in 0..HOSTS {
-                let told = self.told.get(&(host, engine)) == Some(&self.births[engine]);
-                assert!(!told || self.knows(host, engine), "host {host} forgot engine {engine}");
-                assert!(announced || !self.knows(host, engine), "engine {engine} leaves nowhere");
+                let is_informed =
+                    self.announced_to.get(&(host, engine)) == Some(&self.incarnations[engine]);
+                assert!(
+                    !is_informed || self.knows(host, engine),
+                    "host {host} forgot engine {engine}"
+                );
+                assert!(
+                    announced || !self.knows(host, engine),
+                    "host {host} considers engine {engine} leaving without an announcement"
+                );
             }
         }
     }
 
-    fn ever_announced(&self, engine: usize) -> bool {
-        let born = self.births[engine];
-        (0..HOSTS).any(|host| self.hosts[host].announced_here(&name(engine), born))
-            || self.told.iter().any(|((_, told), at)| *told == engine && *at == born)
+    fn is_announced(&self, engine: usize) -> bool {
+        let incarnation = self.incarnations[engine];
+        (0..HOSTS).any(|host| self.hosts[host].has_announcement(&name(engine), incarnation))
+            || self.announced_to.iter().any(|((_, announced_engine), known)| {
+                *announced_engine == engine && *known == incarnation
+            })
     }
 }
 
-trait AnnouncedHere {
-    fn announced_here(&self, engine: &EngineName, born: EngineBirth) -> bool;
+trait HasAnnouncement {
+    fn has_announcement(&self, engine: &EngineName, incarnation: EngineIncarnation) -> bool;
 }
 
-impl AnnouncedHere for DepartureRegistry {
-    fn announced_here(&self, engine: &EngineName, born: EngineBirth) -> bool {
+impl HasAnnouncement for DepartureRegistry {
+    fn has_announcement(&self, engine: &EngineName, incarnation: EngineIncarnation) -> bool {
         let mut copy = self.clone();
         let reports = copy.snapshot(ClockMillis::default());
-        reports.iter().any(|report| report.engine == *engine && report.born == born)
+        reports.iter().any(|report| report.engine == *engine && report.incarnation == incarnation)
     }
 }
 
@@ -190,20 +200,20 @@
     fn no_history_loses_a_departure_and_all_hosts_learn_it(
         steps in proptest::collection::vec(step(), 1..60),
     ) {
-        let mut world = World::new();
+        let mut cluster = Cluster::new();
         for step in steps {
-            world.play(step);
-            world.check();
+            cluster.apply(step);
+            cluster.check();
         }
         for host in 0..HOSTS {
-            world.play(Step::Cut { host, cut: false });
+            cluster.apply(Step::SetConnection { host, disconnected: false });
         }
-        world.play(Step::Exchange);
-        world.play(Step::Exchange);
-        world.check();
+        cluster.apply(Step::Exchange);
+        cluster.apply(Step::Exchange);
+        cluster.check();
         for engine in 0..ENGINES {
-            let known = (0..HOSTS).filter(|host| world.knows(*host, engine)).count();
-            prop_assert!(known == 0 || known == HOSTS, "{known} hosts know of engine {engine}");
+            let informed = (0..HOSTS).filter(|host| cluster.knows(*host, engine)).count();
+            prop_assert!(informed == 0 || informed == HOSTS, "{informed} hosts know of engine {engine}");
         }
     }
 }
@@ -211,44 +221,44 @@
 #[test]
 fn a_departure_belongs_to_one_incarnation() {
     struct Case {
-        announced: EngineBirth,
-        asked: EngineBirth,
+        announced: EngineIncarnation,
+        queried: EngineIncarnation,
         departing: bool,
     }
     let cases = [
-        Case { announced: 5, asked: 5, departing: true },
-        Case { announced: 5, asked: 6, departing: false },
-        Case { announced: 5, asked: 4, departing: false },
-        // An engine that does not say when it began has another name in each incarnation.
-        Case { announced: 0, asked: 6, departing: true },
-        Case { announced: 5, asked: 0, departing: true },
+        Case { announced: 5, queried: 5, departing: true },
+        Case { announced: 5, queried: 6, departing: false },
+        Case { announced: 5, queried: 4, departing: false },
+        // An engine that does not report its start time has a different name in each incarnation.
+        Case { announced: 0, queried: 6, departing: true },
+        Case { announced: 5, queried: 0, departing: true },
     ];
     for case in cases {
         let mut registry = DepartureRegistry::default();
-        registry.announced(&name(0), case.announced, ClockMillis::from_millis(1));
-        let departing = registry.is_departing("engine-0", case.asked);
-        assert_eq!(departing, case.departing, "{} {}", case.announced, case.asked);
+        registry.record_announced(&name(0), case.announced, ClockMillis::from_millis(1));
+        let departing = registry.is_departing("engine-0", case.queried);
+        assert_eq!(departing, case.departing, "{} {}", case.announced, case.queried);
         assert!(!registry.is_departing("engine-1", case.announced));
     }
 }
 
-/// A departure is reported once, and again to another coordinator.
+/// A departure must be reported once to each coordinator.
 #[test]
 fn a_departure_is_reported_once_to_each_coordinator() {
     let now = ClockMillis::from_millis(1000);
     let mut registry = DepartureRegistry::default();
-    registry.announced(&name(0), 5, now);
-    registry.announced(&name(0), 5, now + Duration::from_millis(20));
-    registry.listed(&name(1), 5, now);
+    registry.record_announced(&name(0), 5, now);
+    registry.record_announced(&name(0), 5, now + Duration::from_millis(20));
+    registry.record_listed(&name(1), 5, now);
     let later = now + Duration::from_millis(50);
     let reports = registry.take_pending(later);
     let age = Duration::from_millis(50);
-    assert_eq!(reports, [DepartureReport { engine: name(0), born: 5, age }]);
+    assert_eq!(reports, [DepartureReport { engine: name(0), incarnation: 5, age }]);
     assert!(registry.take_pending(later).is_empty());
     registry.resend(&reports);
     assert_eq!(registry.take_pending(later), reports);
     registry.resend_all();
     assert_eq!(registry.take_pending(later), reports);
-    // What the entry shows is read by all hosts, and new subscribers may not have read it yet.
+    // Listed departures are included, since a new subscriber may not have read the entry yet.
     assert_eq!(registry.snapshot(later).len(), 2);
 }
