--- a/crates/core/src/fleet/limits/engine_share.rs
+++ b/crates/core/src/fleet/limits/engine_share.rs
@@ -5,7 +5,7 @@
 use crate::{
     clock::ClockMillis,
     fleet::{
-        EngineBirth, EngineName, is_same_incarnation,
+        EngineIncarnation, EngineName, is_same_incarnation,
         limits::{
             bucket::TokenBucket,
             limit::RequestLimit,
@@ -27,7 +27,7 @@
 /// One host's view of one engine's limit.
 #[derive(Debug, Clone)]
 pub(super) struct EngineShare {
-    pub(super) born: EngineBirth,
+    pub(super) born: EngineIncarnation,
     /// The last declared limit.
     pub(super) limit: RequestLimit,
     /// Whether the engine has responded without a limit since.
@@ -61,7 +61,11 @@
 }
 
 impl EngineShare {
-    pub(super) fn new(born: EngineBirth, limit: RequestLimit, responded_at: ClockMillis) -> Self {
+    pub(super) fn new(
+        born: EngineIncarnation,
+        limit: RequestLimit,
+        responded_at: ClockMillis,
+    ) -> Self {
         Self {
             born,
             limit,
@@ -85,14 +89,14 @@
         }
     }
 
-    pub(super) const fn is_incarnation(&self, born: EngineBirth) -> bool {
+    pub(super) const fn is_incarnation(&self, born: EngineIncarnation) -> bool {
         is_same_incarnation(self.born, born)
     }
 
     /// Replaces the state of an earlier incarnation; waiting requests keep waiting.
     pub(super) fn begin_incarnation(
         &mut self,
-        born: EngineBirth,
+        born: EngineIncarnation,
         limit: RequestLimit,
         responded_at: ClockMillis,
     ) {
--- a/crates/core/src/fleet/limits/events.rs
+++ b/crates/core/src/fleet/limits/events.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     clock::ClockMillis,
-    fleet::{EngineBirth, EngineName, limits::limit::RequestLimit},
+    fleet::{EngineIncarnation, EngineName, limits::limit::RequestLimit},
 };
 
 /// The least time between two log lines on one engine, which may declare another limit in each response.
@@ -18,7 +18,7 @@
         /// The engine.
         engine: EngineName,
         /// The incarnation that declares it.
-        born: EngineBirth,
+        born: EngineIncarnation,
         /// The limit.
         limit: RequestLimit,
         /// The limit that was logged before, if it was still in force.
@@ -63,7 +63,7 @@
     /// Returns the events to log now, given the current limits.
     pub fn take<'engine>(
         &mut self,
-        limits: impl Iterator<Item = (&'engine EngineName, EngineBirth, RequestLimit)>,
+        limits: impl Iterator<Item = (&'engine EngineName, EngineIncarnation, RequestLimit)>,
         now: ClockMillis,
     ) -> Vec<LimitEvent> {
         let mut events = Vec::new();
--- a/crates/core/src/fleet/limits/ledger.rs
+++ b/crates/core/src/fleet/limits/ledger.rs
@@ -13,7 +13,7 @@
 use crate::{
     clock::ClockMillis,
     fleet::{
-        EngineBirth, EngineName, is_same_incarnation,
+        EngineIncarnation, EngineName, is_same_incarnation,
         limits::{
             bucket::TokenBucket,
             limit::RequestLimit,
@@ -81,7 +81,7 @@
 /// The account of one engine that declares a limit.
 #[derive(Debug, Clone)]
 struct LimitAccount {
-    born: EngineBirth,
+    born: EngineIncarnation,
     limit: RequestLimit,
     /// When the response that last declared the limit or its end began.
     responded_at: ClockMillis,
@@ -115,7 +115,7 @@
         }
     }
 
-    const fn is_incarnation(&self, born: EngineBirth) -> bool {
+    const fn is_incarnation(&self, born: EngineIncarnation) -> bool {
         is_same_incarnation(self.born, born)
     }
 
@@ -358,7 +358,7 @@
     }
 
     /// Drops engines that are no longer listed in that incarnation; `incarnation_of` returns the listed one.
-    pub fn retain(&mut self, incarnation_of: impl Fn(&str) -> Option<EngineBirth>) {
+    pub fn retain(&mut self, incarnation_of: impl Fn(&str) -> Option<EngineIncarnation>) {
         self.accounts.retain(|engine, account| {
             incarnation_of(engine).is_some_and(|born| account.is_incarnation(born))
         });
--- a/crates/core/src/fleet/limits/share.rs
+++ b/crates/core/src/fleet/limits/share.rs
@@ -5,7 +5,7 @@
 use crate::{
     clock::ClockMillis,
     fleet::{
-        EngineBirth, EngineName,
+        EngineIncarnation, EngineName,
         announcement::Declared,
         limits::{
             bucket::TokenBucket,
@@ -78,7 +78,7 @@
     pub fn receive_declaration(
         &mut self,
         engine: &EngineName,
-        born: EngineBirth,
+        born: EngineIncarnation,
         declaration: LimitDeclaration,
         now: ClockMillis,
     ) -> bool {
@@ -137,7 +137,7 @@
     }
 
     /// Drops engines that are no longer listed in that incarnation; `incarnation_of` returns the listed one.
-    pub fn retain(&mut self, incarnation_of: impl Fn(&str) -> Option<EngineBirth>) {
+    pub fn retain(&mut self, incarnation_of: impl Fn(&str) -> Option<EngineIncarnation>) {
         self.engines.retain(|engine, share| {
             incarnation_of(engine).is_some_and(|born| share.is_incarnation(born))
         });
--- a/crates/core/tests/engine_choice.rs
+++ b/crates/core/tests/engine_choice.rs
@@ -1,4 +1,4 @@
-//! Which engine a request is sent to, and what a host learns of an engine's condition.
+//! Choice of the engine for a request, and engine health.
 
 use std::{sync::Arc, time::Duration};
 
@@ -6,8 +6,8 @@
     ClockMillis,
     fleet::{
         EngineEntry,
-        choice::{EngineCandidate, best_engine},
-        condition::{EngineCondition, EngineOutcome},
+        engine_choice::{EngineCandidate, choose_engine},
+        health::{EngineHealth, EngineOutcome},
     },
 };
 
@@ -22,101 +22,101 @@
 fn entry(name: &str, hall: &str) -> EngineEntry {
     EngineEntry {
         name: Arc::from(name),
-        born: 0,
+        incarnation: 0,
         service: Arc::from("assist"),
         address: "127.0.0.1:9000".parse().expect("an address"),
         hall: Arc::from(hall),
         slots: 16,
         leaving: false,
         sequence: 0,
-        held: Vec::new(),
+        loaded_models: Vec::new(),
     }
 }
 
 struct ChoiceCase {
     name: &'static str,
-    open: [u32; 2],
-    told: [u32; 2],
-    /// What each has to read before a new prompt. Unit: milliseconds.
-    reading: [u64; 2],
+    own_open: [u32; 2],
+    reported_open: [u32; 2],
+    /// Unit: milliseconds.
+    pending_prefill_time: [u64; 2],
     halls: [&'static str; 2],
     outcomes: [&'static [EngineOutcome]; 2],
     best: &'static str,
 }
 
-const WELL: EngineOutcome = EngineOutcome::Answered(Duration::from_millis(40));
+const FAST_ANSWER: EngineOutcome = EngineOutcome::Answered(Duration::from_millis(40));
 
 const CHOICE_CASES: &[ChoiceCase] = &[
     ChoiceCase {
-        name: "the one with fewer open requests",
-        open: [3, 1],
-        told: [0, 0],
-        reading: [0, 0],
+        name: "fewer open requests",
+        own_open: [3, 1],
+        reported_open: [0, 0],
+        pending_prefill_time: [0, 0],
         halls: ["here", "here"],
         outcomes: [&[], &[]],
         best: "second",
     },
     ChoiceCase {
-        name: "the one with fewer open requests of all hosts",
-        open: [0, 1],
-        told: [9, 2],
-        reading: [0, 0],
+        name: "fewer open requests of all hosts",
+        own_open: [0, 1],
+        reported_open: [9, 2],
+        pending_prefill_time: [0, 0],
         halls: ["here", "here"],
         outcomes: [&[], &[]],
         best: "second",
     },
     ChoiceCase {
-        name: "the one with less to read, though more is open there",
-        open: [0, 4],
-        told: [1, 4],
-        reading: [600, 40],
+        name: "less pending prefill despite more open requests",
+        own_open: [0, 4],
+        reported_open: [1, 4],
+        pending_prefill_time: [600, 40],
         halls: ["here", "here"],
         outcomes: [&[], &[]],
         best: "second",
     },
     ChoiceCase {
-        name: "the one with less to read in the other data hall",
-        open: [1, 1],
-        told: [1, 1],
-        reading: [300, 0],
+        name: "less pending prefill in another data hall",
+        own_open: [1, 1],
+        reported_open: [1, 1],
+        pending_prefill_time: [300, 0],
         halls: ["here", "there"],
         outcomes: [&[], &[]],
         best: "second",
     },
     ChoiceCase {
-        name: "the own data hall among equals",
-        open: [1, 1],
-        told: [0, 0],
-        reading: [0, 0],
+        name: "same data hall among equal engines",
+        own_open: [1, 1],
+        reported_open: [0, 0],
+        pending_prefill_time: [0, 0],
         halls: ["there", "here"],
         outcomes: [&[], &[]],
         best: "second",
     },
     ChoiceCase {
-        name: "not the one that broke off just now",
-        open: [0, 5],
-        told: [0, 0],
-        reading: [0, 0],
+        name: "not an engine that has just failed",
+        own_open: [0, 5],
+        reported_open: [0, 0],
+        pending_prefill_time: [0, 0],
         halls: ["here", "here"],
-        outcomes: [&[EngineOutcome::Broken], &[WELL]],
+        outcomes: [&[EngineOutcome::Failed], &[FAST_ANSWER]],
         best: "second",
     },
     ChoiceCase {
-        name: "not the one that errs often",
-        open: [0, 2],
-        told: [0, 0],
-        reading: [0, 0],
+        name: "not an engine with many error responses",
+        own_open: [0, 2],
+        reported_open: [0, 0],
+        pending_prefill_time: [0, 0],
         halls: ["here", "here"],
-        outcomes: [&[EngineOutcome::Erred; 6], &[WELL]],
+        outcomes: [&[EngineOutcome::ErrorResponse; 6], &[FAST_ANSWER]],
         best: "second",
     },
     ChoiceCase {
-        name: "not the one that is many times as slow",
-        open: [0, 2],
-        told: [0, 0],
-        reading: [0, 0],
+        name: "not an engine that is many times slower",
+        own_open: [0, 2],
+        reported_open: [0, 0],
+        pending_prefill_time: [0, 0],
         halls: ["here", "here"],
-        outcomes: [&[EngineOutcome::Answered(Duration::from_millis(400)); 4], &[WELL]],
+        outcomes: [&[EngineOutcome::Answered(Duration::from_millis(400)); 4], &[FAST_ANSWER]],
         best: "second",
     },
 ];
@@ -125,84 +125,89 @@
 fn the_best_engine_is_chosen() {
     for case in CHOICE_CASES {
         let entries = [entry("first", case.halls[0]), entry("second", case.halls[1])];
-        let mut conditions = [EngineCondition::default(), EngineCondition::default()];
-        for (condition, outcomes) in conditions.iter_mut().zip(case.outcomes) {
+        let mut health_states = [EngineHealth::default(), EngineHealth::default()];
+        for (health, outcomes) in health_states.iter_mut().zip(case.outcomes) {
             for outcome in outcomes {
-                condition.note(*outcome, at(1000));
+                health.record(*outcome, at(1000));
             }
         }
-        let candidates = [0, 1].map(|place| EngineCandidate {
-            entry: &entries[place],
-            condition: &conditions[place],
-            open: case.open[place],
-            told: case.told[place],
-            reading: millis(case.reading[place]),
+        let candidates = [0, 1].map(|index| EngineCandidate {
+            entry: &entries[index],
+            health: &health_states[index],
+            own_open: case.own_open[index],
+            reported_open: case.reported_open[index],
+            pending_prefill_time: millis(case.pending_prefill_time[index]),
         });
-        let best = best_engine(&candidates, "here", 0, 1, at(1010));
+        let best = choose_engine(&candidates, "here", 0, 1, at(1010));
         assert_eq!(best.as_deref(), Some(case.best), "{}", case.name);
     }
 }
 
-/// Many hosts that were told the same loads must not all choose the engine with the least.
+/// Hosts with the same reported loads must not all choose the least loaded engine.
 #[test]
-fn many_hosts_spread_over_engines_that_are_nearly_equal() {
+fn many_hosts_spread_over_nearly_equal_engines() {
     let entries: Vec<EngineEntry> =
         (0..8).map(|number| entry(&format!("engine-{number}"), "here")).collect();
-    let condition = EngineCondition::default();
-    let told = [3, 2, 3, 3, 2, 3, 14, 3];
+    let health = EngineHealth::default();
+    let reported_open = [3, 2, 3, 3, 2, 3, 14, 3];
     let candidates: Vec<EngineCandidate<'_>> = entries
         .iter()
-        .zip(told)
-        .map(|(entry, told)| EngineCandidate {
+        .zip(reported_open)
+        .map(|(entry, reported_open)| EngineCandidate {
             entry,
-            condition: &condition,
-            open: 0,
-            told,
-            reading: Duration::ZERO,
+            health: &health,
+            own_open: 0,
+            reported_open,
+            pending_prefill_time: Duration::ZERO,
         })
         .collect();
     let mut chosen = std::collections::BTreeMap::new();
-    for tie in 0..800 {
-        let best = best_engine(&candidates, "here", tie, 100, at(1010)).expect("an engine");
+    for tie_breaker in 0..800 {
+        let best =
+            choose_engine(&candidates, "here", tie_breaker, 100, at(1010)).expect("an engine");
         *chosen.entry(best.to_string()).or_insert(0) += 1;
     }
-    assert!(!chosen.contains_key("engine-6"), "the busy one is left: {chosen:?}");
+    assert!(!chosen.contains_key("engine-6"), "the busy engine was chosen: {chosen:?}");
     assert!(chosen.values().all(|count| *count <= 300), "{chosen:?}");
     assert!(chosen.len() >= 5, "{chosen:?}");
 }
 
 #[test]
-fn a_failed_engine_is_tried_again_after_a_rest_that_grows() {
-    let mut condition = EngineCondition::default();
-    let mut rests = Vec::new();
+fn the_backoff_of_a_failing_engine_grows_to_a_limit() {
+    let mut health = EngineHealth::default();
+    let mut backoffs = Vec::new();
     for round in 0..5u64 {
         let now = 1000 + round * 10_000;
-        condition.note(EngineOutcome::Broken, at(now));
-        let rest = (0..6000).find(|wait| !condition.is_resting(at(now + wait)));
-        rests.push(rest.expect("a rest that ends"));
+        health.record(EngineOutcome::Failed, at(now));
+        let backoff = (0..6000).find(|elapsed| !health.is_in_backoff(at(now + elapsed)));
+        backoffs.push(backoff.expect("a finite backoff"));
     }
-    assert!(rests.windows(2).all(|pair| pair[0] <= pair[1]), "{rests:?}");
-    assert!(rests[0] < 500 && rests[4] <= 3000, "{rests:?}");
-    condition.note(WELL, at(90_000));
-    assert!(!condition.is_resting(at(90_000)));
+    assert!(backoffs.windows(2).all(|pair| pair[0] <= pair[1]), "{backoffs:?}");
+    assert!(backoffs[0] < 500 && backoffs[4] <= 3000, "{backoffs:?}");
+    health.record(FAST_ANSWER, at(90_000));
+    assert!(!health.is_in_backoff(at(90_000)));
 }
 
-/// One slow response keeps an engine from all further requests as long as another one is idle: its delay never ages.
+/// A single slow response must not exclude an engine forever while another one is idle.
 #[test]
 fn an_engine_whose_slow_response_is_long_ago_gets_requests_again() {
     let (slow, quick) = (entry("slow", "hall"), entry("quick", "hall"));
-    let mut conditions = [EngineCondition::default(), EngineCondition::default()];
-    conditions[0].note(EngineOutcome::Answered(millis(60)), at(0));
-    conditions[1].note(EngineOutcome::Answered(millis(5)), at(0));
-    let candidate = |entry, condition| EngineCandidate {
+    let mut health_states = [EngineHealth::default(), EngineHealth::default()];
+    health_states[0].record(EngineOutcome::Answered(millis(60)), at(0));
+    health_states[1].record(EngineOutcome::Answered(millis(5)), at(0));
+    let candidate = |entry, health| EngineCandidate {
         entry,
-        condition,
-        open: 0,
-        told: 0,
-        reading: Duration::ZERO,
+        health,
+        own_open: 0,
+        reported_open: 0,
+        pending_prefill_time: Duration::ZERO,
     };
-    let candidates = [candidate(&slow, &conditions[0]), candidate(&quick, &conditions[1])];
-    let chosen = (0..100).filter_map(|tie| best_engine(&candidates, "hall", tie, 2, at(60_000)));
-    let times = chosen.filter(|name| &**name == "slow").count();
-    assert!(times > 0, "{times} of 100 requests go there after a minute");
+    let candidates = [candidate(&slow, &health_states[0]), candidate(&quick, &health_states[1])];
+    let chosen = (0..100)
+        .filter_map(|tie_breaker| choose_engine(&candidates, "hall", tie_breaker, 2, at(60_000)));
+    let slow_count = chosen.filter(|name| &**name == "slow").count();
+    assert!(
+        slow_count > 0,
+        "{slow_count} of 100 requests are sent to the slow engine after a minute"
+    );
 }
--- a/crates/core/tests/fleet.rs
+++ b/crates/core/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Where a request may go and whether it waits: routes, versions, cold requests, retries.
+//! Routes, published versions, cold requests and the retry budget.
 
 use std::{sync::Arc, time::Duration};
 
@@ -6,9 +6,9 @@
 use reelreel_core::{
     ClockMillis,
     fleet::{
-        choice::NamedVersions,
-        cold::{ColdChoice, ColdRequest, LATE_WORTH},
-        retry_share::{RetryAllowance, RetryShare},
+        cold_start::{ColdDecision, ColdRequest, LATE_WORTH},
+        engine_choice::PublishedVersions,
+        retry_share::{RetryPolicy, RetryShare},
         routes::{ClientLimits, RouteEntry, RouteKind, RouteTable, WeightedBackend},
     },
 };
@@ -23,72 +23,97 @@
 
 struct VersionCase {
     name: &'static str,
-    held: u64,
-    known_for: u64,
+    loaded: u64,
+    published_for: u64,
     allowed: bool,
 }
 
 const VERSION_CASES: &[VersionCase] = &[
-    VersionCase { name: "the named version", held: 2, known_for: 60_000, allowed: true },
-    VersionCase { name: "a later version", held: 3, known_for: 60_000, allowed: true },
-    VersionCase { name: "an older one just after", held: 1, known_for: 900, allowed: true },
-    // A request may wait in an engine's queue for three seconds and more before it begins.
-    VersionCase { name: "an older one a while after", held: 1, known_for: 1100, allowed: false },
+    VersionCase { name: "the published version", loaded: 2, published_for: 60_000, allowed: true },
+    VersionCase { name: "a later version", loaded: 3, published_for: 60_000, allowed: true },
+    VersionCase {
+        name: "an older version shortly after publication",
+        loaded: 1,
+        published_for: 900,
+        allowed: true,
+    },
+    // A request may wait in an engine's queue for more than three seconds before it begins.
+    VersionCase {
+        name: "an older version some time after publication",
+        loaded: 1,
+        published_for: 1100,
+        allowed: false,
+    },
 ];
 
 #[test]
 fn an_older_version_is_used_for_a_short_time_only() {
     for case in VERSION_CASES {
-        let mut named = NamedVersions::default();
-        named.name(2, at(1000));
-        let now = at(1000 + case.known_for);
-        assert_eq!(named.allows(case.held, millis(5000), now), case.allowed, "{}", case.name);
+        let mut published = PublishedVersions::default();
+        published.publish(2, at(1000));
+        let now = at(1000 + case.published_for);
+        assert_eq!(published.allows(case.loaded, millis(5000), now), case.allowed, "{}", case.name);
     }
 }
 
-/// A version that was named before the last one was everywhere, and copies of all three.
-struct FollowingCase {
+/// A copy of a version while a third one is published before the second is loaded everywhere.
+struct SuccessiveVersionCase {
     name: &'static str,
-    held: u64,
+    loaded: u64,
     now: u64,
     allowed: bool,
 }
 
-const FOLLOWING_CASES: &[FollowingCase] = &[
-    FollowingCase {
-        name: "the first, before the second is named",
-        held: 1,
+const SUCCESSIVE_VERSION_CASES: &[SuccessiveVersionCase] = &[
+    SuccessiveVersionCase {
+        name: "the first, shortly after the second is published",
+        loaded: 1,
         now: 1500,
         allowed: true,
     },
-    FollowingCase { name: "the first, by the second's time", held: 1, now: 1990, allowed: true },
-    FollowingCase {
-        name: "the first, when the third has just come",
-        held: 1,
+    SuccessiveVersionCase {
+        name: "the first, until the time of the second is over",
+        loaded: 1,
+        now: 1990,
+        allowed: true,
+    },
+    SuccessiveVersionCase {
+        name: "the first, shortly after the third is published",
+        loaded: 1,
         now: 2100,
         allowed: false,
     },
-    FollowingCase { name: "the second, by the third's time", held: 2, now: 2700, allowed: true },
-    FollowingCase { name: "the second, a while after", held: 2, now: 2900, allowed: false },
-    FollowingCase { name: "the third", held: 3, now: 60_000, allowed: true },
+    SuccessiveVersionCase {
+        name: "the second, until the time of the third is over",
+        loaded: 2,
+        now: 2700,
+        allowed: true,
+    },
+    SuccessiveVersionCase {
+        name: "the second, some time after the third is published",
+        loaded: 2,
+        now: 2900,
+        allowed: false,
+    },
+    SuccessiveVersionCase { name: "the third", loaded: 3, now: 60_000, allowed: true },
 ];
 
 #[test]
 fn versions_that_follow_each_other_are_each_judged_by_their_own_time() {
-    let mut named = NamedVersions::default();
-    named.name(2, at(1000));
-    named.name(3, at(1800));
-    named.name(2, at(1900));
-    for case in FOLLOWING_CASES {
-        let allowed = named.allows(case.held, millis(5000), at(case.now));
+    let mut published = PublishedVersions::default();
+    published.publish(2, at(1000));
+    published.publish(3, at(1800));
+    published.publish(2, at(1900));
+    for case in SUCCESSIVE_VERSION_CASES {
+        let allowed = published.allows(case.loaded, millis(5000), at(case.now));
         assert_eq!(allowed, case.allowed, "{}", case.name);
     }
-    // However many follow, the first of them keeps its time.
+    // Further versions must not extend the time of the first.
     for version in 4..40 {
-        named.name(version, at(2000 + version * 100));
+        published.publish(version, at(2000 + version * 100));
     }
-    assert!(!named.allows(1, millis(5000), at(6000)));
-    assert_eq!(named.newest(), 39);
+    assert!(!published.allows(1, millis(5000), at(6000)));
+    assert_eq!(published.newest(), 39);
 }
 
 fn route(host: &str, prefix: &str, backends: &[(&str, u32)]) -> RouteEntry {
@@ -100,13 +125,13 @@
         name: prefix.to_owned(),
         host: host.to_owned(),
         prefix: prefix.to_owned(),
-        kind: RouteKind::Single,
+        kind: RouteKind::AtMostOnce,
         timeout: millis(1000),
-        target: millis(100),
-        longest_pause: None,
+        latency_target: millis(100),
+        max_event_gap: None,
         priority: 1,
         backends: backends.iter().map(backend).collect(),
-        most_attempts: 1,
+        attempt_limit: 1,
         public: false,
     }
 }
@@ -129,7 +154,7 @@
 ];
 
 #[test]
-fn the_longest_prefix_of_the_host_decides() {
+fn the_longest_matching_prefix_selects_the_route() {
     let routes =
         vec![route("a.example", "/x/", &[("s", 1)]), route("a.example", "/x/y/", &[("t", 1)])];
     let table = RouteTable::new(1, ClientLimits::default(), routes, Vec::new());
@@ -140,7 +165,7 @@
 }
 
 #[test]
-fn a_split_follows_its_weights() {
+fn requests_are_split_by_backend_weight() {
     let split = route("a.example", "/", &[("s", 90), ("t", 10), ("u", 0)]);
     let count = |name: &str| {
         (0..1000)
@@ -155,95 +180,95 @@
     name: &'static str,
     elapsed: u64,
     estimate: Option<u64>,
-    /// What reading its prompt takes. Unit: milliseconds.
-    reading: u64,
-    /// The longest pause that its stream may have. Unit: milliseconds.
-    pause: u64,
-    returned: bool,
-    choice: ColdChoice,
+    /// Unit: milliseconds.
+    prefill_time: u64,
+    /// Unit: milliseconds.
+    event_gap: u64,
+    client_retried: bool,
+    decision: ColdDecision,
 }
 
 const COLD_CASES: &[ColdCase] = &[
     ColdCase {
-        name: "without an estimate it waits for one",
+        name: "waits for an estimate",
         elapsed: 2,
         estimate: None,
-        reading: 40,
-        pause: 250,
-        returned: false,
-        choice: ColdChoice::Wait(millis(100)),
+        prefill_time: 40,
+        event_gap: 250,
+        client_retried: false,
+        decision: ColdDecision::Wait(millis(100)),
     },
     ColdCase {
-        name: "and is then refused",
+        name: "refused without an estimate",
         elapsed: 102,
         estimate: None,
-        reading: 40,
-        pause: 250,
-        returned: false,
-        choice: ColdChoice::Refuse(millis(3000)),
+        prefill_time: 40,
+        event_gap: 250,
+        client_retried: false,
+        decision: ColdDecision::Refuse(millis(3000)),
     },
     ColdCase {
-        name: "a load that comes in time is waited for",
+        name: "waits for a load that is in time",
         elapsed: 10,
         estimate: Some(300),
-        reading: 40,
-        pause: 250,
-        returned: false,
-        choice: ColdChoice::Wait(millis(2240)),
+        prefill_time: 40,
+        event_gap: 250,
+        client_retried: false,
+        decision: ColdDecision::Wait(millis(2240)),
     },
     ColdCase {
-        name: "unless its prompt can not be read in time after it",
+        name: "refused if the prefill after the load is too long",
         elapsed: 10,
         estimate: Some(300),
-        reading: 240,
-        pause: 250,
-        returned: false,
-        choice: ColdChoice::Refuse(millis(420)),
+        prefill_time: 240,
+        event_gap: 250,
+        client_retried: false,
+        decision: ColdDecision::Refuse(millis(420)),
     },
     ColdCase {
-        name: "a client waits for a first event as long as for eight pauses",
+        name: "a client waits for the first event as long as eight event gaps",
         elapsed: 10,
         estimate: Some(300),
-        reading: 40,
-        pause: 500,
-        returned: false,
-        choice: ColdChoice::Wait(millis(3840)),
+        prefill_time: 40,
+        event_gap: 500,
+        client_retried: false,
+        decision: ColdDecision::Wait(millis(3840)),
     },
     ColdCase {
-        name: "a load that comes too late is not",
+        name: "refused if the load is too late",
         elapsed: 10,
         estimate: Some(900),
-        reading: 40,
-        pause: 250,
-        returned: false,
-        choice: ColdChoice::Refuse(millis(1020)),
+        prefill_time: 40,
+        event_gap: 250,
+        client_retried: false,
+        decision: ColdDecision::Refuse(millis(1020)),
     },
     ColdCase {
-        name: "who came back once waits as long as a client does",
+        name: "a retried request waits as long as its client",
         elapsed: 10,
         estimate: Some(900),
-        reading: 40,
-        pause: 250,
-        returned: true,
-        choice: ColdChoice::Wait(millis(2240)),
+        prefill_time: 40,
+        event_gap: 250,
+        client_retried: true,
+        decision: ColdDecision::Wait(millis(2240)),
     },
     ColdCase {
-        name: "nobody is told to come back later than a third of its time",
+        name: "the retry time is at most a third of the remaining time",
         elapsed: 10,
         estimate: Some(60_000),
-        reading: 40,
-        pause: 250,
-        returned: false,
-        choice: ColdChoice::Refuse(millis(3000)),
+        prefill_time: 40,
+        event_gap: 250,
+        client_retried: false,
+        decision: ColdDecision::Refuse(millis(3000)),
     },
     ColdCase {
-        name: "who was to be served and was not is refused before the client leaves",
+        name: "refused shortly before the client gives up",
         elapsed: 2250,
         estimate: Some(10),
-        reading: 40,
-        pause: 250,
-        returned: false,
-        choice: ColdChoice::Refuse(millis(250)),
+        prefill_time: 40,
+        event_gap: 250,
+        client_retried: false,
+        decision: ColdDecision::Refuse(millis(250)),
     },
 ];
 
@@ -252,104 +277,129 @@
     for case in COLD_CASES {
         let request = ColdRequest {
             elapsed: millis(case.elapsed),
-            target: millis(600),
+            latency_target: millis(600),
             remaining: millis(9000),
             estimate: case.estimate.map(millis),
             cooling: None,
-            reading: millis(case.reading),
-            longest_pause: Some(millis(case.pause)),
-            returned: case.returned,
+            prefill_time: millis(case.prefill_time),
+            max_event_gap: Some(millis(case.event_gap)),
+            client_retried: case.client_retried,
         };
-        assert_eq!(request.choose(), case.choice, "{}", case.name);
+        assert_eq!(request.decide(), case.decision, "{}", case.name);
     }
 }
 
 proptest! {
-    /// A refusal comes within a quarter of the target, or when the client would leave anyway.
+    /// A refusal comes within a quarter of the latency target, or shortly before the client gives
+    /// up.
     #[test]
-    fn a_refusal_is_early_or_last(
+    fn a_cold_request_is_refused_early_or_before_the_client_leaves(
         elapsed in 0u64..5000,
-        target in 100u64..2000,
+        latency_target in 100u64..2000,
         remaining in 0u64..15_000,
         estimate in proptest::option::of(0u64..9000),
-        reading in 0u64..3000,
-        pause in proptest::option::of(1u64..1000),
-        returned in any::<bool>(),
+        prefill_time in 0u64..3000,
+        event_gap in proptest::option::of(1u64..1000),
+        client_retried in any::<bool>(),
     ) {
         let request = ColdRequest {
             elapsed: millis(elapsed),
-            target: millis(target),
+            latency_target: millis(latency_target),
             remaining: millis(remaining),
             estimate: estimate.map(millis),
             cooling: None,
-            reading: millis(reading),
-            longest_pause: pause.map(millis),
-            returned,
+            prefill_time: millis(prefill_time),
+            max_event_gap: event_gap.map(millis),
+            client_retried,
         };
-        if let ColdChoice::Refuse(_) = request.choose() {
-            let patience = (target * 4).max(2000).max(pause.unwrap_or_default() * 8);
-            let patience = patience.min(elapsed + remaining).saturating_sub(150);
-            prop_assert!(elapsed * 4 <= target || elapsed >= patience);
+        if let ColdDecision::Refuse(_) = request.decide() {
+            let client_wait_limit = (latency_target * 4).max(2000).max(event_gap.unwrap_or_default() * 8);
+            let client_wait_limit = client_wait_limit.min(elapsed + remaining).saturating_sub(150);
+            prop_assert!(elapsed * 4 <= latency_target || elapsed >= client_wait_limit);
         }
     }
 
-    /// Whatever comes, the sends of all hosts beyond the first stay within the budget.
+    /// In no window may the retries of all hosts exceed the budget.
     #[test]
     fn the_shares_of_all_hosts_keep_the_budget(
         hosts in 1u32..8,
         steps in proptest::collection::vec((0usize..8, 0u64..40, any::<bool>()), 1..600),
     ) {
-        let allowance = RetryAllowance { ratio: 0.2, burst: 54.0, window: millis(10_000) };
-        let mut shares = vec![RetryShare::unspent(); hosts as usize];
-        let (mut requests, mut repeats) = (Vec::new(), Vec::new());
+        let policy = RetryPolicy { ratio: 0.2, burst: 54.0, window: millis(10_000) };
+        let mut shares = vec![RetryShare::with_full_credit(); hosts as usize];
+        let (mut requests, mut retries) = (Vec::new(), Vec::new());
         let mut now = 1000;
-        for (host, pause, repeat) in steps {
+        for (host, pause, is_retry) in steps {
             now += pause;
             let host = host % hosts as usize;
-            if repeat {
-                if shares[host].take(&allowance, hosts, at(now)) {
-                    repeats.push(now);
+            if is_retry {
+                if shares[host].try_spend(&policy, hosts, at(now)) {
+                    retries.push(now);
                 }
             } else {
-                shares[host].note_request(at(now));
+                shares[host].record_request(at(now));
                 requests.push(now);
             }
-            let inside = |times: &Vec<u64>| times.iter().filter(|time| **time + 10_000 >= now).count();
-            let allowed = 0.2 * inside(&requests) as f64 + 54.0;
-            prop_assert!(inside(&repeats) as f64 <= allowed);
+            let count_in_window = |times: &Vec<u64>| times.iter().filter(|time| **time + 10_000 >= now).count();
+            let allowed = 0.2 * count_in_window(&requests) as f64 + 54.0;
+            prop_assert!(count_in_window(&retries) as f64 <= allowed);
         }
     }
 }
 
-/// What a cold request is worth that wants its first event within 600 ms.
+/// Worth of a cold request with a latency target of 600 ms.
 struct WorthCase {
     name: &'static str,
     elapsed: u64,
-    reading: u64,
-    returned: bool,
+    prefill_time: u64,
+    client_retried: bool,
     worth: f64,
 }
 
 const WORTH_CASES: &[WorthCase] = &[
-    WorthCase { name: "fresh", elapsed: 0, reading: 50, returned: false, worth: 1.0 },
-    WorthCase { name: "just in time", elapsed: 240, reading: 50, returned: false, worth: 1.0 },
-    WorthCase { name: "too late", elapsed: 241, reading: 50, returned: false, worth: LATE_WORTH },
-    WorthCase { name: "long prompt", elapsed: 0, reading: 300, returned: false, worth: LATE_WORTH },
-    WorthCase { name: "came back", elapsed: 0, reading: 50, returned: true, worth: LATE_WORTH },
+    WorthCase { name: "new", elapsed: 0, prefill_time: 50, client_retried: false, worth: 1.0 },
+    WorthCase {
+        name: "just in time",
+        elapsed: 240,
+        prefill_time: 50,
+        client_retried: false,
+        worth: 1.0,
+    },
+    WorthCase {
+        name: "too late",
+        elapsed: 241,
+        prefill_time: 50,
+        client_retried: false,
+        worth: LATE_WORTH,
+    },
+    WorthCase {
+        name: "long prefill",
+        elapsed: 0,
+        prefill_time: 300,
+        client_retried: false,
+        worth: LATE_WORTH,
+    },
+    WorthCase {
+        name: "retried by the client",
+        elapsed: 0,
+        prefill_time: 50,
+        client_retried: true,
+        worth: LATE_WORTH,
+    },
 ];
 
 #[test]
-fn a_cold_request_is_worth_what_its_caller_still_gets() {
+fn a_cold_request_is_worth_less_if_it_misses_the_target() {
     for case in WORTH_CASES {
         let request = ColdRequest {
             elapsed: millis(case.elapsed),
-            target: millis(600),
+            latency_target: millis(600),
             remaining: millis(9000),
             estimate: None,
             cooling: None,
-            reading: millis(case.reading),
-            longest_pause: None,
-            returned: case.returned,
+            prefill_time: millis(case.prefill_time),
+            max_event_gap: None,
+            client_retried: case.client_retried,
         };
         assert!((request.worth() - case.worth).abs() < f64::EPSILON, "{}", case.name);
     }
--- a/crates/gateway/src/engines/ends.rs
+++ b/crates/gateway/src/engines/ends.rs
@@ -65,7 +65,7 @@
 
 fn note_end(traffic: &TrafficState, entry: &EngineEntry, runs: &[InterruptedRun]) {
     let shared = &traffic.shared;
-    let life = engine_incarnation_id(&entry.name, entry.born);
+    let life = engine_incarnation_id(&entry.name, entry.incarnation);
     shared.quarantine().record_crash(life, runs, traffic.now());
     shared.wake_control.notify_one();
     shared.metrics.engines_ended.inc();
