--- a/crates/core/src/fleet/limits/engine_share.rs
+++ b/crates/core/src/fleet/limits/engine_share.rs
@@ -1,4 +1,4 @@
-//! What one host knows of one engine's limit.
+//! One host's view of one engine's limit.
 
 use std::{collections::VecDeque, sync::Arc, time::Duration};
 
@@ -15,73 +15,77 @@
     },
 };
 
-/// How often an unchanged demand is resent: the ledger drops it after three times as long.
-const DEMAND_RENEWAL: Duration = Duration::from_millis(500);
+/// The interval at which an unchanged demand is resent. The ledger drops a demand after three intervals.
+const DEMAND_RENEWAL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long a wish holds, until its permit comes: an engine that was preferred once may not be the next time.
-const WISH_HOLDS: Duration = Duration::from_millis(250);
+/// How long a diverted request counts as demand.
+const DIVERTED_DEMAND_TTL: Duration = Duration::from_millis(250);
 
 /// The least time between two demands for an engine for which no request waits.
-const WISH_PAUSE: Duration = Duration::from_millis(250);
+const DIVERTED_DEMAND_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What this host knows of one engine's limit.
+/// One host's view of one engine's limit.
 #[derive(Debug, Clone)]
 pub(super) struct EngineShare {
     pub(super) born: EngineIncarnation,
-    /// The limit that the engine declared last.
+    /// The last declared limit.
     pub(super) limit: RequestLimit,
-    /// Whether it has declared none since.
-    pub(super) ended: bool,
-    /// When the response began that declared it.
-    pub(super) said: ClockMillis,
+    /// Whether the engine has responded without a limit since.
+    pub(super) recovering: bool,
+    /// When the response that last declared the limit or its end began.
+    pub(super) responded_at: ClockMillis,
     /// When the request of that response was sent.
-    pub(super) asked: ClockMillis,
-    /// When this host itself last received a response that declared it. The age of the ledger's reports is known less well: their
-    /// time in transit is not counted.
-    pub(super) named_here: Option<ClockMillis>,
-    /// Whether the ledger has to receive it.
+    pub(super) requested_at: ClockMillis,
+    /// When this host itself last received a response that declared the limit. Times from the ledger's reports are
+    /// less exact, since their time in transit is not counted.
+    pub(super) declared_here_at: Option<ClockMillis>,
+    /// Whether the ledger still has to receive this state.
     pub(super) pending: bool,
-    /// Until when each permit may be used.
+    /// The expiry time of each permit.
     pub(super) permits: VecDeque<ClockMillis>,
     pub(super) resumed: u32,
     pub(super) waiting: u32,
-    pub(super) wished: Option<ClockMillis>,
-    pub(super) got: u64,
+    pub(super) diverted_at: Option<ClockMillis>,
+    pub(super) received: u64,
     pub(super) unused: u64,
     pub(super) unpermitted: u64,
-    /// The demand that was sent last.
+    /// The demand that was last sent.
     pub(super) sent: PermitDemand,
     pub(super) sent_at: ClockMillis,
-    /// When the ledger expects a permit for the last request that waits.
-    pub(super) due: Option<ClockMillis>,
-    /// The time of return that the last rejected client was given.
-    pub(super) returns: Option<ClockMillis>,
-    /// What this host may use where it stands in for the ledger.
-    pub(super) alone: Option<TokenBucket>,
+    /// When the ledger expects to grant a permit for the last waiting request.
+    pub(super) expected_at: Option<ClockMillis>,
+    /// The retry time that the last rejected client was given.
+    pub(super) last_retry_at: Option<ClockMillis>,
+    /// The bucket that this host uses while it is the fallback for the ledger.
+    pub(super) fallback_bucket: Option<TokenBucket>,
 }
 
 impl EngineShare {
-    pub(super) fn new(born: EngineIncarnation, limit: RequestLimit, said: ClockMillis) -> Self {
+    pub(super) fn new(
+        born: EngineIncarnation,
+        limit: RequestLimit,
+        responded_at: ClockMillis,
+    ) -> Self {
         Self {
             born,
             limit,
-            ended: false,
-            said,
-            asked: said,
-            named_here: None,
+            recovering: false,
+            responded_at,
+            requested_at: responded_at,
+            declared_here_at: None,
             pending: true,
             permits: VecDeque::new(),
             resumed: 0,
             waiting: 0,
-            wished: None,
-            got: 0,
+            diverted_at: None,
+            received: 0,
             unused: 0,
             unpermitted: 0,
             sent: PermitDemand::default(),
             sent_at: ClockMillis::default(),
-            due: None,
-            returns: None,
-            alone: None,
+            expected_at: None,
+            last_retry_at: None,
+            fallback_bucket: None,
         }
     }
 
@@ -89,44 +93,52 @@
         is_same_incarnation(self.born, born)
     }
 
-    /// Replaces the state of an earlier incarnation; requests that wait go on waiting.
+    /// Replaces the state of an earlier incarnation; waiting requests keep waiting.
     pub(super) fn begin_incarnation(
         &mut self,
         born: EngineIncarnation,
         limit: RequestLimit,
-        said: ClockMillis,
+        responded_at: ClockMillis,
     ) {
-        let Self { resumed, waiting, got, unused, unpermitted, .. } = *self;
-        *self = Self { resumed, waiting, got, unused, unpermitted, ..Self::new(born, limit, said) };
+        let Self { resumed, waiting, received, unused, unpermitted, .. } = *self;
+        *self = Self {
+            resumed,
+            waiting,
+            received,
+            unused,
+            unpermitted,
+            ..Self::new(born, limit, responded_at)
+        };
     }
 
-    /// Applies a report of the ledger, which need not receive it back.
+    /// Applies a report of the ledger, which need not be sent back.
     pub(super) fn apply(&mut self, report: &LimitReport, now: ClockMillis) {
-        (self.limit, self.ended) = (report.limit, report.state != LimitState::Named);
-        (self.said, self.asked) = (now - report.said_ago, now - report.asked_ago);
+        (self.limit, self.recovering) = (report.limit, report.state != LimitState::Active);
+        (self.responded_at, self.requested_at) =
+            (now - report.responded_ago, now - report.requested_ago);
         self.pending = false;
     }
 
-    /// Marks the limit and its pending demand as unsent, so that the next report includes both.
+    /// Marks the limit and its demand as unsent, so that the next report includes both.
     pub(super) fn resend(&mut self) {
         self.pending = true;
         self.sent = PermitDemand::default();
     }
 
-    /// Returns whether this host itself has received no limit since a report of the ledger.
-    pub(super) fn is_older_than(&self, said: ClockMillis) -> bool {
-        self.named_here.is_none_or(|named| said >= named)
+    /// Returns whether this host itself has received no declaration after `responded_at`.
+    pub(super) fn has_no_declaration_after(&self, responded_at: ClockMillis) -> bool {
+        self.declared_here_at.is_none_or(|declared_at| responded_at >= declared_at)
     }
 
-    pub(super) fn drop_old_permits(&mut self, now: ClockMillis) {
+    pub(super) fn drop_expired_permits(&mut self, now: ClockMillis) {
         while self.permits.front().is_some_and(|until| *until <= now) {
             self.permits.pop_front();
             self.unused += 1;
         }
     }
 
-    /// Returns how many permits there are for a use.
-    pub(super) fn permits_for(&self, wanted: PermitUse) -> u32 {
+    /// Returns how many permits a request of this kind may use.
+    pub(super) fn available_permits(&self, wanted: PermitUse) -> u32 {
         let permits = u32::try_from(self.permits.len()).unwrap_or(u32::MAX);
         match wanted {
             PermitUse::Resumed => permits,
@@ -138,7 +150,7 @@
     /// Returns whether a request of this host would use one more permit.
     pub(super) fn wants_permit(&self, now: ClockMillis) -> bool {
         let demand = self.demand(now);
-        demand.resumed > 0 || demand.waiting > 0 || demand.wished
+        demand.resumed > 0 || demand.waiting > 0 || demand.diverted
     }
 
     pub(super) fn demand(&self, now: ClockMillis) -> PermitDemand {
@@ -148,23 +160,35 @@
             permits -= covered;
             wanted - covered
         });
-        let wished = self.wished.is_some_and(|wished| now.since(wished) < WISH_HOLDS);
-        let Self { got, unused, unpermitted, .. } = *self;
-        PermitDemand { resumed, waiting, wished: wished && permits == 0, got, unused, unpermitted }
+        let diverted = self
+            .diverted_at
+            .is_some_and(|diverted_at| now.since(diverted_at) < DIVERTED_DEMAND_TTL);
+        let Self { received, unused, unpermitted, .. } = *self;
+        PermitDemand {
+            resumed,
+            waiting,
+            diverted: diverted && permits == 0,
+            received,
+            unused,
+            unpermitted,
+        }
     }
 
     /// Returns the demand if it is due to be sent.
     pub(super) fn due_demand(&self, now: ClockMillis) -> Option<PermitDemand> {
         let demand = self.demand(now);
         let waits = demand.resumed > 0 || demand.waiting > 0;
-        let waited = self.sent.resumed > 0 || self.sent.waiting > 0;
-        let since = now.since(self.sent_at);
-        let due = if waits || waited {
-            demand != self.sent || since >= DEMAND_RENEWAL
+        let waited_before = self.sent.resumed > 0 || self.sent.waiting > 0;
+        let elapsed = now.since(self.sent_at);
+        let due = if waits || waited_before {
+            demand != self.sent || elapsed >= DEMAND_RENEWAL_INTERVAL
         } else {
-            // Received permits are reported with the next demand, unused ones at once, unpermitted calls soon.
+            // Received permits are reported with the next demand, unused ones at once, unpermitted calls at the
+            // interval.
             let unused = demand.unused != self.sent.unused;
-            unused || (demand.wished || demand.unpermitted > 0) && since >= WISH_PAUSE
+            unused
+                || (demand.diverted || demand.unpermitted > 0)
+                    && elapsed >= DIVERTED_DEMAND_INTERVAL
         };
         due.then_some(demand)
     }
@@ -174,9 +198,9 @@
             engine: Arc::clone(engine),
             born: self.born,
             limit: self.limit,
-            state: if self.ended { LimitState::Ended } else { LimitState::Named },
-            said_ago: now.since(self.said),
-            asked_ago: now.since(self.asked),
+            state: if self.recovering { LimitState::Recovering } else { LimitState::Active },
+            responded_ago: now.since(self.responded_at),
+            requested_ago: now.since(self.requested_at),
         }
     }
 }
--- a/crates/core/src/fleet/limits/share.rs
+++ b/crates/core/src/fleet/limits/share.rs
@@ -1,4 +1,4 @@
-//! The limits and permits that one host knows.
+//! One host's view of engines' limits, and its permits.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -11,45 +11,46 @@
             bucket::TokenBucket,
             engine_share::EngineShare,
             events::{EventThrottle, LimitEvent},
-            ledger::{ALONE_PART, PROBE_RATE},
-            limit::{AnswerReport, RequestLimit},
+            ledger::{PROBE_RATE, UNCOORDINATED_FRACTION},
+            limit::{LimitDeclaration, RequestLimit},
             report::{LimitReport, PermitDemand, PermitGrant},
         },
     },
 };
 
-/// How long a permit may be used: what is saved up at hosts adds to what reaches an engine in a window, and a host that was stopped
-/// must not use later what others have got since. A request that waits uses it at once.
-const PERMIT_HOLDS: Duration = Duration::from_millis(400);
+/// How long a permit is valid. Permits held by hosts add to what reaches an engine in a window, and a host that was
+/// paused must not use permits that have been granted again elsewhere since.
+const PERMIT_TTL: Duration = Duration::from_millis(400);
 
-/// How long the ledger may be silent: it publishes twice a second.
-const LEDGER_SILENCE: Duration = Duration::from_millis(1200);
+/// How long the ledger may be silent before it counts as unreachable; it publishes twice a second.
+const LEDGER_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// How long an engine must have declared no limit to a host that receives no ledger.
-const RETURNS_ALONE: Duration = Duration::from_secs(3);
+/// How long an engine must have declared no limit before a host without a ledger lifts it.
+const UNCOORDINATED_LIFT_DELAY: Duration = Duration::from_secs(3);
 
-/// How many demands without a waiting request a host sends at a time: one of a large fleet may prefer hundreds of engines in turn.
-const MOST_WISHES: usize = 8;
+/// The most demands without a waiting request that a host sends at a time: a host of a large fleet may divert
+/// requests from hundreds of engines.
+const MAX_DIVERTED_DEMANDS: usize = 8;
 
-/// Whether a request may go to an engine as far as its limit goes.
+/// Whether an engine's limit admits a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LimitStanding {
-    /// It has named none.
-    Free,
-    /// This host has a permit.
+pub enum LimitStatus {
+    /// The engine has no limit.
+    Unlimited,
+    /// This host holds a permit.
     Permitted,
-    /// This host has none.
-    Used,
+    /// This host holds no permit.
+    Exhausted,
 }
 
-/// The requester of a permit.
+/// The kind of request that a permit is for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PermitUse {
-    /// A request that has not waited: it leaves permits to those that wait.
+    /// A request that has not waited; it leaves permits to those that wait.
     New,
     /// A request that waits.
     Waiting,
-    /// A stream that broke off and waits: its client has a part of the answer.
+    /// An interrupted stream that waits; its client has a part of the response.
     Resumed,
 }
 
@@ -62,261 +63,282 @@
     pub demands: Vec<(EngineName, PermitDemand)>,
 }
 
-/// What one host knows of the limits that engines name.
+/// One host's view of engines' limits, and its permits.
 #[derive(Debug, Clone, Default)]
 pub struct LimitShare {
     engines: HashMap<EngineName, EngineShare>,
     /// When a frame of the ledger last arrived.
-    received: ClockMillis,
-    news: EventThrottle,
+    ledger_received_at: ClockMillis,
+    event_throttle: EventThrottle,
 }
 
 impl LimitShare {
-    /// Takes what a response of an engine declares; `now` is when the response began. Returns whether the ledger has to receive it.
-    pub fn answered(
+    /// Applies what a response declares; `now` is when the response began. Returns whether the ledger has to
+    /// receive it.
+    pub fn receive_declaration(
         &mut self,
         engine: &EngineName,
         born: EngineIncarnation,
-        report: AnswerReport,
+        declaration: LimitDeclaration,
         now: ClockMillis,
     ) -> bool {
-        match report.said {
+        match declaration.limit {
             Declared::Present(limit) => {
                 let new = || EngineShare::new(born, limit, now);
-                let known = self.engines.entry(Arc::clone(engine)).or_insert_with(new);
-                if !known.is_incarnation(born) {
-                    known.begin_incarnation(born, limit, now);
+                let share = self.engines.entry(Arc::clone(engine)).or_insert_with(new);
+                if !share.is_incarnation(born) {
+                    share.begin_incarnation(born, limit, now);
                 }
-                known.pending |= known.ended || known.limit != limit;
-                (known.limit, known.ended, known.said, known.asked) =
-                    (limit, false, now, report.asked);
-                known.named_here = Some(now);
-                known.pending
+                share.pending |= share.recovering || share.limit != limit;
+                (share.limit, share.recovering, share.responded_at, share.requested_at) =
+                    (limit, false, now, declaration.requested_at);
+                share.declared_here_at = Some(now);
+                share.pending
             }
-            Declared::Absent if report.would_say => {
-                let known = self.engines.get_mut(engine);
-                let known =
-                    known.filter(|known| known.is_incarnation(born) && report.asked > known.said);
-                known.is_some_and(|known| {
-                    known.pending |= !known.ended;
-                    (known.ended, known.said, known.asked) = (true, now, report.asked);
-                    known.pending
+            Declared::Absent if declaration.absence_is_conclusive => {
+                let share = self.engines.get_mut(engine);
+                let share = share.filter(|share| {
+                    share.is_incarnation(born) && declaration.requested_at > share.responded_at
+                });
+                share.is_some_and(|share| {
+                    share.pending |= !share.recovering;
+                    (share.recovering, share.responded_at, share.requested_at) =
+                        (true, now, declaration.requested_at);
+                    share.pending
                 })
             }
             Declared::Absent => false,
             Declared::Unreadable => {
-                self.news.unreadable(engine);
+                self.event_throttle.unreadable(engine);
                 false
             }
         }
     }
 
-    /// Returns how many engines have a limit.
-    pub fn limited(&self) -> usize {
+    /// Returns the number of engines with a limit.
+    pub fn limited_count(&self) -> usize {
         self.engines.len()
     }
 
-    /// Returns whether an engine has a limit, or returns slowly from one.
+    /// Returns whether an engine has a limit or recovers from one.
     pub fn is_limited(&self, engine: &str) -> bool {
         self.engines.contains_key(engine)
     }
 
     /// Returns whether an engine declares a limit, as far as this host knows.
-    pub fn names_limit(&self, engine: &str) -> bool {
-        self.engines.get(engine).is_some_and(|known| !known.ended)
+    pub fn declares_limit(&self, engine: &str) -> bool {
+        self.engines.get(engine).is_some_and(|share| !share.recovering)
     }
 
-    /// Returns the limits of the engines that have one, or return slowly from it.
-    pub fn known(&self) -> HashMap<EngineName, RequestLimit> {
-        let known = self.engines.iter();
-        known.map(|(engine, known)| (Arc::clone(engine), known.limit)).collect()
+    /// Returns the limits of all engines that have one or recover from one.
+    pub fn limits(&self) -> HashMap<EngineName, RequestLimit> {
+        let shares = self.engines.iter();
+        shares.map(|(engine, share)| (Arc::clone(engine), share.limit)).collect()
     }
 
-    /// Forgets engines that are no longer listed in that incarnation; `life` returns the one that is listed.
-    pub fn retain(&mut self, life: impl Fn(&str) -> Option<EngineIncarnation>) {
-        self.engines
-            .retain(|engine, known| life(engine).is_some_and(|born| known.is_incarnation(born)));
-        self.news.retain(|engine| life(engine).is_some());
+    /// Drops engines that are no longer listed in that incarnation; `incarnation_of` returns the listed one.
+    pub fn retain(&mut self, incarnation_of: impl Fn(&str) -> Option<EngineIncarnation>) {
+        self.engines.retain(|engine, share| {
+            incarnation_of(engine).is_some_and(|born| share.is_incarnation(born))
+        });
+        self.event_throttle.retain(|engine| incarnation_of(engine).is_some());
     }
 
-    /// Returns what is to be logged now.
+    /// Returns the events to log now.
     pub fn take_events(&mut self, now: ClockMillis) -> Vec<LimitEvent> {
-        let known = self.engines.iter();
-        let known = known.map(|(engine, known)| (engine, known.born, known.limit));
-        self.news.take(known, now)
+        let shares = self.engines.iter();
+        let limits = shares.map(|(engine, share)| (engine, share.born, share.limit));
+        self.event_throttle.take(limits, now)
     }
 }
 
 impl LimitShare {
-    /// Returns whether a request may go to an engine now.
-    pub fn standing(&mut self, engine: &str, wanted: PermitUse, now: ClockMillis) -> LimitStanding {
-        let Some(known) = self.engines.get_mut(engine) else { return LimitStanding::Free };
-        known.drop_old_permits(now);
-        if known.permits_for(wanted) > 0 { LimitStanding::Permitted } else { LimitStanding::Used }
+    /// Returns whether an engine's limit admits a request now.
+    pub fn limit_status(
+        &mut self,
+        engine: &str,
+        wanted: PermitUse,
+        now: ClockMillis,
+    ) -> LimitStatus {
+        let Some(share) = self.engines.get_mut(engine) else {
+            return LimitStatus::Unlimited;
+        };
+        share.drop_expired_permits(now);
+        if share.available_permits(wanted) > 0 {
+            LimitStatus::Permitted
+        } else {
+            LimitStatus::Exhausted
+        }
     }
 
-    /// Takes a permit for a call to an engine; returns false where it has a limit and there is none.
+    /// Takes a permit for a call to an engine; returns false if the engine has a limit and no permit is left.
     pub fn take(&mut self, engine: &str, wanted: PermitUse, now: ClockMillis) -> bool {
-        match self.standing(engine, wanted, now) {
-            LimitStanding::Free => true,
-            LimitStanding::Used => false,
-            LimitStanding::Permitted => {
-                let known = self.engines.get_mut(engine);
-                known.is_some_and(|known| known.permits.pop_front().is_some())
+        match self.limit_status(engine, wanted, now) {
+            LimitStatus::Unlimited => true,
+            LimitStatus::Exhausted => false,
+            LimitStatus::Permitted => {
+                let share = self.engines.get_mut(engine);
+                share.is_some_and(|share| share.permits.pop_front().is_some())
             }
         }
     }
 
-    /// Puts back a permit for a call that was not made.
-    pub fn give_back(&mut self, engine: &str, now: ClockMillis) {
-        if let Some(known) = self.engines.get_mut(engine) {
-            known.permits.push_back(now + PERMIT_HOLDS);
+    /// Returns a permit whose call was not made.
+    pub fn refund(&mut self, engine: &str, now: ClockMillis) {
+        if let Some(share) = self.engines.get_mut(engine) {
+            share.permits.push_back(now + PERMIT_TTL);
         }
     }
 
-    /// Counts a call that has to be made without a permit: the ledger makes up for it.
+    /// Counts a call that is made without a permit; the ledger charges it to the engine's rate.
     pub fn count_unpermitted(&mut self, engine: &str) {
-        if let Some(known) = self.engines.get_mut(engine) {
-            known.unpermitted += 1;
+        if let Some(share) = self.engines.get_mut(engine) {
+            share.unpermitted += 1;
         }
     }
 
-    /// Takes that a request begins to wait for a permit.
-    pub fn wait_began(&mut self, engine: &str, wanted: PermitUse) {
-        if let Some(known) = self.engines.get_mut(engine) {
+    /// Records that a request starts to wait for a permit.
+    pub fn begin_wait(&mut self, engine: &str, wanted: PermitUse) {
+        if let Some(share) = self.engines.get_mut(engine) {
             match wanted {
-                PermitUse::Resumed => known.resumed += 1,
-                PermitUse::Waiting | PermitUse::New => known.waiting += 1,
+                PermitUse::Resumed => share.resumed += 1,
+                PermitUse::Waiting | PermitUse::New => share.waiting += 1,
             }
         }
     }
 
-    /// Takes that a request waits no longer for a permit.
-    pub fn wait_ended(&mut self, engine: &str, wanted: PermitUse) {
-        if let Some(known) = self.engines.get_mut(engine) {
+    /// Records that a request no longer waits for a permit.
+    pub fn end_wait(&mut self, engine: &str, wanted: PermitUse) {
+        if let Some(share) = self.engines.get_mut(engine) {
             let count = match wanted {
-                PermitUse::Resumed => &mut known.resumed,
-                PermitUse::Waiting | PermitUse::New => &mut known.waiting,
+                PermitUse::Resumed => &mut share.resumed,
+                PermitUse::Waiting | PermitUse::New => &mut share.waiting,
             };
             *count = count.saturating_sub(1);
         }
     }
 
-    /// Takes that a request would have gone to an engine, had there been a permit.
-    pub fn wish(&mut self, engine: &str, now: ClockMillis) {
-        if let Some(known) = self.engines.get_mut(engine) {
-            known.wished = Some(now);
+    /// Records that a request was diverted from an engine for want of a permit.
+    pub fn record_diversion(&mut self, engine: &str, now: ClockMillis) {
+        if let Some(share) = self.engines.get_mut(engine) {
+            share.diverted_at = Some(now);
         }
     }
 
-    /// Returns in what time one more request may expect a permit for an engine; `None` where nobody can say yet.
-    pub fn expected(&self, engine: &str, now: ClockMillis) -> Option<Duration> {
-        let known = self.engines.get(engine)?;
-        known.due.map(|due| due.since(now))
+    /// Returns the expected time until one more request gets a permit; `None` if it is unknown.
+    pub fn expected_wait(&self, engine: &str, now: ClockMillis) -> Option<Duration> {
+        let share = self.engines.get(engine)?;
+        share.expected_at.map(|expected_at| expected_at.since(now))
     }
 
-    /// Returns when a client that is told to come back may expect a permit, where `hosts` tell clients so.
+    /// Returns the time after which a rejected client should retry, given the number of hosts that reject clients.
     ///
-    /// Each that is told so comes a turn later than the one before, so that not all return together.
-    pub fn return_time(&mut self, engine: &str, hosts: u32, now: ClockMillis) -> Option<Duration> {
-        let known = self.engines.get_mut(engine)?;
-        let turn = f64::from(hosts.max(1)) / known.limit.per_second().max(PROBE_RATE);
-        let turn = Duration::try_from_secs_f64(turn).unwrap_or(Duration::MAX);
-        let first = known.due.unwrap_or(now).max(now);
-        let next = known.returns.map_or(first, |last| (last + turn).max(first));
-        known.returns = Some(next);
+    /// Successive calls return later times, so that clients do not all retry at once.
+    pub fn retry_after(&mut self, engine: &str, hosts: u32, now: ClockMillis) -> Option<Duration> {
+        let share = self.engines.get_mut(engine)?;
+        let interval = f64::from(hosts.max(1)) / share.limit.per_second().max(PROBE_RATE);
+        let interval = Duration::try_from_secs_f64(interval).unwrap_or(Duration::MAX);
+        let first = share.expected_at.unwrap_or(now).max(now);
+        let next = share
+            .last_retry_at
+            .map_or(first, |previous_retry_at| (previous_retry_at + interval).max(first));
+        share.last_retry_at = Some(next);
         Some(next.since(now))
     }
 
-    /// Returns how many requests of this host wait for an engine, against its limit. Unit: seconds.
-    pub fn queue(&self, engine: &str) -> f64 {
-        let Some(known) = self.engines.get(engine) else { return 0.0 };
-        f64::from(known.resumed + known.waiting) / known.limit.per_second().max(PROBE_RATE)
+    /// Returns the time that the requests waiting here take at the engine's limit. Unit: seconds.
+    pub fn queued_seconds(&self, engine: &str) -> f64 {
+        let Some(share) = self.engines.get(engine) else { return 0.0 };
+        f64::from(share.resumed + share.waiting) / share.limit.per_second().max(PROBE_RATE)
     }
 }
 
 impl LimitShare {
-    /// Takes that a frame of the ledger has arrived.
-    pub fn ledger_received(&mut self, now: ClockMillis) {
-        self.received = now;
-        for known in self.engines.values_mut() {
-            known.alone = None;
+    /// Records that a frame of the ledger has arrived.
+    pub fn record_ledger_frame(&mut self, now: ClockMillis) {
+        self.ledger_received_at = now;
+        for share in self.engines.values_mut() {
+            share.fallback_bucket = None;
         }
     }
 
     /// Returns whether frames of the ledger arrive.
     pub fn receives_ledger(&self, now: ClockMillis) -> bool {
-        self.received != ClockMillis::default() && now.since(self.received) < LEDGER_SILENCE
+        self.ledger_received_at != ClockMillis::default()
+            && now.since(self.ledger_received_at) < LEDGER_TIMEOUT
     }
 
-    /// Applies a report of the ledger; what this host has received itself since takes precedence.
+    /// Applies a report of the ledger, unless this host itself has received a later declaration.
     pub fn receive(&mut self, report: &LimitReport, now: ClockMillis) {
-        let said = now - report.said_ago;
-        let known = self.engines.get_mut(&report.engine);
-        if report.is_back() {
-            let known = known.filter(|known| known.is_incarnation(report.born));
-            if known.is_some_and(|known| known.ended || known.is_older_than(said)) {
+        let responded_at = now - report.responded_ago;
+        let share = self.engines.get_mut(&report.engine);
+        if report.is_lifted() {
+            let share = share.filter(|share| share.is_incarnation(report.born));
+            if share.is_some_and(|share| {
+                share.recovering || share.has_no_declaration_after(responded_at)
+            }) {
                 self.engines.remove(&report.engine);
             }
             return;
         }
-        let Some(known) = known else {
-            let mut new = EngineShare::new(report.born, report.limit, said);
+        let Some(share) = share else {
+            let mut new = EngineShare::new(report.born, report.limit, responded_at);
             new.apply(report, now);
             self.engines.insert(Arc::clone(&report.engine), new);
             return;
         };
-        if !known.is_incarnation(report.born) && said >= known.said {
-            known.begin_incarnation(report.born, report.limit, said);
-            known.apply(report, now);
-        } else if known.is_incarnation(report.born) && said > known.said {
-            known.apply(report, now);
+        if !share.is_incarnation(report.born) && responded_at >= share.responded_at {
+            share.begin_incarnation(report.born, report.limit, responded_at);
+            share.apply(report, now);
+        } else if share.is_incarnation(report.born) && responded_at > share.responded_at {
+            share.apply(report, now);
         }
     }
 
-    /// Takes what the ledger grants; returns whether there are permits now.
-    pub fn granted(&mut self, grants: &[PermitGrant], now: ClockMillis) -> bool {
-        let mut any = false;
+    /// Applies the ledger's grants; returns whether there is a permit or a new expected wait.
+    pub fn receive_grants(&mut self, grants: &[PermitGrant], now: ClockMillis) -> bool {
+        let mut permits_changed = false;
         for grant in grants {
-            let Some(known) = self.engines.get_mut(&grant.engine) else { continue };
+            let Some(share) = self.engines.get_mut(&grant.engine) else { continue };
             if grant.unknown {
-                known.resend();
+                share.resend();
             }
-            known.got += u64::from(grant.permits);
+            share.received += u64::from(grant.permits);
             for _ in 0..grant.permits {
-                // Whoever waited has left: others wait elsewhere.
-                if !known.wants_permit(now) {
-                    known.unused += 1;
+                // The request that asked for the permit has left; it is reported unused, so that another host can
+                // use it.
+                if !share.wants_permit(now) {
+                    share.unused += 1;
                     continue;
                 }
-                known.permits.push_back(now + PERMIT_HOLDS);
-                any = true;
+                share.permits.push_back(now + PERMIT_TTL);
+                permits_changed = true;
             }
             if let Some(wait) = grant.wait {
-                known.due = Some(now + wait);
-                any = true;
+                share.expected_at = Some(now + wait);
+                permits_changed = true;
             }
         }
-        any
+        permits_changed
     }
 
-    /// Returns the pending reports.
+    /// Returns the reports and demands that are due.
     pub fn take_pending(&mut self, now: ClockMillis) -> LimitUpdate {
         let mut update = LimitUpdate::default();
-        let mut wishes = 0;
-        for (engine, known) in &mut self.engines {
-            known.drop_old_permits(now);
-            if std::mem::take(&mut known.pending) {
-                update.reports.push(known.report(engine, now));
+        let mut diverted_demands = 0;
+        for (engine, share) in &mut self.engines {
+            share.drop_expired_permits(now);
+            if std::mem::take(&mut share.pending) {
+                update.reports.push(share.report(engine, now));
             }
-            let Some(demand) = known.due_demand(now) else { continue };
-            let only_wishes = demand.resumed + demand.waiting == 0;
-            wishes += usize::from(only_wishes);
-            if only_wishes && wishes > MOST_WISHES {
+            let Some(demand) = share.due_demand(now) else { continue };
+            let only_diverted = demand.resumed + demand.waiting == 0;
+            diverted_demands += usize::from(only_diverted);
+            if only_diverted && diverted_demands > MAX_DIVERTED_DEMANDS {
                 continue;
             }
-            known.sent.clone_from(&demand);
-            (known.sent_at, known.unpermitted) = (now, 0);
+            share.sent.clone_from(&demand);
+            (share.sent_at, share.unpermitted) = (now, 0);
             update.demands.push((Arc::clone(engine), demand));
         }
         update
@@ -325,53 +347,57 @@
     /// Marks reports that could not be sent as pending again.
     pub fn resend(&mut self, update: &LimitUpdate) {
         for report in &update.reports {
-            if let Some(known) = self.engines.get_mut(&report.engine) {
-                known.pending = true;
+            if let Some(share) = self.engines.get_mut(&report.engine) {
+                share.pending = true;
             }
         }
         for (engine, demand) in &update.demands {
-            if let Some(known) = self.engines.get_mut(engine) {
-                known.sent = PermitDemand::default();
-                known.unpermitted += demand.unpermitted;
+            if let Some(share) = self.engines.get_mut(engine) {
+                share.sent = PermitDemand::default();
+                share.unpermitted += demand.unpermitted;
             }
         }
     }
 
-    /// Marks everything as pending for another ledger, which counts this host's permits anew.
+    /// Marks everything as pending for another ledger and restarts the permit counters.
     pub fn resend_all(&mut self) {
-        for known in self.engines.values_mut() {
-            known.pending = true;
-            (known.got, known.unused) = (0, 0);
-            (known.sent, known.due) = (PermitDemand::default(), None);
+        for share in self.engines.values_mut() {
+            share.pending = true;
+            (share.received, share.unused) = (0, 0);
+            (share.sent, share.expected_at) = (PermitDemand::default(), None);
         }
     }
 
-    /// Grants this host a part of each limit where it stands in for a ledger that is silent; returns whether there are permits now.
-    /// `stands_in` tells whether this host does so for an engine.
-    pub fn stand_alone(&mut self, stands_in: impl Fn(&str) -> bool, now: ClockMillis) -> bool {
+    /// Grants this host a fraction of each limit for which it is the fallback while the ledger is silent; returns
+    /// whether permits changed. `is_fallback` returns whether this host is an engine's fallback.
+    pub fn grant_fallback_permits(
+        &mut self,
+        is_fallback: impl Fn(&str) -> bool,
+        now: ClockMillis,
+    ) -> bool {
         if self.receives_ledger(now) {
             return false;
         }
-        let mut any = false;
-        self.engines.retain(|engine, known| {
-            if known.ended && now.since(known.said) >= RETURNS_ALONE {
-                any = true;
+        let mut permits_changed = false;
+        self.engines.retain(|engine, share| {
+            if share.recovering && now.since(share.responded_at) >= UNCOORDINATED_LIFT_DELAY {
+                permits_changed = true;
                 return false;
             }
-            if stands_in(engine) {
-                known.drop_old_permits(now);
-                let bucket = known.alone.get_or_insert_with(|| TokenBucket::empty(now));
-                let rate = known.limit.per_second().max(PROBE_RATE) * ALONE_PART;
+            if is_fallback(engine) {
+                share.drop_expired_permits(now);
+                let bucket = share.fallback_bucket.get_or_insert_with(|| TokenBucket::empty(now));
+                let rate = share.limit.per_second().max(PROBE_RATE) * UNCOORDINATED_FRACTION;
                 bucket.refill(rate, now);
-                if known.permits.is_empty() && bucket.take() {
-                    known.permits.push_back(now + PERMIT_HOLDS);
-                    any = true;
+                if share.permits.is_empty() && bucket.take() {
+                    share.permits.push_back(now + PERMIT_TTL);
+                    permits_changed = true;
                 }
             } else {
-                known.alone = None;
+                share.fallback_bucket = None;
             }
             true
         });
-        any
+        permits_changed
     }
 }
