--- a/crates/core/src/fleet/cold.rs
+++ b/crates/core/src/fleet/cold.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use crate::placement::store_pace::LEAST_LOAD_TIME;
+use crate::placement::store_throughput::MIN_LOAD_TIME;
 
 /// The part of the target for which a request waits for an estimate.
 const ESTIMATE_PART: f64 = 0.17;
@@ -98,7 +98,7 @@
 
     /// Returns what the request is worth to its caller if its adapter is ordered now.
     pub fn worth(&self) -> f64 {
-        let answered = self.elapsed + LEAST_LOAD_TIME + self.reading + FIRST_STEP;
+        let answered = self.elapsed + MIN_LOAD_TIME + self.reading + FIRST_STEP;
         if self.returned || answered > self.target { LATE_WORTH } else { 1.0 }
     }
 
--- a/crates/core/src/placement/candidacy.rs
+++ b/crates/core/src/placement/candidacy.rs
@@ -20,29 +20,29 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct HostCapacity {
     /// Its share of a processor.
-    pub processor: f64,
+    pub cpu_share: f64,
     /// What its link carries. Unit: megabits a second.
-    pub bandwidth: f64,
+    pub bandwidth_mbps: f64,
 }
 
 impl HostCapacity {
     /// Returns whether the host can bear the work of a large domain.
-    pub fn is_strong(&self) -> bool {
-        self.processor >= STRONG_PROCESSOR && self.bandwidth >= STRONG_BANDWIDTH
+    pub fn has_high_capacity(&self) -> bool {
+        self.cpu_share >= STRONG_PROCESSOR && self.bandwidth_mbps >= STRONG_BANDWIDTH
     }
 
     /// Returns whether the host joins a group that has `members` already, `strong` ones among them.
     ///
     /// Strong hosts do not count weak members, who only stand in for them.
     pub fn should_join(&self, members: usize, strong: usize) -> bool {
-        if self.is_strong() { strong < ENOUGH_MEMBERS } else { members < LEAST_MEMBERS }
+        if self.has_high_capacity() { strong < ENOUGH_MEMBERS } else { members < LEAST_MEMBERS }
     }
 }
 
 impl HostCapacity {
     /// Returns whether a member leaves its work to the `strong` members that the group has again.
     pub fn should_leave(&self, strong: usize) -> bool {
-        !self.is_strong() && strong >= LEAST_MEMBERS
+        !self.has_high_capacity() && strong >= LEAST_MEMBERS
     }
 }
 
--- a/crates/core/src/placement/demand.rs
+++ b/crates/core/src/placement/demand.rs
@@ -25,17 +25,17 @@
     /// The model or adapter.
     pub key: ModelKey,
     /// Requests that came since the last word.
-    pub asked: u32,
+    pub new_requests: u32,
     /// The prompts of those. Unit: tokens.
-    pub asked_tokens: u64,
+    pub new_prompt_tokens: u64,
     /// Requests that wait for it now.
     pub waiting: u32,
     /// The prompts of those. Unit: tokens.
-    pub waiting_tokens: u64,
+    pub waiting_prompt_tokens: u64,
     /// The worth of the waiting requests; the mean request is worth one.
-    pub waiting_worth: f64,
+    pub waiting_value: f64,
     /// Whether every copy is at an engine that takes no requests from the host now.
-    pub copies_closed: bool,
+    pub copies_unavailable: bool,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -78,22 +78,22 @@
 
 /// Demand of one placement domain, summed over hosts.
 #[derive(Debug, Clone, Default)]
-pub struct DemandBook {
+pub struct DemandTracker {
     keys: HashMap<ModelKey, KeyDemand>,
 }
 
-impl DemandBook {
+impl DemandTracker {
     /// Takes what `host` was asked for.
     pub fn note(&mut self, host: &Arc<str>, entries: &[DemandEntry], now: ClockMillis) {
         for entry in entries {
             let demand = self.keys.entry(Arc::clone(&entry.key)).or_default();
-            if entry.asked > 0 {
-                demand.rate.add(f64::from(entry.asked), now, RATE_HALF_LIFE);
-                demand.burst.add(f64::from(entry.asked), now, BURST_HALF_LIFE);
-                let tokens = entry.asked_tokens as f64;
+            if entry.new_requests > 0 {
+                demand.rate.add(f64::from(entry.new_requests), now, RATE_HALF_LIFE);
+                demand.burst.add(f64::from(entry.new_requests), now, BURST_HALF_LIFE);
+                let tokens = entry.new_prompt_tokens as f64;
                 demand.reading.add(tokens, now, RATE_HALF_LIFE);
                 demand.burst_reading.add(tokens, now, BURST_HALF_LIFE);
-                demand.unserved = demand.unserved.saturating_add(entry.asked);
+                demand.unserved = demand.unserved.saturating_add(entry.new_requests);
                 demand.asked = now;
             }
             if entry.waiting > 0 || demand.waiting.contains_key(host) {
@@ -104,9 +104,9 @@
             } else {
                 let waiting = HostWaiting {
                     requests: entry.waiting,
-                    tokens: entry.waiting_tokens,
-                    worth: entry.waiting_worth,
-                    copies_closed: entry.copies_closed,
+                    tokens: entry.waiting_prompt_tokens,
+                    worth: entry.waiting_value,
+                    copies_closed: entry.copies_unavailable,
                     at: now,
                 };
                 demand.waiting.insert(Arc::clone(host), waiting);
--- a/crates/core/src/placement/signs.rs
+++ b/crates/core/src/placement/engine_reports.rs
@@ -7,13 +7,13 @@
     fleet::EngineEntry,
     placement::{
         EngineInventory, EngineReport, PlacementPlanner, inventory::PendingLoad,
-        load_suspects::HeldLoad,
+        load_suspects::QuarantinedLoad,
     },
 };
 
 impl PlacementPlanner {
     /// Takes an engine's report that was asked for at `asked`.
-    pub fn report_arrived(&mut self, engine: &str, report: &EngineReport, asked: ClockMillis) {
+    pub fn handle_report(&mut self, engine: &str, report: &EngineReport, asked: ClockMillis) {
         let Some(inventory) = self.engines.get_mut(engine) else { return };
         if !inventory.entry.is_life(report.born) {
             inventory.take_report(report, asked);
@@ -35,7 +35,7 @@
     /// Takes that an engine gave no report; `refused` where it refuses connections, as a process that has ended does.
     ///
     /// Only that is a sign against what it loads: a placer with too much to do, or a slow link, misses reports of many engines that live.
-    pub fn report_failed(&mut self, engine: &str, refused: bool) {
+    pub fn handle_report_failure(&mut self, engine: &str, refused: bool) {
         let Some(inventory) = self.engines.get_mut(engine) else { return };
         inventory.asking = false;
         if !refused {
@@ -48,7 +48,7 @@
     }
 
     /// Returns which adapters are held back since engines ended under their loads, once each.
-    pub fn take_held_loads(&mut self) -> Vec<HeldLoad> {
+    pub fn take_quarantined_loads(&mut self) -> Vec<QuarantinedLoad> {
         self.load_suspects.take_events()
     }
 
--- a/crates/core/src/placement/memory.rs
+++ b/crates/core/src/placement/engine_weight_cache.rs
@@ -12,14 +12,14 @@
 
 /// What an engine held lately and may bring back without the weight store, the latest last.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct EngineMemory {
+pub struct EngineWeightCache {
     keys: VecDeque<ModelKey>,
     known: HashSet<ModelKey>,
 }
 
-impl EngineMemory {
+impl EngineWeightCache {
     /// Takes that the engine holds, or has just dropped, a model or adapter.
-    pub fn note(&mut self, key: &ModelKey) {
+    pub fn insert(&mut self, key: &ModelKey) {
         if self.keys.back() == Some(key) {
             return;
         }
--- a/crates/core/src/placement/work.rs
+++ b/crates/core/src/placement/engine_work.rs
@@ -16,7 +16,7 @@
 
 /// The requests of one host that an engine has for one model or adapter.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct RunEntry {
+pub struct OpenRequestsEntry {
     /// The engine.
     pub engine: EngineName,
     /// The model or adapter.
@@ -42,18 +42,21 @@
     /// All of its requests at an engine.
     pub engines: Vec<(EngineName, EngineWork)>,
     /// Its requests at an engine by model or adapter.
-    pub runs: Vec<RunEntry>,
+    pub open_requests: Vec<OpenRequestsEntry>,
     /// What engines said that they do not hold.
     pub absent: Vec<AbsentEntry>,
     /// Engines to which no connection came about.
-    pub unreached: Vec<EngineName>,
+    pub unreachable: Vec<EngineName>,
 }
 
 impl HostWork {
     /// Returns whether there is nothing to tell.
     pub const fn is_empty(&self) -> bool {
-        let Self { engines, runs, absent, unreached } = self;
-        engines.is_empty() && runs.is_empty() && absent.is_empty() && unreached.is_empty()
+        let Self { engines, open_requests, absent, unreachable } = self;
+        engines.is_empty()
+            && open_requests.is_empty()
+            && absent.is_empty()
+            && unreachable.is_empty()
     }
 }
 
@@ -102,18 +105,18 @@
 
 /// What engines work on.
 #[derive(Debug, Clone, Default)]
-pub struct WorkBook {
+pub struct WorkTracker {
     engines: HashMap<EngineName, EngineSum>,
 }
 
-impl WorkBook {
+impl WorkTracker {
     /// Takes what `host` has at engines.
-    pub fn note(&mut self, host: &Arc<str>, told: &HostWork, now: ClockMillis) {
+    pub fn record(&mut self, host: &Arc<str>, told: &HostWork, now: ClockMillis) {
         for (engine, work) in &told.engines {
             let sum = self.engines.entry(Arc::clone(engine)).or_default();
             sum.work.note(host, (work.open > 0).then_some(*work), now);
         }
-        for run in &told.runs {
+        for run in &told.open_requests {
             let sum = self.engines.entry(Arc::clone(&run.engine)).or_default();
             let runs = sum.runs.entry(Arc::clone(&run.key)).or_default();
             runs.note(host, (run.open > 0).then_some(run.open), now);
@@ -138,7 +141,7 @@
     }
 
     /// Returns how many requests an engine has for a model or adapter.
-    pub fn runs(&self, engine: &str, key: &str) -> u32 {
+    pub fn open_requests(&self, engine: &str, key: &str) -> u32 {
         let runs = self.engines.get(engine).and_then(|sum| sum.runs.get(key));
         runs.map_or(0, |runs| runs.words().sum())
     }
--- a/crates/core/src/placement/inventory.rs
+++ b/crates/core/src/placement/inventory.rs
@@ -16,11 +16,11 @@
     fleet::{
         EngineBirth, EngineEntry, HeldModel, ModelKey, WeightVersion, adapter_name, base_model,
     },
-    placement::{EngineMemory, LoadSight, OrderId, OrderKind, PlannedOrder},
+    placement::{EngineWeightCache, LoadObservation, OrderId, OrderKind, PlannedOrder},
 };
 
 /// How old the state in a report may be when it arrives.
-pub const REPORT_LAG: Duration = Duration::from_millis(250);
+pub const MAX_REPORT_AGE: Duration = Duration::from_millis(250);
 
 /// How old the state in a report is as a rule. Source: the users' pages, some hundred milliseconds.
 const REPORT_AGE: Duration = Duration::from_millis(100);
@@ -49,7 +49,7 @@
     /// How many orders it had taken.
     pub sequence: u64,
     /// Whether a model's order is under way.
-    pub busy: bool,
+    pub model_change_in_progress: bool,
     /// What it held.
     pub held: Vec<HeldModel>,
     /// What was in transit to it.
@@ -127,7 +127,7 @@
     /// What is in transit to it.
     pub pending: Vec<PendingLoad>,
     /// What it held before and may bring back without the weight store, the latest last.
-    pub memory: EngineMemory,
+    pub memory: EngineWeightCache,
     /// What it drops as soon as its runs have ended.
     pub closing: BTreeSet<ModelKey>,
     /// The order that is on its way.
@@ -165,7 +165,7 @@
             entry,
             sequence: None,
             pending: Vec::new(),
-            memory: EngineMemory::default(),
+            memory: EngineWeightCache::default(),
             closing: BTreeSet::new(),
             order: None,
             doubted: Vec::new(),
@@ -230,8 +230,8 @@
         if self.asking || self.order.is_some() {
             return false;
         }
-        let settled = now.since(self.ordered) >= REPORT_LAG;
-        let rested = now.since(self.asked) >= REPORT_LAG;
+        let settled = now.since(self.ordered) >= MAX_REPORT_AGE;
+        let rested = now.since(self.asked) >= MAX_REPORT_AGE;
         let overdue = self.pending.iter().any(|load| now >= load.due + REPORT_DELAY);
         settled
             && rested
@@ -251,7 +251,7 @@
             self.sequence = None;
             return false;
         }
-        let fresh = asked.since(self.ordered) >= REPORT_LAG && self.order.is_none();
+        let fresh = asked.since(self.ordered) >= MAX_REPORT_AGE && self.order.is_none();
         if !fresh {
             return false;
         }
@@ -264,9 +264,9 @@
         self.held = held;
         self.touched = true;
         self.closing.retain(|key| self.held.contains_key(key));
-        self.busy = report.busy;
+        self.busy = report.model_change_in_progress;
         // A report may show the engine as it was before it said so.
-        self.contradicted = self.contradicted.filter(|said| asked < *said + REPORT_LAG);
+        self.contradicted = self.contradicted.filter(|said| asked < *said + MAX_REPORT_AGE);
         if self.sequence.is_some_and(|known| known < report.sequence) {
             self.doubted.clear();
         }
@@ -278,7 +278,7 @@
                     key: Arc::clone(&pending.key),
                     version: pending.version,
                     began: asked,
-                    due: asked + REPORT_LAG,
+                    due: asked + MAX_REPORT_AGE,
                     not_before: ClockMillis::default(),
                     order: None,
                     from_store: true,
@@ -316,7 +316,7 @@
     }
 
     /// Returns what a report that was asked for at `asked` shows of the adapters on their way from the store.
-    pub fn load_sights(&self, report: &EngineReport, asked: ClockMillis) -> Vec<LoadSight> {
+    pub fn load_sights(&self, report: &EngineReport, asked: ClockMillis) -> Vec<LoadObservation> {
         let at = asked - REPORT_AGE;
         let adapters = self.pending.iter().filter(|load| load.is_store_adapter());
         let sights = adapters.filter_map(|load| {
@@ -325,14 +325,19 @@
                 report.held.iter().any(|held| held.key == load.key && held.version >= load.version);
             let seen = on_its_way || there;
             let order = load.order?;
-            seen.then_some(LoadSight { load: order, there: !on_its_way, at, blur: REPORT_BLUR })
+            seen.then_some(LoadObservation {
+                load: order,
+                there: !on_its_way,
+                at,
+                blur: REPORT_BLUR,
+            })
         });
         sights.collect()
     }
 
     /// Takes that the engine holds, or has just dropped, a model or adapter.
     pub fn remember(&mut self, key: &ModelKey) {
-        self.memory.note(key);
+        self.memory.insert(key);
     }
 
     /// Returns whether the engine held something lately.
--- a/crates/core/src/placement/limited.rs
+++ b/crates/core/src/placement/limited_engines.rs
@@ -33,7 +33,7 @@
 
 impl PlacementPlanner {
     /// Takes which engines have named a limit.
-    pub fn limits_known(&mut self, limits: HashMap<EngineName, RequestLimit>) {
+    pub fn set_limits(&mut self, limits: HashMap<EngineName, RequestLimit>) {
         let mut ready = self.engines.values().filter(|inventory| !inventory.entry.leaving);
         let everywhere =
             !limits.is_empty() && ready.all(|inventory| limits.contains_key(&inventory.entry.name));
@@ -42,7 +42,7 @@
 
     /// Takes which engines want nothing from this host for a while: neither orders nor reports, and their copies count as none
     /// for requests that wait.
-    pub fn cooldowns_known(&mut self, cooling: HashSet<EngineName>) {
+    pub fn set_cooldowns(&mut self, cooling: HashSet<EngineName>) {
         self.limited.cooling = cooling;
     }
 
--- a/crates/core/src/placement/candidates.rs
+++ b/crates/core/src/placement/load_candidates.rs
@@ -52,7 +52,7 @@
 #[derive(Debug, Clone)]
 pub(super) struct LoadCandidate {
     pub(super) key: ModelKey,
-    pub(super) worth: f64,
+    pub(super) value: f64,
     /// The one engine that it is for; any engine of the domain otherwise.
     pub(super) engine: Option<EngineName>,
 }
@@ -65,9 +65,9 @@
             if adapter_name(key).is_none() {
                 continue;
             }
-            let worth = self.worth(key, now);
-            if worth >= LEAST_WORTH {
-                candidates.push(LoadCandidate { key: Arc::clone(key), worth, engine: None });
+            let value = self.load_value(key, now);
+            if value >= LEAST_WORTH {
+                candidates.push(LoadCandidate { key: Arc::clone(key), value, engine: None });
             }
         }
         candidates.extend(self.outdated(now));
@@ -108,7 +108,7 @@
             .into_iter()
             .map(|inventory| LoadCandidate {
                 key: Arc::from(model.name.as_str()),
-                worth: EMPTY_ENGINE_WORTH,
+                value: EMPTY_ENGINE_WORTH,
                 engine: Some(Arc::clone(&inventory.entry.name)),
             })
             .collect()
@@ -134,10 +134,10 @@
         });
         let candidates = stale.map(|key| LoadCandidate {
             key: Arc::clone(key),
-            worth: VERSION_FACTOR * self.interest(key, now),
+            value: VERSION_FACTOR * self.interest(key, now),
             engine: None,
         });
-        candidates.filter(|candidate| candidate.worth >= LEAST_WORTH).collect()
+        candidates.filter(|candidate| candidate.value >= LEAST_WORTH).collect()
     }
 
     /// Returns how much an adapter is wanted: by what waits, and by what will come.
@@ -149,7 +149,7 @@
     ///
     /// The first copy is worth something only when somebody waits for it; another one only when the
     /// copies there are asked for more than they can bear.
-    fn worth(&self, key: &str, now: ClockMillis) -> f64 {
+    fn load_value(&self, key: &str, now: ClockMillis) -> f64 {
         let copies = self.copies(key);
         if copies > 0.0 && (self.is_out_of_reach(key, now) || self.is_closed(key, now)) {
             return self.interest(key, now);
--- a/crates/core/src/placement/window.rs
+++ b/crates/core/src/placement/load_rate_limiter.rs
@@ -15,13 +15,13 @@
 
 /// Counts loads from the weight store within a sliding window.
 #[derive(Debug, Clone)]
-pub struct LoadWindow {
+pub struct LoadRateLimiter {
     length: Duration,
     most: usize,
     begun: VecDeque<ClockMillis>,
 }
 
-impl LoadWindow {
+impl LoadRateLimiter {
     /// Allows `loads_per_second` over `length`, times `overage`.
     pub fn new(loads_per_second: f64, length: Duration, overage: f64) -> Self {
         let allowed = loads_per_second * length.as_secs_f64() * overage + RULE_SLACK - RESERVE;
--- a/crates/core/src/placement/load_suspects.rs
+++ b/crates/core/src/placement/load_suspects.rs
@@ -35,20 +35,20 @@
 
 /// An adapter that is not loaded for a while.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct HeldLoad {
+pub struct QuarantinedLoad {
     /// The adapter.
     pub key: ModelKey,
     /// How many engines ended in a row while they loaded it, or gave no sign of life since.
-    pub ends: usize,
+    pub engine_failures: usize,
     /// For how long it is not loaded.
-    pub time: Duration,
+    pub quarantine: Duration,
 }
 
 /// What is known of adapters under whose loads engines ended.
 #[derive(Debug, Clone, Default)]
 pub struct LoadSuspects {
     by_key: HashMap<ModelKey, BTreeMap<EngineName, SilentLoad>>,
-    news: Vec<HeldLoad>,
+    news: Vec<QuarantinedLoad>,
 }
 
 impl LoadSuspects {
@@ -68,10 +68,10 @@
         let (born, version, began) = (engine.born, load.version, load.began);
         let silent = SilentLoad { born, version, began, noted: now, ended };
         loads.insert(Arc::clone(&engine.name), silent);
-        let ends = ends_in_a_row(loads);
-        if let Some(hold) = Hold::after(ends, ENDS_UNTIL_HELD) {
-            let (key, time) = (Arc::clone(&load.key), hold.time(false));
-            self.news.push(HeldLoad { key, ends, time });
+        let engine_failures = ends_in_a_row(loads);
+        if let Some(hold) = Hold::after(engine_failures, ENDS_UNTIL_HELD) {
+            let (key, quarantine) = (Arc::clone(&load.key), hold.time(false));
+            self.news.push(QuarantinedLoad { key, engine_failures, quarantine });
         }
     }
 
@@ -114,7 +114,7 @@
     }
 
     /// Takes which adapters were held back since the last call.
-    pub fn take_events(&mut self) -> Vec<HeldLoad> {
+    pub fn take_events(&mut self) -> Vec<QuarantinedLoad> {
         std::mem::take(&mut self.news)
     }
 }
--- a/crates/core/src/placement/target.rs
+++ b/crates/core/src/placement/load_target.rs
@@ -7,8 +7,8 @@
     fleet::{ADAPTER_SEPARATOR, ModelKey, adapter_name, base_model},
     placement::{
         EngineInventory, OrderKind, PlacementPlanner, PlannedOrder,
-        candidates::{LoadCandidate, RATE_HORIZON},
         inventory::MOST_IN_TRANSIT,
+        load_candidates::{LoadCandidate, RATE_HORIZON},
     },
 };
 
@@ -52,7 +52,7 @@
         let able = engines.into_iter().filter(|inventory| self.is_able(inventory, candidate, now));
         let able = able.filter(|inventory| store_free || self.comes_back(inventory, key));
         let rooms = able.filter_map(|inventory| {
-            let room = self.room(inventory, key, candidate.worth, now)?;
+            let room = self.room(inventory, key, candidate.value, now)?;
             Some((inventory, room))
         });
         let (best, room) = rooms.min_by_key(|(inventory, room)| {
@@ -69,10 +69,10 @@
         match room {
             LoadRoom::Free => {
                 let kind = OrderKind::Load { from_store };
-                self.give(&name, kind, Arc::clone(key), candidate.worth, now)
+                self.give(&name, kind, Arc::clone(key), candidate.value, now)
             }
             LoadRoom::After(victim) => {
-                self.give(&name, OrderKind::Unload, victim, candidate.worth, now)
+                self.give(&name, OrderKind::Unload, victim, candidate.value, now)
             }
         }
     }
@@ -82,13 +82,13 @@
         &self,
         inventory: &EngineInventory,
         key: &str,
-        worth: f64,
+        value: f64,
         now: ClockMillis,
     ) -> Option<LoadRoom> {
         if self.has_place(inventory, key) {
             return Some(LoadRoom::Free);
         }
-        self.victim(inventory, worth, now).map(LoadRoom::After)
+        self.victim(inventory, value, now).map(LoadRoom::After)
     }
 
     /// Returns whether the engine has held this version and can bring it back by itself.
@@ -129,7 +129,7 @@
             clippy::cast_sign_loss,
             reason = "small, positive"
         )]
-        let at_once = (ADAPTER_OVERLOAD * self.pace().full_speed).round() as usize;
+        let at_once = (ADAPTER_OVERLOAD * self.store_throughput().parallel_loads).round() as usize;
         at_once.max(LEAST_AT_ONCE)
     }
 
@@ -197,28 +197,28 @@
     }
 
     /// Returns the adapter without a run that is worth least at an engine, if it is worth less than
-    /// `worth`.
+    /// `value`.
     ///
     /// An adapter with a run would keep its place, and its engine from other orders, until the run
     /// has ended.
     fn victim(
         &self,
         inventory: &EngineInventory,
-        worth: f64,
+        value: f64,
         now: ClockMillis,
     ) -> Option<ModelKey> {
         let adapters = inventory.held.keys().filter(|key| adapter_name(key).is_some());
         adapters
             .filter(|key| !self.is_used(inventory, key, now))
             .map(|key| (self.kept_worth(inventory, key, now), key))
-            .filter(|(kept, _)| *kept < worth)
+            .filter(|(kept, _)| *kept < value)
             .min_by(|left, right| left.0.total_cmp(&right.0))
             .map(|(_, key)| Arc::clone(key))
     }
 
     /// Returns whether an adapter has a run at an engine, or may have one that was not told yet.
     fn is_used(&self, inventory: &EngineInventory, key: &ModelKey, now: ClockMillis) -> bool {
-        let runs = self.work.runs(&inventory.entry.name, key) > 0;
+        let runs = self.work.open_requests(&inventory.entry.name, key) > 0;
         let pending = inventory.pending.iter().any(|load| load.key == *key);
         let awaited = self.demand.waiting(key) > 0;
         let lately = now.since(self.demand.last_wanted(key)) < UNTOLD_RUN;
--- a/crates/core/src/placement/due.rs
+++ b/crates/core/src/placement/load_timing.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     clock::ClockMillis,
-    placement::{AbsentEntry, LoadSight, OrderId, PlacementPlanner},
+    placement::{AbsentEntry, LoadObservation, OrderId, PlacementPlanner},
 };
 
 /// How long a load of something an engine held lately takes.
@@ -27,7 +27,7 @@
             return REMEMBERED_LOAD_TIME + ORDER_TIME;
         }
         let model = self.hosting.model(key);
-        model.map_or(self.pace().load_time, |model| model.load_time) + ORDER_TIME
+        model.map_or(self.store_throughput().load_time, |model| model.load_time) + ORDER_TIME
     }
 
     /// Projects anew when the adapters on their way from the store are due.
@@ -63,7 +63,7 @@
             inventory.touched = true;
         }
         if let Some(load) = load.order.filter(|_| load.is_store_adapter()) {
-            let sight = LoadSight { load, there: false, at, blur: SEND_BLUR };
+            let sight = LoadObservation { load, there: false, at, blur: SEND_BLUR };
             self.store.load_seen(&sight, now);
             self.project_store(now);
         }
--- a/crates/core/src/placement/order.rs
+++ b/crates/core/src/placement/order.rs
@@ -42,7 +42,7 @@
     /// The number of orders that the engine must have taken before.
     pub expected_sequence: u64,
     /// What the load was worth when it was picked.
-    pub worth: f64,
+    pub value: f64,
     /// Requests that waited for it.
     pub waiting: u32,
 }
@@ -72,7 +72,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum PlacementAction {
     /// Send an order.
-    Order(PlannedOrder),
+    SendOrder(PlannedOrder),
     /// Ask an engine for a report.
-    Report(Arc<EngineEntry>),
+    RequestReport(Arc<EngineEntry>),
 }
--- a/crates/core/src/placement/planner.rs
+++ b/crates/core/src/placement/planner.rs
@@ -19,14 +19,15 @@
         reading::ReadingSpeed, routes::ModelHosting, work::EngineWork,
     },
     placement::{
-        DemandBook, DemandEntry, EngineInventory, EngineMemory, HostWork, LoadWindow, OrderAnswer,
-        OrderId, OrderKind, PaceLearner, PlacementAction, PlannedOrder, StorePace, WorkBook,
-        doubts::{counts_against_rate, settle_doubts},
+        DemandEntry, DemandTracker, EngineInventory, EngineWeightCache, HostWork, LoadRateLimiter,
+        OrderAnswer, OrderId, OrderKind, PlacementAction, PlannedOrder, StoreThroughput,
+        ThroughputEstimator, WorkTracker,
+        engine_reports::loads_at_end,
         inventory::PendingLoad,
-        limited::LimitedEngines,
+        limited_engines::LimitedEngines,
         load_suspects::LoadSuspects,
-        signs::loads_at_end,
-        totals::RoundTotals,
+        round_totals::RoundTotals,
+        unanswered_orders::{counts_against_rate, settle_doubts},
     },
     popularity::DecayedRate,
 };
@@ -60,11 +61,11 @@
 pub struct PlacementPlanner {
     pub(super) hosting: ModelHosting,
     pub(super) engines: BTreeMap<EngineName, EngineInventory>,
-    pub(super) demand: DemandBook,
-    pub(super) work: WorkBook,
-    pub(super) window: LoadWindow,
+    pub(super) demand: DemandTracker,
+    pub(super) work: WorkTracker,
+    pub(super) window: LoadRateLimiter,
     pub(super) versions: HashMap<ModelKey, WeightVersion>,
-    pub(super) store: PaceLearner,
+    pub(super) store: ThroughputEstimator,
     /// How many loads were ordered lately: what queues has its turn at that rate.
     load_rate: DecayedRate,
     pub(super) reading: ReadingSpeed,
@@ -80,13 +81,13 @@
 
 impl PlacementPlanner {
     /// Starts without engines.
-    pub fn new(hosting: ModelHosting, window: LoadWindow) -> Self {
-        let store = PaceLearner::new(StorePace::assumed(hosting.loads_per_second));
+    pub fn new(hosting: ModelHosting, window: LoadRateLimiter) -> Self {
+        let store = ThroughputEstimator::new(StoreThroughput::assumed(hosting.loads_per_second));
         Self {
             hosting,
             engines: BTreeMap::new(),
-            demand: DemandBook::default(),
-            work: WorkBook::default(),
+            demand: DemandTracker::default(),
+            work: WorkTracker::default(),
             window,
             versions: HashMap::new(),
             store,
@@ -117,7 +118,7 @@
     }
 
     /// Takes the domain's engines as they are listed now.
-    pub fn engines_listed(&mut self, entries: &[Arc<EngineEntry>]) {
+    pub fn set_engines(&mut self, entries: &[Arc<EngineEntry>]) {
         let names: BTreeSet<&EngineName> = entries.iter().map(|entry| &entry.name).collect();
         let gone = self.engines.extract_if(.., |name, _| !names.contains(name));
         self.ended_loads.extend(gone.flat_map(|(_, inventory)| loads_at_end(&inventory)));
@@ -137,7 +138,7 @@
     }
 
     /// Takes what engines held lately under the placer before, for engines that are listed.
-    pub fn recall(&mut self, memories: &HashMap<EngineName, EngineMemory>) {
+    pub fn restore_weight_caches(&mut self, memories: &HashMap<EngineName, EngineWeightCache>) {
         for (engine, memory) in memories {
             if let Some(inventory) = self.engines.get_mut(engine) {
                 inventory.memory.clone_from(memory);
@@ -146,41 +147,41 @@
     }
 
     /// Takes the weight store's pace as the placer before had learnt it.
-    pub fn pace_known(&mut self, pace: StorePace) {
-        self.store = PaceLearner::new(pace);
+    pub fn restore_throughput(&mut self, pace: StoreThroughput) {
+        self.store = ThroughputEstimator::new(pace);
     }
 
     /// Returns the weight store's pace as far as it is known.
-    pub fn pace(&self) -> StorePace {
+    pub fn store_throughput(&self) -> StoreThroughput {
         self.store.pace()
     }
 
     /// Takes the service's hosting as it is configured now.
-    pub fn hosting_changed(&mut self, hosting: &ModelHosting) {
+    pub fn set_hosting(&mut self, hosting: &ModelHosting) {
         if self.hosting != *hosting {
             self.hosting.clone_from(hosting);
         }
     }
 
     /// Takes the versions that the operator named.
-    pub fn versions_named(&mut self, versions: &HashMap<ModelKey, WeightVersion>) {
+    pub fn set_versions(&mut self, versions: &HashMap<ModelKey, WeightVersion>) {
         self.versions.clone_from(versions);
     }
 
     /// Takes what a host was asked for.
-    pub fn demand_noted(&mut self, host: &Arc<str>, entries: &[DemandEntry], now: ClockMillis) {
+    pub fn record_demand(&mut self, host: &Arc<str>, entries: &[DemandEntry], now: ClockMillis) {
         self.demand.note(host, entries, now);
     }
 
     /// Takes how fast the domain's engines read prompts, as far as this host has learnt it.
-    pub fn reading_learnt(&mut self, speed: &ReadingSpeed) {
+    pub fn set_prefill_speed(&mut self, speed: &ReadingSpeed) {
         self.reading.clone_from(speed);
     }
 
     /// Takes what a host has at engines.
-    pub fn work_noted(&mut self, host: &Arc<str>, told: &HostWork, now: ClockMillis) {
-        self.work.note(host, told, now);
-        for run in told.runs.iter().filter(|run| run.open > 0) {
+    pub fn record_work(&mut self, host: &Arc<str>, told: &HostWork, now: ClockMillis) {
+        self.work.record(host, told, now);
+        for run in told.open_requests.iter().filter(|run| run.open > 0) {
             if let Some(inventory) = self.engines.get_mut(&run.engine) {
                 inventory.note_use(&run.key);
             }
@@ -188,7 +189,7 @@
         for absent in &told.absent {
             self.absence_noted(absent, now);
         }
-        for engine in &told.unreached {
+        for engine in &told.unreachable {
             if let Some(inventory) = self.engines.get_mut(engine) {
                 inventory.unreached_by(host, now);
             }
@@ -201,7 +202,7 @@
     }
 
     /// Takes an engine's word, or silence, on an order.
-    pub fn order_answered(&mut self, id: OrderId, answer: OrderAnswer, now: ClockMillis) {
+    pub fn handle_order_answer(&mut self, id: OrderId, answer: OrderAnswer, now: ClockMillis) {
         let Some(order) = self.outstanding.remove(&id) else { return };
         let version = self.newest(&order.key);
         let time = self.load_time_of(&order.key, order.kind.loads_from_store());
@@ -267,7 +268,7 @@
         let mut actions = self.wanted_reports(now);
         if acting {
             let orders = self.wanted_orders(now);
-            actions.extend(orders.into_iter().map(PlacementAction::Order));
+            actions.extend(orders.into_iter().map(PlacementAction::SendOrder));
         }
         actions
     }
@@ -279,7 +280,7 @@
             if called && inventory.needs_report(now) {
                 inventory.asking = true;
                 inventory.asked = now;
-                actions.push(PlacementAction::Report(Arc::clone(&inventory.entry)));
+                actions.push(PlacementAction::RequestReport(Arc::clone(&inventory.entry)));
             }
         }
         actions
@@ -289,7 +290,7 @@
         self.totals = RoundTotals::count(self, now);
         let mut candidates = self.candidates(now);
         candidates.sort_by(|left, right| {
-            right.worth.total_cmp(&left.worth).then_with(|| left.key.cmp(&right.key))
+            right.value.total_cmp(&left.value).then_with(|| left.key.cmp(&right.key))
         });
         let mut orders = Vec::new();
         self.queue.clear();
@@ -320,7 +321,7 @@
         engine: &EngineName,
         kind: OrderKind,
         key: ModelKey,
-        worth: f64,
+        value: f64,
         now: ClockMillis,
     ) -> Option<PlannedOrder> {
         let version = self.versions.get(&key).copied();
@@ -341,7 +342,7 @@
             key,
             version,
             expected_sequence,
-            worth,
+            value,
             waiting,
         };
         if matches!(kind, OrderKind::Load { .. }) {
@@ -372,21 +373,21 @@
     }
 
     /// Returns in what time a key that was asked for is expected to be loaded.
-    pub fn estimate(&self, key: &str, now: ClockMillis) -> Option<Duration> {
+    pub fn estimated_load_delay(&self, key: &str, now: ClockMillis) -> Option<Duration> {
         let loads = self.engines.values().flat_map(|inventory| &inventory.pending);
         if let Some(load) = loads.filter(|load| &*load.key == key).min_by_key(|load| load.due) {
             return Some(load.due.since(now));
         }
         if self.outstanding.values().any(|order| &*order.key == key) {
-            return Some(self.pace().load_time);
+            return Some(self.store_throughput().load_time);
         }
         if let Some(held) = self.load_suspects.held(key, self.newest(key), now) {
-            return Some(held + self.pace().load_time);
+            return Some(held + self.store_throughput().load_time);
         }
         let place = self.queue.iter().position(|queued| &**queued == key)?;
         let rate = self.load_rate.per_second(now, LOAD_RATE_HALF_LIFE).max(LEAST_LOAD_RATE);
         let turn = Duration::from_secs_f64((place + 1) as f64 / rate);
-        Some(self.pace().load_time + turn)
+        Some(self.store_throughput().load_time + turn)
     }
 
     /// Returns the engines as the planner knows them, for status pages and tests.
@@ -395,7 +396,7 @@
     }
 
     /// Returns when the next load is expected to end, if one is under way.
-    pub fn next_due(&self, now: ClockMillis) -> Option<ClockMillis> {
+    pub fn next_load_due(&self, now: ClockMillis) -> Option<ClockMillis> {
         let loads = self.engines.values().flat_map(|inventory| &inventory.pending);
         let due = loads.map(|load| load.due).filter(|due| *due > now);
         due.map(Reverse).max().map(|Reverse(due)| due)
--- a/crates/core/src/placement/store_model.rs
+++ b/crates/core/src/placement/store_model.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     clock::ClockMillis,
-    placement::{OrderId, StorePace},
+    placement::{OrderId, StoreThroughput},
 };
 
 /// How many loads that have ended are kept, in case they are seen on their way after all.
@@ -32,7 +32,7 @@
 /// A store with a certain pace: the loads on their way share it, so that they end in the order in which they began.
 #[derive(Debug, Clone)]
 pub(super) struct StoreModel {
-    pub(super) pace: StorePace,
+    pub(super) pace: StoreThroughput,
     /// How far off its predictions were, in whole misses.
     pub(super) doubt: f64,
     /// How much was done, since the beginning, of a load that was always on its way. Unit: milliseconds at full speed.
@@ -45,7 +45,7 @@
 
 impl StoreModel {
     /// Starts without loads.
-    pub(super) const fn new(pace: StorePace, doubt: f64) -> Self {
+    pub(super) const fn new(pace: StoreThroughput, doubt: f64) -> Self {
         Self { pace, doubt, done: 0.0, loads: VecDeque::new(), ended: 0 }
     }
 
@@ -127,6 +127,6 @@
 
     /// Returns how fast each of so many loads is served: one at full speed.
     fn speed_among(&self, loads: usize) -> f64 {
-        (self.pace.full_speed / loads.max(1) as f64).min(1.0)
+        (self.pace.parallel_loads / loads.max(1) as f64).min(1.0)
     }
 }
--- a/crates/core/src/placement/store_pace.rs
+++ b/crates/core/src/placement/store_throughput.rs
@@ -4,10 +4,10 @@
 
 /// How long an adapter takes at least. Source: the users' pages, which say so of every deployment; what takes longer
 /// is learnt.
-pub const LEAST_LOAD_TIME: Duration = Duration::from_millis(250);
+pub const MIN_LOAD_TIME: Duration = Duration::from_millis(250);
 
 /// How many adapters come at full speed at least. Source: the least of the users' deployments.
-pub const LEAST_FULL_SPEED: f64 = 8.0;
+pub const MIN_PARALLEL_LOADS: f64 = 8.0;
 
 /// How the load times of two neighbouring models differ: two of them are a third of a doubling apart.
 const TIMES_PER_DOUBLING: f64 = 3.0;
@@ -29,50 +29,51 @@
 
 /// How fast the weight store serves adapters.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct StorePace {
+pub struct StoreThroughput {
     /// How many come at a time without slowing one another down.
-    pub full_speed: f64,
+    pub parallel_loads: f64,
     /// How long one of these takes.
     pub load_time: Duration,
 }
 
-impl StorePace {
+impl StoreThroughput {
     /// Returns what is assumed of a store of which nothing was seen, but how many base models it serves a second: one
     /// that serves more of these carries more adapters.
     pub const fn assumed(loads_per_second: f64) -> Self {
-        let full_speed = loads_per_second.max(LEAST_FULL_SPEED);
-        Self { full_speed, load_time: LEAST_LOAD_TIME }
+        let parallel_loads = loads_per_second.max(MIN_PARALLEL_LOADS);
+        Self { parallel_loads, load_time: MIN_LOAD_TIME }
     }
 
     /// Returns the paces that are told apart, the fastest last but for its load time.
     pub(super) fn all() -> impl Iterator<Item = Self> {
         let speeds = (0..SPEED_STEPS)
-            .map(|step| LEAST_FULL_SPEED * (f64::from(step) / SPEEDS_PER_DOUBLING).exp2());
-        speeds.flat_map(|full_speed| {
+            .map(|step| MIN_PARALLEL_LOADS * (f64::from(step) / SPEEDS_PER_DOUBLING).exp2());
+        speeds.flat_map(|parallel_loads| {
             (0..TIME_STEPS).map(move |step| {
                 let factor = (f64::from(step) / TIMES_PER_DOUBLING).exp2();
-                Self { full_speed, load_time: LEAST_LOAD_TIME.mul_f64(factor) }
+                Self { parallel_loads, load_time: MIN_LOAD_TIME.mul_f64(factor) }
             })
         })
     }
 
     /// Returns the pace within the bounds of what can be learnt.
     #[must_use]
-    pub fn checked(self) -> Self {
-        let fastest = LEAST_FULL_SPEED * (f64::from(SPEED_STEPS - 1) / SPEEDS_PER_DOUBLING).exp2();
-        let full_speed = self.full_speed.max(LEAST_FULL_SPEED).min(fastest);
-        Self { full_speed, load_time: self.load_time.max(LEAST_LOAD_TIME) }
+    pub fn clamped(self) -> Self {
+        let fastest =
+            MIN_PARALLEL_LOADS * (f64::from(SPEED_STEPS - 1) / SPEEDS_PER_DOUBLING).exp2();
+        let parallel_loads = self.parallel_loads.max(MIN_PARALLEL_LOADS).min(fastest);
+        Self { parallel_loads, load_time: self.load_time.max(MIN_LOAD_TIME) }
     }
 
     /// Returns what a pace must explain more than a faster one to be taken for true, in whole misses for each report.
     pub(super) fn slowness(&self) -> f64 {
-        let times = self.load_time.as_secs_f64() / LEAST_LOAD_TIME.as_secs_f64();
-        TIME_PREFERENCE * times.log2() - SPEED_PREFERENCE * self.full_speed.log2()
+        let times = self.load_time.as_secs_f64() / MIN_LOAD_TIME.as_secs_f64();
+        TIME_PREFERENCE * times.log2() - SPEED_PREFERENCE * self.parallel_loads.log2()
     }
 
     /// Returns how far apart two paces are: one where they differ by a factor of two.
     pub(super) fn distance(&self, other: &Self) -> f64 {
-        let speeds = self.full_speed / other.full_speed;
+        let speeds = self.parallel_loads / other.parallel_loads;
         let times = self.load_time.as_secs_f64() / other.load_time.as_secs_f64();
         speeds.log2().abs() + times.log2().abs()
     }
--- a/crates/core/src/placement/tenure.rs
+++ b/crates/core/src/placement/tenure.rs
@@ -25,7 +25,7 @@
     pub handover_wait: Duration,
     /// Whether engines refuse the orders of earlier tenures, so that a holder that can not confirm
     /// its lease may go on until an engine refuses it.
-    pub engines_check: bool,
+    pub engines_enforce_fencing: bool,
 }
 
 /// This host's hold on the lease of one domain.
@@ -63,7 +63,13 @@
     /// A lease that was listed before and still is may have passed on and come back when the time
     /// between two joins was longer than it lives, when an engine has refused its token, or when the store came back from an
     /// older copy, which may have had another holder. Then a new tenure begins with the present generation's token.
-    pub fn joined(&mut self, listed: bool, token: FenceToken, sent: ClockMillis, now: ClockMillis) {
+    pub fn handle_join(
+        &mut self,
+        listed: bool,
+        token: FenceToken,
+        sent: ClockMillis,
+        now: ClockMillis,
+    ) {
         let gap_too_long = sent.since(self.confirmed) >= self.rules.time_to_live;
         let held = self.state != TenureState::Absent;
         let fell = token_era(token) > token_era(self.token);
@@ -92,21 +98,21 @@
     }
 
     /// Takes that a join got no answer or was refused by the platform.
-    pub fn join_failed(&mut self, now: ClockMillis) {
+    pub fn handle_join_failure(&mut self, now: ClockMillis) {
         if now.since(self.confirmed) >= self.rules.time_to_live {
             self.detached = true;
         }
     }
 
     /// Takes that an engine refused the token that a tenure used.
-    pub fn refused(&mut self, token: FenceToken) {
+    pub fn handle_token_refusal(&mut self, token: FenceToken) {
         if token == self.token {
             self.state = self.state.after(TenureEvent::Refused);
         }
     }
 
     /// Takes that an order was answered, or given up, at `now`: until then it was under way.
-    pub fn order_ended(&mut self, now: ClockMillis) {
+    pub fn record_order_end(&mut self, now: ClockMillis) {
         self.acted = self.acted.max(Some(now));
     }
 
@@ -121,11 +127,15 @@
                 let apart = self.rules.handover_wait + LATE_ARRIVAL;
                 self.began.since(acted) < apart
             });
-        if self.rules.engines_check && !returns { Duration::ZERO } else { self.rules.handover_wait }
+        if self.rules.engines_enforce_fencing && !returns {
+            Duration::ZERO
+        } else {
+            self.rules.handover_wait
+        }
     }
 
     /// Takes that this host left the group.
-    pub fn left(&mut self) {
+    pub fn handle_leave(&mut self) {
         self.state = self.state.after(TenureEvent::Unlisted);
     }
 
@@ -137,7 +147,7 @@
         if now.since(self.began) >= self.wait() {
             self.state = self.state.after(TenureEvent::WaitOver);
         }
-        let detached = self.detached && self.rules.engines_check;
+        let detached = self.detached && self.rules.engines_enforce_fencing;
         let acting = match self.state {
             TenureState::Acting => true,
             TenureState::Lapsed => detached,
--- a/crates/core/src/placement/pace_learner.rs
+++ b/crates/core/src/placement/throughput_estimator.rs
@@ -13,10 +13,10 @@
     clock::ClockMillis,
     fleet::EngineName,
     placement::{
-        OrderId, StorePace,
-        odd_engines::OddEngines,
+        OrderId, StoreThroughput,
+        slow_engines::OddEngines,
         store_model::{LoadEnd, StoreModel},
-        store_pace::{FASTEST, LEAST_FULL_SPEED, LEAST_LOAD_TIME},
+        store_throughput::{FASTEST, MIN_LOAD_TIME, MIN_PARALLEL_LOADS},
     },
     popularity::DecayedRate,
 };
@@ -53,7 +53,7 @@
 
 /// What was seen of a load that was ordered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct LoadSight {
+pub struct LoadObservation {
     /// The order.
     pub load: OrderId,
     /// Whether it was there; it was still on its way otherwise.
@@ -64,7 +64,7 @@
     pub blur: Duration,
 }
 
-impl LoadSight {
+impl LoadObservation {
     /// Returns how far a predicted end is from what was seen: one for a miss that can not be chance. Unit of `end`:
     /// milliseconds of the clock.
     fn miss(&self, end: f64) -> f64 {
@@ -77,7 +77,7 @@
 
 /// Learns the pace of the weight store.
 #[derive(Debug, Clone)]
-pub struct PaceLearner {
+pub struct ThroughputEstimator {
     models: Vec<StoreModel>,
     /// The loads that were not seen to end.
     loads: BTreeMap<OrderId, LoadRecord>,
@@ -110,15 +110,15 @@
     ends: Vec<LoadEnd>,
     engine: EngineName,
     /// When it was last seen on its way.
-    on_its_way: Option<LoadSight>,
+    on_its_way: Option<LoadObservation>,
 }
 
 /// A sight with what it tells.
 #[derive(Debug, Clone, Copy)]
 struct WeighedSight {
-    sight: LoadSight,
+    sight: LoadObservation,
     /// When the same load was seen on its way before.
-    before: Option<LoadSight>,
+    before: Option<LoadObservation>,
     /// By how much a miss counts.
     weight: f64,
     /// How many reports it counts as.
@@ -137,10 +137,10 @@
     }
 }
 
-impl PaceLearner {
+impl ThroughputEstimator {
     /// Starts with a pace that is assumed, or that was learnt before.
-    pub fn new(start: StorePace) -> Self {
-        let models = StorePace::all().map(|pace| {
+    pub fn new(start: StoreThroughput) -> Self {
+        let models = StoreThroughput::all().map(|pace| {
             let doubt = START_WEIGHT * pace.distance(&start).min(1.0);
             StoreModel::new(pace, doubt)
         });
@@ -148,7 +148,7 @@
             models: models.collect(),
             loads: BTreeMap::new(),
             reports: 0.0,
-            tried: start.full_speed / GROWTH / start.load_time.as_secs_f64(),
+            tried: start.parallel_loads / GROWTH / start.load_time.as_secs_f64(),
             delivered: DecayedRate::default(),
             most_among: 1.0,
             counted: ClockMillis::default(),
@@ -162,7 +162,7 @@
     }
 
     /// Returns the pace as far as it is known.
-    pub fn pace(&self) -> StorePace {
+    pub fn pace(&self) -> StoreThroughput {
         self.models[self.chosen].pace
     }
 
@@ -184,7 +184,7 @@
     }
 
     /// Takes what was seen of a load, as was told at `now`.
-    pub fn load_seen(&mut self, sight: &LoadSight, now: ClockMillis) {
+    pub fn load_seen(&mut self, sight: &LoadObservation, now: ClockMillis) {
         self.serve_until(now);
         let Some(mut record) = self.loads.remove(&sight.load) else { return };
         let counts = sight.at > record.began;
@@ -196,7 +196,7 @@
         }
     }
 
-    fn take_sight(&mut self, sight: &LoadSight, record: &mut LoadRecord, now: ClockMillis) {
+    fn take_sight(&mut self, sight: &LoadObservation, record: &mut LoadRecord, now: ClockMillis) {
         let before = record.on_its_way;
         if !sight.there {
             record.on_its_way = Some(*sight);
@@ -215,8 +215,8 @@
     /// Returns what a sight tells, and by how much what was seen before fades for it.
     fn weigh(
         &self,
-        sight: &LoadSight,
-        before: Option<LoadSight>,
+        sight: &LoadObservation,
+        before: Option<LoadObservation>,
         record: &LoadRecord,
         now: ClockMillis,
     ) -> WeighedSight {
@@ -233,11 +233,11 @@
 
     /// Returns the time since a load was last seen. What is known does not fade while nothing is loaded. Unit: seconds.
     fn since_seen(&self, now: ClockMillis) -> f64 {
-        now.since(self.seen).min(LEAST_LOAD_TIME).as_secs_f64()
+        now.since(self.seen).min(MIN_LOAD_TIME).as_secs_f64()
     }
 
     /// Takes how many loads the store was tried with.
-    fn note_tried(&mut self, sight: &LoadSight, record: &LoadRecord, now: ClockMillis) {
+    fn note_tried(&mut self, sight: &LoadObservation, record: &LoadRecord, now: ClockMillis) {
         let forgetting = (-self.since_seen(now) / TRIED_HALF_LIFE.as_secs_f64()).exp2();
         self.seen = now;
         self.most_among = (self.most_among * forgetting).max(record.among as f64);
@@ -255,7 +255,7 @@
         self.reports = self.reports * weighed.fading + weighed.counts;
         for (model, end) in self.models.iter_mut().zip(&record.ends) {
             let miss = weighed.miss(model.end_time(*end, self.counted));
-            let untried = model.pace.full_speed > chosen.full_speed;
+            let untried = model.pace.parallel_loads > chosen.parallel_loads;
             let proving = if untried { weighed.proving } else { 1.0 };
             model.doubt = model.doubt * weighed.fading * proving + miss;
             if weighed.sight.there {
@@ -272,13 +272,13 @@
     /// faster pace than the true one is ever put to the test: its loads are late.
     fn choose(&mut self, now: ClockMillis) {
         let rested = now.since(self.raised) >= RAISE_PAUSE;
-        let before = self.pace().full_speed;
+        let before = self.pace().parallel_loads;
         let highest = if rested { before * MOST_RAISE } else { before };
         let models = self.models.iter().enumerate();
         let reachable = models.filter(|(_, model)| {
             let tried = self.tried * model.pace.load_time.as_secs_f64();
-            let most = (GROWTH * tried.max(LEAST_FULL_SPEED)).min(highest);
-            model.pace.full_speed <= most
+            let most = (GROWTH * tried.max(MIN_PARALLEL_LOADS)).min(highest);
+            model.pace.parallel_loads <= most
         });
         let scored = reachable.map(|(place, model)| {
             let mean_doubt = model.doubt / self.reports.max(1.0);
@@ -288,7 +288,7 @@
         if let Some((place, _)) = best {
             self.chosen = place;
         }
-        if self.pace().full_speed > before {
+        if self.pace().parallel_loads > before {
             self.raised = now;
         }
     }
--- a/crates/core/src/placement/doubts.rs
+++ b/crates/core/src/placement/unanswered_orders.rs
@@ -6,7 +6,8 @@
     clock::ClockMillis,
     fleet::adapter_name,
     placement::{
-        EngineInventory, LoadWindow, OrderAnswer, OrderKind, PlannedOrder, inventory::DoubtedLoad,
+        EngineInventory, LoadRateLimiter, OrderAnswer, OrderKind, PlannedOrder,
+        inventory::DoubtedLoad,
     },
 };
 
@@ -21,7 +22,7 @@
 /// accepted order makes it refuse the earlier ones; a conflict shows that one of those was first.
 pub(super) fn settle_doubts(
     inventory: &mut EngineInventory,
-    window: &mut LoadWindow,
+    window: &mut LoadRateLimiter,
     order: &PlannedOrder,
     answer: OrderAnswer,
 ) {
--- a/crates/core/tests/placement/candidacy.rs
+++ b/crates/core/tests/placement/candidacy.rs
@@ -12,9 +12,9 @@
     joins: bool,
 }
 
-const STRONG: HostCapacity = HostCapacity { processor: 0.25, bandwidth: 1000.0 };
-const SLOW: HostCapacity = HostCapacity { processor: 0.12, ..STRONG };
-const NARROW: HostCapacity = HostCapacity { bandwidth: 10.0, ..STRONG };
+const STRONG: HostCapacity = HostCapacity { cpu_share: 0.25, bandwidth_mbps: 1000.0 };
+const SLOW: HostCapacity = HostCapacity { cpu_share: 0.12, ..STRONG };
+const NARROW: HostCapacity = HostCapacity { bandwidth_mbps: 10.0, ..STRONG };
 
 const CASES: &[CandidacyCase] = &[
     CandidacyCase { name: "the first", capacity: STRONG, members: 0, strong: 0, joins: true },
--- a/crates/core/tests/placement/choices.rs
+++ b/crates/core/tests/placement/choices.rs
@@ -5,7 +5,7 @@
 use reelreel_core::{
     ClockMillis,
     fleet::{EngineEntry, HeldModel, work::EngineWork},
-    placement::{EngineMemory, HostWork, OrderKind, PlacementAction},
+    placement::{EngineWeightCache, HostWork, OrderKind, PlacementAction},
 };
 
 use crate::world::*;
@@ -29,7 +29,7 @@
     let mut engine = TestEngine::new(0, 0);
     let held = vec![HeldModel { key: key(5), version: 1 }];
     engine.entry = Arc::new(EngineEntry { held: held.clone(), ..(*engine.entry).clone() });
-    planner.engines_listed(&[Arc::clone(&engine.entry)]);
+    planner.set_engines(&[Arc::clone(&engine.entry)]);
     planner.begin_tenure(ClockMillis::from_millis(10));
     planner.plan(true, ClockMillis::from_millis(10));
     assert_eq!(planner.residency(), [(Arc::clone(&engine.entry.name), held)]);
@@ -101,11 +101,11 @@
     settle(&mut world);
     world.ask(1, 1);
     settle(&mut world);
-    world.planner.versions_named(&HashMap::from([(key(1), 2)]));
+    world.planner.set_versions(&HashMap::from([(key(1), 2)]));
     world.ask(1, 1);
     let actions = world.planner.plan(true, world.at());
     let replaces = actions.iter().any(|action| {
-        matches!(action, PlacementAction::Order(order) if order.version == Some(2) && order.key == key(1))
+        matches!(action, PlacementAction::SendOrder(order) if order.version == Some(2) && order.key == key(1))
     });
     assert!(replaces, "{actions:?}");
 }
@@ -118,11 +118,11 @@
     settle(&mut world);
     let holds = |engine: &&TestEngine| engine.held.contains_key(&key(1));
     let holder = world.engines.iter().find(holds).map(|engine| Arc::clone(&engine.entry.name));
-    world.planner.versions_named(&HashMap::from([(key(1), 2)]));
+    world.planner.set_versions(&HashMap::from([(key(1), 2)]));
     world.ask(1, 1);
     let actions = world.planner.plan(true, world.at());
     let loads = actions.iter().filter_map(|action| match action {
-        PlacementAction::Order(order) if order.key == key(1) => Some(&order.engine.name),
+        PlacementAction::SendOrder(order) if order.key == key(1) => Some(&order.engine.name),
         _ => None,
     });
     let loads: Vec<_> = loads.collect();
@@ -135,14 +135,14 @@
     let mut world = World::new(3);
     settle(&mut world);
     let engine = Arc::clone(&world.engines[2].entry.name);
-    let mut memory = EngineMemory::default();
-    memory.note(&key(1));
-    world.planner.recall(&HashMap::from([(Arc::clone(&engine), memory)]));
+    let mut memory = EngineWeightCache::default();
+    memory.insert(&key(1));
+    world.planner.restore_weight_caches(&HashMap::from([(Arc::clone(&engine), memory)]));
     world.ask(1, 1);
     let actions = world.planner.plan(true, world.at());
     let orders = actions.iter().filter_map(|action| match action {
-        PlacementAction::Order(order) => Some((Arc::clone(&order.engine.name), order.kind)),
-        PlacementAction::Report(_) => None,
+        PlacementAction::SendOrder(order) => Some((Arc::clone(&order.engine.name), order.kind)),
+        PlacementAction::RequestReport(_) => None,
     });
     let orders: Vec<_> = orders.collect();
     assert_eq!(orders, [(engine, OrderKind::Load { from_store: false })]);
@@ -302,7 +302,7 @@
     let host = Arc::from("host");
     let work = EngineWork { open: 13, unread: 0 };
     let told = HostWork { engines: vec![(name, work)], ..HostWork::default() };
-    world.planner.work_noted(&host, &told, world.at());
+    world.planner.record_work(&host, &told, world.at());
     settle(&mut world);
     assert_eq!(holders(&world, 1), 2, "13 of 16 slots are taken");
 }
@@ -314,7 +314,7 @@
     for _ in 0..20 {
         world.now += 50;
         let actions = world.planner.plan(false, world.at());
-        let orders = actions.iter().any(|action| matches!(action, PlacementAction::Order(_)));
+        let orders = actions.iter().any(|action| matches!(action, PlacementAction::SendOrder(_)));
         assert!(!orders);
     }
 }
--- a/crates/core/tests/placement/limits.rs
+++ b/crates/core/tests/placement/limits.rs
@@ -15,7 +15,7 @@
             (Arc::clone(&world.engines[*place].entry.name), limit)
         })
         .collect();
-    world.planner.limits_known(limits);
+    world.planner.set_limits(limits);
 }
 
 /// Lets a load come, and less time pass than after which whoever still waits counts as cut off from the copies that are there.
@@ -64,7 +64,7 @@
     assert_eq!((holders, world.loads), (2, loads + 1));
     // Limits that come and go bring nothing more; requests are few enough for one copy.
     for _ in 0..10 {
-        world.planner.limits_known(HashMap::new());
+        world.planner.set_limits(HashMap::new());
         for _ in 0..4 {
             settle(&mut world);
         }
--- a/crates/core/tests/placement/world.rs
+++ b/crates/core/tests/placement/world.rs
@@ -14,8 +14,8 @@
         routes::{ModelHosting, ModelSize},
     },
     placement::{
-        AbsentEntry, DemandEntry, EngineReport, HostWork, LoadWindow, OrderAnswer, OrderKind,
-        PlacementAction, PlacementPlanner, PlannedOrder, RunEntry,
+        AbsentEntry, DemandEntry, EngineReport, HostWork, LoadRateLimiter, OpenRequestsEntry,
+        OrderAnswer, OrderKind, PlacementAction, PlacementPlanner, PlannedOrder,
     },
 };
 
@@ -39,7 +39,7 @@
 }
 
 pub(crate) fn planner() -> PlacementPlanner {
-    PlacementPlanner::new(hosting(), LoadWindow::new(3.3, Duration::from_secs(5), 1.1))
+    PlacementPlanner::new(hosting(), LoadRateLimiter::new(3.3, Duration::from_secs(5), 1.1))
 }
 
 pub(crate) fn key(number: usize) -> ModelKey {
@@ -141,7 +141,7 @@
         EngineReport {
             born: self.entry.born,
             sequence: self.sequence,
-            busy: false,
+            model_change_in_progress: false,
             held: self.held.keys().map(held).collect(),
             pending: self.pending.iter().map(|(key, _)| held(key)).collect(),
         }
@@ -206,7 +206,7 @@
         for _ in 0..SPEED_SAMPLES {
             speed.note(PROMPT, 0, time);
         }
-        self.planner.reading_learnt(&speed);
+        self.planner.set_prefill_speed(&speed);
     }
 
     pub(crate) fn at(&self) -> ClockMillis {
@@ -215,20 +215,20 @@
 
     pub(crate) fn list(&mut self) {
         let entries: Vec<_> = self.engines.iter().map(|engine| Arc::clone(&engine.entry)).collect();
-        self.planner.engines_listed(&entries);
+        self.planner.set_engines(&entries);
     }
 
     pub(crate) fn ask(&mut self, number: usize, waiting: u32) {
         let entry = DemandEntry {
             key: key(number),
-            asked: 1,
-            asked_tokens: PROMPT,
+            new_requests: 1,
+            new_prompt_tokens: PROMPT,
             waiting,
-            waiting_tokens: u64::from(waiting) * PROMPT,
-            waiting_worth: f64::from(waiting),
-            copies_closed: false,
+            waiting_prompt_tokens: u64::from(waiting) * PROMPT,
+            waiting_value: f64::from(waiting),
+            copies_unavailable: false,
         };
-        self.planner.demand_noted(&Arc::from("host"), &[entry], self.at());
+        self.planner.record_demand(&Arc::from("host"), &[entry], self.at());
     }
 
     /// Tells that one request runs on each of some adapters at an engine.
@@ -243,9 +243,9 @@
 
     /// Tells that a host could not connect to an engine.
     pub(crate) fn tell_unreached(&mut self, host: &str, engine: usize) {
-        let unreached = vec![Arc::clone(&self.engines[engine].entry.name)];
-        let told = HostWork { unreached, ..HostWork::default() };
-        self.planner.work_noted(&Arc::from(host), &told, self.at());
+        let unreachable = vec![Arc::clone(&self.engines[engine].entry.name)];
+        let told = HostWork { unreachable, ..HostWork::default() };
+        self.planner.record_work(&Arc::from(host), &told, self.at());
     }
 
     /// Tells that an engine said just now that it does not hold an adapter.
@@ -253,16 +253,19 @@
         let engine = Arc::clone(&self.engines[engine].entry.name);
         let absent = vec![AbsentEntry { engine, key: key(number), age: Duration::ZERO }];
         let told = HostWork { absent, ..HostWork::default() };
-        self.planner.work_noted(&Arc::from("host"), &told, self.at());
+        self.planner.record_work(&Arc::from("host"), &told, self.at());
     }
 
     fn tell_open(&mut self, engine: usize, numbers: &[usize], open: u32) {
         let engine = Arc::clone(&self.engines[engine].entry.name);
-        let run =
-            |number: &usize| RunEntry { engine: Arc::clone(&engine), key: key(*number), open };
-        let runs = numbers.iter().map(run).collect();
-        let told = HostWork { runs, ..HostWork::default() };
-        self.planner.work_noted(&Arc::from("host"), &told, self.at());
+        let run = |number: &usize| OpenRequestsEntry {
+            engine: Arc::clone(&engine),
+            key: key(*number),
+            open,
+        };
+        let open_requests = numbers.iter().map(run).collect();
+        let told = HostWork { open_requests, ..HostWork::default() };
+        self.planner.record_work(&Arc::from("host"), &told, self.at());
     }
 
     pub(crate) fn restart(&mut self, number: usize) {
@@ -293,11 +296,11 @@
         let now = self.now;
         let answers: Vec<_> = self.answers.extract_if(.., |(due, ..)| *due <= now).collect();
         for (_, id, answer) in answers {
-            self.planner.order_answered(id, answer, ClockMillis::from_millis(now));
+            self.planner.handle_order_answer(id, answer, ClockMillis::from_millis(now));
         }
         let reports: Vec<_> = self.reports.extract_if(.., |(due, ..)| *due <= now).collect();
         for (_, asked, engine, report) in reports {
-            self.planner.report_arrived(&engine, &report, ClockMillis::from_millis(asked));
+            self.planner.handle_report(&engine, &report, ClockMillis::from_millis(asked));
         }
         for action in self.planner.plan(true, ClockMillis::from_millis(now)) {
             self.carry_out(action, fate);
@@ -307,18 +310,18 @@
     pub(crate) fn carry_out(&mut self, action: PlacementAction, fate: OrderFate) {
         let now = self.now;
         match action {
-            PlacementAction::Report(entry) => {
+            PlacementAction::RequestReport(entry) => {
                 let engine = self.engines.iter().find(|engine| engine.entry.name == entry.name);
                 match engine {
                     Some(engine) if engine.ended.is_none() => {
                         let name = entry.name.to_string();
                         self.reports.push((now + 3, now, name, engine.report()));
                     }
-                    Some(_) => self.planner.report_failed(&entry.name, true),
-                    None => self.planner.report_failed(&entry.name, false),
+                    Some(_) => self.planner.handle_report_failure(&entry.name, true),
+                    None => self.planner.handle_report_failure(&entry.name, false),
                 }
             }
-            PlacementAction::Order(order) => {
+            PlacementAction::SendOrder(order) => {
                 let engine =
                     self.engines.iter_mut().find(|engine| engine.entry.name == order.engine.name);
                 let Some(engine) = engine else {
--- a/crates/core/tests/store_pace.rs
+++ b/crates/core/tests/store_throughput.rs
@@ -7,7 +7,7 @@
 use rand_pcg::Pcg64Mcg;
 use reelreel_core::{
     ClockMillis,
-    placement::{LoadSight, PaceLearner, StorePace},
+    placement::{LoadObservation, StoreThroughput, ThroughputEstimator},
 };
 
 /// How old the state in a report is taken to be. Unit: milliseconds.
@@ -43,13 +43,13 @@
 
 /// A store that carries so many adapters at full speed, and a placer that orders as many as it takes to be good.
 struct PlayedStore {
-    full_speed: f64,
+    parallel_loads: f64,
     load_time: f64,
     /// How many engines are far too slow.
     stuck: usize,
     /// How many loads are wanted at a time at most.
     wanted: usize,
-    learner: PaceLearner,
+    learner: ThroughputEstimator,
     loads: Vec<PlayedLoad>,
     now: u64,
     number: u64,
@@ -57,13 +57,13 @@
 }
 
 impl PlayedStore {
-    fn new(full_speed: f64, load_time: f64, start: StorePace, seed: u64) -> Self {
+    fn new(parallel_loads: f64, load_time: f64, start: StoreThroughput, seed: u64) -> Self {
         Self {
-            full_speed,
+            parallel_loads,
             load_time,
             stuck: 0,
             wanted: 1000,
-            learner: PaceLearner::new(start),
+            learner: ThroughputEstimator::new(start),
             loads: Vec::new(),
             now: 1000,
             number: 0,
@@ -89,7 +89,7 @@
     }
 
     fn serve(&mut self) {
-        let speed = (self.full_speed / self.on_their_way().max(1) as f64).min(1.0);
+        let speed = (self.parallel_loads / self.on_their_way().max(1) as f64).min(1.0);
         for load in self.loads.iter_mut().filter(|load| load.ended.is_none()) {
             load.left -= speed;
             if load.left <= 0.0 && !load.stuck {
@@ -129,13 +129,13 @@
         let now = ClockMillis::from_millis(now + 3);
         for (load, there, at, blur) in seen {
             let at = ClockMillis::from_millis(at);
-            self.learner.load_seen(&LoadSight { load, there, at, blur }, now);
+            self.learner.load_seen(&LoadObservation { load, there, at, blur }, now);
         }
     }
 
     fn order(&mut self) {
         let pace = self.learner.pace();
-        let most = (OVERLOAD * pace.full_speed).round();
+        let most = (OVERLOAD * pace.parallel_loads).round();
         // The placer counts what it expects to be on its way.
         let under_way = self.learner.due_times(ClockMillis::from_millis(self.now)).len();
         if under_way as f64 >= most || under_way >= self.wanted {
@@ -168,7 +168,7 @@
 /// A store and what is learnt of it.
 struct PaceCase {
     name: &'static str,
-    full_speed: f64,
+    parallel_loads: f64,
     load_millis: f64,
     /// How many are assumed to come at full speed at the start.
     start: f64,
@@ -183,7 +183,7 @@
 const CASES: &[PaceCase] = &[
     PaceCase {
         name: "as assumed",
-        full_speed: 8.0,
+        parallel_loads: 8.0,
         load_millis: 250.0,
         start: 8.0,
         demand: FULL,
@@ -193,7 +193,7 @@
     },
     PaceCase {
         name: "more than assumed",
-        full_speed: 40.0,
+        parallel_loads: 40.0,
         load_millis: 250.0,
         start: 8.0,
         demand: FULL,
@@ -203,7 +203,7 @@
     },
     PaceCase {
         name: "more, in waves",
-        full_speed: 40.0,
+        parallel_loads: 40.0,
         load_millis: 250.0,
         start: 8.0,
         demand: WAVES,
@@ -213,7 +213,7 @@
     },
     PaceCase {
         name: "far more",
-        full_speed: 150.0,
+        parallel_loads: 150.0,
         load_millis: 250.0,
         start: 22.0,
         demand: FULL,
@@ -223,7 +223,7 @@
     },
     PaceCase {
         name: "less than assumed",
-        full_speed: 32.0,
+        parallel_loads: 32.0,
         load_millis: 250.0,
         start: 64.0,
         demand: FULL,
@@ -233,7 +233,7 @@
     },
     PaceCase {
         name: "far less",
-        full_speed: 8.0,
+        parallel_loads: 8.0,
         load_millis: 250.0,
         start: 64.0,
         demand: FULL,
@@ -243,7 +243,7 @@
     },
     PaceCase {
         name: "never tried",
-        full_speed: 40.0,
+        parallel_loads: 40.0,
         load_millis: 250.0,
         start: 22.0,
         demand: LITTLE,
@@ -253,7 +253,7 @@
     },
     PaceCase {
         name: "one engine stuck",
-        full_speed: 32.0,
+        parallel_loads: 32.0,
         load_millis: 250.0,
         start: 22.0,
         demand: WAVES,
@@ -263,7 +263,7 @@
     },
     PaceCase {
         name: "slower loads",
-        full_speed: 32.0,
+        parallel_loads: 32.0,
         load_millis: 400.0,
         start: 22.0,
         demand: WAVES,
@@ -276,20 +276,20 @@
 #[test]
 fn the_pace_is_learnt_within_seconds() {
     for case in CASES {
-        let start = StorePace::assumed(case.start);
-        let mut store = PlayedStore::new(case.full_speed, case.load_millis, start, 1);
+        let start = StoreThroughput::assumed(case.start);
+        let mut store = PlayedStore::new(case.parallel_loads, case.load_millis, start, 1);
         store.stuck = case.stuck;
         store.play(case.seconds, case.demand);
         let pace = store.learner.pace();
         let (least, most) = case.learnt;
-        assert!((least..=most).contains(&pace.full_speed), "{}: {pace:?}", case.name);
+        assert!((least..=most).contains(&pace.parallel_loads), "{}: {pace:?}", case.name);
     }
 }
 
 #[test]
 fn the_time_of_a_load_is_learnt_where_few_are_on_their_way() {
     for load_millis in [250.0, 400.0, 800.0] {
-        let mut store = PlayedStore::new(40.0, load_millis, StorePace::assumed(22.0), 1);
+        let mut store = PlayedStore::new(40.0, load_millis, StoreThroughput::assumed(22.0), 1);
         store.play(6, &[12, 4]);
         let learnt = store.learner.pace().load_time.as_secs_f64() * 1000.0;
         assert!((0.75..1.35).contains(&(learnt / load_millis)), "{load_millis}: {learnt}");
@@ -299,45 +299,45 @@
 /// After fourteen seconds without demand a placer took the store to carry sixteen, whatever it had known.
 #[test]
 fn nothing_is_forgotten_while_nothing_is_loaded() {
-    let mut store = PlayedStore::new(32.0, 250.0, StorePace::assumed(22.0), 1);
+    let mut store = PlayedStore::new(32.0, 250.0, StoreThroughput::assumed(22.0), 1);
     store.play(6, FULL);
-    let before = store.learner.pace().full_speed;
+    let before = store.learner.pace().parallel_loads;
     store.play(14, &[0]);
     store.play(1, &[12]);
-    let after = store.learner.pace().full_speed;
+    let after = store.learner.pace().parallel_loads;
     assert!(after >= before / 1.2, "{before} before, {after} after the rest");
 }
 
 #[test]
 fn a_change_is_followed() {
-    let mut store = PlayedStore::new(40.0, 250.0, StorePace::assumed(22.0), 1);
+    let mut store = PlayedStore::new(40.0, 250.0, StoreThroughput::assumed(22.0), 1);
     store.play(5, FULL);
-    for (full_speed, seconds) in [(12.0, 5), (60.0, 10)] {
-        store.full_speed = full_speed;
+    for (parallel_loads, seconds) in [(12.0, 5), (60.0, 10)] {
+        store.parallel_loads = parallel_loads;
         store.play(seconds, FULL);
-        let learnt = store.learner.pace().full_speed;
-        assert!((0.6..1.6).contains(&(learnt / full_speed)), "{full_speed}: {learnt}");
+        let learnt = store.learner.pace().parallel_loads;
+        assert!((0.6..1.6).contains(&(learnt / parallel_loads)), "{parallel_loads}: {learnt}");
     }
 }
 
 #[test]
 fn one_late_load_moves_nothing() {
-    let mut store = PlayedStore::new(32.0, 250.0, StorePace::assumed(22.0), 1);
+    let mut store = PlayedStore::new(32.0, 250.0, StoreThroughput::assumed(22.0), 1);
     store.play(5, FULL);
     let before = store.learner.pace();
     let (began, load) = (store.now, u64::MAX);
     store.learner.load_began(load, &Arc::from("engine-0"), ClockMillis::from_millis(began));
     let at = ClockMillis::from_millis(began + 3000);
-    store.learner.load_seen(&LoadSight { load, there: false, at, blur: SEND_BLUR }, at);
+    store.learner.load_seen(&LoadObservation { load, there: false, at, blur: SEND_BLUR }, at);
     assert_eq!(store.learner.pace(), before);
 }
 
 #[test]
 fn a_pace_that_was_told_wrong_is_put_within_bounds() {
-    for full_speed in [f64::NAN, -1.0, 0.0, 1e9, f64::INFINITY] {
-        let pace = StorePace { full_speed, load_time: Duration::ZERO }.checked();
-        assert!(pace.full_speed >= 4.0 && pace.full_speed <= 600.0, "{pace:?}");
-        assert!(PaceLearner::new(pace).pace().load_time >= Duration::from_millis(250));
+    for parallel_loads in [f64::NAN, -1.0, 0.0, 1e9, f64::INFINITY] {
+        let pace = StoreThroughput { parallel_loads, load_time: Duration::ZERO }.clamped();
+        assert!(pace.parallel_loads >= 4.0 && pace.parallel_loads <= 600.0, "{pace:?}");
+        assert!(ThroughputEstimator::new(pace).pace().load_time >= Duration::from_millis(250));
     }
 }
 
@@ -346,10 +346,10 @@
 
     /// Any store that carries what the users' stores carry is known within eight seconds, whatever was assumed.
     #[test]
-    fn any_store_is_known_within_seconds(full_speed in 8.0..100.0_f64, start in 8.0..64.0_f64, seed in 0..1000_u64) {
-        let mut store = PlayedStore::new(full_speed, 250.0, StorePace::assumed(start), seed);
+    fn any_store_is_known_within_seconds(parallel_loads in 8.0..100.0_f64, start in 8.0..64.0_f64, seed in 0..1000_u64) {
+        let mut store = PlayedStore::new(parallel_loads, 250.0, StoreThroughput::assumed(start), seed);
         store.play(8, &[1000, 1000, 8]);
-        let learnt = store.learner.pace().full_speed / full_speed;
-        prop_assert!((0.55..1.8).contains(&learnt), "{learnt} of {full_speed}");
+        let learnt = store.learner.pace().parallel_loads / parallel_loads;
+        prop_assert!((0.55..1.8).contains(&learnt), "{learnt} of {parallel_loads}");
     }
 }
--- a/crates/core/tests/suspended.rs
+++ b/crates/core/tests/suspended.rs
@@ -38,14 +38,19 @@
 
 #[test]
 fn a_lease_has_lapsed() {
-    for engines_check in [false, true] {
+    for engines_enforce_fencing in [false, true] {
         let mut tenure = PlacerTenure::new(LeaseRules {
             time_to_live: Duration::from_secs(2),
             handover_wait: Duration::from_secs(3),
-            engines_check,
+            engines_enforce_fencing,
         });
-        tenure.joined(true, 7, BEFORE - Duration::from_secs(9), BEFORE - Duration::from_secs(9));
-        tenure.joined(true, 7, BEFORE, BEFORE);
+        tenure.handle_join(
+            true,
+            7,
+            BEFORE - Duration::from_secs(9),
+            BEFORE - Duration::from_secs(9),
+        );
+        tenure.handle_join(true, 7, BEFORE, BEFORE);
         assert_eq!(tenure.acting_token(BEFORE), Some(7));
         assert_eq!(tenure.acting_token(BACK), None);
         assert_eq!(tenure.state(), TenureState::Lapsed);
--- a/crates/core/tests/tenure.rs
+++ b/crates/core/tests/tenure.rs
@@ -12,10 +12,10 @@
 const CHECKED: LeaseRules = LeaseRules {
     time_to_live: Duration::from_secs(2),
     handover_wait: Duration::from_secs(3),
-    engines_check: true,
+    engines_enforce_fencing: true,
 };
 
-const UNCHECKED: LeaseRules = LeaseRules { engines_check: false, ..CHECKED };
+const UNCHECKED: LeaseRules = LeaseRules { engines_enforce_fencing: false, ..CHECKED };
 
 enum Step {
     /// A join sent at the first time is answered at the second.
@@ -165,12 +165,12 @@
         Step::Joined(listed, generation, sent, now) => {
             // The host looks at its lease all the time.
             tenure.acting_token(at(sent));
-            tenure.joined(listed, generation, at(sent), at(now));
+            tenure.handle_join(listed, generation, at(sent), at(now));
             tenure.acting_token(at(now));
         }
-        Step::Failed(now) => tenure.join_failed(at(now)),
-        Step::Refused(token) => tenure.refused(token),
-        Step::Left => tenure.left(),
+        Step::Failed(now) => tenure.handle_join_failure(at(now)),
+        Step::Refused(token) => tenure.handle_token_refusal(token),
+        Step::Left => tenure.handle_leave(),
     }
 }
 
@@ -191,13 +191,13 @@
 fn a_holder_that_had_the_lease_just_before_another_waits() {
     let at = ClockMillis::from_millis;
     let mut tenure = PlacerTenure::new(CHECKED);
-    tenure.joined(true, 4, at(10), at(11));
+    tenure.handle_join(true, 4, at(10), at(11));
     assert_eq!(tenure.acting_token(at(500)), Some(4));
-    tenure.joined(false, 5, at(600), at(601));
-    tenure.joined(true, 6, at(1200), at(1201));
+    tenure.handle_join(false, 5, at(600), at(601));
+    tenure.handle_join(true, 6, at(1200), at(1201));
     assert_eq!(tenure.acting_token(at(1300)), None, "it would take turns with the holder between");
-    tenure.joined(true, 6, at(2500), at(2501));
-    tenure.joined(true, 6, at(4000), at(4001));
+    tenure.handle_join(true, 6, at(2500), at(2501));
+    tenure.handle_join(true, 6, at(4000), at(4001));
     assert_eq!(tenure.acting_token(at(4300)), Some(6));
 }
 
@@ -207,14 +207,14 @@
 fn a_returning_holder_counts_from_the_end_of_its_last_order() {
     let at = ClockMillis::from_millis;
     let mut tenure = PlacerTenure::new(CHECKED);
-    tenure.joined(true, 96, at(10), at(11));
+    tenure.handle_join(true, 96, at(10), at(11));
     assert_eq!(tenure.acting_token(at(1000)), Some(96));
-    tenure.joined(false, 98, at(1300), at(1301));
-    tenure.order_ended(at(1460));
-    tenure.joined(true, 99, at(4020), at(4021));
+    tenure.handle_join(false, 98, at(1300), at(1301));
+    tenure.record_order_end(at(1460));
+    tenure.handle_join(true, 99, at(4020), at(4021));
     assert_eq!(tenure.acting_token(at(4100)), None, "it would take turns with the holder between");
-    tenure.joined(true, 99, at(5500), at(5501));
-    tenure.joined(true, 99, at(7000), at(7001));
+    tenure.handle_join(true, 99, at(5500), at(5501));
+    tenure.handle_join(true, 99, at(7000), at(7001));
     assert_eq!(tenure.acting_token(at(7100)), Some(99));
 }
 
@@ -222,11 +222,11 @@
 fn an_old_order_that_ends_within_the_wait_does_not_shorten_it() {
     let at = ClockMillis::from_millis;
     let mut tenure = PlacerTenure::new(CHECKED);
-    tenure.joined(true, 4, at(10), at(11));
+    tenure.handle_join(true, 4, at(10), at(11));
     assert_eq!(tenure.acting_token(at(1000)), Some(4));
-    tenure.joined(false, 5, at(1100), at(1101));
-    tenure.joined(true, 6, at(1200), at(1201));
-    tenure.order_ended(at(1250));
+    tenure.handle_join(false, 5, at(1100), at(1101));
+    tenure.handle_join(true, 6, at(1200), at(1201));
+    tenure.record_order_end(at(1250));
     assert_eq!(tenure.acting_token(at(1300)), None);
 }
 
@@ -234,10 +234,10 @@
 fn an_order_without_an_answer_may_arrive_after_its_patience() {
     let at = ClockMillis::from_millis;
     let mut tenure = PlacerTenure::new(CHECKED);
-    tenure.joined(true, 4, at(10), at(11));
+    tenure.handle_join(true, 4, at(10), at(11));
     assert_eq!(tenure.acting_token(at(1000)), Some(4));
-    tenure.joined(false, 5, at(1200), at(1201));
-    tenure.joined(true, 6, at(4100), at(4101));
+    tenure.handle_join(false, 5, at(1200), at(1201));
+    tenure.handle_join(true, 6, at(4100), at(4101));
     assert_eq!(tenure.acting_token(at(4200)), None);
 }
 
@@ -289,11 +289,11 @@
             store.expire(now);
             match fate {
                 // The join is lost on its way.
-                0 => tenures[member].join_failed(at),
+                0 => tenures[member].handle_join_failure(at),
                 // It arrives and its answer is lost.
                 1 => {
                     store.join(member, now);
-                    tenures[member].join_failed(at);
+                    tenures[member].handle_join_failure(at);
                 }
                 // The store deals anew at once, unasked; only tokens that engines check cover that.
                 2 if checked => {
@@ -305,7 +305,7 @@
                 2 | 3 => {}
                 _ => {
                     let (listed, generation) = store.join(member, now);
-                    tenures[member].joined(listed, generation, at, at);
+                    tenures[member].handle_join(listed, generation, at, at);
                 }
             }
             let mut acting = Vec::new();
--- a/crates/gateway/src/control/domain.rs
+++ b/crates/gateway/src/control/domain.rs
@@ -13,7 +13,9 @@
         adapter_name, work::EngineWork,
     },
     id::FenceToken,
-    placement::{DemandEntry, EngineMemory, LeaseRules, PlacementPlanner, PlacerTenure, StorePace},
+    placement::{
+        DemandEntry, EngineWeightCache, LeaseRules, PlacementPlanner, PlacerTenure, StoreThroughput,
+    },
 };
 use tokio::sync::mpsc;
 use xxhash_rust::xxh3::xxh3_64;
@@ -63,13 +65,13 @@
 
 /// Notes what an engine holds now among what it held lately.
 fn note_memory(
-    memories: &mut HashMap<EngineName, EngineMemory>,
+    memories: &mut HashMap<EngineName, EngineWeightCache>,
     engine: &EngineName,
     held: &[HeldModel],
 ) {
     let memory = memories.entry(Arc::clone(engine)).or_default();
     for model in held.iter().filter(|model| adapter_name(&model.key).is_some()) {
-        memory.note(&model.key);
+        memory.insert(&model.key);
     }
 }
 
@@ -111,9 +113,9 @@
     /// The lives of engines whose holdings `plan` tells.
     lives: HashMap<EngineName, EngineBirth>,
     /// What engines held lately, as far as plans have told; a new placer begins with it.
-    pub memories: HashMap<EngineName, EngineMemory>,
+    pub memories: HashMap<EngineName, EngineWeightCache>,
     /// The weight store's pace as placers have learnt it; a new placer begins with it.
-    pub pace: Option<StorePace>,
+    pub pace: Option<StoreThroughput>,
     /// The token of the placer whose plan this is.
     pub plan_token: FenceToken,
     /// Whether the placer's plan is kept up to date.
@@ -129,7 +131,7 @@
     /// Hosts that have ceased to listen since this was last asked.
     gone: Vec<RemovedSubscriber>,
     /// The pace that was logged last.
-    logged_pace: Option<StorePace>,
+    logged_pace: Option<StoreThroughput>,
     /// What subscribers were told that engines hold.
     told_plan: HashMap<EngineName, Vec<HeldModel>>,
     /// The numbers by which this host's frames name engines.
@@ -224,8 +226,8 @@
     /// Tells demand to the own planner or to the placer; returns whether anyone took it.
     pub fn tell_demand(&mut self, host: &Arc<str>, told: &ToldDemand, now: ClockMillis) -> bool {
         if let Some(planner) = &mut self.planner {
-            planner.demand_noted(host, &told.entries, now);
-            planner.work_noted(host, &told.work, now);
+            planner.record_demand(host, &told.entries, now);
+            planner.record_work(host, &told.work, now);
             self.asked.extend(waited_keys(&told.entries));
             return true;
         }
@@ -235,9 +237,9 @@
             service: self.service.to_string(),
             entries: told.entries.iter().map(Into::into).collect(),
             work: told.work.engines.iter().map(Into::into).collect(),
-            runs: told.work.runs.iter().map(Into::into).collect(),
+            runs: told.work.open_requests.iter().map(Into::into).collect(),
             absent: told.work.absent.iter().map(Into::into).collect(),
-            unreached: told.work.unreached.iter().map(ToString::to_string).collect(),
+            unreached: told.work.unreachable.iter().map(ToString::to_string).collect(),
         };
         placer.try_send(FrameBody::Demand(frame).encoded()).is_ok()
     }
@@ -253,7 +255,7 @@
                 changed.push(engine);
             }
         }
-        self.pace = Some(planner.pace());
+        self.pace = Some(planner.store_throughput());
         self.plan_token = self.planned_token;
         self.plan_live = true;
         changed
@@ -306,7 +308,7 @@
     }
 
     /// Returns the weight store's pace if it is another than at the last call.
-    pub fn take_changed_pace(&mut self) -> Option<StorePace> {
+    pub fn take_changed_pace(&mut self) -> Option<StoreThroughput> {
         let changed = self.pace != self.logged_pace;
         self.logged_pace = self.pace;
         self.pace.filter(|_| changed)
@@ -387,7 +389,8 @@
     pub fn answer_asked(&mut self, now: ClockMillis) -> bool {
         self.estimates.retain(|_, due| now.since(*due) < ESTIMATE_HOLDS);
         let Some(planner) = &self.planner else { return false };
-        let estimate = |key: &ModelKey| Some((Arc::clone(key), planner.estimate(key, now)?));
+        let estimate =
+            |key: &ModelKey| Some((Arc::clone(key), planner.estimated_load_delay(key, now)?));
         let own = self.asked.drain(..).filter_map(|key| estimate(&key));
         let before = self.estimates.len();
         let known = own.map(|(key, time)| (key, now + time)).collect::<Vec<_>>();
--- a/crates/gateway/src/control/membership.rs
+++ b/crates/gateway/src/control/membership.rs
@@ -43,7 +43,7 @@
     /// Strong hosts join at once; not all weak ones that see that members are missing stand in at
     /// the same time.
     fn new(shared: &SharedState) -> Self {
-        if shared.profile.capacity.is_strong() {
+        if shared.profile.capacity.has_high_capacity() {
             return Self { delay: Duration::ZERO, looks: 1 };
         }
         let spread = xxh3_64(shared.profile.name.as_bytes()) % WEAK_SPREAD_MILLIS;
@@ -79,7 +79,10 @@
 
 /// Returns this host as a member of the group.
 pub fn own_member(shared: &SharedState) -> GroupMember {
-    GroupMember { address: shared.profile.peers, strong: shared.profile.capacity.is_strong() }
+    GroupMember {
+        address: shared.profile.peers,
+        strong: shared.profile.capacity.has_high_capacity(),
+    }
 }
 
 /// Waits until this host should be a member of the group.
--- a/crates/gateway/src/control/orders.rs
+++ b/crates/gateway/src/control/orders.rs
@@ -61,10 +61,10 @@
     for action in actions {
         let (state, service) = (Rc::clone(state), Arc::clone(service));
         match action {
-            PlacementAction::Order(order) => {
+            PlacementAction::SendOrder(order) => {
                 tokio::task::spawn_local(send_order(state, service, token, order));
             }
-            PlacementAction::Report(engine) => {
+            PlacementAction::RequestReport(engine) => {
                 tokio::task::spawn_local(ask_report(state, service, engine));
             }
         }
@@ -109,7 +109,7 @@
         key: order.key.to_string(),
         sequence: order.expected_sequence,
         token,
-        worth: order.worth,
+        worth: order.value,
         waiting: order.waiting,
         answer: format!("{answer:?}"),
         millis: u64::try_from(now.since(began).as_millis()).unwrap_or(u64::MAX),
@@ -140,7 +140,7 @@
     let dialect = &shared.dialects.engine;
     if shared.gate().own_verdict(&engine) != GateVerdict::Open {
         if let Some(planner) = state.borrow_mut().planner(&service) {
-            planner.report_failed(&engine.name, false);
+            planner.handle_report_failure(&engine.name, false);
         }
         return;
     }
@@ -159,7 +159,7 @@
     state.order_clients().keep(&engine.name, client);
     let Some(planner) = state.planner(&service) else { return };
     match report {
-        Some(report) => planner.report_arrived(&engine.name, &report, asked),
-        None => planner.report_failed(&engine.name, refused),
+        Some(report) => planner.handle_report(&engine.name, &report, asked),
+        None => planner.handle_report_failure(&engine.name, refused),
     }
 }
--- a/crates/gateway/src/control/placing.rs
+++ b/crates/gateway/src/control/placing.rs
@@ -7,7 +7,7 @@
     clock::duration_millis,
     fleet::{EngineEntry, ModelKey, ServiceName, WeightVersion, routes::ModelHosting},
     id::FenceToken,
-    placement::{LoadWindow, OrderAnswer, PlacementPlanner, PlannedOrder},
+    placement::{LoadRateLimiter, OrderAnswer, PlacementPlanner, PlannedOrder},
 };
 
 use crate::{
@@ -35,8 +35,8 @@
         let entries: Vec<_> = frame.entries.iter().map(Into::into).collect();
         let host = Arc::from(frame.host.as_str());
         if let Some(planner) = &mut domain.planner {
-            planner.demand_noted(&host, &entries, now);
-            planner.work_noted(&host, &frame.work(), now);
+            planner.record_demand(&host, &entries, now);
+            planner.record_work(&host, &frame.work(), now);
         }
         self.shared.wake_control.notify_one();
         let waited: Vec<ModelKey> = waited_keys(&entries).collect();
@@ -82,14 +82,14 @@
         now: ClockMillis,
     ) {
         let Some(domain) = self.domains.get_mut(service) else { return };
-        domain.tenure.order_ended(now);
+        domain.tenure.record_order_end(now);
         if answer == OrderAnswer::Fenced {
-            domain.tenure.refused(token);
+            domain.tenure.handle_token_refusal(token);
         }
         if domain.planned_token == token
             && let Some(planner) = &mut domain.planner
         {
-            planner.order_answered(order.id, answer, now);
+            planner.handle_order_answer(order.id, answer, now);
             self.shared.wake_control.notify_one();
         }
     }
@@ -174,31 +174,31 @@
         let begins = begins || domain.planner.is_none();
         let new = || PlacementPlanner::new(hosting.clone(), window);
         let planner = domain.planner.get_or_insert_with(new);
-        planner.hosting_changed(&hosting);
+        planner.set_hosting(&hosting);
         if begins {
             planner.begin_tenure(now);
         }
-        planner.engines_listed(&engines);
+        planner.set_engines(&engines);
         if begins {
-            planner.recall(&domain.memories);
+            planner.restore_weight_caches(&domain.memories);
             if let Some(pace) = domain.pace {
-                planner.pace_known(pace);
+                planner.restore_throughput(pace);
             }
         }
-        planner.versions_named(&versions);
-        planner.limits_known(self.shared.limits().known());
-        planner.cooldowns_known(self.shared.cooldowns().closed(now).cloned().collect());
+        planner.set_versions(&versions);
+        planner.set_limits(self.shared.limits().known());
+        planner.set_cooldowns(self.shared.cooldowns().closed(now).cloned().collect());
         if let Some(speed) = self.shared.reading().get(service) {
-            planner.reading_learnt(speed);
+            planner.set_prefill_speed(speed);
         }
         let actions = planner.plan(token.is_some(), now);
-        let due = planner.next_due(now);
-        let held = planner.take_held_loads();
+        let due = planner.next_load_due(now);
+        let held = planner.take_quarantined_loads();
         let changed = domain.adopt_own_plan();
         if let Some(pace) = domain.take_changed_pace() {
             self.shared.events.write(HostEvent::StorePace {
                 service: service.to_string(),
-                full_speed: pace.full_speed,
+                full_speed: pace.parallel_loads,
                 load_millis: duration_millis(pace.load_time),
             });
         }
@@ -206,8 +206,8 @@
             self.shared.events.write(HostEvent::LoadHeld {
                 service: service.to_string(),
                 key: load.key.to_string(),
-                ends: load.ends,
-                millis: duration_millis(load.time),
+                ends: load.engine_failures,
+                millis: duration_millis(load.quarantine),
             });
         }
         self.changed |= !changed.is_empty();
@@ -223,8 +223,8 @@
         self.routes.as_ref()?.service(service)?.hosting.clone()
     }
 
-    fn load_window(&self, hosting: &ModelHosting) -> LoadWindow {
+    fn load_window(&self, hosting: &ModelHosting) -> LoadRateLimiter {
         let bounds = &self.shared.profile.bounds;
-        LoadWindow::new(hosting.loads_per_second, bounds.load_window, bounds.load_overage)
+        LoadRateLimiter::new(hosting.loads_per_second, bounds.load_window, bounds.load_overage)
     }
 }
--- a/crates/gateway/src/control/state.rs
+++ b/crates/gateway/src/control/state.rs
@@ -154,7 +154,7 @@
         LeaseRules {
             time_to_live: super::MEMBERSHIP.max(profile.shortest_membership),
             handover_wait: profile.bounds.lease,
-            engines_check: profile.bounds.engines_check_fences,
+            engines_enforce_fencing: profile.bounds.engines_check_fences,
         }
     }
 
@@ -190,14 +190,14 @@
                 let token = generation_token(share.era, share.generation);
                 for domain in self.domains.values_mut() {
                     let listed = share.partitions.contains(&domain.partition);
-                    domain.tenure.joined(listed, token, sent, now);
+                    domain.tenure.handle_join(listed, token, sent, now);
                 }
             }
             MembershipUpdate::Failed => {
                 self.shared.metrics.store_failures.inc();
                 self.health.failed(now);
                 for domain in self.domains.values_mut() {
-                    domain.tenure.join_failed(now);
+                    domain.tenure.handle_join_failure(now);
                 }
             }
             MembershipUpdate::Owners(owners) => {
@@ -211,7 +211,7 @@
     /// Takes that this host leaves the group for good.
     pub fn leave_group(&mut self) {
         for domain in self.domains.values_mut() {
-            domain.tenure.left();
+            domain.tenure.handle_leave();
         }
     }
 
--- a/crates/gateway/src/demand.rs
+++ b/crates/gateway/src/demand.rs
@@ -10,7 +10,7 @@
 use reelreel_core::{
     ClockMillis,
     fleet::{EngineName, ModelKey, ServiceName, work::EngineWork},
-    placement::{AbsentEntry, DemandEntry, HostWork, RunEntry},
+    placement::{AbsentEntry, DemandEntry, HostWork, OpenRequestsEntry},
 };
 
 /// How long a word that still holds stays unsaid before it is said again; placers forget after three
@@ -53,12 +53,12 @@
         for (key, open) in &self.runs {
             if renew || self.told_runs.get(key) != Some(open) {
                 let (engine, key) = (Arc::clone(engine), Arc::clone(key));
-                told.runs.push(RunEntry { engine, key, open: *open });
+                told.open_requests.push(OpenRequestsEntry { engine, key, open: *open });
             }
         }
         for key in self.told_runs.keys().filter(|key| !self.runs.contains_key(*key)) {
             let (engine, key) = (Arc::clone(engine), Arc::clone(key));
-            told.runs.push(RunEntry { engine, key, open: 0 });
+            told.open_requests.push(OpenRequestsEntry { engine, key, open: 0 });
         }
         if renew {
             self.renewed = now;
@@ -187,12 +187,12 @@
                 }
                 entries.push(DemandEntry {
                     key: Arc::clone(key),
-                    asked: std::mem::take(&mut count.asked),
-                    asked_tokens: std::mem::take(&mut count.asked_tokens),
-                    waiting_tokens: count.waiting_tokens,
+                    new_requests: std::mem::take(&mut count.asked),
+                    new_prompt_tokens: std::mem::take(&mut count.asked_tokens),
+                    waiting_prompt_tokens: count.waiting_tokens,
                     waiting: count.waiting,
-                    waiting_worth: count.waiting_worth,
-                    copies_closed: count.waiting > 0 && now < count.copies_closed_until,
+                    waiting_value: count.waiting_worth,
+                    copies_unavailable: count.waiting > 0 && now < count.copies_closed_until,
                 });
                 count.changed = false;
                 count.told = now;
@@ -210,7 +210,7 @@
             drained.entry(service).or_default().work.absent = words.collect();
         }
         for (service, engines) in self.unreached.drain() {
-            drained.entry(service).or_default().work.unreached = engines.into_iter().collect();
+            drained.entry(service).or_default().work.unreachable = engines.into_iter().collect();
         }
         drained
     }
--- a/crates/gateway/src/peers/frame.rs
+++ b/crates/gateway/src/peers/frame.rs
@@ -6,7 +6,7 @@
 
 use reelreel_core::{
     fleet::{EngineName, HeldModel, ModelKey, work::EngineWork},
-    placement::{AbsentEntry, DemandEntry, HostWork, RunEntry, StorePace},
+    placement::{AbsentEntry, DemandEntry, HostWork, OpenRequestsEntry, StoreThroughput},
 };
 
 use prost::Message as _;
@@ -295,15 +295,15 @@
 impl From<&DemandEntry> for DemandLine {
     fn from(entry: &DemandEntry) -> Self {
         #[expect(clippy::cast_possible_truncation, reason = "a worth needs few digits")]
-        let waiting_worth = entry.waiting_worth as f32;
+        let waiting_worth = entry.waiting_value as f32;
         Self {
             key: entry.key.to_string(),
-            asked: entry.asked,
+            asked: entry.new_requests,
             waiting: entry.waiting,
             waiting_worth,
-            asked_tokens: entry.asked_tokens,
-            waiting_tokens: entry.waiting_tokens,
-            copies_closed: entry.copies_closed,
+            asked_tokens: entry.new_prompt_tokens,
+            waiting_tokens: entry.waiting_prompt_tokens,
+            copies_closed: entry.copies_unavailable,
         }
     }
 }
@@ -312,12 +312,12 @@
     fn from(line: &DemandLine) -> Self {
         Self {
             key: Arc::from(line.key.as_str()),
-            asked: line.asked,
-            asked_tokens: line.asked_tokens,
+            new_requests: line.asked,
+            new_prompt_tokens: line.asked_tokens,
             waiting: line.waiting,
-            waiting_tokens: line.waiting_tokens,
-            waiting_worth: f64::from(line.waiting_worth),
-            copies_closed: line.copies_closed,
+            waiting_prompt_tokens: line.waiting_tokens,
+            waiting_value: f64::from(line.waiting_worth),
+            copies_unavailable: line.copies_closed,
         }
     }
 }
@@ -327,9 +327,9 @@
     pub fn work(&self) -> HostWork {
         HostWork {
             engines: self.work.iter().map(Into::into).collect(),
-            runs: self.runs.iter().map(Into::into).collect(),
+            open_requests: self.runs.iter().map(Into::into).collect(),
             absent: self.absent.iter().map(Into::into).collect(),
-            unreached: self.unreached.iter().map(|engine| Arc::from(engine.as_str())).collect(),
+            unreachable: self.unreached.iter().map(|engine| Arc::from(engine.as_str())).collect(),
         }
     }
 }
@@ -348,19 +348,19 @@
     }
 }
 
-impl From<StorePace> for PaceLine {
-    fn from(pace: StorePace) -> Self {
+impl From<StoreThroughput> for PaceLine {
+    fn from(pace: StoreThroughput) -> Self {
         #[expect(clippy::cast_possible_truncation, reason = "a pace needs few digits")]
-        let full_speed = pace.full_speed as f32;
+        let full_speed = pace.parallel_loads as f32;
         let load_millis = u32::try_from(pace.load_time.as_millis()).unwrap_or(u32::MAX);
         Self { full_speed, load_millis }
     }
 }
 
-impl From<&PaceLine> for StorePace {
+impl From<&PaceLine> for StoreThroughput {
     fn from(line: &PaceLine) -> Self {
         let load_time = Duration::from_millis(u64::from(line.load_millis));
-        Self { full_speed: f64::from(line.full_speed), load_time }.checked()
+        Self { parallel_loads: f64::from(line.full_speed), load_time }.clamped()
     }
 }
 
@@ -377,13 +377,13 @@
     }
 }
 
-impl From<&RunEntry> for RunLine {
-    fn from(run: &RunEntry) -> Self {
+impl From<&OpenRequestsEntry> for RunLine {
+    fn from(run: &OpenRequestsEntry) -> Self {
         Self { engine: run.engine.to_string(), key: run.key.to_string(), open: run.open }
     }
 }
 
-impl From<&RunLine> for RunEntry {
+impl From<&RunLine> for OpenRequestsEntry {
     fn from(line: &RunLine) -> Self {
         let engine = Arc::from(line.engine.as_str());
         Self { engine, key: Arc::from(line.key.as_str()), open: line.open }
--- a/crates/gateway/tests/demand.rs
+++ b/crates/gateway/tests/demand.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, sync::Arc};
 
-use reelreel_core::{ClockMillis, fleet::work::EngineWork, placement::WorkBook};
+use reelreel_core::{ClockMillis, fleet::work::EngineWork, placement::WorkTracker};
 use reelreel_gateway::demand::DemandCollector;
 
 /// The work at one engine at one moment, and how many lines are told of it.
@@ -97,7 +97,7 @@
 fn a_placer_hears_of_every_change_and_sums_up_what_holds() {
     let (service, engine) = (Arc::from("assist"), Arc::from("e1"));
     let mut collector = DemandCollector::default();
-    let mut book = WorkBook::default();
+    let mut book = WorkTracker::default();
     let mut holding: BTreeMap<&str, u32> = BTreeMap::new();
     for step in STEPS {
         let now = ClockMillis::from_millis(step.at);
@@ -112,12 +112,12 @@
         }
         let told = collector.drain(now).remove(&service).unwrap_or_default();
         assert_eq!(told.work.engines.len(), step.told_engines, "{}: engines", step.name);
-        assert_eq!(told.work.runs.len(), step.told_runs, "{}: runs", step.name);
-        book.note(&Arc::from("host"), &told.work, now);
+        assert_eq!(told.work.open_requests.len(), step.told_runs, "{}: runs", step.name);
+        book.record(&Arc::from("host"), &told.work, now);
         book.forget_old(now);
         for key in ["m/a", "m/b", "m/c"] {
             let expected = holding.get(key).copied().unwrap_or_default();
-            assert_eq!(book.runs(&engine, key), expected, "{}: {key}", step.name);
+            assert_eq!(book.open_requests(&engine, key), expected, "{}: {key}", step.name);
         }
     }
 }
@@ -141,10 +141,10 @@
     let service = Arc::from("assist");
     collector.engine_work(&service, &engine, EngineWork { open: 3, unread: 900 }, runs);
     let told = collector.drain(ClockMillis::from_millis(10)).remove(&service).expect("told");
-    let mut book = WorkBook::default();
-    book.note(&host, &told.work, ClockMillis::from_millis(10));
+    let mut book = WorkTracker::default();
+    book.record(&host, &told.work, ClockMillis::from_millis(10));
     assert_eq!(book.total(&engine), EngineWork { open: 3, unread: 900 });
     book.forget_old(ClockMillis::from_millis(4000));
     assert_eq!(book.total(&engine), EngineWork::default());
-    assert_eq!(book.runs(&engine, "m/a"), 0);
+    assert_eq!(book.open_requests(&engine, "m/a"), 0);
 }
--- a/crates/gateway/tests/host/dialect.rs
+++ b/crates/gateway/tests/host/dialect.rs
@@ -178,7 +178,7 @@
         Ok(EngineReport {
             born: body["born"].as_u64().unwrap_or_default(),
             sequence: body["sequence"].as_u64().unwrap_or_default(),
-            busy: false,
+            model_change_in_progress: false,
             held: held(&body["held"]),
             pending: held(&body["pending"]),
         })
--- a/crates/gateway/tests/host/following.rs
+++ b/crates/gateway/tests/host/following.rs
@@ -20,7 +20,7 @@
 
 use crate::site::{TestHost, TestSite, wait_until};
 
-const WEAK: HostCapacity = HostCapacity { processor: 0.1, bandwidth: 10.0 };
+const WEAK: HostCapacity = HostCapacity { cpu_share: 0.1, bandwidth_mbps: 10.0 };
 
 fn follower(site: &TestSite, name: &str) -> TestHost {
     let host = site.host_with(name, Vec::new(), WEAK);
--- a/crates/gateway/tests/host/older_copy.rs
+++ b/crates/gateway/tests/host/older_copy.rs
@@ -27,7 +27,7 @@
     site::{KEY_WITHDRAWN, MODEL_NAME, TestHost, TestSite, wait_until},
 };
 
-const WEAK: HostCapacity = HostCapacity { processor: 0.1, bandwidth: 10.0 };
+const WEAK: HostCapacity = HostCapacity { cpu_share: 0.1, bandwidth_mbps: 10.0 };
 
 /// Within which time what the store has acknowledged is in force on hosts that reach it; operators give two to three seconds.
 const IN_FORCE: Duration = Duration::from_secs(2);
@@ -114,7 +114,7 @@
     wait_until("the change is in force", || serves_the_late_route(&first));
     site.store.come_back(&copy);
     wait_until("the first hears of it", || knows_era(&first, 1));
-    for capacity in [WEAK, HostCapacity { processor: 0.25, bandwidth: 1000.0 }] {
+    for capacity in [WEAK, HostCapacity { cpu_share: 0.25, bandwidth_mbps: 1000.0 }] {
         let late = site.host_with("late", vec![first.shared.profile.peers], capacity);
         late.wait_ready();
         let time = time_until("the late host knows it", || serves_the_late_route(&late));
--- a/crates/gateway/tests/host/site.rs
+++ b/crates/gateway/tests/host/site.rs
@@ -61,7 +61,7 @@
     pub(crate) fn new(store: SocketAddr) -> Self {
         Self {
             seeds: Vec::new(),
-            capacity: HostCapacity { processor: 0.25, bandwidth: 1000.0 },
+            capacity: HostCapacity { cpu_share: 0.25, bandwidth_mbps: 1000.0 },
             revocation: None,
             store,
             clock: Arc::new(MonotonicClock::new()),
@@ -229,7 +229,7 @@
 
     /// Starts a host without waiting for anything.
     pub(crate) fn cold_host(&self, name: &str, seeds: Vec<SocketAddr>) -> TestHost {
-        self.host_with(name, seeds, HostCapacity { processor: 0.25, bandwidth: 1000.0 })
+        self.host_with(name, seeds, HostCapacity { cpu_share: 0.25, bandwidth_mbps: 1000.0 })
     }
 
     /// Starts a host of some strength without waiting for anything.
@@ -245,8 +245,8 @@
 
     /// Starts a host that must not serve a withdrawn key for longer than `bound`; waits until it is ready.
     pub(crate) fn strict_host(&self, name: &str, bound: Duration, strong: bool) -> TestHost {
-        let processor = if strong { 0.25 } else { 0.1 };
-        let capacity = HostCapacity { processor, bandwidth: 1000.0 };
+        let cpu_share = if strong { 0.25 } else { 0.1 };
+        let capacity = HostCapacity { cpu_share, bandwidth_mbps: 1000.0 };
         let revocation = Some(bound);
         let profile = TestProfile { capacity, revocation, ..TestProfile::new(self.store.address) };
         let host = TestHost::start(name, profile);
--- a/crates/gateway/tests/host/stale_reader.rs
+++ b/crates/gateway/tests/host/stale_reader.rs
@@ -16,7 +16,7 @@
 
 use crate::site::{TestHost, TestSite, wait_until};
 
-const WEAK: HostCapacity = HostCapacity { processor: 0.1, bandwidth: 10.0 };
+const WEAK: HostCapacity = HostCapacity { cpu_share: 0.1, bandwidth_mbps: 10.0 };
 
 /// Within which time a configuration that the store has taken is in force on hosts that reach it; operators give two
 /// to three seconds.
