--- a/crates/core/src/placement/candidacy.rs
+++ b/crates/core/src/placement/candidacy.rs
@@ -5,16 +5,16 @@
 //! strong ones first; the others follow them.
 
 /// The part of a processor from which on a host counts as strong.
-const STRONG_PROCESSOR: f64 = 0.2;
+const HIGH_CAPACITY_CPU_SHARE: f64 = 0.2;
 
 /// The bandwidth from which on a host counts as strong. Unit: megabits a second.
-const STRONG_BANDWIDTH: f64 = 50.0;
+const HIGH_CAPACITY_BANDWIDTH_MBPS: f64 = 50.0;
 
 /// How many members a group has before strong hosts stay out of it.
-const ENOUGH_MEMBERS: usize = 8;
+const MAX_HIGH_CAPACITY_MEMBERS: usize = 8;
 
 /// How many members a group has before all other hosts stay out of it.
-const LEAST_MEMBERS: usize = 3;
+const MIN_MEMBERS: usize = 3;
 
 /// What a host has to work with.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -28,29 +28,34 @@
 impl HostCapacity {
     /// Returns whether the host can bear the work of a large domain.
     pub fn has_high_capacity(&self) -> bool {
-        self.cpu_share >= STRONG_PROCESSOR && self.bandwidth_mbps >= STRONG_BANDWIDTH
+        self.cpu_share >= HIGH_CAPACITY_CPU_SHARE
+            && self.bandwidth_mbps >= HIGH_CAPACITY_BANDWIDTH_MBPS
     }
 
-    /// Returns whether the host joins a group that has `members` already, `strong` ones among them.
+    /// Returns whether the host joins a group that has `members` already, `high_capacity_members` ones among them.
     ///
     /// Strong hosts do not count weak members, who only stand in for them.
-    pub fn should_join(&self, members: usize, strong: usize) -> bool {
-        if self.has_high_capacity() { strong < ENOUGH_MEMBERS } else { members < LEAST_MEMBERS }
+    pub fn should_join(&self, members: usize, high_capacity_members: usize) -> bool {
+        if self.has_high_capacity() {
+            high_capacity_members < MAX_HIGH_CAPACITY_MEMBERS
+        } else {
+            members < MIN_MEMBERS
+        }
     }
 }
 
 impl HostCapacity {
-    /// Returns whether a member leaves its work to the `strong` members that the group has again.
-    pub fn should_leave(&self, strong: usize) -> bool {
-        !self.has_high_capacity() && strong >= LEAST_MEMBERS
+    /// Returns whether a member leaves its work to the `high_capacity_members` members that the group has again.
+    pub fn should_leave(&self, high_capacity_members: usize) -> bool {
+        !self.has_high_capacity() && high_capacity_members >= MIN_MEMBERS
     }
 }
 
 /// How many partitions make their holders read the store for the others.
-const READER_PARTITIONS: u32 = 3;
+const MAX_READER_PARTITIONS: u32 = 3;
 
 /// Returns the partitions whose holders read the store for the others, spread over all of them.
 pub fn reader_partitions(partitions: u32) -> impl Iterator<Item = u32> {
-    let readers = READER_PARTITIONS.min(partitions);
-    (0..readers).map(move |place| place * partitions / readers)
+    let readers = MAX_READER_PARTITIONS.min(partitions);
+    (0..readers).map(move |index| index * partitions / readers)
 }
--- a/crates/core/src/placement/demand.rs
+++ b/crates/core/src/placement/demand.rs
@@ -11,13 +11,13 @@
 const BURST_HALF_LIFE: Duration = Duration::from_millis(1500);
 
 /// How long a host's word about its waiting requests holds without being renewed.
-const WAITING_HOLDS: Duration = Duration::from_secs(3);
+const WAITING_TTL: Duration = Duration::from_secs(3);
 
 /// How long requests count that no load was ordered for.
-const UNSERVED_HOLDS: Duration = Duration::from_mins(1);
+const UNSERVED_TTL: Duration = Duration::from_mins(1);
 
 /// The weight below which a popularity is forgotten.
-const FORGOTTEN: f64 = 0.02;
+const MIN_RATE_WEIGHT: f64 = 0.02;
 
 /// What one host was asked for since its last word.
 #[derive(Debug, Clone, PartialEq)]
@@ -41,34 +41,34 @@
 #[derive(Debug, Clone, Copy)]
 struct HostWaiting {
     requests: u32,
-    tokens: u64,
-    worth: f64,
-    copies_closed: bool,
-    at: ClockMillis,
+    prompt_tokens: u64,
+    value: f64,
+    copies_unavailable: bool,
+    reported_at: ClockMillis,
 }
 
 #[derive(Debug, Clone, Default)]
 struct KeyDemand {
-    rate: DecayedRate,
-    burst: DecayedRate,
+    request_rate: DecayedRate,
+    burst_request_rate: DecayedRate,
     /// Tokens of the prompts that came.
-    reading: DecayedRate,
-    burst_reading: DecayedRate,
+    prompt_token_rate: DecayedRate,
+    burst_prompt_token_rate: DecayedRate,
     /// Requests since a load was last ordered.
-    unserved: u32,
+    unserved_requests: u32,
     /// When that was.
-    loaded: ClockMillis,
-    asked: ClockMillis,
+    last_load_ordered_at: ClockMillis,
+    last_request_at: ClockMillis,
     /// When requests last began or ended to wait, as far as hosts have told.
-    waited: ClockMillis,
-    waiting: HashMap<Arc<str>, HostWaiting>,
+    last_wait_change_at: ClockMillis,
+    waiting_by_host: HashMap<Arc<str>, HostWaiting>,
     /// Since when somebody has waited without a pause.
     waiting_since: Option<ClockMillis>,
 }
 
 impl KeyDemand {
-    fn note_waiting(&mut self, now: ClockMillis) {
-        if self.waiting.is_empty() {
+    fn update_waiting_since(&mut self, now: ClockMillis) {
+        if self.waiting_by_host.is_empty() {
             self.waiting_since = None;
         } else {
             self.waiting_since.get_or_insert(now);
@@ -84,46 +84,50 @@
 
 impl DemandTracker {
     /// Takes what `host` was asked for.
-    pub fn note(&mut self, host: &Arc<str>, entries: &[DemandEntry], now: ClockMillis) {
+    pub fn record(&mut self, host: &Arc<str>, entries: &[DemandEntry], now: ClockMillis) {
         for entry in entries {
             let demand = self.keys.entry(Arc::clone(&entry.key)).or_default();
             if entry.new_requests > 0 {
-                demand.rate.add(f64::from(entry.new_requests), now, RATE_HALF_LIFE);
-                demand.burst.add(f64::from(entry.new_requests), now, BURST_HALF_LIFE);
+                demand.request_rate.add(f64::from(entry.new_requests), now, RATE_HALF_LIFE);
+                demand.burst_request_rate.add(f64::from(entry.new_requests), now, BURST_HALF_LIFE);
                 let tokens = entry.new_prompt_tokens as f64;
-                demand.reading.add(tokens, now, RATE_HALF_LIFE);
-                demand.burst_reading.add(tokens, now, BURST_HALF_LIFE);
-                demand.unserved = demand.unserved.saturating_add(entry.new_requests);
-                demand.asked = now;
+                demand.prompt_token_rate.add(tokens, now, RATE_HALF_LIFE);
+                demand.burst_prompt_token_rate.add(tokens, now, BURST_HALF_LIFE);
+                demand.unserved_requests =
+                    demand.unserved_requests.saturating_add(entry.new_requests);
+                demand.last_request_at = now;
             }
-            if entry.waiting > 0 || demand.waiting.contains_key(host) {
-                demand.waited = now;
+            if entry.waiting > 0 || demand.waiting_by_host.contains_key(host) {
+                demand.last_wait_change_at = now;
             }
             if entry.waiting == 0 {
-                demand.waiting.remove(host);
+                demand.waiting_by_host.remove(host);
             } else {
                 let waiting = HostWaiting {
                     requests: entry.waiting,
-                    tokens: entry.waiting_prompt_tokens,
-                    worth: entry.waiting_value,
-                    copies_closed: entry.copies_unavailable,
-                    at: now,
+                    prompt_tokens: entry.waiting_prompt_tokens,
+                    value: entry.waiting_value,
+                    copies_unavailable: entry.copies_unavailable,
+                    reported_at: now,
                 };
-                demand.waiting.insert(Arc::clone(host), waiting);
+                demand.waiting_by_host.insert(Arc::clone(host), waiting);
             }
-            demand.note_waiting(now);
+            demand.update_waiting_since(now);
         }
     }
 
     /// Forgets what nobody has asked for lately.
-    pub fn forget_old(&mut self, now: ClockMillis) {
+    pub fn drop_expired(&mut self, now: ClockMillis) {
         self.keys.retain(|_, demand| {
-            demand.waiting.retain(|_, waiting| now.since(waiting.at) < WAITING_HOLDS);
-            demand.note_waiting(now);
-            let steady = demand.unserved > 1 && now.since(demand.asked) < UNSERVED_HOLDS;
-            steady
-                || !demand.waiting.is_empty()
-                || demand.rate.weight_at(now, RATE_HALF_LIFE) > FORGOTTEN
+            demand
+                .waiting_by_host
+                .retain(|_, waiting| now.since(waiting.reported_at) < WAITING_TTL);
+            demand.update_waiting_since(now);
+            let has_unserved =
+                demand.unserved_requests > 1 && now.since(demand.last_request_at) < UNSERVED_TTL;
+            has_unserved
+                || !demand.waiting_by_host.is_empty()
+                || demand.request_rate.weight_at(now, RATE_HALF_LIFE) > MIN_RATE_WEIGHT
         });
     }
 
@@ -133,32 +137,34 @@
     }
 
     /// Returns how many requests a second ask for `key`.
-    pub fn rate(&self, key: &str, now: ClockMillis) -> f64 {
-        self.keys.get(key).map_or(0.0, |demand| demand.rate.per_second(now, RATE_HALF_LIFE))
+    pub fn request_rate(&self, key: &str, now: ClockMillis) -> f64 {
+        self.keys.get(key).map_or(0.0, |demand| demand.request_rate.per_second(now, RATE_HALF_LIFE))
     }
 
     /// Returns how many tokens of prompts a second come for `key`.
-    pub fn reading_rate(&self, key: &str, now: ClockMillis) -> f64 {
-        self.keys.get(key).map_or(0.0, |demand| demand.reading.per_second(now, RATE_HALF_LIFE))
+    pub fn prompt_token_rate(&self, key: &str, now: ClockMillis) -> f64 {
+        self.keys
+            .get(key)
+            .map_or(0.0, |demand| demand.prompt_token_rate.per_second(now, RATE_HALF_LIFE))
     }
 
     /// Returns how many tokens of prompts a second come for `key` by the last seconds alone.
-    pub fn burst_reading_rate(&self, key: &str, now: ClockMillis) -> f64 {
+    pub fn burst_prompt_token_rate(&self, key: &str, now: ClockMillis) -> f64 {
         let Some(demand) = self.keys.get(key) else { return 0.0 };
-        demand.burst_reading.per_second(now, BURST_HALF_LIFE)
+        demand.burst_prompt_token_rate.per_second(now, BURST_HALF_LIFE)
     }
 
     /// Returns the prompts of the requests that wait for `key`. Unit: tokens.
-    pub fn waiting_tokens(&self, key: &str) -> u64 {
+    pub fn waiting_prompt_tokens(&self, key: &str) -> u64 {
         let Some(demand) = self.keys.get(key) else { return 0 };
-        demand.waiting.values().map(|waiting| waiting.tokens).sum()
+        demand.waiting_by_host.values().map(|waiting| waiting.prompt_tokens).sum()
     }
 
     /// Returns the mean prompt of all requests that come. Unit: tokens.
-    pub fn mean_prompt(&self, now: ClockMillis) -> f64 {
+    pub fn mean_prompt_tokens(&self, now: ClockMillis) -> f64 {
         let rates = self.keys.values().map(|demand| {
-            let requests = demand.rate.per_second(now, RATE_HALF_LIFE);
-            (requests, demand.reading.per_second(now, RATE_HALF_LIFE))
+            let requests = demand.request_rate.per_second(now, RATE_HALF_LIFE);
+            (requests, demand.prompt_token_rate.per_second(now, RATE_HALF_LIFE))
         });
         let (requests, tokens) =
             rates.fold((0.0, 0.0), |sum, rate| (sum.0 + rate.0, sum.1 + rate.1));
@@ -166,36 +172,41 @@
     }
 
     /// Returns how many requests a second ask for `key` by the last seconds alone.
-    pub fn burst_rate(&self, key: &str, now: ClockMillis) -> f64 {
-        self.keys.get(key).map_or(0.0, |demand| demand.burst.per_second(now, BURST_HALF_LIFE))
+    pub fn burst_request_rate(&self, key: &str, now: ClockMillis) -> f64 {
+        self.keys
+            .get(key)
+            .map_or(0.0, |demand| demand.burst_request_rate.per_second(now, BURST_HALF_LIFE))
     }
 
     /// Takes that a load of `key` was ordered.
-    pub fn served(&mut self, key: &str, now: ClockMillis) {
+    pub fn record_load_order(&mut self, key: &str, now: ClockMillis) {
         if let Some(demand) = self.keys.get_mut(key) {
-            (demand.unserved, demand.loaded) = (0, now);
+            (demand.unserved_requests, demand.last_load_ordered_at) = (0, now);
         }
     }
 
     /// Returns when a load of `key` was last ordered, the epoch if that is not known.
-    pub fn last_loaded(&self, key: &str) -> ClockMillis {
-        self.keys.get(key).map(|demand| demand.loaded).unwrap_or_default()
+    pub fn last_load_ordered_at(&self, key: &str) -> ClockMillis {
+        self.keys.get(key).map(|demand| demand.last_load_ordered_at).unwrap_or_default()
     }
 
     /// Returns whether requests wait for `key` at a host that can use none of its copies.
-    pub fn copies_closed(&self, key: &str) -> bool {
+    pub fn copies_unavailable(&self, key: &str) -> bool {
         let Some(demand) = self.keys.get(key) else { return false };
-        demand.waiting.values().any(|waiting| waiting.copies_closed)
+        demand.waiting_by_host.values().any(|waiting| waiting.copies_unavailable)
     }
 
     /// Returns when a request for `key` last came, or last began or ended to wait.
-    pub fn last_wanted(&self, key: &str) -> ClockMillis {
-        self.keys.get(key).map(|demand| demand.asked.max(demand.waited)).unwrap_or_default()
+    pub fn last_wanted_at(&self, key: &str) -> ClockMillis {
+        self.keys
+            .get(key)
+            .map(|demand| demand.last_request_at.max(demand.last_wait_change_at))
+            .unwrap_or_default()
     }
 
     /// Returns how many requests came since a load of `key` was last ordered.
-    pub fn unserved(&self, key: &str) -> f64 {
-        self.keys.get(key).map_or(0.0, |demand| f64::from(demand.unserved))
+    pub fn unserved_requests(&self, key: &str) -> f64 {
+        self.keys.get(key).map_or(0.0, |demand| f64::from(demand.unserved_requests))
     }
 
     /// Returns since when somebody has waited for `key` without a pause.
@@ -204,14 +215,14 @@
     }
 
     /// Returns how many requests wait for `key`.
-    pub fn waiting(&self, key: &str) -> u32 {
+    pub fn waiting_requests(&self, key: &str) -> u32 {
         let Some(demand) = self.keys.get(key) else { return 0 };
-        demand.waiting.values().map(|waiting| waiting.requests).sum()
+        demand.waiting_by_host.values().map(|waiting| waiting.requests).sum()
     }
 
     /// Returns the worth of the requests that wait for `key`.
-    pub fn waiting_worth(&self, key: &str) -> f64 {
+    pub fn waiting_value(&self, key: &str) -> f64 {
         let Some(demand) = self.keys.get(key) else { return 0.0 };
-        demand.waiting.values().map(|waiting| waiting.worth).sum()
+        demand.waiting_by_host.values().map(|waiting| waiting.value).sum()
     }
 }
--- a/crates/core/src/placement/engine_weight_cache.rs
+++ b/crates/core/src/placement/engine_weight_cache.rs
@@ -8,13 +8,13 @@
 use crate::fleet::ModelKey;
 
 /// How many adapters an engine is expected to remember.
-const MOST_REMEMBERED: usize = 100;
+const MAX_CACHED: usize = 100;
 
 /// What an engine held lately and may bring back without the weight store, the latest last.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct EngineWeightCache {
     keys: VecDeque<ModelKey>,
-    known: HashSet<ModelKey>,
+    members: HashSet<ModelKey>,
 }
 
 impl EngineWeightCache {
@@ -23,21 +23,21 @@
         if self.keys.back() == Some(key) {
             return;
         }
-        if !self.known.insert(Arc::clone(key))
-            && let Some(place) = self.keys.iter().position(|known| known == key)
+        if !self.members.insert(Arc::clone(key))
+            && let Some(index) = self.keys.iter().position(|cached| cached == key)
         {
-            self.keys.remove(place);
+            self.keys.remove(index);
         }
         self.keys.push_back(Arc::clone(key));
-        if self.keys.len() > MOST_REMEMBERED
+        if self.keys.len() > MAX_CACHED
             && let Some(oldest) = self.keys.pop_front()
         {
-            self.known.remove(&oldest);
+            self.members.remove(&oldest);
         }
     }
 
     /// Returns whether the engine held something lately.
     pub fn contains(&self, key: &str) -> bool {
-        self.known.contains(key)
+        self.members.contains(key)
     }
 }
--- a/crates/core/src/placement/engine_work.rs
+++ b/crates/core/src/placement/engine_work.rs
@@ -12,7 +12,7 @@
 };
 
 /// How long a host's word holds without being renewed; hosts renew theirs every second.
-const WORD_HOLDS: Duration = Duration::from_secs(3);
+const HOST_WORK_TTL: Duration = Duration::from_secs(3);
 
 /// The requests of one host that an engine has for one model or adapter.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -62,98 +62,104 @@
 
 /// The last word of each host on something.
 #[derive(Debug, Clone)]
-struct HostWords<Word> {
-    hosts: HashMap<Arc<str>, (Word, ClockMillis)>,
+struct PerHost<Value> {
+    by_host: HashMap<Arc<str>, (Value, ClockMillis)>,
 }
 
-impl<Word> Default for HostWords<Word> {
+impl<Value> Default for PerHost<Value> {
     fn default() -> Self {
-        Self { hosts: HashMap::new() }
+        Self { by_host: HashMap::new() }
     }
 }
 
-impl<Word: Copy> HostWords<Word> {
-    fn note(&mut self, host: &Arc<str>, word: Option<Word>, now: ClockMillis) {
-        match word {
-            Some(word) => self.hosts.insert(Arc::clone(host), (word, now)),
-            None => self.hosts.remove(host),
+impl<Value: Copy> PerHost<Value> {
+    fn record(&mut self, host: &Arc<str>, value: Option<Value>, now: ClockMillis) {
+        match value {
+            Some(value) => self.by_host.insert(Arc::clone(host), (value, now)),
+            None => self.by_host.remove(host),
         };
     }
 
-    fn forget_old(&mut self, now: ClockMillis) {
-        self.hosts.retain(|_, (_, at)| now.since(*at) < WORD_HOLDS);
+    fn drop_expired(&mut self, now: ClockMillis) {
+        self.by_host.retain(|_, (_, at)| now.since(*at) < HOST_WORK_TTL);
     }
 
-    fn words(&self) -> impl Iterator<Item = Word> {
-        self.hosts.values().map(|(word, _)| *word)
+    fn values(&self) -> impl Iterator<Item = Value> {
+        self.by_host.values().map(|(value, _)| *value)
     }
 }
 
 /// The work at one engine.
 #[derive(Debug, Clone, Default)]
-struct EngineSum {
-    work: HostWords<EngineWork>,
-    runs: HashMap<ModelKey, HostWords<u32>>,
-    told: EngineWork,
+struct EngineWorkTotals {
+    work_by_host: PerHost<EngineWork>,
+    open_requests_by_key: HashMap<ModelKey, PerHost<u32>>,
+    published: EngineWork,
 }
 
-impl EngineSum {
+impl EngineWorkTotals {
     fn total(&self) -> EngineWork {
-        self.work.words().fold(EngineWork::default(), |sum, work| sum + work)
+        self.work_by_host.values().fold(EngineWork::default(), |sum, work| sum + work)
     }
 }
 
 /// What engines work on.
 #[derive(Debug, Clone, Default)]
 pub struct WorkTracker {
-    engines: HashMap<EngineName, EngineSum>,
+    engines: HashMap<EngineName, EngineWorkTotals>,
 }
 
 impl WorkTracker {
     /// Takes what `host` has at engines.
-    pub fn record(&mut self, host: &Arc<str>, told: &HostWork, now: ClockMillis) {
-        for (engine, work) in &told.engines {
-            let sum = self.engines.entry(Arc::clone(engine)).or_default();
-            sum.work.note(host, (work.open > 0).then_some(*work), now);
+    pub fn record(&mut self, host: &Arc<str>, host_work: &HostWork, now: ClockMillis) {
+        for (engine, work) in &host_work.engines {
+            let engine_totals = self.engines.entry(Arc::clone(engine)).or_default();
+            engine_totals.work_by_host.record(host, (work.open > 0).then_some(*work), now);
         }
-        for run in &told.open_requests {
-            let sum = self.engines.entry(Arc::clone(&run.engine)).or_default();
-            let runs = sum.runs.entry(Arc::clone(&run.key)).or_default();
-            runs.note(host, (run.open > 0).then_some(run.open), now);
+        for entry in &host_work.open_requests {
+            let engine_totals = self.engines.entry(Arc::clone(&entry.engine)).or_default();
+            let requests =
+                engine_totals.open_requests_by_key.entry(Arc::clone(&entry.key)).or_default();
+            requests.record(host, (entry.open > 0).then_some(entry.open), now);
         }
     }
 
     /// Forgets the word of hosts that did not renew it.
-    pub fn forget_old(&mut self, now: ClockMillis) {
-        self.engines.retain(|_, sum| {
-            sum.work.forget_old(now);
-            sum.runs.retain(|_, runs| {
-                runs.forget_old(now);
-                !runs.hosts.is_empty()
+    pub fn drop_expired(&mut self, now: ClockMillis) {
+        self.engines.retain(|_, engine_totals| {
+            engine_totals.work_by_host.drop_expired(now);
+            engine_totals.open_requests_by_key.retain(|_, requests| {
+                requests.drop_expired(now);
+                !requests.by_host.is_empty()
             });
-            !sum.work.hosts.is_empty() || sum.told.open > 0 || !sum.runs.is_empty()
+            !engine_totals.work_by_host.by_host.is_empty()
+                || engine_totals.published.open > 0
+                || !engine_totals.open_requests_by_key.is_empty()
         });
     }
 
     /// Returns what an engine works on.
     pub fn total(&self, engine: &str) -> EngineWork {
-        self.engines.get(engine).map(EngineSum::total).unwrap_or_default()
+        self.engines.get(engine).map(EngineWorkTotals::total).unwrap_or_default()
     }
 
     /// Returns how many requests an engine has for a model or adapter.
     pub fn open_requests(&self, engine: &str, key: &str) -> u32 {
-        let runs = self.engines.get(engine).and_then(|sum| sum.runs.get(key));
-        runs.map_or(0, |runs| runs.words().sum())
+        let requests = self
+            .engines
+            .get(engine)
+            .and_then(|engine_totals| engine_totals.open_requests_by_key.get(key));
+        requests.map_or(0, |requests| requests.values().sum())
     }
 
-    /// Returns the sums that have moved enough since they were last returned to be told again; `step` is how many
+    /// Returns the sums that have moved enough since they were last returned to be told again; `min_prefill_change` is how many
     /// unread tokens make no difference to anyone who chooses an engine.
-    pub fn take_changed(&mut self, step: u64) -> Vec<(EngineName, EngineWork)> {
+    pub fn take_changed(&mut self, min_prefill_change: u64) -> Vec<(EngineName, EngineWork)> {
         let mut changed = Vec::new();
-        for (engine, sum) in &mut self.engines {
-            let total = sum.total();
-            if total.differs(&sum.told, step) {
-                sum.told = total;
+        for (engine, engine_totals) in &mut self.engines {
+            let total = engine_totals.total();
+            if total.differs(&engine_totals.published, min_prefill_change) {
+                engine_totals.published = total;
                 changed.push((Arc::clone(engine), total));
             }
         }
--- a/crates/core/src/placement/limited_engines.rs
+++ b/crates/core/src/placement/limited_engines.rs
@@ -16,54 +16,55 @@
 };
 
 /// The part of a limit that orders and reports may take where every engine has one: the rest is for requests.
-const CONTROL_PART: f64 = 0.5;
+const CONTROL_SHARE: f64 = 0.5;
 
 /// The longest pause between two such calls: an engine that takes nothing at all is still asked what it holds.
-const LONGEST_PAUSE: Duration = Duration::from_secs(10);
+const MAX_CALL_INTERVAL: Duration = Duration::from_secs(10);
 
 /// The engines of a domain that have named a limit.
 #[derive(Debug, Clone, Default)]
 pub(super) struct LimitedEngines {
     limits: HashMap<EngineName, RequestLimit>,
     /// Whether no engine of the domain is without a limit.
-    everywhere: bool,
+    all_limited: bool,
     /// Engines that want nothing from this host for a while.
-    cooling: HashSet<EngineName>,
+    in_cooldown: HashSet<EngineName>,
 }
 
 impl PlacementPlanner {
     /// Takes which engines have named a limit.
     pub fn set_limits(&mut self, limits: HashMap<EngineName, RequestLimit>) {
-        let mut ready = self.engines.values().filter(|inventory| !inventory.entry.leaving);
-        let everywhere =
-            !limits.is_empty() && ready.all(|inventory| limits.contains_key(&inventory.entry.name));
-        (self.limited.limits, self.limited.everywhere) = (limits, everywhere);
+        let mut engines = self.engines.values().filter(|inventory| !inventory.entry.leaving);
+        let all_limited = !limits.is_empty()
+            && engines.all(|inventory| limits.contains_key(&inventory.entry.name));
+        (self.limited_engines.limits, self.limited_engines.all_limited) = (limits, all_limited);
     }
 
     /// Takes which engines want nothing from this host for a while: neither orders nor reports, and their copies count as none
     /// for requests that wait.
-    pub fn set_cooldowns(&mut self, cooling: HashSet<EngineName>) {
-        self.limited.cooling = cooling;
+    pub fn set_cooldowns(&mut self, in_cooldown: HashSet<EngineName>) {
+        self.limited_engines.in_cooldown = in_cooldown;
     }
 
     /// Returns whether what an engine holds counts as there for requests.
-    pub(super) fn bears_requests(&self, inventory: &EngineInventory) -> bool {
+    pub(super) fn counts_as_serving(&self, inventory: &EngineInventory) -> bool {
         let engine = &inventory.entry.name;
-        let limited = !self.limited.everywhere && self.limited.limits.contains_key(engine);
-        !limited && !self.limited.cooling.contains(engine)
+        let limited =
+            !self.limited_engines.all_limited && self.limited_engines.limits.contains_key(engine);
+        !limited && !self.limited_engines.in_cooldown.contains(engine)
     }
 }
 
 impl LimitedEngines {
     /// Returns whether an engine may get an order, or be asked for a report.
     pub(super) fn may_call(&self, inventory: &EngineInventory, now: ClockMillis) -> bool {
-        if self.cooling.contains(&inventory.entry.name) {
+        if self.in_cooldown.contains(&inventory.entry.name) {
             return false;
         }
         let Some(limit) = self.limits.get(&inventory.entry.name) else { return true };
-        let rate = limit.per_second() * CONTROL_PART;
-        let pause = Duration::try_from_secs_f64(1.0 / rate).unwrap_or(LONGEST_PAUSE);
-        let called = inventory.ordered.max(inventory.asked);
-        self.everywhere && now.since(called) >= pause.min(LONGEST_PAUSE)
+        let rate = limit.per_second() * CONTROL_SHARE;
+        let interval = Duration::try_from_secs_f64(1.0 / rate).unwrap_or(MAX_CALL_INTERVAL);
+        let last_call_at = inventory.last_order_activity_at.max(inventory.report_requested_at);
+        self.all_limited && now.since(last_call_at) >= interval.min(MAX_CALL_INTERVAL)
     }
 }
--- a/crates/core/src/placement/load_suspects.rs
+++ b/crates/core/src/placement/load_suspects.rs
@@ -20,17 +20,17 @@
 };
 
 /// How long an adapter is remembered under whose load one engine ended.
-const KEPT: Duration = Duration::from_mins(10);
+const SUSPECT_TTL: Duration = Duration::from_mins(10);
 
 /// A load after which its engine gave no sign of life.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct SilentLoad {
+struct FailedLoad {
     born: EngineBirth,
     version: WeightVersion,
-    began: ClockMillis,
-    noted: ClockMillis,
+    started_at: ClockMillis,
+    recorded_at: ClockMillis,
     /// Whether the engine is gone, or has started again.
-    ended: bool,
+    engine_ended: bool,
 }
 
 /// An adapter that is not loaded for a while.
@@ -47,46 +47,48 @@
 /// What is known of adapters under whose loads engines ended.
 #[derive(Debug, Clone, Default)]
 pub struct LoadSuspects {
-    by_key: HashMap<ModelKey, BTreeMap<EngineName, SilentLoad>>,
-    news: Vec<QuarantinedLoad>,
+    by_key: HashMap<ModelKey, BTreeMap<EngineName, FailedLoad>>,
+    new_quarantines: Vec<QuarantinedLoad>,
 }
 
 impl LoadSuspects {
     /// Takes that an engine gave no report after a load was due, or has ended.
-    pub fn silent(
+    pub fn record_failure(
         &mut self,
         engine: &EngineEntry,
         load: &PendingLoad,
-        ended: bool,
+        engine_ended: bool,
         now: ClockMillis,
     ) {
         let loads = self.by_key.entry(Arc::clone(&load.key)).or_default();
-        if let Some(known) = loads.get_mut(&engine.name).filter(|known| known.born == engine.born) {
-            known.ended |= ended;
+        if let Some(existing) =
+            loads.get_mut(&engine.name).filter(|existing| existing.born == engine.born)
+        {
+            existing.engine_ended |= engine_ended;
             return;
         }
-        let (born, version, began) = (engine.born, load.version, load.began);
-        let silent = SilentLoad { born, version, began, noted: now, ended };
-        loads.insert(Arc::clone(&engine.name), silent);
-        let engine_failures = ends_in_a_row(loads);
+        let (born, version, started_at) = (engine.born, load.version, load.started_at);
+        let failed = FailedLoad { born, version, started_at, recorded_at: now, engine_ended };
+        loads.insert(Arc::clone(&engine.name), failed);
+        let engine_failures = consecutive_failures(loads);
         if let Some(hold) = Hold::after(engine_failures, ENDS_UNTIL_HELD) {
             let (key, quarantine) = (Arc::clone(&load.key), hold.time(false));
-            self.news.push(QuarantinedLoad { key, engine_failures, quarantine });
+            self.new_quarantines.push(QuarantinedLoad { key, engine_failures, quarantine });
         }
     }
 
     /// Takes that an engine lives: its silence was something else.
-    pub fn engine_lives(&mut self, engine: &str, born: EngineBirth) {
+    pub fn record_engine_alive(&mut self, engine: &str, born: EngineBirth) {
         for loads in self.by_key.values_mut() {
             let known = loads.get(engine);
-            if known.is_some_and(|load| load.born == born && !load.ended) {
+            if known.is_some_and(|load| load.born == born && !load.engine_ended) {
                 loads.remove(engine);
             }
         }
     }
 
     /// Takes that an engine holds an adapter and lives.
-    pub fn loaded(&mut self, key: &str) {
+    pub fn record_success(&mut self, key: &str) {
         self.by_key.remove(key);
     }
 
@@ -96,40 +98,45 @@
     }
 
     /// Returns for how long an adapter is not to be loaded, if it is held back; `version` is the one that is named now.
-    pub fn held(&self, key: &str, version: WeightVersion, now: ClockMillis) -> Option<Duration> {
+    pub fn remaining_quarantine(
+        &self,
+        key: &str,
+        version: WeightVersion,
+        now: ClockMillis,
+    ) -> Option<Duration> {
         let loads = self.by_key.get(key)?;
-        let hold = Hold::after(ends_in_a_row(loads), ENDS_UNTIL_HELD)?;
-        let last = loads.values().max_by_key(|load| load.noted)?;
-        let until = last.noted + hold.time(version > last.version);
+        let hold = Hold::after(consecutive_failures(loads), ENDS_UNTIL_HELD)?;
+        let last = loads.values().max_by_key(|load| load.recorded_at)?;
+        let until = last.recorded_at + hold.time(version > last.version);
         (now < until).then(|| until.since(now))
     }
 
     /// Forgets adapters of which nothing was seen for long.
-    pub fn forget_old(&mut self, now: ClockMillis) {
+    pub fn drop_expired(&mut self, now: ClockMillis) {
         self.by_key.retain(|_, loads| {
-            let hold = Hold::after(ends_in_a_row(loads), ENDS_UNTIL_HELD);
-            let remembered = hold.map_or(KEPT, Hold::remembered);
-            loads.values().any(|load| now.since(load.noted) < remembered)
+            let hold = Hold::after(consecutive_failures(loads), ENDS_UNTIL_HELD);
+            let retention = hold.map_or(SUSPECT_TTL, Hold::remembered);
+            loads.values().any(|load| now.since(load.recorded_at) < retention)
         });
     }
 
     /// Takes which adapters were held back since the last call.
-    pub fn take_events(&mut self) -> Vec<QuarantinedLoad> {
-        std::mem::take(&mut self.news)
+    pub fn take_new_quarantines(&mut self) -> Vec<QuarantinedLoad> {
+        std::mem::take(&mut self.new_quarantines)
     }
 }
 
 /// Counts engines one after the other: of loads that were under way at the same time one counts, since whatever ended their engines
 /// together was not them.
-fn ends_in_a_row(loads: &BTreeMap<EngineName, SilentLoad>) -> usize {
-    let mut by_time: Vec<&SilentLoad> = loads.values().collect();
-    by_time.sort_by_key(|load| load.began);
+fn consecutive_failures(loads: &BTreeMap<EngineName, FailedLoad>) -> usize {
+    let mut by_time: Vec<&FailedLoad> = loads.values().collect();
+    by_time.sort_by_key(|load| load.started_at);
     let mut count = 0;
     let mut last: Option<ClockMillis> = None;
     for load in by_time {
-        if last.is_none_or(|noted| load.began >= noted) {
+        if last.is_none_or(|recorded_at| load.started_at >= recorded_at) {
             count += 1;
-            last = Some(load.noted);
+            last = Some(load.recorded_at);
         }
     }
     count
--- a/crates/core/src/placement/load_target.rs
+++ b/crates/core/src/placement/load_target.rs
@@ -7,33 +7,33 @@
     fleet::{ADAPTER_SEPARATOR, ModelKey, adapter_name, base_model},
     placement::{
         EngineInventory, OrderKind, PlacementPlanner, PlannedOrder,
-        inventory::MOST_IN_TRANSIT,
-        load_candidates::{LoadCandidate, RATE_HORIZON},
+        inventory::MAX_PENDING_LOADS,
+        load_candidates::{DEMAND_HORIZON_SECS, LoadCandidate},
     },
 };
 
 /// How far beyond full speed adapters are ordered at a time.
-const ADAPTER_OVERLOAD: f64 = 1.5;
+const STORE_OVERCOMMIT: f64 = 1.5;
 
 /// The fewest adapters that are ordered at a time.
-const LEAST_AT_ONCE: usize = 4;
+const MIN_PARALLEL_ADAPTER_LOADS: usize = 4;
 
 /// The part of a mean prompt that an open request counts as, when a place for a load is sought: half of
 /// the 0.3 requests a second that it counted as before prompts were known (docs/DECISIONS.md).
-const OPEN_PROMPT: f64 = 0.15;
+const OPEN_REQUEST_PREFILL_SHARE: f64 = 0.15;
 
 /// How long after a request for an adapter came, or ended to wait for it, there may be a run that its host
 /// has not told yet: hosts count their runs every 50 ms and the control thread tells them within another
 /// 50; the rest is the way of the plan to a host whose request waits.
-const UNTOLD_RUN: Duration = Duration::from_millis(250);
+const OPEN_REQUEST_REPORT_DELAY: Duration = Duration::from_millis(250);
 
 /// Where an engine has room for a load.
 #[derive(Debug, Clone, PartialEq, Eq)]
-enum LoadRoom {
+enum LoadSpace {
     /// In a free place.
     Free,
     /// In the place of an adapter that is dropped first.
-    After(ModelKey),
+    Evict(ModelKey),
 }
 
 impl PlacementPlanner {
@@ -44,113 +44,124 @@
         now: ClockMillis,
     ) -> Option<PlannedOrder> {
         let key = &candidate.key;
-        let store_free = self.store_is_free(key, now);
+        let store_available = self.store_has_capacity(key, now);
         let engines: Vec<&EngineInventory> = match &candidate.engine {
             Some(name) => self.engines.get(name).into_iter().collect(),
             None => self.engines.values().collect(),
         };
-        let able = engines.into_iter().filter(|inventory| self.is_able(inventory, candidate, now));
-        let able = able.filter(|inventory| store_free || self.comes_back(inventory, key));
-        let rooms = able.filter_map(|inventory| {
-            let room = self.room(inventory, key, candidate.value, now)?;
-            Some((inventory, room))
+        let eligible =
+            engines.into_iter().filter(|inventory| self.can_accept_load(inventory, candidate, now));
+        let eligible =
+            eligible.filter(|inventory| store_available || self.is_cached(inventory, key));
+        let options = eligible.filter_map(|inventory| {
+            let space = self.space_for(inventory, key, candidate.value, now)?;
+            Some((inventory, space))
         });
-        let (best, room) = rooms.min_by_key(|(inventory, room)| {
-            let doubted = inventory.doubted.iter().any(|load| load.key == *key);
-            let remembered = self.comes_back(inventory, key);
-            let backlog = self.backlog(inventory);
+        let (best, space) = options.min_by_key(|(inventory, space)| {
+            let unresolved = inventory.unresolved_loads.iter().any(|load| load.key == *key);
+            let cached = self.is_cached(inventory, key);
+            let backlog = self.prefill_backlog(inventory);
             // A replacement waits for the runs on the version before.
             let replaces = inventory.held.contains_key(key);
-            let full = matches!(room, LoadRoom::After(_));
-            (!doubted, replaces, !remembered, full, backlog, Arc::clone(&inventory.entry.name))
+            let needs_eviction = matches!(space, LoadSpace::Evict(_));
+            (
+                !unresolved,
+                replaces,
+                !cached,
+                needs_eviction,
+                backlog,
+                Arc::clone(&inventory.entry.name),
+            )
         })?;
         let name = Arc::clone(&best.entry.name);
-        let from_store = !self.comes_back(best, key);
-        match room {
-            LoadRoom::Free => {
+        let from_store = !self.is_cached(best, key);
+        match space {
+            LoadSpace::Free => {
                 let kind = OrderKind::Load { from_store };
-                self.give(&name, kind, Arc::clone(key), candidate.value, now)
+                self.issue_order(&name, kind, Arc::clone(key), candidate.value, now)
             }
-            LoadRoom::After(victim) => {
-                self.give(&name, OrderKind::Unload, victim, candidate.value, now)
+            LoadSpace::Evict(victim) => {
+                self.issue_order(&name, OrderKind::Unload, victim, candidate.value, now)
             }
         }
     }
 
     /// Returns where an engine has room for a load, if it has any.
-    fn room(
+    fn space_for(
         &self,
         inventory: &EngineInventory,
         key: &str,
         value: f64,
         now: ClockMillis,
-    ) -> Option<LoadRoom> {
-        if self.has_place(inventory, key) {
-            return Some(LoadRoom::Free);
+    ) -> Option<LoadSpace> {
+        if self.has_capacity_for(inventory, key) {
+            return Some(LoadSpace::Free);
         }
-        self.victim(inventory, value, now).map(LoadRoom::After)
+        self.eviction_victim(inventory, value, now).map(LoadSpace::Evict)
     }
 
     /// Returns whether the engine has held this version and can bring it back by itself.
-    fn comes_back(&self, inventory: &EngineInventory, key: &str) -> bool {
-        inventory.remembers(key) && !self.versions.contains_key(key)
+    fn is_cached(&self, inventory: &EngineInventory, key: &str) -> bool {
+        inventory.has_cached(key) && !self.versions.contains_key(key)
     }
 
-    fn is_able(
+    fn can_accept_load(
         &self,
         inventory: &EngineInventory,
         candidate: &LoadCandidate,
         now: ClockMillis,
     ) -> bool {
         let key = &candidate.key;
-        let reached = !inventory.is_unreached(now);
-        let ready = reached && !inventory.entry.leaving && inventory.sequence.is_some();
-        let idle = inventory.order.is_none() && !inventory.busy;
-        let idle = idle && self.limited.may_call(inventory, now);
-        let transit = inventory.pending.len() < MOST_IN_TRANSIT;
+        let reachable = !inventory.is_unreachable(now);
+        let ready = reachable && !inventory.entry.leaving && inventory.sequence.is_some();
+        let idle = inventory.outstanding_order.is_none() && !inventory.model_change_in_progress;
+        let idle = idle && self.limited_engines.may_call(inventory, now);
+        let has_pending_capacity = inventory.pending.len() < MAX_PENDING_LOADS;
         let is_adapter = adapter_name(key).is_some();
         let model_held = inventory.held.contains_key(base_model(key));
-        let absent = !inventory.has(key, self.newest(key));
-        ready && idle && transit && absent && (!is_adapter || model_held)
+        let absent = !inventory.has(key, self.latest_version(key));
+        ready && idle && has_pending_capacity && absent && (!is_adapter || model_held)
     }
 
     /// Returns whether a load from the weight store may be ordered now.
-    fn store_is_free(&mut self, key: &str, now: ClockMillis) -> bool {
+    fn store_has_capacity(&mut self, key: &str, now: ClockMillis) -> bool {
         if adapter_name(key).is_some() {
-            return self.totals.under_way() < self.adapters_at_once();
+            return self.totals.pending_store_loads() < self.max_parallel_adapter_loads();
         }
-        self.window.has_room(now)
+        self.load_rate_limiter.allows_load(now)
     }
 
     /// Returns how many adapters are ordered from the store at a time.
-    pub(super) fn adapters_at_once(&self) -> usize {
+    pub(super) fn max_parallel_adapter_loads(&self) -> usize {
         #[expect(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
             reason = "small, positive"
         )]
-        let at_once = (ADAPTER_OVERLOAD * self.store_throughput().parallel_loads).round() as usize;
-        at_once.max(LEAST_AT_ONCE)
+        let max_loads =
+            (STORE_OVERCOMMIT * self.store_throughput().parallel_loads).round() as usize;
+        max_loads.max(MIN_PARALLEL_ADAPTER_LOADS)
     }
 
-    fn has_place(&self, inventory: &EngineInventory, key: &str) -> bool {
+    fn has_capacity_for(&self, inventory: &EngineInventory, key: &str) -> bool {
         if adapter_name(key).is_none() || inventory.held.contains_key(key) {
             return true;
         }
-        let places = usize::try_from(self.hosting.most_adapters).unwrap_or(usize::MAX);
-        inventory.adapters_taken() < places && self.has_weight_room(inventory, key)
+        let max_adapters = usize::try_from(self.hosting.most_adapters).unwrap_or(usize::MAX);
+        inventory.reserved_adapter_count() < max_adapters
+            && self.has_weight_memory_for(inventory, key)
     }
 
-    fn has_weight_room(&self, inventory: &EngineInventory, key: &str) -> bool {
-        let coming =
+    fn has_weight_memory_for(&self, inventory: &EngineInventory, key: &str) -> bool {
+        let pending =
             inventory.pending.iter().filter(|load| !inventory.held.contains_key(&load.key));
-        let keys = inventory.held.keys().chain(coming.map(|load| &load.key));
-        let keys = keys.chain(inventory.may_come_late());
-        let taken: f64 = keys.map(|key| self.megabytes(key)).sum();
-        taken + self.megabytes(key) <= self.hosting.weight_megabytes
+        let keys = inventory.held.keys().chain(pending.map(|load| &load.key));
+        let keys = keys.chain(inventory.possible_late_loads());
+        let used: f64 = keys.map(|key| self.weight_megabytes(key)).sum();
+        used + self.weight_megabytes(key) <= self.hosting.weight_megabytes
     }
 
-    fn megabytes(&self, key: &str) -> f64 {
+    fn weight_megabytes(&self, key: &str) -> f64 {
         let Some(model) = self.hosting.model(base_model(key)) else { return 0.0 };
         if key.contains(ADAPTER_SEPARATOR) {
             model.adapter_megabytes
@@ -160,7 +171,7 @@
     }
 
     /// Returns the part of its slots that an engine has taken.
-    pub(super) fn busy_part(&self, inventory: &EngineInventory) -> f64 {
+    pub(super) fn slot_utilization(&self, inventory: &EngineInventory) -> f64 {
         let open = self.work.total(&inventory.entry.name).open;
         f64::from(open) / f64::from(inventory.entry.slots.max(1))
     }
@@ -168,10 +179,12 @@
     /// Returns what an engine has to read, and will have to soon. Unit: tokens.
     ///
     /// An open request counts with a part of a mean prompt: it takes a slot and slows the others.
-    fn backlog(&self, inventory: &EngineInventory) -> u64 {
+    fn prefill_backlog(&self, inventory: &EngineInventory) -> u64 {
         let work = self.work.total(&inventory.entry.name);
-        let open = OPEN_PROMPT * f64::from(work.open) * self.totals.mean_prompt();
-        let backlog = work.unread as f64 + self.totals.coming(&inventory.entry.name) + open;
+        let open =
+            OPEN_REQUEST_PREFILL_SHARE * f64::from(work.open) * self.totals.mean_prompt_tokens();
+        let backlog =
+            work.unread as f64 + self.totals.expected_prefill(&inventory.entry.name) + open;
         #[expect(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
@@ -185,15 +198,20 @@
     ///
     /// What is kept counts by the same rates as what is added, lasting or of a burst, and a copy is worth no
     /// less than adding it again would be. Otherwise adapters drop one another for ever.
-    fn kept_worth(&self, inventory: &EngineInventory, key: &ModelKey, now: ClockMillis) -> f64 {
-        let outdated = inventory.held.get(key).is_some_and(|held| *held < self.newest(key));
+    fn retention_value(
+        &self,
+        inventory: &EngineInventory,
+        key: &ModelKey,
+        now: ClockMillis,
+    ) -> f64 {
+        let outdated = inventory.held.get(key).is_some_and(|held| *held < self.latest_version(key));
         if outdated {
             return 0.0;
         }
         let copies = self.copies(key).max(1.0);
-        let burst = RATE_HORIZON * self.demand.burst_rate(key, now);
-        let kept = self.interest(key, now).max(burst) / copies;
-        if copies > 1.0 { kept.max(self.copy_worth(key, copies - 1.0, now)) } else { kept }
+        let burst = DEMAND_HORIZON_SECS * self.demand.burst_request_rate(key, now);
+        let retained = self.demand_value(key, now).max(burst) / copies;
+        if copies > 1.0 { retained.max(self.copy_value(key, copies - 1.0, now)) } else { retained }
     }
 
     /// Returns the adapter without a run that is worth least at an engine, if it is worth less than
@@ -201,7 +219,7 @@
     ///
     /// An adapter with a run would keep its place, and its engine from other orders, until the run
     /// has ended.
-    fn victim(
+    fn eviction_victim(
         &self,
         inventory: &EngineInventory,
         value: f64,
@@ -209,19 +227,25 @@
     ) -> Option<ModelKey> {
         let adapters = inventory.held.keys().filter(|key| adapter_name(key).is_some());
         adapters
-            .filter(|key| !self.is_used(inventory, key, now))
-            .map(|key| (self.kept_worth(inventory, key, now), key))
-            .filter(|(kept, _)| *kept < value)
+            .filter(|key| !self.may_have_open_requests(inventory, key, now))
+            .map(|key| (self.retention_value(inventory, key, now), key))
+            .filter(|(retained, _)| *retained < value)
             .min_by(|left, right| left.0.total_cmp(&right.0))
             .map(|(_, key)| Arc::clone(key))
     }
 
     /// Returns whether an adapter has a run at an engine, or may have one that was not told yet.
-    fn is_used(&self, inventory: &EngineInventory, key: &ModelKey, now: ClockMillis) -> bool {
-        let runs = self.work.open_requests(&inventory.entry.name, key) > 0;
+    fn may_have_open_requests(
+        &self,
+        inventory: &EngineInventory,
+        key: &ModelKey,
+        now: ClockMillis,
+    ) -> bool {
+        let open = self.work.open_requests(&inventory.entry.name, key) > 0;
         let pending = inventory.pending.iter().any(|load| load.key == *key);
-        let awaited = self.demand.waiting(key) > 0;
-        let lately = now.since(self.demand.last_wanted(key)) < UNTOLD_RUN;
-        runs || pending || awaited || lately || inventory.closing.contains(key)
+        let has_waiting = self.demand.waiting_requests(key) > 0;
+        let recently_wanted =
+            now.since(self.demand.last_wanted_at(key)) < OPEN_REQUEST_REPORT_DELAY;
+        open || pending || has_waiting || recently_wanted || inventory.unloading.contains(key)
     }
 }
--- a/crates/core/src/placement/load_timing.rs
+++ b/crates/core/src/placement/load_timing.rs
@@ -8,37 +8,37 @@
 };
 
 /// How long a load of something an engine held lately takes.
-const REMEMBERED_LOAD_TIME: Duration = Duration::from_millis(30);
+const CACHED_LOAD_TIME: Duration = Duration::from_millis(30);
 
 /// What is added to the expected time of a load, for the order's way to the engine.
-const ORDER_TIME: Duration = Duration::from_millis(8);
+const ORDER_LATENCY: Duration = Duration::from_millis(8);
 
 /// By how much the time may be wrong at which an engine said that it does not hold something: its answer's way.
-const SEND_BLUR: Duration = Duration::from_millis(8);
+const RESPONSE_TIME_UNCERTAINTY: Duration = Duration::from_millis(8);
 
 /// After what time a load that was not there when it was due is expected: few are later by more, and who waits for one
 /// loses little.
-const LATE_RETRY: Duration = Duration::from_millis(40);
+const OVERDUE_EXTENSION: Duration = Duration::from_millis(40);
 
 impl PlacementPlanner {
     /// Returns how long a load takes when the store serves it at full speed.
-    pub(super) fn load_time_of(&self, key: &str, from_store: bool) -> Duration {
+    pub(super) fn expected_load_time(&self, key: &str, from_store: bool) -> Duration {
         if !from_store {
-            return REMEMBERED_LOAD_TIME + ORDER_TIME;
+            return CACHED_LOAD_TIME + ORDER_LATENCY;
         }
         let model = self.hosting.model(key);
-        model.map_or(self.store_throughput().load_time, |model| model.load_time) + ORDER_TIME
+        model.map_or(self.store_throughput().load_time, |model| model.load_time) + ORDER_LATENCY
     }
 
     /// Projects anew when the adapters on their way from the store are due.
-    pub(super) fn project_store(&mut self, now: ClockMillis) {
+    pub(super) fn update_due_times(&mut self, now: ClockMillis) {
         let due_times: HashMap<OrderId, ClockMillis> =
-            self.store.due_times(now).into_iter().collect();
+            self.throughput_estimator.due_times(now).into_iter().collect();
         let loads = self.engines.values_mut().flat_map(|inventory| inventory.pending.iter_mut());
         for load in loads {
-            let due = load.order.and_then(|order| due_times.get(&order));
+            let due = load.order_id.and_then(|order_id| due_times.get(&order_id));
             if let Some(due) = due {
-                load.due = (*due + ORDER_TIME).max(load.not_before);
+                load.due = (*due + ORDER_LATENCY).max(load.not_before);
             }
         }
     }
@@ -46,26 +46,31 @@
     /// Takes an engine's word that it does not hold something.
     ///
     /// What was expected by now is waited for; what was held is looked at again.
-    pub(super) fn absence_noted(&mut self, absent: &AbsentEntry, now: ClockMillis) {
+    pub(super) fn record_absence(&mut self, absent: &AbsentEntry, now: ClockMillis) {
         let Some(inventory) = self.engines.get_mut(&absent.engine) else { return };
-        let at = now - absent.age;
+        let observed_at = now - absent.age;
         let load = inventory.pending.iter_mut().find(|load| load.key == absent.key);
-        let Some(load) = load.filter(|load| load.began < at) else {
+        let Some(load) = load.filter(|load| load.started_at < observed_at) else {
             if inventory.held.contains_key(&absent.key) {
-                inventory.contradicted = Some(at);
+                inventory.contradicted_at = Some(observed_at);
             }
             return;
         };
-        let early = now >= load.due;
-        load.not_before = now + LATE_RETRY;
+        let already_due = now >= load.due;
+        load.not_before = now + OVERDUE_EXTENSION;
         load.due = load.due.max(load.not_before);
-        if early && inventory.held.remove(&absent.key).is_some() {
-            inventory.touched = true;
+        if already_due && inventory.held.remove(&absent.key).is_some() {
+            inventory.residency_changed = true;
         }
-        if let Some(load) = load.order.filter(|_| load.is_store_adapter()) {
-            let sight = LoadObservation { load, there: false, at, blur: SEND_BLUR };
-            self.store.load_seen(&sight, now);
-            self.project_store(now);
+        if let Some(load) = load.order_id.filter(|_| load.is_store_adapter()) {
+            let observation = LoadObservation {
+                load,
+                completed: false,
+                observed_at,
+                uncertainty: RESPONSE_TIME_UNCERTAINTY,
+            };
+            self.throughput_estimator.load_observed(&observation, now);
+            self.update_due_times(now);
         }
     }
 }
--- a/crates/core/src/placement/slow_engines.rs
+++ b/crates/core/src/placement/slow_engines.rs
@@ -5,37 +5,38 @@
 use crate::fleet::EngineName;
 
 /// How many loads in a row an engine may have late before it counts as odd.
-const MOST_LATE_IN_A_ROW: u32 = 2;
+const MAX_CONSECUTIVE_LATE: u32 = 2;
 
 /// The part of all loads that may be late for an engine to count as odd; beyond that the store is slow.
-const MOST_LATE_PART: f64 = 0.5;
+const MAX_LATE_FRACTION: f64 = 0.5;
 
 /// Over how many loads the late ones are counted.
-const LATE_PART_LOADS: f64 = 20.0;
+const LATE_FRACTION_WINDOW: f64 = 20.0;
 
 /// Engines that are late again and again while others are not: what they show is not the store's pace.
 #[derive(Debug, Clone, Default)]
-pub(super) struct OddEngines {
+pub(super) struct SlowEngines {
     /// The part of the loads lately that were late.
-    late_part: f64,
+    late_fraction: f64,
     /// How many loads in a row were late, by engine.
-    in_a_row: HashMap<EngineName, u32>,
+    consecutive_late: HashMap<EngineName, u32>,
 }
 
-impl OddEngines {
+impl SlowEngines {
     /// Takes whether a load was late.
-    pub(super) fn note(&mut self, engine: &EngineName, late: bool) {
+    pub(super) fn record(&mut self, engine: &EngineName, late: bool) {
         if late {
-            *self.in_a_row.entry(Arc::clone(engine)).or_default() += 1;
+            *self.consecutive_late.entry(Arc::clone(engine)).or_default() += 1;
         } else {
-            self.in_a_row.remove(engine);
+            self.consecutive_late.remove(engine);
         }
-        self.late_part += (f64::from(u8::from(late)) - self.late_part) / LATE_PART_LOADS;
+        self.late_fraction +=
+            (f64::from(u8::from(late)) - self.late_fraction) / LATE_FRACTION_WINDOW;
     }
 
     /// Returns whether what an engine shows is not the store's pace.
-    pub(super) fn is_odd(&self, engine: &EngineName) -> bool {
-        let in_a_row = self.in_a_row.get(engine).copied().unwrap_or_default();
-        in_a_row > MOST_LATE_IN_A_ROW && self.late_part < MOST_LATE_PART
+    pub(super) fn is_slow(&self, engine: &EngineName) -> bool {
+        let consecutive = self.consecutive_late.get(engine).copied().unwrap_or_default();
+        consecutive > MAX_CONSECUTIVE_LATE && self.late_fraction < MAX_LATE_FRACTION
     }
 }
--- a/crates/core/src/placement/store_throughput.rs
+++ b/crates/core/src/placement/store_throughput.rs
@@ -10,22 +10,22 @@
 pub const MIN_PARALLEL_LOADS: f64 = 8.0;
 
 /// How the load times of two neighbouring models differ: two of them are a third of a doubling apart.
-const TIMES_PER_DOUBLING: f64 = 3.0;
+const LOAD_TIME_STEPS_PER_DOUBLING: f64 = 3.0;
 
 /// How many load times there are models of: up to 1.26 s.
-const TIME_STEPS: u32 = 8;
+const LOAD_TIME_STEPS: u32 = 8;
 
 /// How the full speeds of two neighbouring models differ: two of them are a quarter of a doubling apart.
-const SPEEDS_PER_DOUBLING: f64 = 4.0;
+const PARALLEL_LOADS_STEPS_PER_DOUBLING: f64 = 4.0;
 
 /// How many full speeds there are models of: from 8 to 512.
-const SPEED_STEPS: u32 = 25;
+const PARALLEL_LOADS_STEPS: u32 = 25;
 
 /// How much less doubt a model needs whose loads take twice as long, in whole misses for each report.
-const TIME_PREFERENCE: f64 = 0.15;
+const SHORT_LOAD_TIME_PREFERENCE: f64 = 0.15;
 
 /// How much less doubt a model needs that carries half as many, in whole misses for each report.
-const SPEED_PREFERENCE: f64 = 0.03;
+const PARALLELISM_PREFERENCE: f64 = 0.03;
 
 /// How fast the weight store serves adapters.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -45,12 +45,13 @@
     }
 
     /// Returns the paces that are told apart, the fastest last but for its load time.
-    pub(super) fn all() -> impl Iterator<Item = Self> {
-        let speeds = (0..SPEED_STEPS)
-            .map(|step| MIN_PARALLEL_LOADS * (f64::from(step) / SPEEDS_PER_DOUBLING).exp2());
-        speeds.flat_map(|parallel_loads| {
-            (0..TIME_STEPS).map(move |step| {
-                let factor = (f64::from(step) / TIMES_PER_DOUBLING).exp2();
+    pub(super) fn grid() -> impl Iterator<Item = Self> {
+        let parallelism = (0..PARALLEL_LOADS_STEPS).map(|step| {
+            MIN_PARALLEL_LOADS * (f64::from(step) / PARALLEL_LOADS_STEPS_PER_DOUBLING).exp2()
+        });
+        parallelism.flat_map(|parallel_loads| {
+            (0..LOAD_TIME_STEPS).map(move |step| {
+                let factor = (f64::from(step) / LOAD_TIME_STEPS_PER_DOUBLING).exp2();
                 Self { parallel_loads, load_time: MIN_LOAD_TIME.mul_f64(factor) }
             })
         })
@@ -59,25 +60,26 @@
     /// Returns the pace within the bounds of what can be learnt.
     #[must_use]
     pub fn clamped(self) -> Self {
-        let fastest =
-            MIN_PARALLEL_LOADS * (f64::from(SPEED_STEPS - 1) / SPEEDS_PER_DOUBLING).exp2();
-        let parallel_loads = self.parallel_loads.max(MIN_PARALLEL_LOADS).min(fastest);
+        let max_parallel_loads = MIN_PARALLEL_LOADS
+            * (f64::from(PARALLEL_LOADS_STEPS - 1) / PARALLEL_LOADS_STEPS_PER_DOUBLING).exp2();
+        let parallel_loads = self.parallel_loads.max(MIN_PARALLEL_LOADS).min(max_parallel_loads);
         Self { parallel_loads, load_time: self.load_time.max(MIN_LOAD_TIME) }
     }
 
     /// Returns what a pace must explain more than a faster one to be taken for true, in whole misses for each report.
-    pub(super) fn slowness(&self) -> f64 {
-        let times = self.load_time.as_secs_f64() / MIN_LOAD_TIME.as_secs_f64();
-        TIME_PREFERENCE * times.log2() - SPEED_PREFERENCE * self.parallel_loads.log2()
+    pub(super) fn prior_penalty(&self) -> f64 {
+        let load_time_ratio = self.load_time.as_secs_f64() / MIN_LOAD_TIME.as_secs_f64();
+        SHORT_LOAD_TIME_PREFERENCE * load_time_ratio.log2()
+            - PARALLELISM_PREFERENCE * self.parallel_loads.log2()
     }
 
     /// Returns how far apart two paces are: one where they differ by a factor of two.
     pub(super) fn distance(&self, other: &Self) -> f64 {
-        let speeds = self.parallel_loads / other.parallel_loads;
-        let times = self.load_time.as_secs_f64() / other.load_time.as_secs_f64();
-        speeds.log2().abs() + times.log2().abs()
+        let parallel_loads_ratio = self.parallel_loads / other.parallel_loads;
+        let load_time_ratio = self.load_time.as_secs_f64() / other.load_time.as_secs_f64();
+        parallel_loads_ratio.log2().abs() + load_time_ratio.log2().abs()
     }
 }
 
 /// The place of the fastest pace among all of them.
-pub(super) const FASTEST: usize = ((SPEED_STEPS - 1) * TIME_STEPS) as usize;
+pub(super) const FASTEST_INDEX: usize = ((PARALLEL_LOADS_STEPS - 1) * LOAD_TIME_STEPS) as usize;
--- a/crates/core/src/placement/tenure.rs
+++ b/crates/core/src/placement/tenure.rs
@@ -13,7 +13,7 @@
 };
 
 /// How much later than its sender expects an order may reach an engine.
-const LATE_ARRIVAL: Duration = Duration::from_millis(600);
+const MAX_ORDER_TRANSIT: Duration = Duration::from_millis(600);
 
 /// The times that a tenure keeps.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -34,13 +34,13 @@
     rules: LeaseRules,
     state: TenureState,
     token: FenceToken,
-    began: ClockMillis,
-    confirmed: ClockMillis,
-    detached: bool,
+    began_at: ClockMillis,
+    confirmed_at: ClockMillis,
+    store_unreachable: bool,
     /// Whether the present tenure began since the store came back from an older copy.
-    after_fall: bool,
+    began_after_store_rollback: bool,
     /// When orders were last given or under way, in any tenure.
-    acted: Option<ClockMillis>,
+    last_active_at: Option<ClockMillis>,
 }
 
 impl PlacerTenure {
@@ -50,15 +50,15 @@
             rules,
             state: TenureState::initial(),
             token: 0,
-            began: ClockMillis::default(),
-            confirmed: ClockMillis::default(),
-            detached: false,
-            after_fall: false,
-            acted: None,
+            began_at: ClockMillis::default(),
+            confirmed_at: ClockMillis::default(),
+            store_unreachable: false,
+            began_after_store_rollback: false,
+            last_active_at: None,
         }
     }
 
-    /// Takes the answer to a join that was sent at `sent`.
+    /// Takes the answer to a join that was sent at `sent_at`.
     ///
     /// A lease that was listed before and still is may have passed on and come back when the time
     /// between two joins was longer than it lives, when an engine has refused its token, or when the store came back from an
@@ -67,40 +67,43 @@
         &mut self,
         listed: bool,
         token: FenceToken,
-        sent: ClockMillis,
+        sent_at: ClockMillis,
         now: ClockMillis,
     ) {
-        let gap_too_long = sent.since(self.confirmed) >= self.rules.time_to_live;
-        let held = self.state != TenureState::Absent;
-        let fell = token_era(token) > token_era(self.token);
-        self.detached = false;
-        let event = match (listed, held) {
+        let may_have_expired = sent_at.since(self.confirmed_at) >= self.rules.time_to_live;
+        let was_holder = self.state != TenureState::Absent;
+        let store_rolled_back = token_era(token) > token_era(self.token);
+        self.store_unreachable = false;
+        let event = match (listed, was_holder) {
             (false, _) => TenureEvent::Unlisted,
             (true, false) => TenureEvent::Listed,
-            (true, true) if token > self.token && (fell || self.is_in_doubt(gap_too_long)) => {
+            (true, true)
+                if token > self.token
+                    && (store_rolled_back || self.lease_is_uncertain(may_have_expired)) =>
+            {
                 TenureEvent::Renewed
             }
             (true, true) => TenureEvent::Confirmed,
         };
         if matches!(event, TenureEvent::Listed | TenureEvent::Renewed) {
             self.token = token;
-            self.began = now;
-            self.after_fall = held && fell;
+            self.began_at = now;
+            self.began_after_store_rollback = was_holder && store_rolled_back;
         }
         if listed {
-            self.confirmed = sent;
+            self.confirmed_at = sent_at;
         }
         self.state = self.state.after(event);
     }
 
-    fn is_in_doubt(&self, gap_too_long: bool) -> bool {
-        gap_too_long || self.state == TenureState::Refused
+    fn lease_is_uncertain(&self, may_have_expired: bool) -> bool {
+        may_have_expired || self.state == TenureState::Refused
     }
 
     /// Takes that a join got no answer or was refused by the platform.
     pub fn handle_join_failure(&mut self, now: ClockMillis) {
-        if now.since(self.confirmed) >= self.rules.time_to_live {
-            self.detached = true;
+        if now.since(self.confirmed_at) >= self.rules.time_to_live {
+            self.store_unreachable = true;
         }
     }
 
@@ -113,7 +116,7 @@
 
     /// Takes that an order was answered, or given up, at `now`: until then it was under way.
     pub fn record_order_end(&mut self, now: ClockMillis) {
-        self.acted = self.acted.max(Some(now));
+        self.last_active_at = self.last_active_at.max(Some(now));
     }
 
     /// Returns how long this tenure waits before its first order.
@@ -121,13 +124,13 @@
     /// Engines that check tokens refuse the holder before. Even so, a host that held the lease just
     /// before somebody else did must not seem to take turns with them. One that held it through a fall of the store goes on at
     /// once: its new token is above that of whoever the copy named meanwhile.
-    fn wait(&self) -> Duration {
-        let returns = !self.after_fall
-            && self.acted.is_some_and(|acted| {
-                let apart = self.rules.handover_wait + LATE_ARRIVAL;
-                self.began.since(acted) < apart
+    fn initial_wait(&self) -> Duration {
+        let regained_recently = !self.began_after_store_rollback
+            && self.last_active_at.is_some_and(|last_active_at| {
+                let min_gap = self.rules.handover_wait + MAX_ORDER_TRANSIT;
+                self.began_at.since(last_active_at) < min_gap
             });
-        if self.rules.engines_enforce_fencing && !returns {
+        if self.rules.engines_enforce_fencing && !regained_recently {
             Duration::ZERO
         } else {
             self.rules.handover_wait
@@ -141,22 +144,22 @@
 
     /// Moves on with time and returns the token with which orders may be given now.
     pub fn acting_token(&mut self, now: ClockMillis) -> Option<FenceToken> {
-        if now.since(self.confirmed) >= self.rules.time_to_live {
+        if now.since(self.confirmed_at) >= self.rules.time_to_live {
             self.state = self.state.after(TenureEvent::Lapsed);
         }
-        if now.since(self.began) >= self.wait() {
+        if now.since(self.began_at) >= self.initial_wait() {
             self.state = self.state.after(TenureEvent::WaitOver);
         }
-        let detached = self.detached && self.rules.engines_enforce_fencing;
+        let may_act_unconfirmed = self.store_unreachable && self.rules.engines_enforce_fencing;
         let acting = match self.state {
             TenureState::Acting => true,
-            TenureState::Lapsed => detached,
+            TenureState::Lapsed => may_act_unconfirmed,
             _ => false,
         };
         if !acting {
             return None;
         }
-        self.acted = Some(now);
+        self.last_active_at = Some(now);
         Some(self.token)
     }
 
@@ -167,7 +170,7 @@
 
     /// Returns whether the store has confirmed the lease lately, so that nobody else can have it.
     pub fn is_confirmed(&self, now: ClockMillis) -> bool {
-        self.is_holder() && now.since(self.confirmed) < self.rules.time_to_live
+        self.is_holder() && now.since(self.confirmed_at) < self.rules.time_to_live
     }
 
     /// Returns the present state.
--- a/crates/core/src/placement/unanswered_orders.rs
+++ b/crates/core/src/placement/unanswered_orders.rs
@@ -7,12 +7,12 @@
     fleet::adapter_name,
     placement::{
         EngineInventory, LoadRateLimiter, OrderAnswer, OrderKind, PlannedOrder,
-        inventory::DoubtedLoad,
+        inventory::UnresolvedLoad,
     },
 };
 
 /// Returns whether an order counts against the weight store's rate: loads of base models do.
-pub(super) fn counts_against_rate(kind: OrderKind, key: &str) -> bool {
+pub(super) fn counts_toward_rate_limit(kind: OrderKind, key: &str) -> bool {
     kind.loads_from_store() && adapter_name(key).is_none()
 }
 
@@ -20,34 +20,36 @@
 ///
 /// All of them named the same count of orders, so the engine carried out one of them at most. An
 /// accepted order makes it refuse the earlier ones; a conflict shows that one of those was first.
-pub(super) fn settle_doubts(
+pub(super) fn resolve_unanswered_loads(
     inventory: &mut EngineInventory,
-    window: &mut LoadRateLimiter,
+    load_rate_limiter: &mut LoadRateLimiter,
     order: &PlannedOrder,
     answer: OrderAnswer,
 ) {
-    let counted = counts_against_rate(order.kind, &order.key);
-    let own = counted.then_some(inventory.noted);
-    let mut refunded: Vec<ClockMillis> = Vec::new();
+    let counted = counts_toward_rate_limit(order.kind, &order.key);
+    let start = counted.then_some(inventory.last_order_sent_at);
+    let mut refunds: Vec<ClockMillis> = Vec::new();
     match answer {
         OrderAnswer::Unknown => {
-            inventory.note_unanswered(order);
+            inventory.record_unanswered(order);
             if let OrderKind::Load { .. } = order.kind {
                 let key = Arc::clone(&order.key);
-                inventory.doubted.push(DoubtedLoad { key, noted: own });
+                inventory.unresolved_loads.push(UnresolvedLoad { key, counted_at: start });
             }
         }
         OrderAnswer::Accepted => {
-            refunded.extend(inventory.doubted.drain(..).filter_map(|load| load.noted));
+            refunds.extend(inventory.unresolved_loads.drain(..).filter_map(|load| load.counted_at));
         }
         OrderAnswer::Conflict | OrderAnswer::Done => {
-            refunded.extend(own);
-            refunded.extend(inventory.doubted.drain(..).skip(1).filter_map(|load| load.noted));
+            refunds.extend(start);
+            refunds.extend(
+                inventory.unresolved_loads.drain(..).skip(1).filter_map(|load| load.counted_at),
+            );
         }
-        OrderAnswer::NotSent | OrderAnswer::Fenced | OrderAnswer::Rejected => refunded.extend(own),
-        OrderAnswer::OtherEngine => inventory.doubted.clear(),
+        OrderAnswer::NotSent | OrderAnswer::Fenced | OrderAnswer::Rejected => refunds.extend(start),
+        OrderAnswer::OtherEngine => inventory.unresolved_loads.clear(),
     }
-    for noted in refunded {
-        window.refund(noted);
+    for started_at in refunds {
+        load_rate_limiter.refund(started_at);
     }
 }
--- a/crates/core/tests/store_throughput.rs
+++ b/crates/core/tests/store_throughput.rs
@@ -11,13 +11,13 @@
 };
 
 /// How old the state in a report is taken to be. Unit: milliseconds.
-const REPORT_AGE: u64 = 100;
+const TYPICAL_REPORT_AGE: u64 = 100;
 
 /// How wrong that may be.
-const REPORT_BLUR: Duration = Duration::from_millis(40);
+const REPORT_AGE_UNCERTAINTY: Duration = Duration::from_millis(40);
 
 /// By how much the time of a refused send may be wrong.
-const SEND_BLUR: Duration = Duration::from_millis(8);
+const RESPONSE_TIME_UNCERTAINTY: Duration = Duration::from_millis(8);
 
 /// How many engines there are.
 const ENGINES: usize = 12;
@@ -115,13 +115,13 @@
                 load.next_send = u64::MAX;
                 if load.ended.is_none() {
                     let at = now.saturating_sub(self.random.random_range(0..8));
-                    seen.push((load.number, false, at, SEND_BLUR));
+                    seen.push((load.number, false, at, RESPONSE_TIME_UNCERTAINTY));
                 }
             }
             if load.next_report != 0 && load.next_report <= now {
                 let age = self.random.random_range(60..140);
                 let there = load.ended.is_some_and(|ended| ended <= now - age);
-                seen.push((load.number, there, now - REPORT_AGE, REPORT_BLUR));
+                seen.push((load.number, there, now - TYPICAL_REPORT_AGE, REPORT_AGE_UNCERTAINTY));
                 load.next_report = if there { u64::MAX } else { now + 250 };
             }
         }
@@ -129,12 +129,15 @@
         let now = ClockMillis::from_millis(now + 3);
         for (load, there, at, blur) in seen {
             let at = ClockMillis::from_millis(at);
-            self.learner.load_seen(&LoadObservation { load, there, at, blur }, now);
+            self.learner.load_observed(
+                &LoadObservation { load, completed: there, observed_at: at, uncertainty: blur },
+                now,
+            );
         }
     }
 
     fn order(&mut self) {
-        let pace = self.learner.pace();
+        let pace = self.learner.throughput();
         let most = (OVERLOAD * pace.parallel_loads).round();
         // The placer counts what it expects to be on its way.
         let under_way = self.learner.due_times(ClockMillis::from_millis(self.now)).len();
@@ -144,7 +147,7 @@
         self.number += 1;
         let engine = self.random.random_range(0..ENGINES);
         let name = Arc::from(format!("engine-{engine}"));
-        self.learner.load_began(self.number, &name, ClockMillis::from_millis(self.now));
+        self.learner.load_started(self.number, &name, ClockMillis::from_millis(self.now));
         let stuck = engine < self.stuck;
         self.loads.push(PlayedLoad {
             number: self.number,
@@ -280,7 +283,7 @@
         let mut store = PlayedStore::new(case.parallel_loads, case.load_millis, start, 1);
         store.stuck = case.stuck;
         store.play(case.seconds, case.demand);
-        let pace = store.learner.pace();
+        let pace = store.learner.throughput();
         let (least, most) = case.learnt;
         assert!((least..=most).contains(&pace.parallel_loads), "{}: {pace:?}", case.name);
     }
@@ -291,7 +294,7 @@
     for load_millis in [250.0, 400.0, 800.0] {
         let mut store = PlayedStore::new(40.0, load_millis, StoreThroughput::assumed(22.0), 1);
         store.play(6, &[12, 4]);
-        let learnt = store.learner.pace().load_time.as_secs_f64() * 1000.0;
+        let learnt = store.learner.throughput().load_time.as_secs_f64() * 1000.0;
         assert!((0.75..1.35).contains(&(learnt / load_millis)), "{load_millis}: {learnt}");
     }
 }
@@ -301,10 +304,10 @@
 fn nothing_is_forgotten_while_nothing_is_loaded() {
     let mut store = PlayedStore::new(32.0, 250.0, StoreThroughput::assumed(22.0), 1);
     store.play(6, FULL);
-    let before = store.learner.pace().parallel_loads;
+    let before = store.learner.throughput().parallel_loads;
     store.play(14, &[0]);
     store.play(1, &[12]);
-    let after = store.learner.pace().parallel_loads;
+    let after = store.learner.throughput().parallel_loads;
     assert!(after >= before / 1.2, "{before} before, {after} after the rest");
 }
 
@@ -315,7 +318,7 @@
     for (parallel_loads, seconds) in [(12.0, 5), (60.0, 10)] {
         store.parallel_loads = parallel_loads;
         store.play(seconds, FULL);
-        let learnt = store.learner.pace().parallel_loads;
+        let learnt = store.learner.throughput().parallel_loads;
         assert!((0.6..1.6).contains(&(learnt / parallel_loads)), "{parallel_loads}: {learnt}");
     }
 }
@@ -324,12 +327,20 @@
 fn one_late_load_moves_nothing() {
     let mut store = PlayedStore::new(32.0, 250.0, StoreThroughput::assumed(22.0), 1);
     store.play(5, FULL);
-    let before = store.learner.pace();
+    let before = store.learner.throughput();
     let (began, load) = (store.now, u64::MAX);
-    store.learner.load_began(load, &Arc::from("engine-0"), ClockMillis::from_millis(began));
+    store.learner.load_started(load, &Arc::from("engine-0"), ClockMillis::from_millis(began));
     let at = ClockMillis::from_millis(began + 3000);
-    store.learner.load_seen(&LoadObservation { load, there: false, at, blur: SEND_BLUR }, at);
-    assert_eq!(store.learner.pace(), before);
+    store.learner.load_observed(
+        &LoadObservation {
+            load,
+            completed: false,
+            observed_at: at,
+            uncertainty: RESPONSE_TIME_UNCERTAINTY,
+        },
+        at,
+    );
+    assert_eq!(store.learner.throughput(), before);
 }
 
 #[test]
@@ -337,7 +348,9 @@
     for parallel_loads in [f64::NAN, -1.0, 0.0, 1e9, f64::INFINITY] {
         let pace = StoreThroughput { parallel_loads, load_time: Duration::ZERO }.clamped();
         assert!(pace.parallel_loads >= 4.0 && pace.parallel_loads <= 600.0, "{pace:?}");
-        assert!(ThroughputEstimator::new(pace).pace().load_time >= Duration::from_millis(250));
+        assert!(
+            ThroughputEstimator::new(pace).throughput().load_time >= Duration::from_millis(250)
+        );
     }
 }
 
@@ -349,7 +362,7 @@
     fn any_store_is_known_within_seconds(parallel_loads in 8.0..100.0_f64, start in 8.0..64.0_f64, seed in 0..1000_u64) {
         let mut store = PlayedStore::new(parallel_loads, 250.0, StoreThroughput::assumed(start), seed);
         store.play(8, &[1000, 1000, 8]);
-        let learnt = store.learner.pace().parallel_loads / parallel_loads;
+        let learnt = store.learner.throughput().parallel_loads / parallel_loads;
         prop_assert!((0.55..1.8).contains(&learnt), "{learnt} of {parallel_loads}");
     }
 }
--- a/crates/gateway/tests/demand.rs
+++ b/crates/gateway/tests/demand.rs
@@ -114,7 +114,7 @@
         assert_eq!(told.work.engines.len(), step.told_engines, "{}: engines", step.name);
         assert_eq!(told.work.open_requests.len(), step.told_runs, "{}: runs", step.name);
         book.record(&Arc::from("host"), &told.work, now);
-        book.forget_old(now);
+        book.drop_expired(now);
         for key in ["m/a", "m/b", "m/c"] {
             let expected = holding.get(key).copied().unwrap_or_default();
             assert_eq!(book.open_requests(&engine, key), expected, "{}: {key}", step.name);
@@ -144,7 +144,7 @@
     let mut book = WorkTracker::default();
     book.record(&host, &told.work, ClockMillis::from_millis(10));
     assert_eq!(book.total(&engine), EngineWork { open: 3, unread: 900 });
-    book.forget_old(ClockMillis::from_millis(4000));
+    book.drop_expired(ClockMillis::from_millis(4000));
     assert_eq!(book.total(&engine), EngineWork::default());
     assert_eq!(book.open_requests(&engine, "m/a"), 0);
 }
