--- a/crates/core/tests/placement/candidacy.rs
+++ b/crates/core/tests/placement/candidacy.rs
@@ -8,37 +8,79 @@
     name: &'static str,
     capacity: HostCapacity,
     members: usize,
-    strong: usize,
-    joins: bool,
+    high_capacity_members: usize,
+    should_join: bool,
 }
 
-const STRONG: HostCapacity = HostCapacity { cpu_share: 0.25, bandwidth_mbps: 1000.0 };
-const SLOW: HostCapacity = HostCapacity { cpu_share: 0.12, ..STRONG };
-const NARROW: HostCapacity = HostCapacity { bandwidth_mbps: 10.0, ..STRONG };
+const HIGH_CAPACITY: HostCapacity = HostCapacity { cpu_share: 0.25, bandwidth_mbps: 1000.0 };
+const LOW_CPU: HostCapacity = HostCapacity { cpu_share: 0.12, ..HIGH_CAPACITY };
+const LOW_BANDWIDTH: HostCapacity = HostCapacity { bandwidth_mbps: 10.0, ..HIGH_CAPACITY };
 
 const CASES: &[CandidacyCase] = &[
-    CandidacyCase { name: "the first", capacity: STRONG, members: 0, strong: 0, joins: true },
-    CandidacyCase { name: "the eighth", capacity: STRONG, members: 7, strong: 7, joins: true },
-    CandidacyCase { name: "the ninth", capacity: STRONG, members: 8, strong: 8, joins: false },
+    CandidacyCase {
+        name: "the first",
+        capacity: HIGH_CAPACITY,
+        members: 0,
+        high_capacity_members: 0,
+        should_join: true,
+    },
+    CandidacyCase {
+        name: "the eighth",
+        capacity: HIGH_CAPACITY,
+        members: 7,
+        high_capacity_members: 7,
+        should_join: true,
+    },
+    CandidacyCase {
+        name: "the ninth",
+        capacity: HIGH_CAPACITY,
+        members: 8,
+        high_capacity_members: 8,
+        should_join: false,
+    },
     CandidacyCase {
         name: "beside weak ones",
-        capacity: STRONG,
+        capacity: HIGH_CAPACITY,
         members: 9,
-        strong: 0,
-        joins: true,
+        high_capacity_members: 0,
+        should_join: true,
+    },
+    CandidacyCase {
+        name: "slow, alone",
+        capacity: LOW_CPU,
+        members: 0,
+        high_capacity_members: 0,
+        should_join: true,
+    },
+    CandidacyCase {
+        name: "slow, the third",
+        capacity: LOW_CPU,
+        members: 2,
+        high_capacity_members: 2,
+        should_join: true,
+    },
+    CandidacyCase {
+        name: "slow, the fourth",
+        capacity: LOW_CPU,
+        members: 3,
+        high_capacity_members: 3,
+        should_join: false,
+    },
+    CandidacyCase {
+        name: "a narrow link",
+        capacity: LOW_BANDWIDTH,
+        members: 3,
+        high_capacity_members: 3,
+        should_join: false,
     },
-    CandidacyCase { name: "slow, alone", capacity: SLOW, members: 0, strong: 0, joins: true },
-    CandidacyCase { name: "slow, the third", capacity: SLOW, members: 2, strong: 2, joins: true },
-    CandidacyCase { name: "slow, the fourth", capacity: SLOW, members: 3, strong: 3, joins: false },
-    CandidacyCase { name: "a narrow link", capacity: NARROW, members: 3, strong: 3, joins: false },
 ];
 
 #[test]
-fn strong_hosts_join_first_and_weak_ones_only_while_the_group_is_small() {
+fn low_capacity_hosts_join_only_small_groups() {
     for case in CASES {
         assert_eq!(
-            case.capacity.should_join(case.members, case.strong),
-            case.joins,
+            case.capacity.should_join(case.members, case.high_capacity_members),
+            case.should_join,
             "{}",
             case.name
         );
@@ -46,14 +88,14 @@
 }
 
 #[test]
-fn weak_members_leave_when_enough_strong_ones_are_back() {
-    assert!(!SLOW.should_leave(2));
-    assert!(SLOW.should_leave(3));
-    assert!(!STRONG.should_leave(8));
+fn low_capacity_members_leave_when_enough_high_capacity_members_joined() {
+    assert!(!LOW_CPU.should_leave(2));
+    assert!(LOW_CPU.should_leave(3));
+    assert!(!HIGH_CAPACITY.should_leave(8));
 }
 
 #[test]
-fn reader_partitions_are_distinct_and_exist() {
+fn reader_partitions_are_distinct_and_in_range() {
     for partitions in 0..60 {
         let readers: Vec<u32> = reader_partitions(partitions).collect();
         let distinct: BTreeSet<u32> = readers.iter().copied().collect();
--- a/crates/core/tests/placement/faults.rs
+++ b/crates/core/tests/placement/faults.rs
@@ -2,14 +2,14 @@
 
 use proptest::{prelude::*, test_runner::RngSeed};
 
-use crate::world::*;
+use crate::simulation::*;
 
-fn fates() -> impl Strategy<Value = OrderFate> {
+fn outcomes() -> impl Strategy<Value = OrderOutcome> {
     prop_oneof![
-        5 => Just(OrderFate::Answered),
-        2 => Just(OrderFate::AnswerLost),
-        2 => Just(OrderFate::CarriedOutLate),
-        1 => Just(OrderFate::NotSent),
+        5 => Just(OrderOutcome::Answered),
+        2 => Just(OrderOutcome::AnswerLost),
+        2 => Just(OrderOutcome::ExecutedLate),
+        1 => Just(OrderOutcome::NotSent),
     ]
 }
 
@@ -19,33 +19,33 @@
     /// Whatever becomes of orders and engines, no engine is ordered beyond its places, and once
     /// all is calm what is waited for is there.
     #[test]
-    fn no_engine_falls_and_all_that_waits_comes(
+    fn engines_stay_within_limits_and_waiting_adapters_load(
         steps in proptest::collection::vec(
-            (0usize..14, 1u64..120, fates(), 0u8..40),
+            (0usize..14, 1u64..120, outcomes(), 0u8..40),
             1..150,
         ),
     ) {
-        let mut world = World::new(3);
-        for (number, millis, fate, event) in steps {
+        let mut simulation = Simulation::new(3);
+        for (number, millis, outcome, event) in steps {
             match event {
-                0 => world.restart(number),
-                1 => world.planner.begin_tenure(world.at()),
-                2 => world.restart_as_itself(number),
-                3..=20 => world.ask(number, 1),
-                21..=30 => world.ask(number, 0),
+                0 => simulation.replace_engine(number),
+                1 => simulation.planner.begin_tenure(simulation.time()),
+                2 => simulation.restart_engine(number),
+                3..=20 => simulation.request(number, 1),
+                21..=30 => simulation.request(number, 0),
                 _ => {}
             }
-            world.step(millis, fate);
-            prop_assert!(world.fell().is_none(), "{:?}", world.fell());
+            simulation.step(millis, outcome);
+            prop_assert!(simulation.limit_violation().is_none(), "{:?}", simulation.limit_violation());
         }
         for round in 0..400 {
             // A host renews its word about what waits there.
             if round % 40 == 0 {
-                world.ask(99, 1);
+                simulation.request(99, 1);
             }
-            world.step(25, OrderFate::Answered);
-            prop_assert!(world.fell().is_none(), "{:?}", world.fell());
+            simulation.step(25, OrderOutcome::Answered);
+            prop_assert!(simulation.limit_violation().is_none(), "{:?}", simulation.limit_violation());
         }
-        prop_assert!(world.holds(&key(99)), "{:?}", world.planner.inventories().collect::<Vec<_>>());
+        prop_assert!(simulation.any_engine_holds(&key(99)), "{:?}", simulation.planner.inventories().collect::<Vec<_>>());
     }
 }
--- a/crates/core/tests/placement/main.rs
+++ b/crates/core/tests/placement/main.rs
@@ -1,9 +1,9 @@
 //! The planner against engines that lose answers, carry orders out late, restart and leave.
 
 mod candidacy;
-mod choices;
-mod deadly_loads;
+mod planning;
+mod crashing_loads;
 mod faults;
-mod lateness;
-mod limits;
-mod world;
+mod late_loads;
+mod limited_engines;
+mod simulation;
--- a/crates/core/tests/placement/world.rs
+++ b/crates/core/tests/placement/simulation.rs
@@ -19,10 +19,10 @@
     },
 };
 
-pub(crate) const PLACES: u32 = 4;
+pub(crate) const MAX_ADAPTERS: u32 = 4;
 pub(crate) const MODEL: &str = "base";
-pub(crate) const LOAD_MILLIS: u64 = 250;
-pub(crate) const IN_TRANSIT: usize = 4;
+pub(crate) const LOAD_MS: u64 = 250;
+pub(crate) const MAX_PENDING_LOADS: usize = 4;
 
 pub(crate) fn hosting() -> ModelHosting {
     ModelHosting {
@@ -33,7 +33,7 @@
             load_time: Duration::from_millis(600),
         }],
         weight_megabytes: 1100.0,
-        most_adapters: PLACES,
+        most_adapters: MAX_ADAPTERS,
         loads_per_second: 3.3,
     }
 }
@@ -53,19 +53,19 @@
     pub(crate) sequence: u64,
     pub(crate) held: BTreeMap<ModelKey, u64>,
     pub(crate) pending: Vec<(ModelKey, u64)>,
-    pub(crate) late: Vec<(u64, PlannedOrder)>,
-    pub(crate) fell: Option<String>,
-    pub(crate) load_millis: u64,
+    pub(crate) delayed_orders: Vec<(u64, PlannedOrder)>,
+    pub(crate) limit_violation: Option<String>,
+    pub(crate) load_ms: u64,
     /// The adapter under whose load it ends.
-    pub(crate) deadly: Option<ModelKey>,
+    pub(crate) crashes_on: Option<ModelKey>,
     /// When it ended; it answers nothing any more.
-    pub(crate) ended: Option<u64>,
+    pub(crate) crashed_at: Option<u64>,
 }
 
 impl TestEngine {
-    pub(crate) fn new(number: usize, life: usize) -> Self {
+    pub(crate) fn new(number: usize, incarnation: usize) -> Self {
         let entry = EngineEntry {
-            name: Arc::from(format!("engine-{number}-{life}")),
+            name: Arc::from(format!("engine-{number}-{incarnation}")),
             born: 1,
             service: Arc::from("assist"),
             address: format!("127.0.0.1:{}", 9000 + number).parse().expect("an address"),
@@ -82,38 +82,39 @@
             sequence: 0,
             held,
             pending: Vec::new(),
-            late: Vec::new(),
-            fell: None,
-            load_millis: LOAD_MILLIS,
-            deadly: None,
-            ended: None,
+            delayed_orders: Vec::new(),
+            limit_violation: None,
+            load_ms: LOAD_MS,
+            crashes_on: None,
+            crashed_at: None,
         }
     }
 
-    pub(crate) fn take(&mut self, order: &PlannedOrder, now: u64) -> OrderAnswer {
+    pub(crate) fn execute_order(&mut self, order: &PlannedOrder, now: u64) -> OrderAnswer {
         if order.expected_sequence != self.sequence {
             return OrderAnswer::Conflict;
         }
         self.sequence += 1;
         match order.kind {
             OrderKind::Load { .. } => {
-                if self.deadly.as_ref() == Some(&order.key) {
-                    self.ended = Some(now);
+                if self.crashes_on.as_ref() == Some(&order.key) {
+                    self.crashed_at = Some(now);
                 }
                 if self.held.contains_key(&order.key) {
                     self.sequence -= 1;
                     return OrderAnswer::Done;
                 }
-                self.pending.push((Arc::clone(&order.key), now + self.load_millis));
+                self.pending.push((Arc::clone(&order.key), now + self.load_ms));
                 // An adapter has one place, also when two late orders have both brought it.
-                let coming = self.pending.iter().map(|(key, _)| key);
-                let keys: BTreeSet<&ModelKey> = self.held.keys().chain(coming).collect();
-                let taken = keys.iter().filter(|key| key.contains('/')).count();
-                if taken > PLACES as usize {
-                    self.fell = Some(format!("{taken} adapters at {}", self.entry.name));
+                let pending = self.pending.iter().map(|(key, _)| key);
+                let keys: BTreeSet<&ModelKey> = self.held.keys().chain(pending).collect();
+                let adapters = keys.iter().filter(|key| key.contains('/')).count();
+                if adapters > MAX_ADAPTERS as usize {
+                    self.limit_violation =
+                        Some(format!("{adapters} adapters at {}", self.entry.name));
                 }
-                if self.pending.len() > IN_TRANSIT {
-                    self.fell = Some(format!("{} in transit", self.pending.len()));
+                if self.pending.len() > MAX_PENDING_LOADS {
+                    self.limit_violation = Some(format!("{} in transit", self.pending.len()));
                 }
                 OrderAnswer::Accepted
             }
@@ -125,13 +126,16 @@
     }
 
     pub(crate) fn advance(&mut self, now: u64) {
-        let late: Vec<PlannedOrder> =
-            self.late.extract_if(.., |(due, _)| *due <= now).map(|(_, order)| order).collect();
-        for order in late {
-            self.take(&order, now);
+        let due_orders: Vec<PlannedOrder> = self
+            .delayed_orders
+            .extract_if(.., |(due, _)| *due <= now)
+            .map(|(_, order)| order)
+            .collect();
+        for order in due_orders {
+            self.execute_order(&order, now);
         }
-        let ended: Vec<_> = self.pending.extract_if(.., |(_, due)| *due <= now).collect();
-        for (key, _) in ended {
+        let completed: Vec<_> = self.pending.extract_if(.., |(_, due)| *due <= now).collect();
+        for (key, _) in completed {
             self.held.insert(key, 1);
         }
     }
@@ -150,172 +154,174 @@
 
 /// What becomes of one order.
 #[derive(Debug, Clone, Copy)]
-pub(crate) enum OrderFate {
+pub(crate) enum OrderOutcome {
     Answered,
     AnswerLost,
-    CarriedOutLate,
+    ExecutedLate,
     NotSent,
 }
 
 /// The prompt of a request. Unit: tokens.
-const PROMPT: u64 = 1000;
+const PROMPT_TOKENS: u64 = 1000;
 
 /// From how many requests the planner of these tests knows the reading speed.
-const SPEED_SAMPLES: usize = 20;
+const PREFILL_SAMPLES: usize = 20;
 
 /// How long an engine takes to read it: as long as one of some thousand tokens takes on real engines.
-const PROMPT_TIME: Duration = Duration::from_millis(200);
+const PREFILL_TIME: Duration = Duration::from_millis(200);
 
-pub(crate) struct World {
+pub(crate) struct Simulation {
     pub(crate) planner: PlacementPlanner,
     pub(crate) engines: Vec<TestEngine>,
     pub(crate) now: u64,
     /// Answers on their way, by the time of their arrival.
-    pub(crate) answers: Vec<(u64, u64, OrderAnswer)>,
-    pub(crate) reports: Vec<(u64, u64, String, EngineReport)>,
-    pub(crate) lives: usize,
-    pub(crate) loads: usize,
+    pub(crate) pending_answers: Vec<(u64, u64, OrderAnswer)>,
+    pub(crate) pending_reports: Vec<(u64, u64, String, EngineReport)>,
+    pub(crate) incarnations: usize,
+    pub(crate) load_orders: usize,
 }
 
-impl World {
+impl Simulation {
     pub(crate) fn new(engines: usize) -> Self {
         let engines: Vec<TestEngine> =
             (0..engines).map(|number| TestEngine::new(number, 0)).collect();
-        let mut world = Self {
+        let mut simulation = Self {
             planner: planner(),
             engines,
             now: 1000,
-            answers: Vec::new(),
-            reports: Vec::new(),
-            lives: 0,
-            loads: 0,
+            pending_answers: Vec::new(),
+            pending_reports: Vec::new(),
+            incarnations: 0,
+            load_orders: 0,
         };
-        world.list();
-        world.planner.begin_tenure(world.at());
-        world.learn_reading(PROMPT_TIME);
-        world
+        simulation.update_engine_list();
+        simulation.planner.begin_tenure(simulation.time());
+        simulation.set_prefill_time(PREFILL_TIME);
+        simulation
     }
 
     /// Makes the planner know that engines read prompts five times as slowly as usual.
-    pub(crate) fn read_slowly(&mut self) {
-        self.learn_reading(5 * PROMPT_TIME);
+    pub(crate) fn slow_down_prefill(&mut self) {
+        self.set_prefill_time(5 * PREFILL_TIME);
     }
 
-    fn learn_reading(&mut self, time: Duration) {
+    fn set_prefill_time(&mut self, time: Duration) {
         let mut speed = ReadingSpeed::default();
-        for _ in 0..SPEED_SAMPLES {
-            speed.note(PROMPT, 0, time);
+        for _ in 0..PREFILL_SAMPLES {
+            speed.note(PROMPT_TOKENS, 0, time);
         }
         self.planner.set_prefill_speed(&speed);
     }
 
-    pub(crate) fn at(&self) -> ClockMillis {
+    pub(crate) fn time(&self) -> ClockMillis {
         ClockMillis::from_millis(self.now)
     }
 
-    pub(crate) fn list(&mut self) {
+    pub(crate) fn update_engine_list(&mut self) {
         let entries: Vec<_> = self.engines.iter().map(|engine| Arc::clone(&engine.entry)).collect();
         self.planner.set_engines(&entries);
     }
 
-    pub(crate) fn ask(&mut self, number: usize, waiting: u32) {
+    pub(crate) fn request(&mut self, number: usize, waiting: u32) {
         let entry = DemandEntry {
             key: key(number),
             new_requests: 1,
-            new_prompt_tokens: PROMPT,
+            new_prompt_tokens: PROMPT_TOKENS,
             waiting,
-            waiting_prompt_tokens: u64::from(waiting) * PROMPT,
+            waiting_prompt_tokens: u64::from(waiting) * PROMPT_TOKENS,
             waiting_value: f64::from(waiting),
             copies_unavailable: false,
         };
-        self.planner.record_demand(&Arc::from("host"), &[entry], self.at());
+        self.planner.record_demand(&Arc::from("host"), &[entry], self.time());
     }
 
     /// Tells that one request runs on each of some adapters at an engine.
-    pub(crate) fn tell_runs(&mut self, engine: usize, numbers: &[usize]) {
-        self.tell_open(engine, numbers, 1);
+    pub(crate) fn report_open_requests(&mut self, engine: usize, numbers: &[usize]) {
+        self.report_request_count(engine, numbers, 1);
     }
 
     /// Tells that no request runs on some adapters at an engine any more.
-    pub(crate) fn end_runs(&mut self, engine: usize, numbers: &[usize]) {
-        self.tell_open(engine, numbers, 0);
+    pub(crate) fn report_requests_ended(&mut self, engine: usize, numbers: &[usize]) {
+        self.report_request_count(engine, numbers, 0);
     }
 
     /// Tells that a host could not connect to an engine.
-    pub(crate) fn tell_unreached(&mut self, host: &str, engine: usize) {
+    pub(crate) fn report_unreachable(&mut self, host: &str, engine: usize) {
         let unreachable = vec![Arc::clone(&self.engines[engine].entry.name)];
-        let told = HostWork { unreachable, ..HostWork::default() };
-        self.planner.record_work(&Arc::from(host), &told, self.at());
+        let host_work = HostWork { unreachable, ..HostWork::default() };
+        self.planner.record_work(&Arc::from(host), &host_work, self.time());
     }
 
     /// Tells that an engine said just now that it does not hold an adapter.
-    pub(crate) fn tell_absent(&mut self, engine: usize, number: usize) {
+    pub(crate) fn report_absent(&mut self, engine: usize, number: usize) {
         let engine = Arc::clone(&self.engines[engine].entry.name);
         let absent = vec![AbsentEntry { engine, key: key(number), age: Duration::ZERO }];
-        let told = HostWork { absent, ..HostWork::default() };
-        self.planner.record_work(&Arc::from("host"), &told, self.at());
+        let host_work = HostWork { absent, ..HostWork::default() };
+        self.planner.record_work(&Arc::from("host"), &host_work, self.time());
     }
 
-    fn tell_open(&mut self, engine: usize, numbers: &[usize], open: u32) {
+    fn report_request_count(&mut self, engine: usize, numbers: &[usize], open: u32) {
         let engine = Arc::clone(&self.engines[engine].entry.name);
-        let run = |number: &usize| OpenRequestsEntry {
+        let entry = |number: &usize| OpenRequestsEntry {
             engine: Arc::clone(&engine),
             key: key(*number),
             open,
         };
-        let open_requests = numbers.iter().map(run).collect();
-        let told = HostWork { open_requests, ..HostWork::default() };
-        self.planner.record_work(&Arc::from("host"), &told, self.at());
+        let open_requests = numbers.iter().map(entry).collect();
+        let host_work = HostWork { open_requests, ..HostWork::default() };
+        self.planner.record_work(&Arc::from("host"), &host_work, self.time());
     }
 
-    pub(crate) fn restart(&mut self, number: usize) {
-        self.lives += 1;
-        let place = number % self.engines.len();
-        self.engines[place] = TestEngine::new(place, self.lives);
-        self.list();
+    pub(crate) fn replace_engine(&mut self, number: usize) {
+        self.incarnations += 1;
+        let index = number % self.engines.len();
+        self.engines[index] = TestEngine::new(index, self.incarnations);
+        self.update_engine_list();
     }
 
     /// An engine starts again under the name that it had; orders to the life before may still reach it.
-    pub(crate) fn restart_as_itself(&mut self, number: usize) {
-        self.lives += 1;
-        let place = number % self.engines.len();
-        let before = &self.engines[place];
-        let born = 1 + u64::try_from(self.lives).unwrap_or_default();
-        let entry = EngineEntry { born, ..(*before.entry).clone() };
-        let late = before.late.clone();
-        let engine = TestEngine::new(place, 0);
-        self.engines[place] = TestEngine { entry: Arc::new(entry), late, ..engine };
-        self.list();
+    pub(crate) fn restart_engine(&mut self, number: usize) {
+        self.incarnations += 1;
+        let index = number % self.engines.len();
+        let previous = &self.engines[index];
+        let born = 1 + u64::try_from(self.incarnations).unwrap_or_default();
+        let entry = EngineEntry { born, ..(*previous.entry).clone() };
+        let delayed_orders = previous.delayed_orders.clone();
+        let engine = TestEngine::new(index, 0);
+        self.engines[index] = TestEngine { entry: Arc::new(entry), delayed_orders, ..engine };
+        self.update_engine_list();
     }
 
-    pub(crate) fn step(&mut self, millis: u64, fate: OrderFate) {
+    pub(crate) fn step(&mut self, millis: u64, outcome: OrderOutcome) {
         self.now += millis;
         for engine in &mut self.engines {
             engine.advance(self.now);
         }
         let now = self.now;
-        let answers: Vec<_> = self.answers.extract_if(.., |(due, ..)| *due <= now).collect();
+        let answers: Vec<_> =
+            self.pending_answers.extract_if(.., |(due, ..)| *due <= now).collect();
         for (_, id, answer) in answers {
             self.planner.handle_order_answer(id, answer, ClockMillis::from_millis(now));
         }
-        let reports: Vec<_> = self.reports.extract_if(.., |(due, ..)| *due <= now).collect();
-        for (_, asked, engine, report) in reports {
-            self.planner.handle_report(&engine, &report, ClockMillis::from_millis(asked));
+        let reports: Vec<_> =
+            self.pending_reports.extract_if(.., |(due, ..)| *due <= now).collect();
+        for (_, requested_at, engine, report) in reports {
+            self.planner.handle_report(&engine, &report, ClockMillis::from_millis(requested_at));
         }
         for action in self.planner.plan(true, ClockMillis::from_millis(now)) {
-            self.carry_out(action, fate);
+            self.execute(action, outcome);
         }
     }
 
-    pub(crate) fn carry_out(&mut self, action: PlacementAction, fate: OrderFate) {
+    pub(crate) fn execute(&mut self, action: PlacementAction, outcome: OrderOutcome) {
         let now = self.now;
         match action {
             PlacementAction::RequestReport(entry) => {
                 let engine = self.engines.iter().find(|engine| engine.entry.name == entry.name);
                 match engine {
-                    Some(engine) if engine.ended.is_none() => {
+                    Some(engine) if engine.crashed_at.is_none() => {
                         let name = entry.name.to_string();
-                        self.reports.push((now + 3, now, name, engine.report()));
+                        self.pending_reports.push((now + 3, now, name, engine.report()));
                     }
                     Some(_) => self.planner.handle_report_failure(&entry.name, true),
                     None => self.planner.handle_report_failure(&entry.name, false),
@@ -325,51 +331,51 @@
                 let engine =
                     self.engines.iter_mut().find(|engine| engine.entry.name == order.engine.name);
                 let Some(engine) = engine else {
-                    self.answers.push((now + 3, order.id, OrderAnswer::OtherEngine));
+                    self.pending_answers.push((now + 3, order.id, OrderAnswer::OtherEngine));
                     return;
                 };
-                if engine.ended.is_some() {
-                    self.answers.push((now + 3, order.id, OrderAnswer::NotSent));
+                if engine.crashed_at.is_some() {
+                    self.pending_answers.push((now + 3, order.id, OrderAnswer::NotSent));
                     return;
                 }
-                self.loads += usize::from(order.kind != OrderKind::Unload);
-                match fate {
-                    OrderFate::Answered => {
-                        let answer = engine.take(&order, now);
-                        self.answers.push((now + 3, order.id, answer));
+                self.load_orders += usize::from(order.kind != OrderKind::Unload);
+                match outcome {
+                    OrderOutcome::Answered => {
+                        let answer = engine.execute_order(&order, now);
+                        self.pending_answers.push((now + 3, order.id, answer));
                     }
-                    OrderFate::AnswerLost => {
-                        engine.take(&order, now);
-                        self.answers.push((now + 250, order.id, OrderAnswer::Unknown));
+                    OrderOutcome::AnswerLost => {
+                        engine.execute_order(&order, now);
+                        self.pending_answers.push((now + 250, order.id, OrderAnswer::Unknown));
                     }
-                    OrderFate::CarriedOutLate => {
-                        engine.late.push((now + 2000, order.clone()));
-                        self.answers.push((now + 250, order.id, OrderAnswer::Unknown));
+                    OrderOutcome::ExecutedLate => {
+                        engine.delayed_orders.push((now + 2000, order.clone()));
+                        self.pending_answers.push((now + 250, order.id, OrderAnswer::Unknown));
                     }
-                    OrderFate::NotSent => {
-                        self.answers.push((now + 250, order.id, OrderAnswer::NotSent));
+                    OrderOutcome::NotSent => {
+                        self.pending_answers.push((now + 250, order.id, OrderAnswer::NotSent));
                     }
                 }
             }
         }
     }
 
-    pub(crate) fn fell(&self) -> Option<&String> {
-        self.engines.iter().find_map(|engine| engine.fell.as_ref())
+    pub(crate) fn limit_violation(&self) -> Option<&String> {
+        self.engines.iter().find_map(|engine| engine.limit_violation.as_ref())
     }
 
-    pub(crate) fn holds(&self, key: &ModelKey) -> bool {
+    pub(crate) fn any_engine_holds(&self, key: &ModelKey) -> bool {
         self.engines.iter().any(|engine| engine.held.contains_key(key))
     }
 
-    pub(crate) fn published(&self, key: &ModelKey) -> bool {
+    pub(crate) fn is_published(&self, key: &ModelKey) -> bool {
         let residency = self.planner.residency();
         residency.iter().any(|(_, held)| held.iter().any(|model| model.key == *key))
     }
 }
 
-pub(crate) fn settle(world: &mut World) {
+pub(crate) fn settle(simulation: &mut Simulation) {
     for _ in 0..40 {
-        world.step(20, OrderFate::Answered);
+        simulation.step(20, OrderOutcome::Answered);
     }
 }
--- a/crates/core/tests/tenure.rs
+++ b/crates/core/tests/tenure.rs
@@ -9,27 +9,27 @@
     placement::{LeaseRules, PlacerTenure},
 };
 
-const CHECKED: LeaseRules = LeaseRules {
+const FENCED: LeaseRules = LeaseRules {
     time_to_live: Duration::from_secs(2),
     handover_wait: Duration::from_secs(3),
     engines_enforce_fencing: true,
 };
 
-const UNCHECKED: LeaseRules = LeaseRules { engines_enforce_fencing: false, ..CHECKED };
+const UNFENCED: LeaseRules = LeaseRules { engines_enforce_fencing: false, ..FENCED };
 
-enum Step {
+enum TenureStep {
     /// A join sent at the first time is answered at the second.
-    Joined(bool, u64, u64, u64),
-    Failed(u64),
-    Refused(u64),
+    JoinAnswered(bool, u64, u64, u64),
+    JoinFailed(u64),
+    TokenRefused(u64),
     Left,
 }
 
 struct TenureCase {
     name: &'static str,
     rules: LeaseRules,
-    steps: &'static [Step],
-    at: u64,
+    steps: &'static [TenureStep],
+    checked_at: u64,
     token: Option<u64>,
     state: TenureState,
 }
@@ -37,160 +37,185 @@
 const CASES: &[TenureCase] = &[
     TenureCase {
         name: "without the lease no order",
-        rules: CHECKED,
-        steps: &[Step::Joined(false, 4, 10, 12)],
-        at: 20,
+        rules: FENCED,
+        steps: &[TenureStep::JoinAnswered(false, 4, 10, 12)],
+        checked_at: 20,
         token: None,
         state: TenureState::Absent,
     },
     TenureCase {
         name: "engines that check tokens need no wait",
-        rules: CHECKED,
-        steps: &[Step::Joined(true, 4, 10, 12)],
-        at: 13,
+        rules: FENCED,
+        steps: &[TenureStep::JoinAnswered(true, 4, 10, 12)],
+        checked_at: 13,
         token: Some(4),
         state: TenureState::Acting,
     },
     TenureCase {
         name: "engines that do not check tokens need one",
-        rules: UNCHECKED,
-        steps: &[Step::Joined(true, 4, 10, 12), Step::Joined(true, 4, 1500, 1501)],
-        at: 3000,
+        rules: UNFENCED,
+        steps: &[
+            TenureStep::JoinAnswered(true, 4, 10, 12),
+            TenureStep::JoinAnswered(true, 4, 1500, 1501),
+        ],
+        checked_at: 3000,
         token: None,
         state: TenureState::Waiting,
     },
     TenureCase {
         name: "after the wait the holder acts",
-        rules: UNCHECKED,
+        rules: UNFENCED,
         steps: &[
-            Step::Joined(true, 4, 10, 12),
-            Step::Joined(true, 4, 1500, 1501),
-            Step::Joined(true, 4, 2900, 2901),
+            TenureStep::JoinAnswered(true, 4, 10, 12),
+            TenureStep::JoinAnswered(true, 4, 1500, 1501),
+            TenureStep::JoinAnswered(true, 4, 2900, 2901),
         ],
-        at: 3013,
+        checked_at: 3013,
         token: Some(4),
         state: TenureState::Acting,
     },
     TenureCase {
         name: "the token stays while others join",
-        rules: CHECKED,
-        steps: &[Step::Joined(true, 4, 10, 12), Step::Joined(true, 9, 600, 601)],
-        at: 700,
+        rules: FENCED,
+        steps: &[
+            TenureStep::JoinAnswered(true, 4, 10, 12),
+            TenureStep::JoinAnswered(true, 9, 600, 601),
+        ],
+        checked_at: 700,
         token: Some(4),
         state: TenureState::Acting,
     },
     TenureCase {
         name: "a frozen holder gives no order when it wakes",
-        rules: CHECKED,
-        steps: &[Step::Joined(true, 4, 10, 12)],
-        at: 9000,
+        rules: FENCED,
+        steps: &[TenureStep::JoinAnswered(true, 4, 10, 12)],
+        checked_at: 9000,
         token: None,
         state: TenureState::Lapsed,
     },
     TenureCase {
         name: "a frozen holder that still has the lease in a later generation begins anew",
-        rules: CHECKED,
-        steps: &[Step::Joined(true, 4, 10, 12), Step::Joined(true, 7, 9000, 9003)],
-        at: 9004,
+        rules: FENCED,
+        steps: &[
+            TenureStep::JoinAnswered(true, 4, 10, 12),
+            TenureStep::JoinAnswered(true, 7, 9000, 9003),
+        ],
+        checked_at: 9004,
         token: Some(7),
         state: TenureState::Acting,
     },
     TenureCase {
         name: "a holder that the store does not answer goes on where engines check",
-        rules: CHECKED,
-        steps: &[Step::Joined(true, 4, 10, 12), Step::Failed(1900), Step::Failed(2600)],
-        at: 2700,
+        rules: FENCED,
+        steps: &[
+            TenureStep::JoinAnswered(true, 4, 10, 12),
+            TenureStep::JoinFailed(1900),
+            TenureStep::JoinFailed(2600),
+        ],
+        checked_at: 2700,
         token: Some(4),
         state: TenureState::Lapsed,
     },
     TenureCase {
         name: "and stops where they do not",
-        rules: UNCHECKED,
-        steps: &[Step::Joined(true, 4, 10, 12), Step::Failed(1900), Step::Failed(3600)],
-        at: 3700,
+        rules: UNFENCED,
+        steps: &[
+            TenureStep::JoinAnswered(true, 4, 10, 12),
+            TenureStep::JoinFailed(1900),
+            TenureStep::JoinFailed(3600),
+        ],
+        checked_at: 3700,
         token: None,
         state: TenureState::LapsedWaiting,
     },
     TenureCase {
         name: "a refused token is not used again",
-        rules: CHECKED,
-        steps: &[Step::Joined(true, 4, 10, 12), Step::Refused(4), Step::Joined(true, 4, 500, 501)],
-        at: 600,
+        rules: FENCED,
+        steps: &[
+            TenureStep::JoinAnswered(true, 4, 10, 12),
+            TenureStep::TokenRefused(4),
+            TenureStep::JoinAnswered(true, 4, 500, 501),
+        ],
+        checked_at: 600,
         token: None,
         state: TenureState::Refused,
     },
     TenureCase {
         name: "the refusal of an earlier token does not end the tenure",
-        rules: CHECKED,
-        steps: &[Step::Joined(true, 4, 10, 12), Step::Refused(3)],
-        at: 600,
+        rules: FENCED,
+        steps: &[TenureStep::JoinAnswered(true, 4, 10, 12), TenureStep::TokenRefused(3)],
+        checked_at: 600,
         token: Some(4),
         state: TenureState::Acting,
     },
     TenureCase {
         name: "after a refusal a later generation begins a new tenure, which waits the other out",
-        rules: CHECKED,
-        steps: &[Step::Joined(true, 4, 10, 12), Step::Refused(4), Step::Joined(true, 6, 500, 501)],
-        at: 600,
+        rules: FENCED,
+        steps: &[
+            TenureStep::JoinAnswered(true, 4, 10, 12),
+            TenureStep::TokenRefused(4),
+            TenureStep::JoinAnswered(true, 6, 500, 501),
+        ],
+        checked_at: 600,
         token: None,
         state: TenureState::Waiting,
     },
     TenureCase {
         name: "and then acts with the new token",
-        rules: CHECKED,
+        rules: FENCED,
         steps: &[
-            Step::Joined(true, 4, 10, 12),
-            Step::Refused(4),
-            Step::Joined(true, 6, 500, 501),
-            Step::Joined(true, 6, 2000, 2001),
-            Step::Joined(true, 6, 3400, 3401),
+            TenureStep::JoinAnswered(true, 4, 10, 12),
+            TenureStep::TokenRefused(4),
+            TenureStep::JoinAnswered(true, 6, 500, 501),
+            TenureStep::JoinAnswered(true, 6, 2000, 2001),
+            TenureStep::JoinAnswered(true, 6, 3400, 3401),
         ],
-        at: 3600,
+        checked_at: 3600,
         token: Some(6),
         state: TenureState::Acting,
     },
     TenureCase {
         name: "who gives the lease up gives no order",
-        rules: CHECKED,
-        steps: &[Step::Joined(true, 4, 10, 12), Step::Left],
-        at: 20,
+        rules: FENCED,
+        steps: &[TenureStep::JoinAnswered(true, 4, 10, 12), TenureStep::Left],
+        checked_at: 20,
         token: None,
         state: TenureState::Absent,
     },
 ];
 
-fn apply(tenure: &mut PlacerTenure, step: &Step) {
+fn apply(tenure: &mut PlacerTenure, step: &TenureStep) {
     let at = ClockMillis::from_millis;
     match *step {
-        Step::Joined(listed, generation, sent, now) => {
+        TenureStep::JoinAnswered(listed, generation, sent_at, now) => {
             // The host looks at its lease all the time.
-            tenure.acting_token(at(sent));
-            tenure.handle_join(listed, generation, at(sent), at(now));
+            tenure.acting_token(at(sent_at));
+            tenure.handle_join(listed, generation, at(sent_at), at(now));
             tenure.acting_token(at(now));
         }
-        Step::Failed(now) => tenure.handle_join_failure(at(now)),
-        Step::Refused(token) => tenure.handle_token_refusal(token),
-        Step::Left => tenure.handle_leave(),
+        TenureStep::JoinFailed(now) => tenure.handle_join_failure(at(now)),
+        TenureStep::TokenRefused(token) => tenure.handle_token_refusal(token),
+        TenureStep::Left => tenure.handle_leave(),
     }
 }
 
 #[test]
-fn a_tenure_acts_only_while_it_holds() {
+fn orders_require_a_current_lease() {
     for case in CASES {
         let mut tenure = PlacerTenure::new(case.rules);
         for step in case.steps {
             apply(&mut tenure, step);
         }
-        let token = tenure.acting_token(ClockMillis::from_millis(case.at));
+        let token = tenure.acting_token(ClockMillis::from_millis(case.checked_at));
         assert_eq!(token, case.token, "{}", case.name);
         assert_eq!(tenure.state(), case.state, "{}", case.name);
     }
 }
 
 #[test]
-fn a_holder_that_had_the_lease_just_before_another_waits() {
+fn returning_holder_waits_after_another_tenure() {
     let at = ClockMillis::from_millis;
-    let mut tenure = PlacerTenure::new(CHECKED);
+    let mut tenure = PlacerTenure::new(FENCED);
     tenure.handle_join(true, 4, at(10), at(11));
     assert_eq!(tenure.acting_token(at(500)), Some(4));
     tenure.handle_join(false, 5, at(600), at(601));
@@ -204,9 +229,9 @@
 /// The last order of a tenure reached its engine 0.46 s after it was given; another holder acted, and
 /// 3.02 s after the order was given the lease came back.
 #[test]
-fn a_returning_holder_counts_from_the_end_of_its_last_order() {
+fn returning_holder_wait_counts_from_its_last_order_end() {
     let at = ClockMillis::from_millis;
-    let mut tenure = PlacerTenure::new(CHECKED);
+    let mut tenure = PlacerTenure::new(FENCED);
     tenure.handle_join(true, 96, at(10), at(11));
     assert_eq!(tenure.acting_token(at(1000)), Some(96));
     tenure.handle_join(false, 98, at(1300), at(1301));
@@ -219,9 +244,9 @@
 }
 
 #[test]
-fn an_old_order_that_ends_within_the_wait_does_not_shorten_it() {
+fn old_order_ending_during_the_wait_does_not_shorten_it() {
     let at = ClockMillis::from_millis;
-    let mut tenure = PlacerTenure::new(CHECKED);
+    let mut tenure = PlacerTenure::new(FENCED);
     tenure.handle_join(true, 4, at(10), at(11));
     assert_eq!(tenure.acting_token(at(1000)), Some(4));
     tenure.handle_join(false, 5, at(1100), at(1101));
@@ -231,9 +256,9 @@
 }
 
 #[test]
-fn an_order_without_an_answer_may_arrive_after_its_patience() {
+fn wait_covers_orders_delivered_after_their_timeout() {
     let at = ClockMillis::from_millis;
-    let mut tenure = PlacerTenure::new(CHECKED);
+    let mut tenure = PlacerTenure::new(FENCED);
     tenure.handle_join(true, 4, at(10), at(11));
     assert_eq!(tenure.acting_token(at(1000)), Some(4));
     tenure.handle_join(false, 5, at(1200), at(1201));
@@ -245,14 +270,14 @@
 struct StoreGroup {
     holder: Option<usize>,
     generation: u64,
-    joined: [u64; 3],
-    time_to_live: u64,
+    last_join: [u64; 3],
+    time_to_live_ms: u64,
 }
 
 impl StoreGroup {
     fn expire(&mut self, now: u64) {
         if let Some(holder) = self.holder
-            && now >= self.joined[holder] + self.time_to_live
+            && now >= self.last_join[holder] + self.time_to_live_ms
         {
             self.holder = None;
             self.generation += 1;
@@ -260,7 +285,7 @@
     }
 
     fn join(&mut self, member: usize, now: u64) -> (bool, u64) {
-        self.joined[member] = now;
+        self.last_join[member] = now;
         if self.holder.is_none() {
             self.holder = Some(member);
             self.generation += 1;
@@ -274,20 +299,20 @@
     /// where engines don't check tokens no two act at the same time.
     #[test]
     fn no_two_hosts_act_with_one_token(
-        checked in any::<bool>(),
+        fenced in any::<bool>(),
         steps in proptest::collection::vec((0usize..3, 0u8..10, 1u64..900), 1..200),
     ) {
-        let rules = if checked { CHECKED } else { UNCHECKED };
+        let rules = if fenced { FENCED } else { UNFENCED };
         let mut store =
-            StoreGroup { holder: None, generation: 0, joined: [0; 3], time_to_live: 2000 };
+            StoreGroup { holder: None, generation: 0, last_join: [0; 3], time_to_live_ms: 2000 };
         let mut tenures: Vec<PlacerTenure> = (0..3).map(|_| PlacerTenure::new(rules)).collect();
-        let mut users: std::collections::HashMap<u64, usize> = std::collections::HashMap::new();
+        let mut host_by_token: std::collections::HashMap<u64, usize> = std::collections::HashMap::new();
         let mut now = 1;
-        for (member, fate, pause) in steps {
-            now += pause;
+        for (member, event, elapsed_ms) in steps {
+            now += elapsed_ms;
             let at = ClockMillis::from_millis(now);
             store.expire(now);
-            match fate {
+            match event {
                 // The join is lost on its way.
                 0 => tenures[member].handle_join_failure(at),
                 // It arrives and its answer is lost.
@@ -296,9 +321,9 @@
                     tenures[member].handle_join_failure(at);
                 }
                 // The store deals anew at once, unasked; only tokens that engines check cover that.
-                2 if checked => {
+                2 if fenced => {
                     store.holder = Some((member + 1) % 3);
-                    store.joined[(member + 1) % 3] = now;
+                    store.last_join[(member + 1) % 3] = now;
                     store.generation += 1;
                 }
                 // The host is frozen meanwhile.
@@ -308,16 +333,16 @@
                     tenures[member].handle_join(listed, generation, at, at);
                 }
             }
-            let mut acting = Vec::new();
+            let mut acting_hosts = Vec::new();
             for (host, tenure) in tenures.iter_mut().enumerate() {
                 if let Some(token) = tenure.acting_token(at) {
-                    let user = users.entry(token).or_insert(host);
-                    prop_assert_eq!(*user, host, "token {} has two users", token);
-                    acting.push(host);
+                    let first_host = host_by_token.entry(token).or_insert(host);
+                    prop_assert_eq!(*first_host, host, "token {} has two users", token);
+                    acting_hosts.push(host);
                 }
             }
-            if !checked {
-                prop_assert!(acting.len() <= 1, "{:?} act at the same time", acting);
+            if !fenced {
+                prop_assert!(acting_hosts.len() <= 1, "{:?} act at the same time", acting_hosts);
             }
         }
     }
