--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -1,9 +1,11 @@
-//! Which engine holds which adapter: one placer per domain decides, as long as it holds the lease.
+//! Decides which engine holds which adapter. Each placement domain has one placer, the host that
+//! holds the domain's lease.
 //!
-//! A placement domain is the engines of one service. The placer alone gives orders there and spends
-//! the weight store's rate; whether this host is the placer says [`tenure`]. [`demand`] sums up what
-//! all hosts are asked for, [`inventory`] keeps what each engine holds in spite of lost and late
-//! answers, [`window`] keeps loads below the store's ceiling, and [`planner`] picks the next order.
+//! A placement domain consists of the engines of one service. Only the placer issues orders there
+//! and spends the weight store's load rate. [`tenure`] tells whether this host is the placer,
+//! [`demand`] aggregates demand over all hosts, [`inventory`] tracks what each engine holds despite
+//! lost and delayed answers, [`load_rate_limiter`] limits the rate of base model loads, and
+//! [`planner`] chooses the next orders.
 
 pub mod candidacy;
 mod load_candidates;
--- a/crates/core/src/placement/candidacy.rs
+++ b/crates/core/src/placement/candidacy.rs
@@ -1,40 +1,41 @@
-//! Which hosts stand for leases and read the store for the others.
+//! Selects the hosts that are candidates for leases and that read the store for the others.
 //!
-//! Every host could do both, but each member of the group and each reader of the store costs
-//! calls, and a small host that is dealt a large domain falls behind. So a few hosts stand,
-//! strong ones first; the others follow them.
+//! Any host could do both, but every group member and every reader adds calls to the store, and a
+//! small host cannot keep up with a large domain. So only a few hosts take part, preferably ones
+//! with high capacity, and the others follow them.
 
-/// The part of a processor from which on a host counts as strong.
+/// CPU share from which a host has high capacity.
 const HIGH_CAPACITY_CPU_SHARE: f64 = 0.2;
 
-/// The bandwidth from which on a host counts as strong. Unit: megabits a second.
+/// Bandwidth from which a host has high capacity. Unit: megabits per second.
 const HIGH_CAPACITY_BANDWIDTH_MBPS: f64 = 50.0;
 
-/// How many members a group has before strong hosts stay out of it.
+/// Number of high-capacity members from which further high-capacity hosts stay out of a group.
 const MAX_HIGH_CAPACITY_MEMBERS: usize = 8;
 
-/// How many members a group has before all other hosts stay out of it.
+/// Number of members from which hosts without high capacity stay out of a group.
 const MIN_MEMBERS: usize = 3;
 
-/// What a host has to work with.
+/// Resources of a host.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct HostCapacity {
-    /// Its share of a processor.
+    /// CPU share of the host, in cores.
     pub cpu_share: f64,
-    /// What its link carries. Unit: megabits a second.
+    /// Bandwidth of the host's network link. Unit: megabits per second.
     pub bandwidth_mbps: f64,
 }
 
 impl HostCapacity {
-    /// Returns whether the host can bear the work of a large domain.
+    /// Returns whether the host can handle a large domain.
     pub fn has_high_capacity(&self) -> bool {
         self.cpu_share >= HIGH_CAPACITY_CPU_SHARE
             && self.bandwidth_mbps >= HIGH_CAPACITY_BANDWIDTH_MBPS
     }
 
-    /// Returns whether the host joins a group that has `members` already, `high_capacity_members` ones among them.
+    /// Returns whether the host joins a group with `members` members, `high_capacity_members` of
+    /// which have high capacity.
     ///
-    /// Strong hosts do not count weak members, who only stand in for them.
+    /// High-capacity hosts ignore other members, who only stand in for them.
     pub fn should_join(&self, members: usize, high_capacity_members: usize) -> bool {
         if self.has_high_capacity() {
             high_capacity_members < MAX_HIGH_CAPACITY_MEMBERS
@@ -45,16 +46,16 @@
 }
 
 impl HostCapacity {
-    /// Returns whether a member leaves its work to the `high_capacity_members` members that the group has again.
+    /// Returns whether a member leaves because the group has enough `high_capacity_members`.
     pub fn should_leave(&self, high_capacity_members: usize) -> bool {
         !self.has_high_capacity() && high_capacity_members >= MIN_MEMBERS
     }
 }
 
-/// How many partitions make their holders read the store for the others.
+/// Maximum number of partitions whose holders read the store for other hosts.
 const MAX_READER_PARTITIONS: u32 = 3;
 
-/// Returns the partitions whose holders read the store for the others, spread over all of them.
+/// Returns the partitions whose holders read the store for other hosts, spread evenly.
 pub fn reader_partitions(partitions: u32) -> impl Iterator<Item = u32> {
     let readers = MAX_READER_PARTITIONS.min(partitions);
     (0..readers).map(move |index| index * partitions / readers)
--- a/crates/core/src/placement/demand.rs
+++ b/crates/core/src/placement/demand.rs
@@ -1,40 +1,40 @@
-//! What all hosts are asked for, by model key.
+//! Aggregates demand over all hosts by model key.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
 use crate::{clock::ClockMillis, fleet::ModelKey, popularity::DecayedRate};
 
-/// The half-life of an adapter's popularity: demand moves within seconds.
+/// Half-life of the request rate.
 pub const RATE_HALF_LIFE: Duration = Duration::from_secs(8);
 
-/// The half-life of the rate that tells a burst.
+/// Half-life of the burst rate.
 const BURST_HALF_LIFE: Duration = Duration::from_millis(1500);
 
-/// How long a host's word about its waiting requests holds without being renewed.
+/// How long a host's count of waiting requests stays valid without renewal.
 const WAITING_TTL: Duration = Duration::from_secs(3);
 
-/// How long requests count that no load was ordered for.
+/// How long requests without a load order are counted.
 const UNSERVED_TTL: Duration = Duration::from_mins(1);
 
-/// The weight below which a popularity is forgotten.
+/// Rate weight below which a key is forgotten.
 const MIN_RATE_WEIGHT: f64 = 0.02;
 
-/// What one host was asked for since its last word.
+/// Demand for one key since a host's previous message.
 #[derive(Debug, Clone, PartialEq)]
 pub struct DemandEntry {
-    /// The model or adapter.
+    /// Model or adapter.
     pub key: ModelKey,
-    /// Requests that came since the last word.
+    /// Number of requests since the previous message.
     pub new_requests: u32,
-    /// The prompts of those. Unit: tokens.
+    /// Prompt tokens of the new requests.
     pub new_prompt_tokens: u64,
-    /// Requests that wait for it now.
+    /// Number of requests currently waiting.
     pub waiting: u32,
-    /// The prompts of those. Unit: tokens.
+    /// Prompt tokens of the waiting requests.
     pub waiting_prompt_tokens: u64,
-    /// The worth of the waiting requests; the mean request is worth one.
+    /// Value of the waiting requests. The mean request has value one.
     pub waiting_value: f64,
-    /// Whether every copy is at an engine that takes no requests from the host now.
+    /// Whether all copies are on engines that currently accept no requests from the host.
     pub copies_unavailable: bool,
 }
 
@@ -51,18 +51,18 @@
 struct KeyDemand {
     request_rate: DecayedRate,
     burst_request_rate: DecayedRate,
-    /// Tokens of the prompts that came.
+    /// Rate of prompt tokens in new requests.
     prompt_token_rate: DecayedRate,
     burst_prompt_token_rate: DecayedRate,
-    /// Requests since a load was last ordered.
+    /// Number of requests since the last load order.
     unserved_requests: u32,
-    /// When that was.
+    /// When a load was last ordered.
     last_load_ordered_at: ClockMillis,
     last_request_at: ClockMillis,
-    /// When requests last began or ended to wait, as far as hosts have told.
+    /// When requests last started or stopped waiting, as far as hosts have reported.
     last_wait_change_at: ClockMillis,
     waiting_by_host: HashMap<Arc<str>, HostWaiting>,
-    /// Since when somebody has waited without a pause.
+    /// Start of the current period in which there were always waiting requests.
     waiting_since: Option<ClockMillis>,
 }
 
@@ -83,7 +83,7 @@
 }
 
 impl DemandTracker {
-    /// Takes what `host` was asked for.
+    /// Records the demand reported by `host`.
     pub fn record(&mut self, host: &Arc<str>, entries: &[DemandEntry], now: ClockMillis) {
         for entry in entries {
             let demand = self.keys.entry(Arc::clone(&entry.key)).or_default();
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Forgets what nobody has asked for lately.
+    /// Drops keys without recent demand.
     pub fn drop_expired(&mut self, now: ClockMillis) {
         self.keys.retain(|_, demand| {
             demand
@@ -131,36 +131,36 @@
         });
     }
 
-    /// Iterates over the keys that anyone has asked for lately.
+    /// Iterates over keys with recent demand.
     pub fn keys(&self) -> impl Iterator<Item = &ModelKey> {
         self.keys.keys()
     }
 
-    /// Returns how many requests a second ask for `key`.
+    /// Returns the request rate of `key`. Unit: requests per second.
     pub fn request_rate(&self, key: &str, now: ClockMillis) -> f64 {
         self.keys.get(key).map_or(0.0, |demand| demand.request_rate.per_second(now, RATE_HALF_LIFE))
     }
 
-    /// Returns how many tokens of prompts a second come for `key`.
+    /// Returns the prompt token rate of `key`. Unit: tokens per second.
     pub fn prompt_token_rate(&self, key: &str, now: ClockMillis) -> f64 {
         self.keys
             .get(key)
             .map_or(0.0, |demand| demand.prompt_token_rate.per_second(now, RATE_HALF_LIFE))
     }
 
-    /// Returns how many tokens of prompts a second come for `key` by the last seconds alone.
+    /// Returns the prompt token rate of `key` over the last seconds. Unit: tokens per second.
     pub fn burst_prompt_token_rate(&self, key: &str, now: ClockMillis) -> f64 {
         let Some(demand) = self.keys.get(key) else { return 0.0 };
         demand.burst_prompt_token_rate.per_second(now, BURST_HALF_LIFE)
     }
 
-    /// Returns the prompts of the requests that wait for `key`. Unit: tokens.
+    /// Returns the prompt tokens of requests waiting for `key`.
     pub fn waiting_prompt_tokens(&self, key: &str) -> u64 {
         let Some(demand) = self.keys.get(key) else { return 0 };
         demand.waiting_by_host.values().map(|waiting| waiting.prompt_tokens).sum()
     }
 
-    /// Returns the mean prompt of all requests that come. Unit: tokens.
+    /// Returns the mean prompt length over all requests. Unit: tokens.
     pub fn mean_prompt_tokens(&self, now: ClockMillis) -> f64 {
         let rates = self.keys.values().map(|demand| {
             let requests = demand.request_rate.per_second(now, RATE_HALF_LIFE);
@@ -171,32 +171,32 @@
         if requests > 0.0 { tokens / requests } else { 0.0 }
     }
 
-    /// Returns how many requests a second ask for `key` by the last seconds alone.
+    /// Returns the request rate of `key` over the last seconds. Unit: requests per second.
     pub fn burst_request_rate(&self, key: &str, now: ClockMillis) -> f64 {
         self.keys
             .get(key)
             .map_or(0.0, |demand| demand.burst_request_rate.per_second(now, BURST_HALF_LIFE))
     }
 
-    /// Takes that a load of `key` was ordered.
+    /// Records a load order for `key`.
     pub fn record_load_order(&mut self, key: &str, now: ClockMillis) {
         if let Some(demand) = self.keys.get_mut(key) {
             (demand.unserved_requests, demand.last_load_ordered_at) = (0, now);
         }
     }
 
-    /// Returns when a load of `key` was last ordered, the epoch if that is not known.
+    /// Returns when a load of `key` was last ordered, or the epoch if unknown.
     pub fn last_load_ordered_at(&self, key: &str) -> ClockMillis {
         self.keys.get(key).map(|demand| demand.last_load_ordered_at).unwrap_or_default()
     }
 
-    /// Returns whether requests wait for `key` at a host that can use none of its copies.
+    /// Returns whether requests for `key` wait at a host that cannot use any copy.
     pub fn copies_unavailable(&self, key: &str) -> bool {
         let Some(demand) = self.keys.get(key) else { return false };
         demand.waiting_by_host.values().any(|waiting| waiting.copies_unavailable)
     }
 
-    /// Returns when a request for `key` last came, or last began or ended to wait.
+    /// Returns when a request for `key` last arrived, or last started or stopped waiting.
     pub fn last_wanted_at(&self, key: &str) -> ClockMillis {
         self.keys
             .get(key)
@@ -204,23 +204,23 @@
             .unwrap_or_default()
     }
 
-    /// Returns how many requests came since a load of `key` was last ordered.
+    /// Returns the number of requests since the last load order for `key`.
     pub fn unserved_requests(&self, key: &str) -> f64 {
         self.keys.get(key).map_or(0.0, |demand| f64::from(demand.unserved_requests))
     }
 
-    /// Returns since when somebody has waited for `key` without a pause.
+    /// Returns since when requests for `key` have been waiting without interruption.
     pub fn waiting_since(&self, key: &str) -> Option<ClockMillis> {
         self.keys.get(key)?.waiting_since
     }
 
-    /// Returns how many requests wait for `key`.
+    /// Returns the number of requests waiting for `key`.
     pub fn waiting_requests(&self, key: &str) -> u32 {
         let Some(demand) = self.keys.get(key) else { return 0 };
         demand.waiting_by_host.values().map(|waiting| waiting.requests).sum()
     }
 
-    /// Returns the worth of the requests that wait for `key`.
+    /// Returns the value of the requests waiting for `key`.
     pub fn waiting_value(&self, key: &str) -> f64 {
         let Some(demand) = self.keys.get(key) else { return 0.0 };
         demand.waiting_by_host.values().map(|waiting| waiting.value).sum()
--- a/crates/core/src/placement/engine_reports.rs
+++ b/crates/core/src/placement/engine_reports.rs
@@ -1,4 +1,4 @@
-//! What engines show of themselves: reports, silence, and loads under which they may have ended.
+//! Handles engine reports, missing reports, and loads that may have crashed an engine.
 
 use std::sync::Arc;
 
@@ -12,7 +12,7 @@
 };
 
 impl PlacementPlanner {
-    /// Takes an engine's report that was asked for at `requested_at`.
+    /// Handles a report that was requested at `requested_at`.
     pub fn handle_report(
         &mut self,
         engine: &str,
@@ -37,9 +37,11 @@
         }
     }
 
-    /// Takes that an engine gave no report; `refused` where it refuses connections, as a process that has ended does.
+    /// Handles a missing report. `refused` tells whether the engine refused the connection, as it
+    /// does after its process has exited.
     ///
-    /// Only that is a sign against what it loads: a placer with too much to do, or a slow link, misses reports of many engines that live.
+    /// Only a refused connection counts against pending loads. Other failures may be caused by an
+    /// overloaded placer or a slow link.
     pub fn handle_report_failure(&mut self, engine: &str, refused: bool) {
         let Some(inventory) = self.engines.get_mut(engine) else { return };
         inventory.report_pending = false;
@@ -54,12 +56,12 @@
         }
     }
 
-    /// Returns which adapters are held back since engines ended under their loads, once each.
+    /// Returns the adapters that were quarantined since the last call.
     pub fn take_quarantined_loads(&mut self) -> Vec<QuarantinedLoad> {
         self.load_suspects.take_new_quarantines()
     }
 
-    /// Takes which loads were under way at engines that are gone, or have started again.
+    /// Records failures of loads that were pending when their engine was delisted or restarted.
     pub(super) fn record_interrupted_loads(&mut self, now: ClockMillis) {
         for (entry, load) in std::mem::take(&mut self.interrupted_loads) {
             self.load_suspects.record_failure(&entry, &load, true, now);
@@ -68,7 +70,8 @@
     }
 }
 
-/// Returns the loads that may have ended an engine; one that said that it leaves was ended by none.
+/// Returns the pending loads that may have crashed an engine. An engine that announced its
+/// departure has not crashed.
 pub(super) fn loads_at_exit(inventory: &EngineInventory) -> Vec<(Arc<EngineEntry>, PendingLoad)> {
     if inventory.entry.leaving {
         return Vec::new();
--- a/crates/core/src/placement/engine_weight_cache.rs
+++ b/crates/core/src/placement/engine_weight_cache.rs
@@ -1,4 +1,4 @@
-//! What an engine held lately and may bring back by itself.
+//! Estimated content of an engine's local weight cache.
 
 use std::{
     collections::{HashSet, VecDeque},
@@ -7,10 +7,11 @@
 
 use crate::fleet::ModelKey;
 
-/// How many adapters an engine is expected to remember.
+/// Assumed capacity of an engine's weight cache.
 const MAX_CACHED: usize = 100;
 
-/// What an engine held lately and may bring back without the weight store, the latest last.
+/// Models and adapters that an engine held recently and can probably reload without the weight
+/// store, oldest first.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct EngineWeightCache {
     keys: VecDeque<ModelKey>,
@@ -18,7 +19,7 @@
 }
 
 impl EngineWeightCache {
-    /// Takes that the engine holds, or has just dropped, a model or adapter.
+    /// Records that the engine holds `key` or has just dropped it.
     pub fn insert(&mut self, key: &ModelKey) {
         if self.keys.back() == Some(key) {
             return;
@@ -36,7 +37,7 @@
         }
     }
 
-    /// Returns whether the engine held something lately.
+    /// Returns whether the engine held `key` recently.
     pub fn contains(&self, key: &str) -> bool {
         self.members.contains(key)
     }
--- a/crates/core/src/placement/engine_work.rs
+++ b/crates/core/src/placement/engine_work.rs
@@ -1,8 +1,8 @@
-//! What each engine works on, summed over all hosts.
+//! Work of each engine, summed over all hosts.
 //!
-//! An engine's report lags and costs a call; a host knows only its own requests. So each host tells
-//! the placer what it has open at each engine and for which adapter. The placer drops only adapters
-//! without a run, and tells all hosts the sums by engine.
+//! An engine's report lags behind and costs a call, and a host knows only its own requests. So each
+//! host reports its open requests per engine and adapter to the placer, which evicts only adapters
+//! without open requests and publishes the totals per engine to all hosts.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -11,46 +11,46 @@
     fleet::{EngineName, ModelKey, work::EngineWork},
 };
 
-/// How long a host's word holds without being renewed; hosts renew theirs every second.
+/// How long a host's report stays valid without renewal. Hosts renew theirs every second.
 const HOST_WORK_TTL: Duration = Duration::from_secs(3);
 
-/// The requests of one host that an engine has for one model or adapter.
+/// Number of open requests from one host on an engine for one model or adapter.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OpenRequestsEntry {
-    /// The engine.
+    /// Engine that has the requests.
     pub engine: EngineName,
-    /// The model or adapter.
+    /// Model or adapter.
     pub key: ModelKey,
-    /// Requests that are open; none ends an earlier word.
+    /// Number of open requests. Zero clears an earlier entry.
     pub open: u32,
 }
 
-/// An engine's word to a host that it does not hold something.
+/// An engine's denial, sent to a host, that it holds a model or adapter.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AbsentEntry {
-    /// The engine.
+    /// Engine that sent the denial.
     pub engine: EngineName,
-    /// The model or adapter.
+    /// Model or adapter.
     pub key: ModelKey,
-    /// How long ago it said so.
+    /// Time since the denial.
     pub age: Duration,
 }
 
-/// What one host has at engines, where it changed.
+/// Changes in the work of one host on engines.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct HostWork {
-    /// All of its requests at an engine.
+    /// All open requests of the host per engine.
     pub engines: Vec<(EngineName, EngineWork)>,
-    /// Its requests at an engine by model or adapter.
+    /// Open requests of the host per engine and per model or adapter.
     pub open_requests: Vec<OpenRequestsEntry>,
-    /// What engines said that they do not hold.
+    /// Denials by engines of holding a model or adapter.
     pub absent: Vec<AbsentEntry>,
-    /// Engines to which no connection came about.
+    /// Engines that the host could not connect to.
     pub unreachable: Vec<EngineName>,
 }
 
 impl HostWork {
-    /// Returns whether there is nothing to tell.
+    /// Returns whether there are no changes to report.
     pub const fn is_empty(&self) -> bool {
         let Self { engines, open_requests, absent, unreachable } = self;
         engines.is_empty()
@@ -60,7 +60,7 @@
     }
 }
 
-/// The last word of each host on something.
+/// Latest value reported by each host, with the time of the report.
 #[derive(Debug, Clone)]
 struct PerHost<Value> {
     by_host: HashMap<Arc<str>, (Value, ClockMillis)>,
@@ -89,7 +89,7 @@
     }
 }
 
-/// The work at one engine.
+/// Work of one engine.
 #[derive(Debug, Clone, Default)]
 struct EngineWorkTotals {
     work_by_host: PerHost<EngineWork>,
@@ -103,14 +103,14 @@
     }
 }
 
-/// What engines work on.
+/// Work of all engines of a domain.
 #[derive(Debug, Clone, Default)]
 pub struct WorkTracker {
     engines: HashMap<EngineName, EngineWorkTotals>,
 }
 
 impl WorkTracker {
-    /// Takes what `host` has at engines.
+    /// Records the work reported by `host`.
     pub fn record(&mut self, host: &Arc<str>, host_work: &HostWork, now: ClockMillis) {
         for (engine, work) in &host_work.engines {
             let engine_totals = self.engines.entry(Arc::clone(engine)).or_default();
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Forgets the word of hosts that did not renew it.
+    /// Drops reports that hosts did not renew.
     pub fn drop_expired(&mut self, now: ClockMillis) {
         self.engines.retain(|_, engine_totals| {
             engine_totals.work_by_host.drop_expired(now);
@@ -138,12 +138,12 @@
         });
     }
 
-    /// Returns what an engine works on.
+    /// Returns the total work of an engine.
     pub fn total(&self, engine: &str) -> EngineWork {
         self.engines.get(engine).map(EngineWorkTotals::total).unwrap_or_default()
     }
 
-    /// Returns how many requests an engine has for a model or adapter.
+    /// Returns the number of open requests on an engine for a model or adapter.
     pub fn open_requests(&self, engine: &str, key: &str) -> u32 {
         let requests = self
             .engines
@@ -152,8 +152,9 @@
         requests.map_or(0, |requests| requests.values().sum())
     }
 
-    /// Returns the sums that have moved enough since they were last returned to be told again; `min_prefill_change` is how many
-    /// unread tokens make no difference to anyone who chooses an engine.
+    /// Returns the totals that have changed noticeably since they were last returned.
+    /// `min_prefill_change` is the change in unread prompt tokens below which the choice of an
+    /// engine is not affected.
     pub fn take_changed(&mut self, min_prefill_change: u64) -> Vec<(EngineName, EngineWork)> {
         let mut changed = Vec::new();
         for (engine, engine_totals) in &mut self.engines {
--- a/crates/core/src/placement/inventory.rs
+++ b/crates/core/src/placement/inventory.rs
@@ -1,9 +1,9 @@
-//! What one engine holds, kept true in spite of lost answers, late orders and other placers.
+//! Tracks what one engine holds despite lost answers, delayed orders and other placers.
 //!
-//! An engine counts the orders that it has taken. Each order names the count that it expects, so an
-//! order that arrives late, after another one, is refused by the engine itself. Whenever the count
-//! is in doubt, a report settles it; a report counts only when it can not be older than the last
-//! order.
+//! An engine counts the orders that it has taken, and each order names the sequence number that it
+//! expects, so the engine refuses an order that arrives after a later one. When the sequence number
+//! is uncertain, a report settles it. A report counts only if its state cannot be older than the
+//! last order.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -19,88 +19,91 @@
     placement::{EngineWeightCache, LoadObservation, OrderId, OrderKind, PlannedOrder},
 };
 
-/// How old the state in a report may be when it arrives.
+/// Maximum age of the state in a report when the report arrives.
 pub const MAX_REPORT_AGE: Duration = Duration::from_millis(250);
 
-/// How old the state in a report is as a rule. Source: the users' pages, some hundred milliseconds.
+/// Typical age of the state in a report.
 const TYPICAL_REPORT_AGE: Duration = Duration::from_millis(100);
 
-/// By how much that may be wrong either way.
+/// Maximum deviation of that age from the typical age, in either direction.
 const REPORT_AGE_UNCERTAINTY: Duration = Duration::from_millis(40);
 
-/// How long after a load is due a report is asked for: one that shows the engine just after the load has ended.
+/// Delay between a load's due time and the report request, so that the report shows the engine just
+/// after the load.
 const OVERDUE_REPORT_DELAY: Duration = Duration::from_millis(130);
 
-/// How long a host's report holds that it can't use an engine: hosts leave one that they can't connect to for 400 ms at first,
-/// and report it again when they have tried again.
+/// How long a host's message that it cannot use an engine stays valid. It must exceed the host's
+/// first reconnect interval of 400 ms, after which the host reports again.
 const UNREACHABLE_TTL: Duration = Duration::from_millis(1500);
 
-/// How many hosts must say so: one may be cut off itself.
+/// Number of hosts that must report an engine as unreachable. A single host may itself be cut off.
 const MIN_UNREACHABLE_HOSTS: usize = 2;
 
-/// How many loads may be in transit to one engine.
+/// Maximum number of pending loads per engine.
 pub const MAX_PENDING_LOADS: usize = 4;
 
-/// What an engine tells when it is asked.
+/// Engine state returned on request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineReport {
-    /// The life of the engine that tells it; zero where it does not say.
+    /// Incarnation of the reporting engine, or zero if the report does not state it.
     pub born: EngineBirth,
-    /// How many orders it had taken.
+    /// Number of orders taken.
     pub sequence: u64,
-    /// Whether a model's order is under way.
+    /// Whether the engine is loading or unloading a base model.
     pub model_change_in_progress: bool,
-    /// What it held.
+    /// Models and adapters that the engine holds.
     pub held: Vec<HeldModel>,
-    /// What was in transit to it.
+    /// Models and adapters that the engine is loading.
     pub pending: Vec<HeldModel>,
 }
 
-/// A load that was ordered and has not been seen to end.
+/// A load that was ordered and is not yet known to be complete.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PendingLoad {
-    /// What is loaded.
+    /// Model or adapter to load.
     pub key: ModelKey,
-    /// Its version, where one is named.
+    /// Version to load, or the default version.
     pub version: WeightVersion,
-    /// When it was ordered.
+    /// When the load started, as far as the placer knows.
     pub started_at: ClockMillis,
-    /// When it is expected to end.
+    /// When the load is expected to complete.
     pub due: ClockMillis,
-    /// Before when it is not expected, since its engine said that it was not there.
+    /// Earliest due time, set after the engine denied holding the model or adapter.
     pub not_before: ClockMillis,
-    /// The order that began it; of another placer's order nothing is known.
+    /// Order that started the load, or `None` if it was another placer's.
     pub order_id: Option<OrderId>,
-    /// Whether it uses the weight store.
+    /// Whether the weights come from the weight store.
     pub from_store: bool,
-    /// Whether a host sent requests for it to the engine: whatever ends the engine then need not be the load.
+    /// Whether a host has sent the engine requests for this key. A later crash may then be due to
+    /// those requests instead of the load.
     pub has_requests: bool,
 }
 
 impl PendingLoad {
-    /// Returns whether it is an adapter from the weight store.
+    /// Returns whether this is an adapter load from the weight store.
     pub fn is_store_adapter(&self) -> bool {
         self.from_store && adapter_name(&self.key).is_some()
     }
 }
 
-/// A load order that got no answer.
+/// An unanswered load order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UnresolvedLoad {
-    /// What was to be loaded.
+    /// Model or adapter of the order.
     pub key: ModelKey,
-    /// When the order was counted against the weight store's rate, if it was.
+    /// When the order was counted by the weight store's rate limiter, if it was.
     pub counted_at: Option<ClockMillis>,
 }
 
-/// How long after it was sent an order without an answer may still be carried out. Source: the users' pages, seconds; twelve
-/// were seen.
+/// Maximum time after which an engine may still execute an unanswered order.
 const MAX_ORDER_DELAY: Duration = Duration::from_secs(15);
 
-/// A load order without an answer, which may still be carried out once the engine has taken as many orders as it names.
+/// An unanswered load order that an engine may still execute once it reaches the expected sequence
+/// number.
 ///
-/// In the life to which it was sent another order takes its place at that count. The next life under the same name counts
-/// anew, and may come by the same count while it is full.
+/// In the incarnation that the order was sent to, another order takes that sequence number. The
+/// next incarnation under the same name starts counting again and may reach the number while it is
+/// full.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct UnansweredLoad {
     key: ModelKey,
@@ -115,49 +118,50 @@
     }
 }
 
-/// One engine as its placer knows it.
+/// The placer's view of one engine.
 #[derive(Debug, Clone)]
 pub struct EngineInventory {
-    /// The engine as listed.
+    /// Entry of the engine in the engine list.
     pub entry: Arc<EngineEntry>,
-    /// Orders taken, when that is known.
+    /// Number of orders taken, if known.
     pub sequence: Option<u64>,
-    /// What it holds.
+    /// Models and adapters that the engine holds.
     pub held: BTreeMap<ModelKey, WeightVersion>,
-    /// What is in transit to it.
+    /// Loads in progress.
     pub pending: Vec<PendingLoad>,
-    /// What it held before and may bring back without the weight store, the latest last.
+    /// Models and adapters that the engine can probably reload without the weight store.
     pub weight_cache: EngineWeightCache,
-    /// What it drops as soon as its runs have ended.
+    /// Adapters that the engine drops once their open requests have ended.
     pub unloading: BTreeSet<ModelKey>,
-    /// The order that is on its way.
+    /// Order that has been sent and not yet answered.
     pub outstanding_order: Option<OrderKind>,
-    /// Load orders without an answer at the present count of orders: one may still be carried out.
+    /// Unanswered load orders at the current sequence number. At most one of them may still be
+    /// executed.
     pub unresolved_loads: Vec<UnresolvedLoad>,
-    /// Load orders to this life that got no answer lately.
+    /// Recent unanswered load orders to this incarnation.
     unanswered_loads: Vec<UnansweredLoad>,
-    /// Load orders to the life before that may still be carried out in this one.
+    /// Load orders to previous incarnations that may still be executed in this one.
     previous_unanswered_loads: Vec<UnansweredLoad>,
-    /// When the last order was given.
+    /// When the last order was issued.
     pub last_order_sent_at: ClockMillis,
-    /// When the last order ended.
+    /// When the last order was issued or answered.
     pub last_order_activity_at: ClockMillis,
-    /// When a report was last asked for.
+    /// When a report was last requested.
     pub report_requested_at: ClockMillis,
-    /// Whether a report is on its way.
+    /// Whether a requested report is outstanding.
     pub report_pending: bool,
-    /// Whether the engine said that it is busy with a model.
+    /// Whether the engine last reported a base model load or unload in progress.
     pub model_change_in_progress: bool,
-    /// When a host was told that it lacks something that it is taken to hold, until a report has settled that.
+    /// When the engine last denied holding something that is in `held`, until a report settles it.
     pub contradicted_at: Option<ClockMillis>,
-    /// Hosts that could not connect to it, and when they said so.
+    /// Hosts that could not connect to the engine, with the time of their message.
     unreachable_from: BTreeMap<Arc<str>, ClockMillis>,
-    /// Whether what requests may be sent to has changed since it was last told.
+    /// Whether the servable models have changed since they were last published.
     pub residency_changed: bool,
 }
 
 impl EngineInventory {
-    /// Starts with what the engine's entry says that it holds.
+    /// Creates an inventory from the engine's list entry.
     pub fn new(entry: Arc<EngineEntry>) -> Self {
         let held = entry.held.iter().map(|model| (Arc::clone(&model.key), model.version));
         Self {
@@ -182,7 +186,8 @@
         }
     }
 
-    /// Starts with the next life of the same engine; `outstanding_orders` are orders to the life before that have no answer yet.
+    /// Creates the inventory of the engine's next incarnation. `outstanding_orders` are unanswered
+    /// orders to this one.
     #[must_use]
     pub fn next_incarnation<'order>(
         &self,
@@ -198,21 +203,22 @@
         next
     }
 
-    /// Takes that an order to this life has no answer.
+    /// Records that an order to this incarnation was not answered.
     pub fn record_unanswered(&mut self, order: &PlannedOrder) {
         if matches!(order.kind, OrderKind::Load { .. }) && self.entry.is_life(order.engine.born) {
             self.unanswered_loads.push(UnansweredLoad::new(order, self.last_order_sent_at));
         }
     }
 
-    /// Forgets orders without an answer that are not carried out any more.
+    /// Drops unanswered orders that can no longer be executed.
     pub fn drop_expired_unanswered(&mut self, now: ClockMillis) {
         for loads in [&mut self.unanswered_loads, &mut self.previous_unanswered_loads] {
             loads.retain(|load| now.since(load.sent_at) < MAX_ORDER_DELAY);
         }
     }
 
-    /// Returns what orders to the life before may still bring: one load for each count of orders that lies ahead.
+    /// Returns the loads that orders to previous incarnations may still cause: one per sequence
+    /// number that has not been reached.
     pub fn possible_late_loads(&self) -> impl Iterator<Item = &ModelKey> {
         let can_still_run = |load: &&UnansweredLoad| {
             self.sequence.is_none_or(|sequence| load.expected_sequence >= sequence)
@@ -227,7 +233,7 @@
         by_sequence.into_values()
     }
 
-    /// Returns whether a report is needed before anything can be ordered or decided.
+    /// Returns whether a report is needed before further orders or decisions.
     pub fn needs_report(&self, now: ClockMillis) -> bool {
         if self.report_pending || self.outstanding_order.is_some() {
             return false;
@@ -244,9 +250,11 @@
                 || !self.unloading.is_empty())
     }
 
-    /// Takes a report that was asked for at `requested_at`; returns whether it counted.
+    /// Applies a report that was requested at `requested_at` and returns whether it was current
+    /// enough.
     ///
-    /// One of a life that is not listed yet does not: its entry comes within a moment, and brings a new inventory.
+    /// A report of an incarnation that is not listed yet is ignored, because its list entry creates
+    /// a new inventory.
     pub fn apply_report(&mut self, report: &EngineReport, requested_at: ClockMillis) -> bool {
         self.report_pending = false;
         if !self.entry.is_life(report.born) {
@@ -268,7 +276,7 @@
         self.residency_changed = true;
         self.unloading.retain(|key| self.held.contains_key(key));
         self.model_change_in_progress = report.model_change_in_progress;
-        // A report may show the engine as it was before it said so.
+        // The report may describe the engine before it denied holding the model or adapter.
         self.contradicted_at =
             self.contradicted_at.filter(|reported_at| requested_at < *reported_at + MAX_REPORT_AGE);
         if self.sequence.is_some_and(|sequence| sequence < report.sequence) {
@@ -293,13 +301,13 @@
         true
     }
 
-    /// Takes that a host could not connect to it.
+    /// Records that `host` could not connect to the engine.
     pub fn record_unreachable_from(&mut self, host: &Arc<str>, now: ClockMillis) {
         self.unreachable_from.retain(|_, reported_at| now.since(*reported_at) < UNREACHABLE_TTL);
         self.unreachable_from.insert(Arc::clone(host), now);
     }
 
-    /// Returns whether hosts can't use it, so that another copy of what it holds is worth a load.
+    /// Returns whether enough hosts cannot use the engine that its models need copies elsewhere.
     pub fn is_unreachable(&self, now: ClockMillis) -> bool {
         let recent = self
             .unreachable_from
@@ -308,21 +316,23 @@
         recent.count() >= MIN_UNREACHABLE_HOSTS
     }
 
-    /// Takes that a host has requests for `key` there.
+    /// Records that a host has requests for `key` on this engine.
     pub fn record_requests(&mut self, key: &str) {
         for load in self.pending.iter_mut().filter(|load| &*load.key == key) {
             load.has_requests = true;
         }
     }
 
-    /// Returns the adapters on their way that began before `before` and were not used: what may have ended the engine if it has ended.
+    /// Returns the pending adapter loads started earlier than `before` that have no requests: a
+    /// crash of the engine may be due to one of them.
     pub fn possible_crash_causes(&self, before: ClockMillis) -> impl Iterator<Item = &PendingLoad> {
         self.pending.iter().filter(move |load| {
             adapter_name(&load.key).is_some() && !load.has_requests && load.started_at < before
         })
     }
 
-    /// Returns what a report that was asked for at `requested_at` shows of the adapters on their way from the store.
+    /// Returns what a report requested at `requested_at` shows about pending adapter loads from the
+    /// weight store.
     pub fn load_observations(
         &self,
         report: &EngineReport,
@@ -346,19 +356,19 @@
         observations.collect()
     }
 
-    /// Takes that the engine holds, or has just dropped, a model or adapter.
+    /// Records that the engine holds `key` or has just dropped it.
     pub fn record_cached(&mut self, key: &ModelKey) {
         self.weight_cache.insert(key);
     }
 
-    /// Returns whether the engine held something lately.
+    /// Returns whether `key` is probably in the engine's weight cache.
     pub fn has_cached(&self, key: &str) -> bool {
         self.weight_cache.contains(key)
     }
 
-    /// Moves loads whose time has come to what is held; a later report corrects it.
+    /// Adds loads that are due to `held` until a report corrects it.
     ///
-    /// Returns whether anything moved.
+    /// Returns whether there were any.
     pub fn complete_due_loads(&mut self, now: ClockMillis) -> bool {
         let mut completed = Vec::new();
         for load in &self.pending {
@@ -375,18 +385,18 @@
         !completed.is_empty()
     }
 
-    /// Returns whether the engine holds a base model, or is getting it.
+    /// Returns whether the engine holds or is loading a base model.
     pub fn has_model(&self, model: &str) -> bool {
         self.held.contains_key(model) || self.pending.iter().any(|load| &*load.key == model)
     }
 
-    /// Returns whether the engine holds `key` in `version` or a later one, or is getting it.
+    /// Returns whether the engine holds or is loading `key` in `version` or a later one.
     pub fn has(&self, key: &str, version: WeightVersion) -> bool {
         let held = self.held.get(key).is_some_and(|held| *held >= version);
         held || self.pending.iter().any(|load| &*load.key == key && load.version >= version)
     }
 
-    /// Returns what requests may be sent to, without what is being replaced or dropped.
+    /// Returns the held models and adapters that are not being replaced or unloaded.
     pub fn servable_models(&self) -> Vec<HeldModel> {
         let servable = self.held.iter().filter(|(key, version)| {
             let mut loads = self.pending.iter();
@@ -398,7 +408,8 @@
             .collect()
     }
 
-    /// Returns how many places for adapters are taken, those in transit included.
+    /// Returns the number of adapters that may occupy the engine: held, pending and possibly loaded
+    /// late.
     pub fn reserved_adapter_count(&self) -> usize {
         let held = self.held.keys().filter(|key| adapter_name(key).is_some());
         let pending = self
@@ -408,7 +419,7 @@
         held.count() + pending.count() + self.possible_late_loads().count()
     }
 
-    /// Returns how many adapters of a model the engine holds.
+    /// Returns the number of held adapters of a base model.
     pub fn adapters_of_model(&self, model: &str) -> usize {
         let adapters = self.held.keys().filter(|key| adapter_name(key).is_some());
         adapters.filter(|key| base_model(key) == model).count()
--- a/crates/core/src/placement/limited_engines.rs
+++ b/crates/core/src/placement/limited_engines.rs
@@ -1,8 +1,9 @@
-//! Engines that have named a limit, as far as placement goes.
+//! Engines that announced a request limit or a cooldown, as far as placement is concerned.
 //!
-//! Such an engine serves next to nothing of what it holds: a copy there is none for requests that wait, so that another one is
-//! worth a load elsewhere, and nothing more is brought there. When the limit ends its copies count again. Where every engine of a
-//! domain has named one there is no elsewhere: then they are ordered and asked as far as their limits bear it.
+//! A limited engine can serve hardly any requests. Its copies do not count for waiting requests, so
+//! another copy may be loaded elsewhere, and it gets no further loads. Its copies count again once
+//! the limit ends. If all engines of a domain are limited, orders and report requests are sent as
+//! far as the limits allow.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -15,24 +16,26 @@
     placement::{EngineInventory, PlacementPlanner},
 };
 
-/// The part of a limit that orders and reports may take where every engine has one: the rest is for requests.
+/// Fraction of a limit available for orders and report requests when all engines are limited. The
+/// rest is left for requests.
 const CONTROL_SHARE: f64 = 0.5;
 
-/// The longest pause between two such calls: an engine that takes nothing at all is still asked what it holds.
+/// Maximum interval between orders or report requests, so that an engine that accepts no requests
+/// is still asked for reports.
 const MAX_CALL_INTERVAL: Duration = Duration::from_secs(10);
 
-/// The engines of a domain that have named a limit.
+/// Engines of a domain with a limit or cooldown.
 #[derive(Debug, Clone, Default)]
 pub(super) struct LimitedEngines {
     limits: HashMap<EngineName, RequestLimit>,
-    /// Whether no engine of the domain is without a limit.
+    /// Whether all engines of the domain are limited.
     all_limited: bool,
-    /// Engines that want nothing from this host for a while.
+    /// Engines that currently accept no calls from this host.
     in_cooldown: HashSet<EngineName>,
 }
 
 impl PlacementPlanner {
-    /// Takes which engines have named a limit.
+    /// Sets the engines' current request limits.
     pub fn set_limits(&mut self, limits: HashMap<EngineName, RequestLimit>) {
         let mut engines = self.engines.values().filter(|inventory| !inventory.entry.leaving);
         let all_limited = !limits.is_empty()
@@ -40,13 +43,13 @@
         (self.limited_engines.limits, self.limited_engines.all_limited) = (limits, all_limited);
     }
 
-    /// Takes which engines want nothing from this host for a while: neither orders nor reports, and their copies count as none
-    /// for requests that wait.
+    /// Sets the engines that currently accept no calls from this host. They get neither orders nor
+    /// report requests, and their copies do not count for waiting requests.
     pub fn set_cooldowns(&mut self, in_cooldown: HashSet<EngineName>) {
         self.limited_engines.in_cooldown = in_cooldown;
     }
 
-    /// Returns whether what an engine holds counts as there for requests.
+    /// Returns whether the engine's copies count as available for requests.
     pub(super) fn counts_as_serving(&self, inventory: &EngineInventory) -> bool {
         let engine = &inventory.entry.name;
         let limited =
@@ -56,7 +59,7 @@
 }
 
 impl LimitedEngines {
-    /// Returns whether an engine may get an order, or be asked for a report.
+    /// Returns whether an order or report request may be sent to the engine.
     pub(super) fn may_call(&self, inventory: &EngineInventory, now: ClockMillis) -> bool {
         if self.in_cooldown.contains(&inventory.entry.name) {
             return false;
--- a/crates/core/src/placement/load_candidates.rs
+++ b/crates/core/src/placement/load_candidates.rs
@@ -1,4 +1,4 @@
-//! What is worth loading now.
+//! Determines which loads are worthwhile.
 
 use std::{sync::Arc, time::Duration};
 
@@ -8,57 +8,57 @@
     placement::{EngineInventory, PlacementPlanner},
 };
 
-/// The part of an engine's time that reading for one adapter may take before another copy is worth a
-/// load. What else it reads then queues behind that adapter for a fifth of the time.
+/// Share of an engine's time spent on prefill for one adapter above which another copy is
+/// worthwhile.
 const MAX_PREFILL_SHARE: f64 = 0.2;
 
-/// The same by the last seconds alone, in which chance weighs more.
+/// The same limit for the burst rate, which is noisier.
 const MAX_BURST_PREFILL_SHARE: f64 = 0.4;
 
-/// The part of an engine's slots from which on it counts as busy.
+/// Slot utilization from which an engine counts as busy.
 const BUSY_UTILIZATION: f64 = 0.75;
 
-/// Requests a second for an adapter from which on busy engines make another copy worth a load.
+/// Minimum request rate for which busy engines justify another copy. Unit: requests per second.
 const MIN_RATE_FOR_BUSY_COPY: f64 = 0.3;
 
-/// How long requests wait for an adapter that is there before it counts as out of their reach.
+/// How long requests may wait although a copy exists before that copy counts as unreachable.
 const UNREACHABLE_COPY_WAIT: Duration = Duration::from_millis(700);
 
-/// Within which time an adapter that is ordered has come and all hosts know of it.
+/// Time until an ordered adapter is loaded and all hosts know of it.
 const LOAD_PROPAGATION_TIME: Duration = Duration::from_millis(600);
 
-/// How long after a suspect's load is due it is not known whether its engine lives: a report is asked for after 130 ms and given up
-/// after 500.
+/// How long after the due time of a suspect load it may be unknown whether its engine is alive.
+/// Covers the delay of the report request and its timeout.
 const SUSPECT_LOAD_GRACE: Duration = Duration::from_millis(700);
 
-/// How many seconds of future requests a load is credited with.
+/// Period of expected requests that a load is credited with.
 pub(super) const DEMAND_HORIZON_SECS: f64 = 6.0;
 
-/// What an engine without any base model is worth to fill.
+/// Value of loading a base model on an engine that has none.
 const EMPTY_ENGINE_VALUE: f64 = 20.0;
 
-/// How much more the newest version of an adapter in use is worth than a new adapter.
+/// Value of a new version of an adapter in use, relative to a new adapter.
 const NEW_VERSION_FACTOR: f64 = 2.0;
 
-/// What each request is worth that was asked for since its adapter was last there.
+/// Value of each request since the adapter was last loaded.
 ///
-/// It does not fade, so that what is asked for seldom but steadily has its turn.
+/// It does not decay, so that adapters with rare but steady requests are loaded eventually.
 const UNSERVED_WEIGHT: f64 = 0.3;
 
-/// The value below which nothing is loaded.
+/// Minimum value of a load.
 const MIN_LOAD_VALUE: f64 = 0.05;
 
-/// A load that would be worth something.
+/// A worthwhile load.
 #[derive(Debug, Clone)]
 pub(super) struct LoadCandidate {
     pub(super) key: ModelKey,
     pub(super) value: f64,
-    /// The one engine that it is for; any engine of the domain otherwise.
+    /// Required engine, or `None` for any engine of the domain.
     pub(super) engine: Option<EngineName>,
 }
 
 impl PlacementPlanner {
-    /// Returns every load that would be worth something, in no order.
+    /// Returns all worthwhile loads in no particular order.
     pub(super) fn load_candidates(&self, now: ClockMillis) -> Vec<LoadCandidate> {
         let mut candidates = self.base_model_candidates(now);
         for key in self.demand.keys() {
@@ -75,8 +75,8 @@
         candidates
     }
 
-    /// Returns whether an adapter is not to be loaded now, since engines ended under its loads: for a while, and then by one engine
-    /// at a time.
+    /// Returns whether loads of `key` are blocked because engines crashed during them. They are
+    /// blocked for a quarantine and then allowed on one engine at a time.
     fn is_load_blocked(&self, key: &ModelKey, now: ClockMillis) -> bool {
         if !self.load_suspects.is_suspect(key) {
             return false;
@@ -88,7 +88,7 @@
             || self.load_suspects.remaining_quarantine(key, self.latest_version(key), now).is_some()
     }
 
-    /// Returns a load of the most wanted base model for each engine that has none.
+    /// Returns a load of the base model in highest demand for each engine without a base model.
     fn base_model_candidates(&self, now: ClockMillis) -> Vec<LoadCandidate> {
         let empty_engines = self.engines.values().filter(|inventory| {
             let has_model = |size: &ModelSize| inventory.has_model(&size.name);
@@ -124,10 +124,10 @@
         self.engines.values().filter(|inventory| inventory.has_model(model)).count() as f64
     }
 
-    /// Returns the adapters whose newest version no engine holds, though an older one is held.
+    /// Returns adapters that engines hold only in outdated versions.
     ///
-    /// The new version goes to any engine, best to one that does not have to wait for runs on the
-    /// older one. The older copies are dropped when their places are needed.
+    /// The new version goes to any engine, preferably one without open requests on the old version.
+    /// Old copies are evicted when their space is needed.
     fn outdated_adapter_candidates(&self, now: ClockMillis) -> Vec<LoadCandidate> {
         let outdated = self.versions.keys().filter(|key| {
             let held = self.engines.values().any(|inventory| inventory.held.contains_key(*key));
@@ -141,15 +141,15 @@
         candidates.filter(|candidate| candidate.value >= MIN_LOAD_VALUE).collect()
     }
 
-    /// Returns how much an adapter is wanted: by what waits, and by what will come.
+    /// Returns the value of waiting and expected requests for `key`.
     pub(super) fn demand_value(&self, key: &str, now: ClockMillis) -> f64 {
         self.demand.waiting_value(key) + DEMAND_HORIZON_SECS * self.demand.request_rate(key, now)
     }
 
-    /// Returns what one more copy of an adapter is worth.
+    /// Returns the value of another copy of an adapter.
     ///
-    /// The first copy is worth something only when somebody waits for it; another one only when the
-    /// copies there are asked for more than they can bear.
+    /// The first copy has a value only while requests wait for it. Further copies have one when the
+    /// existing copies cannot serve the demand.
     fn load_value(&self, key: &str, now: ClockMillis) -> f64 {
         let copies = self.copies(key);
         if copies > 0.0
@@ -172,7 +172,8 @@
         self.demand_value(key, now) + UNSERVED_WEIGHT * self.demand.unserved_requests(key).powi(2)
     }
 
-    /// Returns what one more copy than `copies` is worth: the requests that it takes off those.
+    /// Returns the value of a copy in addition to `copies`: the requests that it takes over from
+    /// them.
     pub(super) fn copy_value(&self, key: &str, copies: f64, now: ClockMillis) -> f64 {
         let offloaded_rate = |rate: f64, tokens: f64, max_share: f64| {
             let share = self.prefill_speed.share_for(tokens) / copies;
@@ -189,22 +190,22 @@
         DEMAND_HORIZON_SECS * offloaded_rate
     }
 
-    /// Returns whether requests wait for an adapter though its copies are there: then those who wait
-    /// can not reach them.
+    /// Returns whether requests have waited for so long despite existing copies that these are
+    /// probably unreachable.
     fn copies_seem_unreachable(&self, key: &str, now: ClockMillis) -> bool {
         let Some(since) = self.demand.waiting_since(key) else { return false };
         let available_since = self.totals.latest_due(key).max(since);
         now.since(available_since) >= UNREACHABLE_COPY_WAIT && !self.totals.is_load_ordered(key)
     }
 
-    /// Returns whether requests wait for an adapter at a host that can use none of its copies, and no other copy is on its way
-    /// or has just come.
+    /// Returns whether requests wait at a host that cannot use any copy, and no further copy is
+    /// being loaded or was loaded recently.
     fn needs_copy_elsewhere(&self, key: &str, now: ClockMillis) -> bool {
         let propagated = now.since(self.demand.last_load_ordered_at(key)) >= LOAD_PROPAGATION_TIME;
         propagated && self.demand.copies_unavailable(key) && !self.totals.is_load_ordered(key)
     }
 
-    /// Returns how many engines hold the newest version of an adapter, or are getting it.
+    /// Returns the number of engines that hold or are loading the latest version of `key`.
     pub(super) fn copies(&self, key: &str) -> f64 {
         f64::from(self.totals.copies(key))
     }
--- a/crates/core/src/placement/load_rate_limiter.rs
+++ b/crates/core/src/placement/load_rate_limiter.rs
@@ -1,19 +1,19 @@
-//! Keeps loads from the weight store below a ceiling over a sliding window.
+//! Limits the rate of loads from the weight store over a sliding window.
 
 use std::{collections::VecDeque, time::Duration};
 
 use crate::clock::ClockMillis;
 
-/// Loads that the operator's rule allows beside the rate.
+/// Number of loads that the operator allows in addition to the rate.
 const BURST_ALLOWANCE: f64 = 3.0;
 
-/// The part of a load that is kept back, so that a sum of fractions never counts as one load more.
+/// Fraction of a load held back so that rounding never allows an extra load.
 const ROUNDING_RESERVE: f64 = 0.3;
 
-/// How much longer than the operator's window loads are counted, since they begin after their order.
+/// Time added to the operator's window, because loads start later than they are ordered.
 const START_JITTER: Duration = Duration::from_millis(100);
 
-/// Counts loads from the weight store within a sliding window.
+/// Sliding-window rate limiter for loads from the weight store.
 #[derive(Debug, Clone)]
 pub struct LoadRateLimiter {
     window: Duration,
@@ -22,7 +22,7 @@
 }
 
 impl LoadRateLimiter {
-    /// Allows `loads_per_second` over `window`, times `overage`.
+    /// Creates a limiter for `loads_per_second` times `overage` over `window`.
     pub fn new(loads_per_second: f64, window: Duration, overage: f64) -> Self {
         let allowed =
             loads_per_second * window.as_secs_f64() * overage + BURST_ALLOWANCE - ROUNDING_RESERVE;
@@ -35,7 +35,7 @@
         Self { window: window + START_JITTER, max_loads, start_times: VecDeque::new() }
     }
 
-    /// Returns whether one more load may begin.
+    /// Returns whether another load may start.
     pub fn allows_load(&mut self, now: ClockMillis) -> bool {
         let start = now - self.window;
         while self.start_times.front().is_some_and(|time| *time <= start) {
@@ -44,19 +44,19 @@
         self.start_times.len() < self.max_loads
     }
 
-    /// Counts a load that begins, or may begin, at `now`.
+    /// Counts a load that starts, or may start, at `now`.
     pub fn record(&mut self, now: ClockMillis) {
         self.start_times.push_back(now);
     }
 
-    /// Takes a load back that was counted at `recorded_at` and turned out not to have begun.
+    /// Removes a load recorded at `recorded_at` that turned out not to have started.
     pub fn refund(&mut self, recorded_at: ClockMillis) {
         if let Some(index) = self.start_times.iter().position(|started| *started == recorded_at) {
             self.start_times.remove(index);
         }
     }
 
-    /// Counts loads that another placer may have begun before `now`.
+    /// Counts loads that another placer may have started before `now`.
     pub fn record_assumed(&mut self, loads: usize, now: ClockMillis) {
         self.start_times.extend(std::iter::repeat_n(now, loads));
     }
--- a/crates/core/src/placement/load_suspects.rs
+++ b/crates/core/src/placement/load_suspects.rs
@@ -1,8 +1,8 @@
-//! Adapters under whose loads engines end.
+//! Tracks adapters whose loads may crash engines.
 //!
-//! An engine that ends under a load is listed for seconds more, so that its end alone would be known too late: by then its placer has
-//! ordered the same load at several others. An engine that gives no report once the load is due is the first sign; one load more is
-//! risked on it, since most engines end of something else.
+//! A crashed engine stays listed for seconds, during which the placer could order the same load on
+//! several others. So a missing report after the load's due time already counts as a failure. One
+//! more load is then allowed, because most crashes have other causes.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -19,32 +19,32 @@
     placement::inventory::PendingLoad,
 };
 
-/// How long an adapter is remembered under whose load one engine ended.
+/// How long an adapter is remembered after a single failure.
 const SUSPECT_TTL: Duration = Duration::from_mins(10);
 
-/// A load after which its engine gave no sign of life.
+/// A load after which its engine did not respond.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct FailedLoad {
     born: EngineBirth,
     version: WeightVersion,
     started_at: ClockMillis,
     recorded_at: ClockMillis,
-    /// Whether the engine is gone, or has started again.
+    /// Whether the engine was delisted or restarted.
     engine_ended: bool,
 }
 
-/// An adapter that is not loaded for a while.
+/// An adapter that is temporarily not loaded.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct QuarantinedLoad {
-    /// The adapter.
+    /// Quarantined adapter.
     pub key: ModelKey,
-    /// How many engines ended in a row while they loaded it, or gave no sign of life since.
+    /// Number of consecutive engine failures during or after loads of the adapter.
     pub engine_failures: usize,
-    /// For how long it is not loaded.
+    /// Duration of the quarantine.
     pub quarantine: Duration,
 }
 
-/// What is known of adapters under whose loads engines ended.
+/// Adapters whose loads may have crashed engines.
 #[derive(Debug, Clone, Default)]
 pub struct LoadSuspects {
     by_key: HashMap<ModelKey, BTreeMap<EngineName, FailedLoad>>,
@@ -52,7 +52,7 @@
 }
 
 impl LoadSuspects {
-    /// Takes that an engine gave no report after a load was due, or has ended.
+    /// Records that an engine did not report after a load was due, or was delisted or restarted.
     pub fn record_failure(
         &mut self,
         engine: &EngineEntry,
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Takes that an engine lives: its silence was something else.
+    /// Records that an engine is alive, which clears failures recorded for its missing reports.
     pub fn record_engine_alive(&mut self, engine: &str, born: EngineBirth) {
         for loads in self.by_key.values_mut() {
             let known = loads.get(engine);
@@ -87,17 +87,17 @@
         }
     }
 
-    /// Takes that an engine holds an adapter and lives.
+    /// Records that a live engine holds the adapter.
     pub fn record_success(&mut self, key: &str) {
         self.by_key.remove(key);
     }
 
-    /// Returns whether an engine gave no sign of life since it was to load an adapter, and none has held it since.
+    /// Returns whether a load of `key` has failed and no engine has held it since.
     pub fn is_suspect(&self, key: &str) -> bool {
         self.by_key.contains_key(key)
     }
 
-    /// Returns for how long an adapter is not to be loaded, if it is held back; `version` is the one that is named now.
+    /// Returns the remaining quarantine of an adapter, if any. `version` is its latest version.
     pub fn remaining_quarantine(
         &self,
         key: &str,
@@ -111,7 +111,7 @@
         (now < until).then(|| until.since(now))
     }
 
-    /// Forgets adapters of which nothing was seen for long.
+    /// Drops adapters without recent failures.
     pub fn drop_expired(&mut self, now: ClockMillis) {
         self.by_key.retain(|_, loads| {
             let hold = Hold::after(consecutive_failures(loads), ENDS_UNTIL_HELD);
@@ -120,14 +120,14 @@
         });
     }
 
-    /// Takes which adapters were held back since the last call.
+    /// Returns the adapters that were quarantined since the last call.
     pub fn take_new_quarantines(&mut self) -> Vec<QuarantinedLoad> {
         std::mem::take(&mut self.new_quarantines)
     }
 }
 
-/// Counts engines one after the other: of loads that were under way at the same time one counts, since whatever ended their engines
-/// together was not them.
+/// Counts consecutive failures. Loads that were pending at the same time count once, because a
+/// common cause is more likely than the adapter.
 fn consecutive_failures(loads: &BTreeMap<EngineName, FailedLoad>) -> usize {
     let mut by_time: Vec<&FailedLoad> = loads.values().collect();
     by_time.sort_by_key(|load| load.started_at);
--- a/crates/core/src/placement/load_target.rs
+++ b/crates/core/src/placement/load_target.rs
@@ -1,4 +1,4 @@
-//! Where a load goes, and what makes room for it.
+//! Chooses the engine for a load and the adapter to evict for it.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,32 +12,33 @@
     },
 };
 
-/// How far beyond full speed adapters are ordered at a time.
+/// Ratio of concurrently ordered adapter loads to the number that the weight store serves without
+/// slowing them down.
 const STORE_OVERCOMMIT: f64 = 1.5;
 
-/// The fewest adapters that are ordered at a time.
+/// Minimum limit for concurrently ordered adapter loads.
 const MIN_PARALLEL_ADAPTER_LOADS: usize = 4;
 
-/// The part of a mean prompt that an open request counts as, when a place for a load is sought: half of
-/// the 0.3 requests a second that it counted as before prompts were known (docs/DECISIONS.md).
+/// Prefill cost of an open request, relative to a mean prompt, when engines are compared for a
+/// load.
 const OPEN_REQUEST_PREFILL_SHARE: f64 = 0.15;
 
-/// How long after a request for an adapter came, or ended to wait for it, there may be a run that its host
-/// has not told yet: hosts count their runs every 50 ms and the control thread tells them within another
-/// 50; the rest is the way of the plan to a host whose request waits.
+/// How long after a request arrived or stopped waiting its host may not yet have reported it as
+/// open. Covers the host's counting and reporting intervals of 50 ms each and the delivery of the
+/// plan to a host whose request waits.
 const OPEN_REQUEST_REPORT_DELAY: Duration = Duration::from_millis(250);
 
-/// Where an engine has room for a load.
+/// Space for a load on an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum LoadSpace {
-    /// In a free place.
+    /// Free capacity.
     Free,
-    /// In the place of an adapter that is dropped first.
+    /// Capacity that becomes free once an adapter is evicted.
     Evict(ModelKey),
 }
 
 impl PlacementPlanner {
-    /// Returns the order that a candidate needs next, if one can be given now.
+    /// Returns the next order that a candidate needs, if one can be issued now.
     pub(super) fn order_for(
         &mut self,
         candidate: &LoadCandidate,
@@ -61,7 +62,7 @@
             let unresolved = inventory.unresolved_loads.iter().any(|load| load.key == *key);
             let cached = self.is_cached(inventory, key);
             let backlog = self.prefill_backlog(inventory);
-            // A replacement waits for the runs on the version before.
+            // A new version has to wait for the open requests on the old one.
             let replaces = inventory.held.contains_key(key);
             let needs_eviction = matches!(space, LoadSpace::Evict(_));
             (
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Returns where an engine has room for a load, if it has any.
+    /// Returns where the engine has space for a load, if it has any.
     fn space_for(
         &self,
         inventory: &EngineInventory,
@@ -100,7 +101,7 @@
         self.eviction_victim(inventory, value, now).map(LoadSpace::Evict)
     }
 
-    /// Returns whether the engine has held this version and can bring it back by itself.
+    /// Returns whether the engine can reload the wanted version from its weight cache.
     fn is_cached(&self, inventory: &EngineInventory, key: &str) -> bool {
         inventory.has_cached(key) && !self.versions.contains_key(key)
     }
@@ -131,7 +132,7 @@
         self.load_rate_limiter.allows_load(now)
     }
 
-    /// Returns how many adapters are ordered from the store at a time.
+    /// Returns the maximum number of concurrent adapter loads from the weight store.
     pub(super) fn max_parallel_adapter_loads(&self) -> usize {
         #[expect(
             clippy::cast_possible_truncation,
@@ -170,15 +171,16 @@
         }
     }
 
-    /// Returns the part of its slots that an engine has taken.
+    /// Returns the fraction of an engine's slots that are in use.
     pub(super) fn slot_utilization(&self, inventory: &EngineInventory) -> f64 {
         let open = self.work.total(&inventory.entry.name).open;
         f64::from(open) / f64::from(inventory.entry.slots.max(1))
     }
 
-    /// Returns what an engine has to read, and will have to soon. Unit: tokens.
+    /// Returns an engine's current and expected prefill work. Unit: tokens.
     ///
-    /// An open request counts with a part of a mean prompt: it takes a slot and slows the others.
+    /// An open request counts as a fraction of a mean prompt, because it occupies a slot and slows
+    /// down the others.
     fn prefill_backlog(&self, inventory: &EngineInventory) -> u64 {
         let work = self.work.total(&inventory.entry.name);
         let open =
@@ -194,10 +196,11 @@
         backlog
     }
 
-    /// Returns what an adapter is worth where it is: nothing once a later version was named.
+    /// Returns the value of keeping an adapter on an engine, which is zero once a later version was
+    /// named.
     ///
-    /// What is kept counts by the same rates as what is added, lasting or of a burst, and a copy is worth no
-    /// less than adding it again would be. Otherwise adapters drop one another for ever.
+    /// It uses the same lasting and burst rates as the value of a load and is at least the value of
+    /// loading the same copy again. Otherwise adapters would evict each other indefinitely.
     fn retention_value(
         &self,
         inventory: &EngineInventory,
@@ -214,11 +217,11 @@
         if copies > 1.0 { retained.max(self.copy_value(key, copies - 1.0, now)) } else { retained }
     }
 
-    /// Returns the adapter without a run that is worth least at an engine, if it is worth less than
+    /// Returns the engine's least valuable adapter without open requests, if its value is below
     /// `value`.
     ///
-    /// An adapter with a run would keep its place, and its engine from other orders, until the run
-    /// has ended.
+    /// Unloading an adapter with open requests would block the engine for other orders until the
+    /// requests have ended.
     fn eviction_victim(
         &self,
         inventory: &EngineInventory,
@@ -234,7 +237,8 @@
             .map(|(_, key)| Arc::clone(key))
     }
 
-    /// Returns whether an adapter has a run at an engine, or may have one that was not told yet.
+    /// Returns whether an adapter has open requests on an engine, or may have some that its host
+    /// has not reported yet.
     fn may_have_open_requests(
         &self,
         inventory: &EngineInventory,
--- a/crates/core/src/placement/load_timing.rs
+++ b/crates/core/src/placement/load_timing.rs
@@ -1,4 +1,4 @@
-//! When loads are expected to end, and what is done when one is not there by then.
+//! Estimates when loads complete and handles loads that are overdue.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -7,21 +7,21 @@
     placement::{AbsentEntry, LoadObservation, OrderId, PlacementPlanner},
 };
 
-/// How long a load of something an engine held lately takes.
+/// Load time from an engine's weight cache.
 const CACHED_LOAD_TIME: Duration = Duration::from_millis(30);
 
-/// What is added to the expected time of a load, for the order's way to the engine.
+/// Time added to a load's expected duration for sending the order to the engine.
 const ORDER_LATENCY: Duration = Duration::from_millis(8);
 
-/// By how much the time may be wrong at which an engine said that it does not hold something: its answer's way.
+/// Uncertainty of the time at which an engine denied holding a model or adapter: the response's
+/// network delay.
 const RESPONSE_TIME_UNCERTAINTY: Duration = Duration::from_millis(8);
 
-/// After what time a load that was not there when it was due is expected: few are later by more, and who waits for one
-/// loses little.
+/// Time added when a load is not complete by its due time.
 const OVERDUE_EXTENSION: Duration = Duration::from_millis(40);
 
 impl PlacementPlanner {
-    /// Returns how long a load takes when the store serves it at full speed.
+    /// Returns the load time when the weight store is not overloaded.
     pub(super) fn expected_load_time(&self, key: &str, from_store: bool) -> Duration {
         if !from_store {
             return CACHED_LOAD_TIME + ORDER_LATENCY;
@@ -30,7 +30,7 @@
         model.map_or(self.store_throughput().load_time, |model| model.load_time) + ORDER_LATENCY
     }
 
-    /// Projects anew when the adapters on their way from the store are due.
+    /// Updates the due times of pending adapter loads from the weight store.
     pub(super) fn update_due_times(&mut self, now: ClockMillis) {
         let due_times: HashMap<OrderId, ClockMillis> =
             self.throughput_estimator.due_times(now).into_iter().collect();
@@ -43,9 +43,10 @@
         }
     }
 
-    /// Takes an engine's word that it does not hold something.
+    /// Records an engine's denial of holding a model or adapter.
     ///
-    /// What was expected by now is waited for; what was held is looked at again.
+    /// An overdue load gets a later due time. A report is requested if the model or adapter was
+    /// held.
     pub(super) fn record_absence(&mut self, absent: &AbsentEntry, now: ClockMillis) {
         let Some(inventory) = self.engines.get_mut(&absent.engine) else { return };
         let observed_at = now - absent.age;
--- a/crates/core/src/placement/order.rs
+++ b/crates/core/src/placement/order.rs
@@ -1,21 +1,21 @@
-//! Orders to engines, and what engines say to them.
+//! Orders to engines and their answers.
 
 use std::sync::Arc;
 
 use crate::fleet::{EngineEntry, ModelKey, WeightVersion};
 
-/// Numbers the orders of one planner.
+/// Identifies an order of one planner.
 pub type OrderId = u64;
 
-/// What an order asks an engine for.
+/// Action that an order requests from an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderKind {
-    /// Load a model or adapter, or replace its version.
+    /// Loads a model or adapter, or replaces its version.
     Load {
-        /// Whether the weight store is needed for it.
+        /// Whether the weights come from the weight store.
         from_store: bool,
     },
-    /// Drop an adapter or model.
+    /// Drops a model or adapter.
     Unload,
 }
 
@@ -26,53 +26,53 @@
     }
 }
 
-/// One order.
+/// An order to an engine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlannedOrder {
-    /// The order's number.
+    /// Identifier of the order.
     pub id: OrderId,
-    /// The engine that it goes to.
+    /// Engine that the order is sent to.
     pub engine: Arc<EngineEntry>,
-    /// What it asks for.
+    /// Requested action.
     pub kind: OrderKind,
-    /// The model or adapter.
+    /// Model or adapter.
     pub key: ModelKey,
-    /// The version to load, where one was named.
+    /// Version to load, if the operator named one.
     pub version: Option<WeightVersion>,
-    /// The number of orders that the engine must have taken before.
+    /// Number of orders that the engine must have taken before this one.
     pub expected_sequence: u64,
-    /// What the load was worth when it was picked.
+    /// Value of the load when it was planned.
     pub value: f64,
-    /// Requests that waited for it.
+    /// Number of requests that waited for the load when it was planned.
     pub waiting: u32,
 }
 
-/// What an engine said to an order.
+/// Outcome of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderAnswer {
-    /// It carries the order out.
+    /// The engine executes the order.
     Accepted,
-    /// What was ordered holds already, or was done at once.
+    /// The requested state already holds or was reached immediately.
     Done,
-    /// Another order is under way, or its count of orders is another.
+    /// Another order is in progress, or the sequence number does not match.
     Conflict,
-    /// It has seen a later holder's token.
+    /// The engine has seen a higher fencing token.
     Fenced,
-    /// Another engine has the address.
+    /// Another engine uses the address.
     OtherEngine,
-    /// It does not accept such an order.
+    /// The engine does not support the order.
     Rejected,
-    /// No connection came about, so that nothing was sent.
+    /// No connection was established, so nothing was sent.
     NotSent,
-    /// No answer: the order may have been taken, or may be carried out later.
+    /// No answer arrived. The engine may have taken the order or may execute it later.
     Unknown,
 }
 
-/// What the planner wants done.
+/// Action that the planner requests from its host.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PlacementAction {
-    /// Send an order.
+    /// Sends an order.
     SendOrder(PlannedOrder),
-    /// Ask an engine for a report.
+    /// Requests a report from an engine.
     RequestReport(Arc<EngineEntry>),
 }
--- a/crates/core/src/placement/planner.rs
+++ b/crates/core/src/placement/planner.rs
@@ -1,9 +1,9 @@
-//! Picks the next orders: what to load where, and what makes room for it.
+//! Plans orders: which models and adapters to load, on which engines, and what to evict for them.
 //!
-//! An adapter is loaded as soon as a request waits for it: adapters come several at a time, and an
-//! engine brings back what it held lately by itself. Base models share the weight store's rate and
-//! its ceiling. The planner keeps what it knows of each engine true through answers that are lost or
-//! late; `candidates` says what is worth loading, and `target` where.
+//! An adapter is loaded as soon as a request waits for it. Adapters load in parallel, and an engine
+//! reloads recently held adapters from its local weight cache. Base model loads share the weight
+//! store's rate limit. The planner's view of each engine stays correct when answers are lost or
+//! delayed. `load_candidates` chooses what to load and `load_target` chooses where.
 
 use std::{
     cmp::Reverse,
@@ -32,31 +32,29 @@
     popularity::DecayedRate,
 };
 
-/// How much reading more or less makes no difference to who chooses an engine: a third of what counts as one open
-/// request there.
+/// Change of an engine's prefill backlog, as prefill time, that is too small to affect the choice
+/// of an engine.
 const PREFILL_BACKLOG_STEP: Duration = Duration::from_millis(10);
 
-/// The half-life of the rate of loads by which the turns of what queues are expected: as fast as demand
-/// moves within a burst.
+/// Half-life of the load order rate from which queueing delays are estimated.
 const LOAD_RATE_HALF_LIFE: Duration = Duration::from_millis(1500);
 
-/// The rate that is expected while nothing was loaded lately. Unit: loads a second; one takes its place
-/// after a load time.
+/// Load order rate assumed when there were no recent loads. Unit: loads per second.
 const MIN_LOAD_RATE: f64 = 4.0;
 
-/// How often an order without an answer is given again before a report is asked for.
+/// Maximum number of unanswered load orders at one sequence number before a report is requested.
 const MAX_UNRESOLVED_LOADS: usize = 2;
 
-/// The most orders that one round of planning gives.
+/// Maximum number of orders issued per planning round.
 const MAX_ORDERS_PER_ROUND: usize = 16;
 
-/// Loads that another placer is assumed to have begun just before a tenure.
+/// Number of loads that the previous placer is assumed to have started just before a tenure.
 const ASSUMED_PRIOR_LOADS: usize = 6;
 
-/// The version of weights for which no other was named.
+/// Version of weights for which the operator named no version.
 pub const DEFAULT_VERSION: WeightVersion = 1;
 
-/// Decides the placement of one domain.
+/// Plans the placement of one domain.
 #[derive(Debug, Clone)]
 pub struct PlacementPlanner {
     pub(super) hosting: ModelHosting,
@@ -66,7 +64,7 @@
     pub(super) load_rate_limiter: LoadRateLimiter,
     pub(super) versions: HashMap<ModelKey, WeightVersion>,
     pub(super) throughput_estimator: ThroughputEstimator,
-    /// How many loads were ordered lately: what queues has its turn at that rate.
+    /// Rate of load orders, from which queueing delays are estimated.
     load_rate: DecayedRate,
     pub(super) prefill_speed: ReadingSpeed,
     pub(super) outstanding_orders: HashMap<OrderId, PlannedOrder>,
@@ -75,12 +73,13 @@
     load_queue: Vec<ModelKey>,
     pub(super) load_suspects: LoadSuspects,
     pub(super) limited_engines: LimitedEngines,
-    /// Loads of engines that are listed no more, or in another life, which had given no sign that they lived through them.
+    /// Loads that were pending when their engine was delisted or restarted, and that may have
+    /// crashed it.
     pub(super) interrupted_loads: Vec<(Arc<EngineEntry>, PendingLoad)>,
 }
 
 impl PlacementPlanner {
-    /// Starts without engines.
+    /// Creates a planner without engines.
     pub fn new(hosting: ModelHosting, load_rate_limiter: LoadRateLimiter) -> Self {
         let throughput_estimator =
             ThroughputEstimator::new(StoreThroughput::assumed(hosting.loads_per_second));
@@ -104,7 +103,7 @@
         }
     }
 
-    /// Begins a tenure: whatever was known may have changed under another placer.
+    /// Begins a tenure, discarding state that another placer may have changed.
     pub fn begin_tenure(&mut self, now: ClockMillis) {
         for (_, order) in self.outstanding_orders.drain() {
             if let Some(inventory) = self.engines.get_mut(&order.engine.name) {
@@ -118,7 +117,7 @@
         self.load_rate_limiter.record_assumed(ASSUMED_PRIOR_LOADS, now);
     }
 
-    /// Takes the domain's engines as they are listed now.
+    /// Sets the engines currently listed in the domain.
     pub fn set_engines(&mut self, entries: &[Arc<EngineEntry>]) {
         let names: BTreeSet<&EngineName> = entries.iter().map(|entry| &entry.name).collect();
         let removed = self.engines.extract_if(.., |name, _| !names.contains(name));
@@ -128,7 +127,7 @@
             let new_inventory = || EngineInventory::new(Arc::clone(entry));
             let inventory = self.engines.entry(name).or_insert_with(new_inventory);
             if !inventory.entry.is_life(entry.born) {
-                // Another life under the same name holds nothing of before and has taken no order.
+                // A restarted engine holds none of its previous models and has taken no orders.
                 let engine_orders = self.outstanding_orders.values();
                 let engine_orders = engine_orders.filter(|order| order.engine.name == entry.name);
                 self.interrupted_loads.extend(loads_at_exit(inventory));
@@ -138,7 +137,7 @@
         }
     }
 
-    /// Takes what engines held lately under the placer before, for engines that are listed.
+    /// Restores the weight caches, as known to the previous placer, of listed engines.
     pub fn restore_weight_caches(&mut self, caches: &HashMap<EngineName, EngineWeightCache>) {
         for (engine, cache) in caches {
             if let Some(inventory) = self.engines.get_mut(engine) {
@@ -147,39 +146,39 @@
         }
     }
 
-    /// Takes the weight store's pace as the placer before had learnt it.
+    /// Restores the weight store throughput estimated by the previous placer.
     pub fn restore_throughput(&mut self, throughput: StoreThroughput) {
         self.throughput_estimator = ThroughputEstimator::new(throughput);
     }
 
-    /// Returns the weight store's pace as far as it is known.
+    /// Returns the estimated throughput of the weight store.
     pub fn store_throughput(&self) -> StoreThroughput {
         self.throughput_estimator.throughput()
     }
 
-    /// Takes the service's hosting as it is configured now.
+    /// Sets the hosting configuration of the service.
     pub fn set_hosting(&mut self, hosting: &ModelHosting) {
         if self.hosting != *hosting {
             self.hosting.clone_from(hosting);
         }
     }
 
-    /// Takes the versions that the operator named.
+    /// Sets the versions named by the operator.
     pub fn set_versions(&mut self, versions: &HashMap<ModelKey, WeightVersion>) {
         self.versions.clone_from(versions);
     }
 
-    /// Takes what a host was asked for.
+    /// Records the demand reported by a host.
     pub fn record_demand(&mut self, host: &Arc<str>, entries: &[DemandEntry], now: ClockMillis) {
         self.demand.record(host, entries, now);
     }
 
-    /// Takes how fast the domain's engines read prompts, as far as this host has learnt it.
+    /// Sets the measured prefill speed of the domain's engines.
     pub fn set_prefill_speed(&mut self, speed: &ReadingSpeed) {
         self.prefill_speed.clone_from(speed);
     }
 
-    /// Takes what a host has at engines.
+    /// Records the work that a host reports for engines.
     pub fn record_work(&mut self, host: &Arc<str>, host_work: &HostWork, now: ClockMillis) {
         self.work.record(host, host_work, now);
         for entry in host_work.open_requests.iter().filter(|entry| entry.open > 0) {
@@ -197,12 +196,12 @@
         }
     }
 
-    /// Returns what engines have to do, where that has changed since the last call.
+    /// Returns the work of engines where it has changed since the last call.
     pub fn take_changed_work(&mut self) -> Vec<(EngineName, EngineWork)> {
         self.work.take_changed(self.prefill_speed.tokens_in(PREFILL_BACKLOG_STEP))
     }
 
-    /// Takes an engine's word, or silence, on an order.
+    /// Handles an engine's answer to an order, or the lack of one.
     pub fn handle_order_answer(&mut self, id: OrderId, answer: OrderAnswer, now: ClockMillis) {
         let Some(order) = self.outstanding_orders.remove(&id) else { return };
         let version = self.latest_version(&order.key);
@@ -210,7 +209,8 @@
         let due = now + load_time;
         let Some(inventory) = self.engines.get_mut(&order.engine.name) else { return };
         if !inventory.entry.is_life(order.engine.born) {
-            // The next life may have taken the order of the one before: a report settles its count.
+            // The next incarnation may have taken the order, so only a report can settle its
+            // sequence number.
             inventory.sequence = None;
             inventory.last_order_activity_at = now;
             return;
@@ -238,7 +238,7 @@
                 }
                 self.demand.record_load_order(&order.key, now);
             }
-            // The adapter keeps its place until its runs have ended, which a report tells.
+            // The adapter stays until its open requests have ended, which a report shows.
             (OrderAnswer::Accepted, OrderKind::Unload) => {
                 inventory.sequence = None;
                 inventory.unloading.insert(Arc::clone(&order.key));
@@ -248,17 +248,17 @@
                 inventory.held.remove(&order.key);
                 inventory.record_cached(&order.key);
             }
-            // The same order is given again: whichever comes first makes the engine refuse the other.
+            // The same order is issued again. The engine refuses whichever attempt arrives second.
             (OrderAnswer::Unknown, _)
                 if inventory.unresolved_loads.len() <= MAX_UNRESOLVED_LOADS => {}
-            // The counts of orders that changed nothing are not told: a report settles them.
+            // Whether the sequence number advanced is unknown, so a report is needed.
             _ => inventory.sequence = None,
         }
     }
 
-    /// Returns the orders to give and the reports to ask for now.
+    /// Returns the orders to send and the reports to request now.
     ///
-    /// Without `may_order` only reports are asked for.
+    /// Only reports are requested unless `may_order` is set.
     pub fn plan(&mut self, may_order: bool, now: ClockMillis) -> Vec<PlacementAction> {
         for inventory in self.engines.values_mut() {
             inventory.complete_due_loads(now);
@@ -314,12 +314,12 @@
         orders
     }
 
-    /// Returns the version of `key` that counts: the one named last.
+    /// Returns the version of `key` that the operator named last, or the default version.
     pub(super) fn latest_version(&self, key: &str) -> WeightVersion {
         self.versions.get(key).copied().unwrap_or(DEFAULT_VERSION)
     }
 
-    /// Gives an order: from now on it counts as taken until an answer says otherwise.
+    /// Creates an order and treats it as taken by the engine until its answer arrives.
     pub(super) fn issue_order(
         &mut self,
         engine: &EngineName,
@@ -357,15 +357,15 @@
         Some(order)
     }
 
-    /// Returns what requests may be sent to at each engine.
+    /// Returns the models and adapters that requests may be sent to on each engine.
     ///
-    /// What is being replaced is left out until its new version is there.
+    /// A version that is being replaced is left out.
     pub fn residency(&self) -> Vec<(EngineName, Vec<HeldModel>)> {
         let engines = self.engines.iter();
         engines.map(|(name, inventory)| (Arc::clone(name), inventory.servable_models())).collect()
     }
 
-    /// Returns the same for the engines that may have changed since the last call.
+    /// Returns the servable models of engines where they may have changed since the last call.
     pub fn take_changed_residency(&mut self) -> Vec<(EngineName, Vec<HeldModel>)> {
         let mut changed = Vec::new();
         for (name, inventory) in &mut self.engines {
@@ -376,7 +376,7 @@
         changed
     }
 
-    /// Returns in what time a key that was asked for is expected to be loaded.
+    /// Returns the expected delay until a requested key is loaded.
     pub fn estimated_load_delay(&self, key: &str, now: ClockMillis) -> Option<Duration> {
         let loads = self.engines.values().flat_map(|inventory| &inventory.pending);
         if let Some(load) = loads.filter(|load| &*load.key == key).min_by_key(|load| load.due) {
@@ -396,12 +396,12 @@
         Some(self.store_throughput().load_time + queue_delay)
     }
 
-    /// Returns the engines as the planner knows them, for status pages and tests.
+    /// Returns the planner's view of each engine, for status pages and tests.
     pub fn inventories(&self) -> impl Iterator<Item = &EngineInventory> {
         self.engines.values()
     }
 
-    /// Returns when the next load is expected to end, if one is under way.
+    /// Returns when the next pending load is expected to complete.
     pub fn next_load_due(&self, now: ClockMillis) -> Option<ClockMillis> {
         let loads = self.engines.values().flat_map(|inventory| &inventory.pending);
         let due = loads.map(|load| load.due).filter(|due| *due > now);
--- a/crates/core/src/placement/round_totals.rs
+++ b/crates/core/src/placement/round_totals.rs
@@ -1,8 +1,7 @@
-//! Sums over all engines of a domain, counted once for each round of planning.
+//! Totals over all engines of a domain, computed once per planning round.
 //!
-//! A domain may have hundreds of engines and thousands of adapters in demand. What a candidate is
-//! worth and where it goes depends on sums over all of them; counting these for each candidate again
-//! would cost the square of the domain's size.
+//! A domain may have hundreds of engines and thousands of adapters in demand. Computing the totals
+//! per candidate would make a round quadratic in the size of the domain.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -16,33 +15,33 @@
     placement::{EngineInventory, OrderKind, PlacementPlanner, PlannedOrder},
 };
 
-/// How far ahead prompts are counted that an engine will have to read: about the time in which an
-/// adapter that is ordered now comes and the prompt that waits for it is read.
+/// Period of expected prompts counted as an engine's future prefill work: about the time to load an
+/// adapter and process a prompt that waits for it.
 const PREFILL_HORIZON: Duration = Duration::from_millis(500);
 
-/// Sums over all engines of a domain.
+/// Totals over all engines of a domain.
 #[derive(Debug, Clone, Default)]
 pub(super) struct RoundTotals {
-    /// Engines that hold the newest version of a key, or are getting it.
+    /// Number of engines that hold or are loading the latest version of a key.
     copies: HashMap<ModelKey, u32>,
-    /// The least part of its slots that any engine with a key has taken.
+    /// Lowest slot utilization among the engines with a key.
     lowest_utilization: HashMap<ModelKey, f64>,
-    /// When the last load of a key under way is due.
+    /// Latest due time of a key's pending loads.
     last_due: HashMap<ModelKey, ClockMillis>,
-    /// Keys whose load was ordered without an answer yet.
+    /// Keys with unanswered load orders.
     ordered_loads: HashSet<ModelKey>,
-    /// Prompts that come soon for the copies that an engine holds or gets. Unit: tokens.
+    /// Expected prompt tokens for an engine's held and pending copies.
     expected_prefill: HashMap<EngineName, f64>,
-    /// Prompts that come soon for each key. Unit: tokens.
+    /// Expected prompt tokens for each key.
     expected_prompt_tokens: HashMap<ModelKey, f64>,
-    /// The mean prompt of the requests that come. Unit: tokens.
+    /// Mean prompt length. Unit: tokens.
     mean_prompt_tokens: f64,
-    /// Adapters under way from the weight store.
+    /// Number of pending adapter loads from the weight store.
     pending_store_loads: usize,
 }
 
 impl RoundTotals {
-    /// Counts what `planner` knows at `now`.
+    /// Computes the totals from the state of `planner` at `now`.
     pub(super) fn compute(planner: &PlacementPlanner, now: ClockMillis) -> Self {
         let prompt_tokens = planner.demand.keys().map(|key| {
             let expected =
@@ -113,7 +112,7 @@
         }
     }
 
-    /// Takes an order that was given within the round.
+    /// Adds an order issued in the current round.
     pub(super) fn record_order(&mut self, order: &PlannedOrder) {
         self.add_order(order);
         if matches!(order.kind, OrderKind::Load { .. }) {
@@ -128,13 +127,13 @@
         prompt_tokens / f64::from(self.copies(key).max(1))
     }
 
-    /// Returns how many engines hold the newest version of `key`, or are getting it.
+    /// Returns the number of engines that hold or are loading the latest version of `key`.
     pub(super) fn copies(&self, key: &str) -> u32 {
         self.copies.get(key).copied().unwrap_or_default()
     }
 
-    /// Returns the least part of its slots that any engine with `key` has taken, none while a load of
-    /// `key` is on its way to an engine.
+    /// Returns the lowest slot utilization among the engines with `key`, or zero while a load of
+    /// `key` is ordered.
     pub(super) fn lowest_utilization(&self, key: &str) -> f64 {
         if self.is_load_ordered(key) {
             return 0.0;
@@ -142,33 +141,33 @@
         self.lowest_utilization.get(key).copied().unwrap_or_default()
     }
 
-    /// Returns when the last load of `key` under way is due, the epoch if there is none.
+    /// Returns the latest due time of pending loads of `key`, or the epoch if there are none.
     pub(super) fn latest_due(&self, key: &str) -> ClockMillis {
         self.last_due.get(key).copied().unwrap_or_default()
     }
 
-    /// Returns whether a load of `key` was ordered and has no answer yet.
+    /// Returns whether a load order for `key` is unanswered.
     pub(super) fn is_load_ordered(&self, key: &str) -> bool {
         self.ordered_loads.contains(key)
     }
 
-    /// Returns the prompts that come soon for what an engine holds or gets. Unit: tokens.
+    /// Returns the expected prompt tokens for an engine's held and pending copies.
     pub(super) fn expected_prefill(&self, engine: &str) -> f64 {
         self.expected_prefill.get(engine).copied().unwrap_or_default()
     }
 
-    /// Returns the mean prompt of the requests that come. Unit: tokens.
+    /// Returns the mean prompt length. Unit: tokens.
     pub(super) const fn mean_prompt_tokens(&self) -> f64 {
         self.mean_prompt_tokens
     }
 
-    /// Returns how many adapters are under way from the weight store.
+    /// Returns the number of pending adapter loads from the weight store.
     pub(super) const fn pending_store_loads(&self) -> usize {
         self.pending_store_loads
     }
 }
 
-/// Iterates over what an engine holds or gets, each key once.
+/// Iterates over the keys that an engine holds or is loading, without duplicates.
 fn held_or_pending_keys(inventory: &EngineInventory) -> impl Iterator<Item = &ModelKey> {
     let pending = inventory.pending.iter().map(|load| &load.key);
     let pending = pending.filter(|key| !inventory.held.contains_key(*key));
--- a/crates/core/src/placement/slow_engines.rs
+++ b/crates/core/src/placement/slow_engines.rs
@@ -1,29 +1,30 @@
-//! Engines that are late again and again while others are not: what they show is not the store's pace.
+//! Detects engines whose loads are late while other engines' loads are not. Their loads say nothing
+//! about the weight store's throughput.
 
 use std::{collections::HashMap, sync::Arc};
 
 use crate::fleet::EngineName;
 
-/// How many loads in a row an engine may have late before it counts as odd.
+/// Number of consecutive late loads above which an engine counts as slow.
 const MAX_CONSECUTIVE_LATE: u32 = 2;
 
-/// The part of all loads that may be late for an engine to count as odd; beyond that the store is slow.
+/// Fraction of late loads across all engines from which lateness is attributed to the weight store.
 const MAX_LATE_FRACTION: f64 = 0.5;
 
-/// Over how many loads the late ones are counted.
+/// Number of loads over which the fraction of late loads is averaged.
 const LATE_FRACTION_WINDOW: f64 = 20.0;
 
-/// Engines that are late again and again while others are not: what they show is not the store's pace.
+/// Engines whose loads are late while other engines' loads are not.
 #[derive(Debug, Clone, Default)]
 pub(super) struct SlowEngines {
-    /// The part of the loads lately that were late.
+    /// Moving average of the fraction of late loads.
     late_fraction: f64,
-    /// How many loads in a row were late, by engine.
+    /// Number of consecutive late loads by engine.
     consecutive_late: HashMap<EngineName, u32>,
 }
 
 impl SlowEngines {
-    /// Takes whether a load was late.
+    /// Records whether a load was late.
     pub(super) fn record(&mut self, engine: &EngineName, late: bool) {
         if late {
             *self.consecutive_late.entry(Arc::clone(engine)).or_default() += 1;
@@ -34,7 +35,8 @@
             (f64::from(u8::from(late)) - self.late_fraction) / LATE_FRACTION_WINDOW;
     }
 
-    /// Returns whether what an engine shows is not the store's pace.
+    /// Returns whether the engine's loads should be ignored when estimating the weight store's
+    /// throughput.
     pub(super) fn is_slow(&self, engine: &EngineName) -> bool {
         let consecutive = self.consecutive_late.get(engine).copied().unwrap_or_default();
         consecutive > MAX_CONSECUTIVE_LATE && self.late_fraction < MAX_LATE_FRACTION
--- a/crates/core/src/placement/store_model.rs
+++ b/crates/core/src/placement/store_model.rs
@@ -1,4 +1,4 @@
-//! A model of the weight store with a known pace: when each load ends.
+//! Model of a weight store with a given throughput, predicting when each load completes.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -7,49 +7,51 @@
     placement::{OrderId, StoreThroughput},
 };
 
-/// How many loads that have ended are kept, in case they are seen on their way after all.
+/// Number of completed loads kept in case they are observed as pending afterwards.
 const MAX_COMPLETED_LOADS: usize = 64;
 
-/// The part of the way by which a model is moved on to a load that has ended before its time.
+/// Fraction of the difference by which a model is moved forward to a load that completed early.
 const EARLY_CORRECTION: f64 = 0.5;
 
-/// The part of the way by which a model is moved back to a load that has not ended in its time: the load may be late for
-/// its engine.
+/// Fraction of the difference by which a model is moved back to a load that is late. It is small
+/// because the load may be late due to its engine.
 const LATE_CORRECTION: f64 = 0.08;
 
-/// By how much a load counts as late at most there. Unit: milliseconds at full speed.
+/// Maximum lateness taken into account. Unit: milliseconds at full speed.
 const MAX_LATENESS_MS: f64 = 100.0;
 
-/// A load's end by a model.
+/// Completion of a load according to a model.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct LoadCompletion {
-    /// How much is done by then. Unit: milliseconds at full speed.
+    /// Value of `served_ms` at which the load completes.
     work_ms: f64,
-    /// When that was so, if it was. Unit: milliseconds of the clock.
+    /// Clock time at that point, if it has been reached. Unit: milliseconds.
     at_ms: Option<f64>,
 }
 
-/// A store with a certain pace: the loads on their way share it, so that they end in the order in which they began.
+/// Store with a given throughput. Pending loads share it equally, so they complete in the order in
+/// which they started.
 #[derive(Debug, Clone)]
 pub(super) struct StoreModel {
     pub(super) throughput: StoreThroughput,
-    /// How far off its predictions were, in whole misses.
+    /// Accumulated prediction error.
     pub(super) error: f64,
-    /// How much was done, since the beginning, of a load that was always on its way. Unit: milliseconds at full speed.
+    /// Work done since the start for a load that was always pending. Unit: milliseconds at full
+    /// speed.
     served_ms: f64,
-    /// The loads in the order in which they began, and how much will have been done when each ends.
+    /// Loads in order of their start, with the value of `served_ms` at which each completes.
     loads: VecDeque<(OrderId, f64)>,
-    /// How many of these, from the first, have ended.
+    /// Number of completed loads at the front of `loads`.
     completed: usize,
 }
 
 impl StoreModel {
-    /// Starts without loads.
+    /// Creates a model without loads.
     pub(super) const fn new(throughput: StoreThroughput, error: f64) -> Self {
         Self { throughput, error, served_ms: 0.0, loads: VecDeque::new(), completed: 0 }
     }
 
-    /// Begins a load; returns when it ends.
+    /// Starts a load and returns its completion.
     pub(super) fn start_load(&mut self, load: OrderId) -> LoadCompletion {
         let work_ms = self.served_ms + self.throughput.load_time.as_secs_f64() * 1000.0;
         self.loads.push_back((load, work_ms));
@@ -60,12 +62,13 @@
         LoadCompletion { work_ms, at_ms: None }
     }
 
-    /// Returns how many loads are on their way.
+    /// Returns the number of pending loads.
     pub(super) fn pending_loads(&self) -> usize {
         self.loads.len() - self.completed
     }
 
-    /// Serves the loads from `since` until `now`; tells of each that ends.
+    /// Advances the model from `since` to `now` and calls `on_completed` for each load that
+    /// completes.
     pub(super) fn advance(
         &mut self,
         since: ClockMillis,
@@ -87,7 +90,8 @@
         }
     }
 
-    /// Returns when a load ends that is served until `now`, if no other begins. Unit: milliseconds of the clock.
+    /// Returns the completion time of a load as of `now`, assuming that no other load starts. Unit:
+    /// clock milliseconds.
     pub(super) fn predicted_end(&self, completion: LoadCompletion, now: ClockMillis) -> f64 {
         let now = now.as_millis() as f64;
         if completion.work_ms <= self.served_ms {
@@ -96,14 +100,15 @@
         now + (completion.work_ms - self.served_ms) / self.speed_with(self.pending_loads())
     }
 
-    /// Takes that a load has ended, whatever was counted until now: those before it have as well.
+    /// Corrects the model for a load observed as complete. Loads started before it are then
+    /// complete as well.
     pub(super) fn observe_completed(&mut self, completion: LoadCompletion) {
         if completion.work_ms > self.served_ms {
             self.served_ms += EARLY_CORRECTION * (completion.work_ms - self.served_ms);
         }
     }
 
-    /// Takes that a load has not ended, whatever was counted until now.
+    /// Corrects the model for a load observed as pending.
     pub(super) fn observe_pending(&mut self, completion: LoadCompletion) {
         if completion.work_ms < self.served_ms {
             self.served_ms -=
@@ -114,7 +119,7 @@
         }
     }
 
-    /// Returns when each load on its way ends if no other begins, from what was done until `now`.
+    /// Returns the due time of each pending load, assuming that no other load starts after `now`.
     pub(super) fn due_times(&self, now: ClockMillis) -> Vec<(OrderId, ClockMillis)> {
         let (mut elapsed_ms, mut served_ms) = (0.0, self.served_ms);
         let loads = self.loads.iter().skip(self.completed).enumerate();
@@ -127,7 +132,7 @@
         due_times.collect()
     }
 
-    /// Returns how fast each of so many loads is served: one at full speed.
+    /// Returns the speed of each load when `loads` loads are pending, where one is full speed.
     fn speed_with(&self, loads: usize) -> f64 {
         (self.throughput.parallel_loads / loads.max(1) as f64).min(1.0)
     }
--- a/crates/core/src/placement/store_throughput.rs
+++ b/crates/core/src/placement/store_throughput.rs
@@ -1,50 +1,51 @@
-//! How fast the weight store serves adapters, and the paces that a learner tells apart.
+//! Throughput of the weight store for adapter loads, and the grid of throughputs that the estimator
+//! distinguishes.
 
 use std::time::Duration;
 
-/// How long an adapter takes at least. Source: the users' pages, which say so of every deployment; what takes longer
-/// is learnt.
+/// Minimum load time of an adapter.
 pub const MIN_LOAD_TIME: Duration = Duration::from_millis(250);
 
-/// How many adapters come at full speed at least. Source: the least of the users' deployments.
+/// Minimum number of adapters that load in parallel without slowing each other down.
 pub const MIN_PARALLEL_LOADS: f64 = 8.0;
 
-/// How the load times of two neighbouring models differ: two of them are a third of a doubling apart.
+/// Number of load time steps per factor of two.
 const LOAD_TIME_STEPS_PER_DOUBLING: f64 = 3.0;
 
-/// How many load times there are models of: up to 1.26 s.
+/// Number of load times in the grid, which reach up to 1.26 s.
 const LOAD_TIME_STEPS: u32 = 8;
 
-/// How the full speeds of two neighbouring models differ: two of them are a quarter of a doubling apart.
+/// Number of parallel load steps per factor of two.
 const PARALLEL_LOADS_STEPS_PER_DOUBLING: f64 = 4.0;
 
-/// How many full speeds there are models of: from 8 to 512.
+/// Number of parallel load values in the grid, from 8 to 512.
 const PARALLEL_LOADS_STEPS: u32 = 25;
 
-/// How much less doubt a model needs whose loads take twice as long, in whole misses for each report.
+/// Penalty for twice the load time, in full prediction errors per observation.
 const SHORT_LOAD_TIME_PREFERENCE: f64 = 0.15;
 
-/// How much less doubt a model needs that carries half as many, in whole misses for each report.
+/// Penalty for half the number of parallel loads, in full prediction errors per observation.
 const PARALLELISM_PREFERENCE: f64 = 0.03;
 
-/// How fast the weight store serves adapters.
+/// Throughput of the weight store for adapter loads.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StoreThroughput {
-    /// How many come at a time without slowing one another down.
+    /// Number of adapters that load in parallel without slowing each other down.
     pub parallel_loads: f64,
-    /// How long one of these takes.
+    /// Load time of an adapter up to that number of parallel loads.
     pub load_time: Duration,
 }
 
 impl StoreThroughput {
-    /// Returns what is assumed of a store of which nothing was seen, but how many base models it serves a second: one
-    /// that serves more of these carries more adapters.
+    /// Returns the throughput assumed before any observation, given the number of base models that
+    /// the weight store serves per second.
     pub const fn assumed(loads_per_second: f64) -> Self {
         let parallel_loads = loads_per_second.max(MIN_PARALLEL_LOADS);
         Self { parallel_loads, load_time: MIN_LOAD_TIME }
     }
 
-    /// Returns the paces that are told apart, the fastest last but for its load time.
+    /// Iterates over the grid. Parallel loads increase, and load times increase for each number of
+    /// parallel loads.
     pub(super) fn grid() -> impl Iterator<Item = Self> {
         let parallelism = (0..PARALLEL_LOADS_STEPS).map(|step| {
             MIN_PARALLEL_LOADS * (f64::from(step) / PARALLEL_LOADS_STEPS_PER_DOUBLING).exp2()
@@ -57,7 +58,7 @@
         })
     }
 
-    /// Returns the pace within the bounds of what can be learnt.
+    /// Returns the throughput limited to the range of the grid.
     #[must_use]
     pub fn clamped(self) -> Self {
         let max_parallel_loads = MIN_PARALLEL_LOADS
@@ -66,14 +67,14 @@
         Self { parallel_loads, load_time: self.load_time.max(MIN_LOAD_TIME) }
     }
 
-    /// Returns what a pace must explain more than a faster one to be taken for true, in whole misses for each report.
+    /// Returns the penalty added to the mean prediction error, which favors high throughput.
     pub(super) fn prior_penalty(&self) -> f64 {
         let load_time_ratio = self.load_time.as_secs_f64() / MIN_LOAD_TIME.as_secs_f64();
         SHORT_LOAD_TIME_PREFERENCE * load_time_ratio.log2()
             - PARALLELISM_PREFERENCE * self.parallel_loads.log2()
     }
 
-    /// Returns how far apart two paces are: one where they differ by a factor of two.
+    /// Returns the distance between two throughputs: one for a factor of two.
     pub(super) fn distance(&self, other: &Self) -> f64 {
         let parallel_loads_ratio = self.parallel_loads / other.parallel_loads;
         let load_time_ratio = self.load_time.as_secs_f64() / other.load_time.as_secs_f64();
@@ -81,5 +82,5 @@
     }
 }
 
-/// The place of the fastest pace among all of them.
+/// Grid index of the highest throughput.
 pub(super) const FASTEST_INDEX: usize = ((PARALLEL_LOADS_STEPS - 1) * LOAD_TIME_STEPS) as usize;
--- a/crates/core/src/placement/tenure.rs
+++ b/crates/core/src/placement/tenure.rs
@@ -1,8 +1,9 @@
-//! Whether this host may give orders in a placement domain, and with which token.
+//! Tracks whether this host may issue orders in a placement domain, and with which fencing token.
 //!
-//! The platform deals each domain's lease to one member of a group. The generation at which a tenure
-//! began is its fencing token: within one era of the store generations only rise, and one generation deals a lease only once.
-//! The era goes before the generation in the token ([`crate::id::generation_token`]).
+//! The platform assigns each domain's lease to one member of a group. A tenure is a period of
+//! holding the lease. Its fencing token is the group generation at which it began. Within one era
+//! of the store, generations only increase and each assigns a lease at most once. The token's high
+//! bits contain the era ([`crate::id::generation_token`]).
 
 use std::time::Duration;
 
@@ -12,23 +13,23 @@
     id::{FenceToken, token_era},
 };
 
-/// How much later than its sender expects an order may reach an engine.
+/// Maximum time that an order may arrive after its sender has timed out.
 const MAX_ORDER_TRANSIT: Duration = Duration::from_millis(600);
 
-/// The times that a tenure keeps.
+/// Timing and fencing of a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaseRules {
-    /// How long the lease lives after a join was sent.
+    /// Time after sending a join at which the lease expires.
     pub time_to_live: Duration,
-    /// How long a new holder waits for orders of the holder before to have ended, where engines
-    /// don't refuse them; and how long a host waits that had the lease just before another did.
+    /// How long a new holder waits for the previous holder's orders to end if engines do not
+    /// enforce fencing, and how long a host waits that regains the lease shortly after losing it.
     pub handover_wait: Duration,
-    /// Whether engines refuse the orders of earlier tenures, so that a holder that can not confirm
-    /// its lease may go on until an engine refuses it.
+    /// Whether engines refuse orders of earlier tenures. A holder that cannot confirm its lease may
+    /// then continue until an engine refuses it.
     pub engines_enforce_fencing: bool,
 }
 
-/// This host's hold on the lease of one domain.
+/// This host's tenure of the lease of one domain.
 #[derive(Debug, Clone)]
 pub struct PlacerTenure {
     rules: LeaseRules,
@@ -37,9 +38,9 @@
     began_at: ClockMillis,
     confirmed_at: ClockMillis,
     store_unreachable: bool,
-    /// Whether the present tenure began since the store came back from an older copy.
+    /// Whether the current tenure began because the store was restored from an older copy.
     began_after_store_rollback: bool,
-    /// When orders were last given or under way, in any tenure.
+    /// When orders were last issued or in progress, in any tenure.
     last_active_at: Option<ClockMillis>,
 }
 
@@ -58,11 +59,12 @@
         }
     }
 
-    /// Takes the answer to a join that was sent at `sent_at`.
+    /// Handles the answer to a join that was sent at `sent_at`.
     ///
-    /// A lease that was listed before and still is may have passed on and come back when the time
-    /// between two joins was longer than it lives, when an engine has refused its token, or when the store came back from an
-    /// older copy, which may have had another holder. Then a new tenure begins with the present generation's token.
+    /// A lease that is still listed may have had another holder in between: if more than its time
+    /// to live passed between two joins, if an engine refused its token, or if the store was
+    /// restored from an older copy. A new tenure then begins with the token of the current
+    /// generation.
     pub fn handle_join(
         &mut self,
         listed: bool,
@@ -100,30 +102,31 @@
         may_have_expired || self.state == TenureState::Refused
     }
 
-    /// Takes that a join got no answer or was refused by the platform.
+    /// Handles a join that was not answered or that the platform refused.
     pub fn handle_join_failure(&mut self, now: ClockMillis) {
         if now.since(self.confirmed_at) >= self.rules.time_to_live {
             self.store_unreachable = true;
         }
     }
 
-    /// Takes that an engine refused the token that a tenure used.
+    /// Handles an engine's refusal of a token.
     pub fn handle_token_refusal(&mut self, token: FenceToken) {
         if token == self.token {
             self.state = self.state.after(TenureEvent::Refused);
         }
     }
 
-    /// Takes that an order was answered, or given up, at `now`: until then it was under way.
+    /// Records that an order was answered or timed out at `now`. It was in progress until then.
     pub fn record_order_end(&mut self, now: ClockMillis) {
         self.last_active_at = self.last_active_at.max(Some(now));
     }
 
     /// Returns how long this tenure waits before its first order.
     ///
-    /// Engines that check tokens refuse the holder before. Even so, a host that held the lease just
-    /// before somebody else did must not seem to take turns with them. One that held it through a fall of the store goes on at
-    /// once: its new token is above that of whoever the copy named meanwhile.
+    /// Engines that enforce fencing refuse the previous holder. Even then, a host that held the
+    /// lease shortly before must not appear to alternate with the holder in between. A host that
+    /// held the lease while the store was restored continues at once, because its new token is
+    /// higher than that of any holder named by the older copy.
     fn initial_wait(&self) -> Duration {
         let regained_recently = !self.began_after_store_rollback
             && self.last_active_at.is_some_and(|last_active_at| {
@@ -137,12 +140,12 @@
         }
     }
 
-    /// Takes that this host left the group.
+    /// Handles this host's departure from the group.
     pub fn handle_leave(&mut self) {
         self.state = self.state.after(TenureEvent::Unlisted);
     }
 
-    /// Moves on with time and returns the token with which orders may be given now.
+    /// Updates the state for `now` and returns the token for orders, if they are allowed.
     pub fn acting_token(&mut self, now: ClockMillis) -> Option<FenceToken> {
         if now.since(self.confirmed_at) >= self.rules.time_to_live {
             self.state = self.state.after(TenureEvent::Lapsed);
@@ -163,22 +166,24 @@
         Some(self.token)
     }
 
-    /// Returns whether the lease is this host's as far as it knows, acting or not.
+    /// Returns whether this host holds the lease as far as it knows, even if it may not issue
+    /// orders.
     pub fn is_holder(&self) -> bool {
         !matches!(self.state, TenureState::Absent)
     }
 
-    /// Returns whether the store has confirmed the lease lately, so that nobody else can have it.
+    /// Returns whether the lease was confirmed within its time to live, so that no other host can
+    /// hold it.
     pub fn is_confirmed(&self, now: ClockMillis) -> bool {
         self.is_holder() && now.since(self.confirmed_at) < self.rules.time_to_live
     }
 
-    /// Returns the present state.
+    /// Returns the current state.
     pub const fn state(&self) -> TenureState {
         self.state
     }
 
-    /// Returns the token of the present or last tenure.
+    /// Returns the token of the current or last tenure.
     pub const fn token(&self) -> FenceToken {
         self.token
     }
--- a/crates/core/src/placement/throughput_estimator.rs
+++ b/crates/core/src/placement/throughput_estimator.rs
@@ -1,11 +1,12 @@
-//! Learns how fast the weight store serves adapters from when they are seen to arrive.
+//! Estimates the weight store's throughput from the completion of adapter loads.
 //!
-//! The store carries so many adapters at a time at full speed; beyond that all of them share it. How many that is,
-//! and how long one takes, is told to nobody and differs by deployment. So a number of models of the store, each with
-//! another pace, predict when every load ends. Reports of engines, and engines' refusals to hosts, say what is still on
-//! its way and what is there: a model is doubted by how far that is from what it predicted. One sight can not count
-//! for much, so that a slow engine or a late answer moves nothing by itself, and doubts fade, so that a change is
-//! followed.
+//! The store serves a number of parallel loads at full speed and divides its throughput among them
+//! beyond that. That number and the load time are not configured and differ between deployments. A
+//! set of models, each with a different throughput, predicts the completion of every load. Engine
+//! reports, and engines' refusals of requests for adapters that are still loading, show which loads
+//! are pending or complete. Each model accumulates the error of its predictions. The error of a
+//! single observation is bounded, so that a slow engine or a delayed answer has little effect, and
+//! accumulated errors decay, so that the estimate follows changes.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -21,52 +22,55 @@
     popularity::DecayedRate,
 };
 
-/// After how many further reports an earlier one counts half: about two seconds of a burst.
+/// Number of observations after which an error has decayed to half.
 const OBSERVATION_HALF_LIFE: f64 = 100.0;
 
-/// After what time an earlier report counts half, where few come.
+/// Time after which an error has decayed to half when there are few observations.
 const TIME_HALF_LIFE: Duration = Duration::from_secs(3);
 
-/// After how many loads in time what spoke against more at a time counts half: they are tried again.
+/// Number of on-time loads after which the errors of models with more parallel loads than selected
+/// have decayed to half, so that these are tried again.
 const ON_TIME_HALF_LIFE: f64 = 40.0;
 
-/// After what time it counts half how many loads were tried at a time.
+/// Time after which the tested rate and concurrency have decayed to half.
 const TESTED_RATE_HALF_LIFE: Duration = Duration::from_secs(5);
 
-/// How many reports the pace that a learner starts with counts as, against a model that is twice as fast or slow.
+/// Initial error, in observations, of a model whose throughput differs from the initial one by a
+/// factor of two.
 const PRIOR_WEIGHT: f64 = 0.5;
 
-/// How much faster the store may be taken to be than what was tried: one step up at a time.
+/// Maximum ratio of the estimated parallel loads to those tested so far.
 const MAX_GROWTH_OVER_TESTED: f64 = 2.0;
 
-/// The half-life of the rate at which loads come: two load times.
+/// Half-life of the completion rate.
 const COMPLETION_RATE_HALF_LIFE: Duration = Duration::from_millis(500);
 
-/// By how much more the store is taken to carry at a time: two models' difference.
+/// Maximum factor of a single increase in parallel loads. It is slightly more than two grid steps.
 const MAX_RAISE_FACTOR: f64 = 1.42;
 
-/// The time between two such steps: so long it takes until the first loads after a step were seen.
+/// Minimum time between two increases, so that loads started after the first one have been
+/// observed.
 const MIN_RAISE_INTERVAL: Duration = Duration::from_millis(400);
 
-/// How long a load is remembered of which no report tells.
+/// How long a load without observed completion is kept.
 const LOAD_RECORD_TTL: Duration = Duration::from_secs(10);
 
-/// What was seen of a load that was ordered.
+/// An observation of an ordered load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LoadObservation {
-    /// The order.
+    /// Order that started the load.
     pub load: OrderId,
-    /// Whether it was there; it was still on its way otherwise.
+    /// Whether the load was complete. Otherwise it was pending.
     pub completed: bool,
-    /// When that was so.
+    /// Time that the observation refers to.
     pub observed_at: ClockMillis,
-    /// By how much that time may be wrong either way.
+    /// Maximum deviation from that time in either direction.
     pub uncertainty: Duration,
 }
 
 impl LoadObservation {
-    /// Returns how far a predicted end is from what was seen: one for a miss that can not be chance. Unit of `end`:
-    /// milliseconds of the clock.
+    /// Returns the error of a predicted completion time, from zero to one. One means that it is
+    /// clearly outside the observation's uncertainty. Unit of `predicted_end`: clock milliseconds.
     fn prediction_error(&self, predicted_end: f64) -> f64 {
         let observed_at = self.observed_at.as_millis() as f64;
         let uncertainty = self.uncertainty.as_secs_f64() * 1000.0;
@@ -76,62 +80,64 @@
     }
 }
 
-/// Learns the pace of the weight store.
+/// Estimates the throughput of the weight store.
 #[derive(Debug, Clone)]
 pub struct ThroughputEstimator {
     models: Vec<StoreModel>,
-    /// The loads that were not seen to end.
+    /// Loads that have not been observed as complete.
     loads: BTreeMap<OrderId, LoadRecord>,
-    /// How many reports count; earlier ones count for less.
+    /// Decayed number of observations.
     observations: f64,
-    /// The most loads a second that came lately.
+    /// Highest recent completion rate. Unit: loads per second.
     tested_rate: f64,
-    /// How many come.
+    /// Current completion rate.
     completion_rate: DecayedRate,
-    /// The most loads lately that were on their way at a time.
+    /// Highest recent number of concurrent loads.
     max_concurrent_loads: f64,
-    /// Up to when the models have served their loads.
+    /// Time up to which the models have been advanced.
     advanced_to: ClockMillis,
-    /// The model that is taken for true.
+    /// Index of the selected model.
     selected: usize,
-    /// When another model was last taken for true that carries more.
+    /// When a model with more parallel loads was last selected.
     raised_at: ClockMillis,
-    /// When a load was last seen.
+    /// When a load was last observed.
     last_observed_at: ClockMillis,
     slow_engines: SlowEngines,
 }
 
-/// A load that was not seen to end.
+/// A load that has not been observed as complete.
 #[derive(Debug, Clone)]
 struct LoadRecord {
     started_at: ClockMillis,
-    /// How many were on their way when it began, itself included: those at least that no store could have ended.
+    /// Number of pending loads when it started, including itself, according to the fastest model.
+    /// The actual number was at least as high.
     concurrent_loads: usize,
-    /// When it ends, by each model.
+    /// Completion according to each model.
     completions: Vec<LoadCompletion>,
     engine: EngineName,
-    /// When it was last seen on its way.
+    /// Last observation of the load as pending.
     last_pending: Option<LoadObservation>,
 }
 
-/// A sight with what it tells.
+/// An observation with its weights.
 #[derive(Debug, Clone, Copy)]
 struct WeightedObservation {
     observation: LoadObservation,
-    /// When the same load was seen on its way before.
+    /// Previous observation of the load as pending.
     last_pending: Option<LoadObservation>,
-    /// By how much a miss counts.
+    /// Weight of the prediction error.
     weight: f64,
-    /// How many reports it counts as.
+    /// Number of observations that it counts as.
     count: f64,
-    /// The part that is left of what earlier sights told.
+    /// Factor by which earlier errors decay.
     retention: f64,
-    /// The part that is left of what spoke against more at a time.
+    /// Additional decay of the errors of models with more parallel loads than selected.
     untested_retention: f64,
 }
 
 impl WeightedObservation {
-    /// Returns by how much more a predicted end is wrong than was told before. Unit of `end`: milliseconds of the clock.
+    /// Returns the weighted error of a predicted completion time, beyond the error of the load's
+    /// previous observation. Unit of `predicted_end`: clock milliseconds.
     fn added_error(&self, predicted_end: f64) -> f64 {
         let already_counted =
             self.last_pending.map_or(0.0, |pending| pending.prediction_error(predicted_end));
@@ -140,7 +146,7 @@
 }
 
 impl ThroughputEstimator {
-    /// Starts with a pace that is assumed, or that was learnt before.
+    /// Starts from an assumed or previously estimated throughput.
     pub fn new(start: StoreThroughput) -> Self {
         let models = StoreThroughput::grid().map(|throughput| {
             let initial_error = PRIOR_WEIGHT * throughput.distance(&start).min(1.0);
@@ -165,18 +171,18 @@
         estimator
     }
 
-    /// Returns the pace as far as it is known.
+    /// Returns the estimated throughput.
     pub fn throughput(&self) -> StoreThroughput {
         self.models[self.selected].throughput
     }
 
-    /// Returns when each load on its way is expected to end, by the pace that is taken for true.
+    /// Returns the due time of each pending load according to the selected model.
     pub fn due_times(&mut self, now: ClockMillis) -> Vec<(OrderId, ClockMillis)> {
         self.advance_models(now);
         self.models[self.selected].due_times(self.advanced_to)
     }
 
-    /// Takes that an engine began to load an adapter from the store.
+    /// Records that an engine started loading an adapter from the weight store.
     pub fn load_started(&mut self, load: OrderId, engine: &EngineName, now: ClockMillis) {
         self.advance_models(now);
         self.drop_expired(now);
@@ -193,7 +199,7 @@
         self.loads.insert(load, record);
     }
 
-    /// Takes what was seen of a load, as was told at `now`.
+    /// Records an observation of a load that arrived at `now`.
     pub fn load_observed(&mut self, observation: &LoadObservation, now: ClockMillis) {
         self.advance_models(now);
         let Some(mut record) = self.loads.remove(&observation.load) else { return };
@@ -227,7 +233,7 @@
         self.select_model(now);
     }
 
-    /// Returns what a sight tells, and by how much what was seen before fades for it.
+    /// Returns an observation's weights and the decay that it causes.
     fn weigh(
         &self,
         observation: &LoadObservation,
@@ -235,9 +241,10 @@
         record: &LoadRecord,
         now: ClockMillis,
     ) -> WeightedObservation {
-        // Few at a time show little of how many the store carries: what more of them have shown stays.
+        // Observations at low concurrency say little about parallel loads and must not displace
+        // those made at higher concurrency.
         let weight = (record.concurrent_loads as f64 / self.max_concurrent_loads).min(1.0);
-        // A load counts once, by the sight that tells most.
+        // Each load counts once.
         let count = if last_pending.is_some() { 0.0 } else { weight };
         let half_lives = self.seconds_since_observation(now) / TIME_HALF_LIFE.as_secs_f64();
         let retention = (-count / OBSERVATION_HALF_LIFE - half_lives).exp2();
@@ -253,12 +260,13 @@
         }
     }
 
-    /// Returns the time since a load was last seen. What is known does not fade while nothing is loaded. Unit: seconds.
+    /// Returns the time since the last observation, limited so that estimates do not decay while
+    /// nothing is loaded. Unit: seconds.
     fn seconds_since_observation(&self, now: ClockMillis) -> f64 {
         now.since(self.last_observed_at).min(MIN_LOAD_TIME).as_secs_f64()
     }
 
-    /// Takes how many loads the store was tried with.
+    /// Records the load rate and concurrency that the store was tested with.
     fn record_tested_rate(
         &mut self,
         observation: &LoadObservation,
@@ -278,7 +286,7 @@
         }
     }
 
-    /// Doubts each model by how far its prediction was from what was seen, and corrects it.
+    /// Adds the prediction error of each model and corrects the model's state.
     fn update_model_errors(&mut self, weighted: &WeightedObservation, record: &LoadRecord) {
         let selected = self.throughput();
         self.observations = self.observations * weighted.retention + weighted.count;
@@ -295,10 +303,10 @@
         }
     }
 
-    /// Takes the pace for true that what was seen speaks least against, faster ones first.
+    /// Selects the model with the lowest error, preferring high throughput.
     ///
-    /// A store that was never tried to its limit looks alike to all models above what was tried, and only a
-    /// faster pace than the true one is ever put to the test: its loads are late.
+    /// Models above the tested throughput cannot be distinguished while the store is not saturated.
+    /// Only a selected throughput that is too high is ever tested, because its loads are late.
     fn select_model(&mut self, now: ClockMillis) {
         let may_raise = now.since(self.raised_at) >= MIN_RAISE_INTERVAL;
         let current = self.throughput().parallel_loads;
@@ -323,7 +331,7 @@
         }
     }
 
-    /// Lets every model serve its loads until `now`.
+    /// Advances all models to `now`.
     fn advance_models(&mut self, now: ClockMillis) {
         if now <= self.advanced_to {
             return;
--- a/crates/core/src/placement/unanswered_orders.rs
+++ b/crates/core/src/placement/unanswered_orders.rs
@@ -1,4 +1,4 @@
-//! What has become of load orders that got no answer, told from the answer to a later one.
+//! Infers the outcome of unanswered load orders from the answer to a later order.
 
 use std::sync::Arc;
 
@@ -11,15 +11,15 @@
     },
 };
 
-/// Returns whether an order counts against the weight store's rate: loads of base models do.
+/// Returns whether an order counts toward the weight store's rate limit, as base model loads do.
 pub(super) fn counts_toward_rate_limit(kind: OrderKind, key: &str) -> bool {
     kind.loads_from_store() && adapter_name(key).is_none()
 }
 
-/// Settles what earlier orders without an answer have become, from the answer to a later one.
+/// Infers the outcome of earlier unanswered orders from the answer to a later one.
 ///
-/// All of them named the same count of orders, so the engine carried out one of them at most. An
-/// accepted order makes it refuse the earlier ones; a conflict shows that one of those was first.
+/// They all expected the same sequence number, so the engine executed at most one of them. If it
+/// accepts an order, it refuses the earlier ones. A conflict shows that it executed one of them.
 pub(super) fn resolve_unanswered_loads(
     inventory: &mut EngineInventory,
     load_rate_limiter: &mut LoadRateLimiter,
--- a/crates/core/tests/placement/candidacy.rs
+++ b/crates/core/tests/placement/candidacy.rs
@@ -1,4 +1,4 @@
-//! Which hosts stand for leases and read the store.
+//! Selection of lease candidates and store readers.
 
 use std::collections::BTreeSet;
 
@@ -18,56 +18,56 @@
 
 const CASES: &[CandidacyCase] = &[
     CandidacyCase {
-        name: "the first",
+        name: "high capacity, first member",
         capacity: HIGH_CAPACITY,
         members: 0,
         high_capacity_members: 0,
         should_join: true,
     },
     CandidacyCase {
-        name: "the eighth",
+        name: "high capacity, eighth member",
         capacity: HIGH_CAPACITY,
         members: 7,
         high_capacity_members: 7,
         should_join: true,
     },
     CandidacyCase {
-        name: "the ninth",
+        name: "high capacity, ninth member",
         capacity: HIGH_CAPACITY,
         members: 8,
         high_capacity_members: 8,
         should_join: false,
     },
     CandidacyCase {
-        name: "beside weak ones",
+        name: "high capacity, other members without",
         capacity: HIGH_CAPACITY,
         members: 9,
         high_capacity_members: 0,
         should_join: true,
     },
     CandidacyCase {
-        name: "slow, alone",
+        name: "low CPU share, first member",
         capacity: LOW_CPU,
         members: 0,
         high_capacity_members: 0,
         should_join: true,
     },
     CandidacyCase {
-        name: "slow, the third",
+        name: "low CPU share, third member",
         capacity: LOW_CPU,
         members: 2,
         high_capacity_members: 2,
         should_join: true,
     },
     CandidacyCase {
-        name: "slow, the fourth",
+        name: "low CPU share, fourth member",
         capacity: LOW_CPU,
         members: 3,
         high_capacity_members: 3,
         should_join: false,
     },
     CandidacyCase {
-        name: "a narrow link",
+        name: "low bandwidth, fourth member",
         capacity: LOW_BANDWIDTH,
         members: 3,
         high_capacity_members: 3,
--- a/crates/core/tests/placement/crashing_loads.rs
+++ b/crates/core/tests/placement/crashing_loads.rs
@@ -1,54 +1,54 @@
-//! Loads of an adapter under which engines end: how many engines it takes with it, and what the others wait for.
+//! Adapters that crash engines during loading: number of crashes and effect on other adapters.
 
 use crate::simulation::*;
 
 const ENGINES: usize = 12;
 
-/// The adapter under whose load engines end.
+/// Adapter whose load crashes engines.
 const CRASHING: usize = 0;
 
-/// How long an engine that has ended stays listed: a store takes three silent heartbeats for an end. Unit: milliseconds.
+/// How long a crashed engine stays listed: three missed heartbeats. Unit: milliseconds.
 const STALE_LISTING_MS: u64 = 3600;
 
-/// How long a play lasts, and one step of it. Unit: milliseconds.
+/// Duration and time step of a run. Unit: milliseconds.
 const RUN_MS: u64 = 120_000;
 const STEP_MS: u64 = 20;
 
-/// How often a host renews its word about what waits. Unit: milliseconds.
+/// Interval at which hosts renew their demand. Unit: milliseconds.
 const DEMAND_RENEWAL_MS: u64 = 500;
 
-/// What came of a play.
+/// Result of a run.
 #[derive(Debug, Default)]
 struct RunResult {
-    /// Engines that ended.
+    /// Number of engine crashes.
     crashes: usize,
-    /// For how long innocent adapters were waited for, each at the longest. Unit: milliseconds.
+    /// Longest wait for an adapter other than the crashing one. Unit: milliseconds.
     longest_wait_ms: u64,
 }
 
-/// Loads of a play.
+/// Parameters of a run.
 struct CrashCase {
     name: &'static str,
-    /// Whether engines end under loads of one adapter that is asked for all the while.
+    /// Whether loads of one adapter in constant demand crash their engine.
     crashing_adapter: bool,
-    /// Every so often an engine ends by itself. Unit: milliseconds.
+    /// Interval between crashes unrelated to loads. Unit: milliseconds.
     crash_interval_ms: Option<u64>,
-    /// Engines that may end at most.
+    /// Maximum number of crashes.
     max_crashes: usize,
-    /// How long an innocent adapter may be waited for. Unit: milliseconds.
+    /// Maximum wait for other adapters. Unit: milliseconds.
     max_wait_ms: u64,
 }
 
 const CASES: &[CrashCase] = &[
     CrashCase {
-        name: "one adapter ends every engine that loads it",
+        name: "one adapter crashes every engine that loads it",
         crashing_adapter: true,
         crash_interval_ms: None,
         max_crashes: 4,
         max_wait_ms: 1500,
     },
     CrashCase {
-        name: "engines end by themselves, whatever they load",
+        name: "engines crash regardless of their loads",
         crashing_adapter: false,
         crash_interval_ms: Some(2000),
         max_crashes: 60,
@@ -62,12 +62,12 @@
     let mut wait_ms = vec![0_u64; 40];
     let mut crashes = 0;
     set_crashing_adapter(&mut simulation, case);
-    for now in (0..RUN_MS).step_by(usize::try_from(STEP_MS).expect("a step")) {
+    for now in (0..RUN_MS).step_by(usize::try_from(STEP_MS).expect("step fits in usize")) {
         if now % DEMAND_RENEWAL_MS == 0 && case.crashing_adapter {
             simulation.request(CRASHING, 1);
         }
-        // Innocent adapters: one after the other is asked for, and waited for until it is there.
-        let number = 1 + usize::try_from(now / 3000).expect("a number") % 39;
+        // Requests the other adapters in turn and waits until each is loaded.
+        let number = 1 + usize::try_from(now / 3000).expect("adapter number fits in usize") % 39;
         let is_held = simulation
             .engines
             .iter()
@@ -104,16 +104,15 @@
     result
 }
 
-/// Makes all engines end under loads of the deadly adapter, where there is one.
+/// Makes all engines crash on the crashing adapter if the case has one.
 fn set_crashing_adapter(simulation: &mut Simulation, case: &CrashCase) {
     for engine in &mut simulation.engines {
         engine.crashes_on = case.crashing_adapter.then(|| key(CRASHING));
     }
 }
 
-/// An engine that ends under a load is listed for seconds more, and requests wait for the adapter: its placer ordered the same load at the
-/// next engine within the second, and so on. Of twelve engines that come back after 3.6 s, 119 ended in two minutes, each with all that it
-/// ran; four since then.
+/// Guards against a placer ordering a load that crashed one engine on others while the crashed
+/// engine is still listed.
 #[test]
 fn adapter_that_crashes_engines_reaches_few_of_them() {
     for case in CASES {
--- a/crates/core/tests/placement/faults.rs
+++ b/crates/core/tests/placement/faults.rs
@@ -1,4 +1,4 @@
-//! Whatever becomes of orders and engines: no engine falls, and what waits comes.
+//! Randomized order and engine faults.
 
 use proptest::{prelude::*, test_runner::RngSeed};
 
@@ -16,8 +16,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, rng_seed: RngSeed::Fixed(0x00f4_17e5), ..ProptestConfig::default() })]
 
-    /// Whatever becomes of orders and engines, no engine is ordered beyond its places, and once
-    /// all is calm what is waited for is there.
+    /// Under any combination of faults, engines stay within their capacity, and waiting adapters
+    /// load once the faults end.
     #[test]
     fn engines_stay_within_limits_and_waiting_adapters_load(
         steps in proptest::collection::vec(
@@ -39,7 +39,7 @@
             prop_assert!(simulation.limit_violation().is_none(), "{:?}", simulation.limit_violation());
         }
         for round in 0..400 {
-            // A host renews its word about what waits there.
+            // Hosts renew their demand.
             if round % 40 == 0 {
                 simulation.request(99, 1);
             }
--- a/crates/core/tests/placement/late_loads.rs
+++ b/crates/core/tests/placement/late_loads.rs
@@ -1,8 +1,8 @@
-//! Loads that are not there when they are due, and copies that an engine denies or that can not be reached.
+//! Overdue loads, and copies that engines deny holding or that are unreachable.
 
 use crate::simulation::*;
 
-/// Steps until an adapter is published; returns whether that was so within two seconds.
+/// Advances until an adapter is published and returns whether that took less than two seconds.
 fn wait_until_published(simulation: &mut Simulation, number: usize) -> bool {
     (0..200).any(|_| {
         simulation.step(10, OrderOutcome::Answered);
@@ -10,7 +10,7 @@
     })
 }
 
-/// Hosts sent requests to an engine again and again until the load had ended, each of them in vain.
+/// Guards against hosts repeatedly sending requests for an adapter that is still loading.
 #[test]
 fn overdue_load_is_unpublished_when_its_engine_denies_it() {
     let mut simulation = Simulation::new(1);
@@ -18,21 +18,21 @@
     settle(&mut simulation);
     simulation.request(1, 1);
     assert!(wait_until_published(&mut simulation, 1));
-    assert!(!simulation.any_engine_holds(&key(1)), "it was expected sooner");
+    assert!(!simulation.any_engine_holds(&key(1)), "the load should be overdue");
     let mut rejected_requests = 0;
     while !simulation.any_engine_holds(&key(1)) {
         if simulation.is_published(&key(1)) {
             simulation.report_absent(0, 1);
             rejected_requests += 1;
-            assert!(!simulation.is_published(&key(1)), "the engine has said that it lacks it");
+            assert!(!simulation.is_published(&key(1)), "denied by the engine but still published");
         }
         simulation.step(5, OrderOutcome::Answered);
     }
-    assert!(rejected_requests <= 9, "{rejected_requests} requests were sent in vain within 350 ms");
+    assert!(rejected_requests <= 9, "{rejected_requests} requests refused within 350 ms");
     assert!(wait_until_published(&mut simulation, 1));
 }
 
-/// After some loads that took longer, the next one is published only when it is there.
+/// After several slow loads, due times must not be too early any more.
 #[test]
 fn due_times_adapt_to_slow_loads() {
     let mut simulation = Simulation::new(2);
@@ -51,10 +51,10 @@
     }
     simulation.request(7, 1);
     assert!(wait_until_published(&mut simulation, 7));
-    assert!(simulation.any_engine_holds(&key(7)), "requests would be sent in vain");
+    assert!(simulation.any_engine_holds(&key(7)), "published before the load completed");
 }
 
-/// An engine had restarted, or dropped what it held, and its hosts went on believing in the copy.
+/// Guards against a copy staying published after its engine restarted or dropped it.
 #[test]
 fn copy_denied_by_its_engine_is_rechecked() {
     let mut simulation = Simulation::new(1);
@@ -69,7 +69,7 @@
     assert!(!simulation.is_published(&key(1)));
 }
 
-/// A hall was cut off with its copies, and requests waited for 700 ms before another copy was ordered.
+/// Guards against waiting for the general timeout when the only copy is unreachable.
 #[test]
 fn adapter_unreachable_from_two_hosts_is_loaded_elsewhere() {
     for hosts in [&["north"][..], &["north", "south"]] {
@@ -80,7 +80,7 @@
         simulation.request(1, 0);
         settle(&mut simulation);
         let holder = (0..2).find(|index| simulation.engines[*index].held.contains_key(&key(1)));
-        let holder = holder.expect("one engine holds it");
+        let holder = holder.expect("no engine holds the adapter");
         for host in hosts {
             simulation.report_unreachable(host, holder);
         }
--- a/crates/core/tests/placement/limited_engines.rs
+++ b/crates/core/tests/placement/limited_engines.rs
@@ -1,4 +1,4 @@
-//! Engines that have named a limit: what is brought to them, and what a copy there is worth.
+//! Placement on engines with request limits.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -6,26 +6,26 @@
 
 use crate::simulation::*;
 
-/// Takes that some engines have named a limit. Unit: requests a second.
+/// Sets a limit for some engines. Unit: requests per second.
 fn set_limit(simulation: &mut Simulation, engines: &[usize], per_second: f64) {
     let limits: HashMap<EngineName, RequestLimit> = engines
         .iter()
         .map(|index| {
-            let limit = RequestLimit::new(per_second).expect("a limit");
+            let limit = RequestLimit::new(per_second).expect("limit is valid");
             (Arc::clone(&simulation.engines[*index].entry.name), limit)
         })
         .collect();
     simulation.planner.set_limits(limits);
 }
 
-/// Lets a load come, and less time pass than after which whoever still waits counts as cut off from the copies that are there.
+/// Advances for long enough to complete a load, but not until copies count as unreachable.
 fn settle_briefly(simulation: &mut Simulation) {
     for _ in 0..25 {
         simulation.step(20, OrderOutcome::Answered);
     }
 }
 
-/// The placer went on to bring adapters to an engine that takes 1.6 requests a second: 13 in five seconds.
+/// Guards against loading adapters onto an engine that can hardly serve requests.
 #[test]
 fn limited_engine_gets_no_calls_while_others_are_unlimited() {
     let mut simulation = Simulation::new(3);
@@ -37,7 +37,7 @@
         settle(&mut simulation);
         simulation.request(number, 0);
     }
-    assert_eq!(simulation.engines[0].sequence, sequence, "orders to it");
+    assert_eq!(simulation.engines[0].sequence, sequence, "limited engine got orders");
     assert!((0..8).any(|number| simulation.any_engine_holds(&key(number))));
     assert!(
         simulation
@@ -47,7 +47,8 @@
     );
 }
 
-/// What waits though an engine with a limit holds it is loaded elsewhere, once; when the limit ends both are copies.
+/// An adapter held only by a limited engine is loaded once elsewhere. When the limit ends, both
+/// copies count.
 #[test]
 fn copy_on_a_limited_engine_does_not_count_for_waiting_requests() {
     let mut simulation = Simulation::new(3);
@@ -56,9 +57,9 @@
     settle_briefly(&mut simulation);
     simulation.request(1, 0);
     let holds = |engine: &TestEngine| engine.held.contains_key(&key(1));
-    let holder = simulation.engines.iter().position(holds).expect("one engine holds it");
+    let holder = simulation.engines.iter().position(holds).expect("no engine holds the adapter");
     set_limit(&mut simulation, &[holder], 1.0);
-    // Nobody waits: nothing is brought anywhere.
+    // Nothing is loaded without waiting requests.
     let loads = simulation.load_orders;
     settle(&mut simulation);
     assert_eq!(simulation.load_orders, loads);
@@ -67,7 +68,7 @@
     simulation.request(1, 0);
     let holders = simulation.engines.iter().filter(|engine| holds(engine)).count();
     assert_eq!((holders, simulation.load_orders), (2, loads + 1));
-    // Limits that come and go bring nothing more; requests are few enough for one copy.
+    // Repeated limits cause no further loads, since one copy suffices for the demand.
     for _ in 0..10 {
         simulation.planner.set_limits(HashMap::new());
         for _ in 0..4 {
@@ -81,7 +82,7 @@
     assert_eq!(simulation.load_orders, loads + 1);
 }
 
-/// Where every engine has named a limit there is no elsewhere: what waits is brought, by no more calls than half of the limits.
+/// When all engines are limited, waiting adapters still load, using at most half of the limits.
 #[test]
 fn orders_use_at_most_half_of_the_limits_when_all_engines_are_limited() {
     let mut simulation = Simulation::new(2);
@@ -91,7 +92,7 @@
     for number in 0..12 {
         simulation.request(number, 1);
     }
-    // Ten seconds, at half a call a second and engine.
+    // Ten seconds at 0.5 calls per second and engine.
     for _ in 0..500 {
         simulation.step(20, OrderOutcome::Answered);
     }
--- a/crates/core/tests/placement/main.rs
+++ b/crates/core/tests/placement/main.rs
@@ -1,4 +1,4 @@
-//! The planner against engines that lose answers, carry orders out late, restart and leave.
+//! Tests of the planner with engines that lose answers, execute orders late, restart and leave.
 
 mod candidacy;
 mod planning;
--- a/crates/core/tests/placement/planning.rs
+++ b/crates/core/tests/placement/planning.rs
@@ -1,4 +1,4 @@
-//! What is loaded where, and what makes room.
+//! Choice of loads, engines and evictions.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -35,7 +35,8 @@
     assert_eq!(planner.residency(), [(Arc::clone(&engine.entry.name), held)]);
 }
 
-/// An engine that starts again under its name was taken to hold what it had held, and to have taken as many orders.
+/// Guards against attributing the models and sequence number of a previous incarnation to a
+/// restarted engine.
 #[test]
 fn restarted_engine_starts_with_an_empty_inventory() {
     let mut simulation = Simulation::new(1);
@@ -45,7 +46,7 @@
     assert!(simulation.is_published(&key(4)));
     simulation.restart_engine(0);
     assert!(!simulation.is_published(&key(4)), "{:?}", simulation.planner.residency());
-    // What waits comes again, and what never came before.
+    // Both the previously held adapter and a new one load.
     simulation.request(5, 1);
     settle(&mut simulation);
     for number in [4, 5] {
@@ -67,7 +68,7 @@
         simulation.step(10, OrderOutcome::Answered);
     }
     let held = (0..6).filter(|number| simulation.any_engine_holds(&key(*number))).count();
-    assert_eq!(held, 6, "one after the other would take 1.5 s");
+    assert_eq!(held, 6, "sequential loads would take 1.5 s");
 }
 
 #[test]
@@ -94,7 +95,10 @@
     simulation.request(9, 1);
     settle(&mut simulation);
     assert!(simulation.any_engine_holds(&key(9)));
-    assert!(!simulation.any_engine_holds(&key(0)), "the oldest makes room");
+    assert!(
+        !simulation.any_engine_holds(&key(0)),
+        "least recently requested adapter was not evicted"
+    );
     assert!(simulation.any_engine_holds(&key(3)));
 }
 
@@ -130,7 +134,7 @@
     });
     let loads: Vec<_> = loads.collect();
     assert_eq!(loads.len(), 1, "{actions:?}");
-    assert_ne!(Some(loads[0]), holder.as_ref(), "it would wait for the runs there");
+    assert_ne!(Some(loads[0]), holder.as_ref(), "would wait for open requests on the old version");
 }
 
 #[test]
@@ -153,7 +157,7 @@
 
 #[test]
 fn loads_beyond_store_parallelism_delay_each_other() {
-    // Full speed is 2.7 adapters for each load a second: 8.9 here.
+    // The store serves 8.9 adapters in parallel: 2.7 per base model load per second.
     let mut simulation = Simulation::new(6);
     settle(&mut simulation);
     let began = simulation.time();
@@ -186,7 +190,7 @@
         simulation.engines.iter().filter(|engine| engine.held.contains_key(&key(1))).count()
     };
     assert_eq!(holders(&simulation), 1);
-    // A host that can not reach the holder goes on waiting.
+    // A host that cannot reach the holder keeps waiting.
     simulation.request(1, 1);
     for _ in 0..52 {
         simulation.step(20, OrderOutcome::Answered);
@@ -196,24 +200,33 @@
 
 struct EvictionCase {
     name: &'static str,
-    /// Which of four adapters have a run; the first one is worth least.
+    /// Adapters with open requests, out of four. Adapter 0 has the lowest value.
     open_requests: &'static [usize],
-    /// Which of them makes room, if any does.
+    /// Adapter that is evicted, if any.
     evicted: Option<usize>,
 }
 
-/// An unload waits for the runs on its adapter and keeps its engine from other orders meanwhile.
+/// Guards against unloading an adapter with open requests, which blocks its engine for other
+/// orders.
 #[test]
 fn only_adapters_without_open_requests_are_evicted() {
     let cases = [
-        EvictionCase { name: "no runs: what is worth least", open_requests: &[], evicted: Some(0) },
+        EvictionCase { name: "no open requests", open_requests: &[], evicted: Some(0) },
         EvictionCase {
-            name: "a run on what is worth least",
+            name: "open request on the least valuable adapter",
             open_requests: &[0],
             evicted: Some(1),
         },
-        EvictionCase { name: "one without a run", open_requests: &[0, 1, 3], evicted: Some(2) },
-        EvictionCase { name: "runs on all", open_requests: &[0, 1, 2, 3], evicted: None },
+        EvictionCase {
+            name: "one adapter without open requests",
+            open_requests: &[0, 1, 3],
+            evicted: Some(2),
+        },
+        EvictionCase {
+            name: "open requests on all adapters",
+            open_requests: &[0, 1, 2, 3],
+            evicted: None,
+        },
     ];
     for case in cases {
         let mut simulation = Simulation::new(1);
@@ -244,11 +257,11 @@
             );
         }
         assert_eq!(simulation.any_engine_holds(&key(9)), case.evicted.is_some(), "{}", case.name);
-        // Once its last run has ended it makes room.
+        // The adapters can be evicted once their requests have ended.
         simulation.report_requests_ended(0, case.open_requests);
         simulation.request(9, 9);
         settle(&mut simulation);
-        assert!(simulation.any_engine_holds(&key(9)), "{}: after the runs", case.name);
+        assert!(simulation.any_engine_holds(&key(9)), "{}: after the requests ended", case.name);
     }
 }
 
@@ -256,7 +269,7 @@
     simulation.engines.iter().filter(|engine| engine.held.contains_key(&key(number))).count()
 }
 
-/// The slow rate would show such a burst only after seconds, in which one engine's queue fills.
+/// Guards against a burst being detected only by the slow rate, after queues have filled up.
 #[test]
 fn burst_gets_copies_within_two_load_times() {
     let mut simulation = Simulation::new(6);
@@ -272,8 +285,7 @@
     );
 }
 
-/// What drops a copy must be worth more than adding that copy again, or two adapters drop each other's
-/// copies for ever.
+/// Guards against two adapters evicting each other's copies indefinitely.
 #[test]
 fn adapters_in_steady_demand_do_not_evict_each_other() {
     let mut simulation = Simulation::new(3);
@@ -286,7 +298,7 @@
     let mut loads_before = 0;
     for round in 0..25 {
         for number in 0..10 {
-            // A request waits for an adapter that is not there.
+            // Requests wait only for adapters that are not loaded.
             simulation.request(number, u32::from(!simulation.any_engine_holds(&key(number))));
         }
         for _ in 0..20 {
@@ -297,7 +309,7 @@
         }
     }
     let loads = simulation.load_orders - loads_before;
-    assert!(loads <= 4, "{loads} loads within four seconds in which nothing changed");
+    assert!(loads <= 4, "{loads} loads in four seconds of constant demand");
 }
 
 #[test]
@@ -314,13 +326,13 @@
     }
     assert_eq!(holders(&simulation, 1), 1);
     let holder = simulation.engines.iter().find(|engine| engine.held.contains_key(&key(1)));
-    let name = Arc::clone(&holder.expect("a holder").entry.name);
+    let name = Arc::clone(&holder.expect("no engine holds the adapter").entry.name);
     let host = Arc::from("host");
     let work = EngineWork { open: 13, unread: 0 };
     let host_work = HostWork { engines: vec![(name, work)], ..HostWork::default() };
     simulation.planner.record_work(&host, &host_work, simulation.time());
     settle(&mut simulation);
-    assert_eq!(holders(&simulation, 1), 2, "13 of 16 slots are taken");
+    assert_eq!(holders(&simulation, 1), 2, "13 of 16 slots are in use");
 }
 
 #[test]
@@ -344,8 +356,8 @@
     for _ in 0..10 {
         simulation.step(20, OrderOutcome::Answered);
     }
-    // Within one window of five seconds: 3.3 a second, a tenth more, and three.
+    // Limit for the five-second window: 3.3 per second plus ten percent, plus three.
     let ordered = simulation.load_orders;
     assert!(ordered > 0);
-    assert!(ordered <= 21, "{ordered} loads of base models at once");
+    assert!(ordered <= 21, "{ordered} base model loads within the window");
 }
--- a/crates/core/tests/placement/simulation.rs
+++ b/crates/core/tests/placement/simulation.rs
@@ -1,4 +1,4 @@
-//! Engines as the platform describes them, and a planner that orders them in handed-in time.
+//! Simulated engines, and a planner that orders them in simulated time.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -46,7 +46,7 @@
     Arc::from(format!("{MODEL}/a{number}"))
 }
 
-/// An engine as the platform describes it: orders count, and each names the count it expects.
+/// An engine that counts orders and refuses those with another expected sequence number.
 #[derive(Debug, Clone)]
 pub(crate) struct TestEngine {
     pub(crate) entry: Arc<EngineEntry>,
@@ -56,9 +56,9 @@
     pub(crate) delayed_orders: Vec<(u64, PlannedOrder)>,
     pub(crate) limit_violation: Option<String>,
     pub(crate) load_ms: u64,
-    /// The adapter under whose load it ends.
+    /// Adapter whose load crashes the engine.
     pub(crate) crashes_on: Option<ModelKey>,
-    /// When it ended; it answers nothing any more.
+    /// When the engine crashed. It has not answered since.
     pub(crate) crashed_at: Option<u64>,
 }
 
@@ -68,7 +68,7 @@
             name: Arc::from(format!("engine-{number}-{incarnation}")),
             born: 1,
             service: Arc::from("assist"),
-            address: format!("127.0.0.1:{}", 9000 + number).parse().expect("an address"),
+            address: format!("127.0.0.1:{}", 9000 + number).parse().expect("address is valid"),
             hall: Arc::from("hall"),
             slots: 16,
             leaving: false,
@@ -105,7 +105,7 @@
                     return OrderAnswer::Done;
                 }
                 self.pending.push((Arc::clone(&order.key), now + self.load_ms));
-                // An adapter has one place, also when two late orders have both brought it.
+                // Two delayed orders for the same adapter still occupy only one place.
                 let pending = self.pending.iter().map(|(key, _)| key);
                 let keys: BTreeSet<&ModelKey> = self.held.keys().chain(pending).collect();
                 let adapters = keys.iter().filter(|key| key.contains('/')).count();
@@ -114,7 +114,7 @@
                         Some(format!("{adapters} adapters at {}", self.entry.name));
                 }
                 if self.pending.len() > MAX_PENDING_LOADS {
-                    self.limit_violation = Some(format!("{} in transit", self.pending.len()));
+                    self.limit_violation = Some(format!("{} pending loads", self.pending.len()));
                 }
                 OrderAnswer::Accepted
             }
@@ -152,7 +152,7 @@
     }
 }
 
-/// What becomes of one order.
+/// Outcome of an order.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum OrderOutcome {
     Answered,
@@ -161,20 +161,20 @@
     NotSent,
 }
 
-/// The prompt of a request. Unit: tokens.
+/// Prompt length of each request. Unit: tokens.
 const PROMPT_TOKENS: u64 = 1000;
 
-/// From how many requests the planner of these tests knows the reading speed.
+/// Number of samples from which the planner knows the prefill speed.
 const PREFILL_SAMPLES: usize = 20;
 
-/// How long an engine takes to read it: as long as one of some thousand tokens takes on real engines.
+/// Prefill time of one prompt.
 const PREFILL_TIME: Duration = Duration::from_millis(200);
 
 pub(crate) struct Simulation {
     pub(crate) planner: PlacementPlanner,
     pub(crate) engines: Vec<TestEngine>,
     pub(crate) now: u64,
-    /// Answers on their way, by the time of their arrival.
+    /// Answers in transit: arrival time, order and answer.
     pub(crate) pending_answers: Vec<(u64, u64, OrderAnswer)>,
     pub(crate) pending_reports: Vec<(u64, u64, String, EngineReport)>,
     pub(crate) incarnations: usize,
@@ -200,7 +200,7 @@
         simulation
     }
 
-    /// Makes the planner know that engines read prompts five times as slowly as usual.
+    /// Sets the prefill time to five times the normal one.
     pub(crate) fn slow_down_prefill(&mut self) {
         self.set_prefill_time(5 * PREFILL_TIME);
     }
@@ -235,24 +235,24 @@
         self.planner.record_demand(&Arc::from("host"), &[entry], self.time());
     }
 
-    /// Tells that one request runs on each of some adapters at an engine.
+    /// Reports one open request on an engine for each of some adapters.
     pub(crate) fn report_open_requests(&mut self, engine: usize, numbers: &[usize]) {
         self.report_request_count(engine, numbers, 1);
     }
 
-    /// Tells that no request runs on some adapters at an engine any more.
+    /// Reports that some adapters have no open requests on an engine any more.
     pub(crate) fn report_requests_ended(&mut self, engine: usize, numbers: &[usize]) {
         self.report_request_count(engine, numbers, 0);
     }
 
-    /// Tells that a host could not connect to an engine.
+    /// Reports that a host could not connect to an engine.
     pub(crate) fn report_unreachable(&mut self, host: &str, engine: usize) {
         let unreachable = vec![Arc::clone(&self.engines[engine].entry.name)];
         let host_work = HostWork { unreachable, ..HostWork::default() };
         self.planner.record_work(&Arc::from(host), &host_work, self.time());
     }
 
-    /// Tells that an engine said just now that it does not hold an adapter.
+    /// Reports that an engine has just denied holding an adapter.
     pub(crate) fn report_absent(&mut self, engine: usize, number: usize) {
         let engine = Arc::clone(&self.engines[engine].entry.name);
         let absent = vec![AbsentEntry { engine, key: key(number), age: Duration::ZERO }];
@@ -279,7 +279,7 @@
         self.update_engine_list();
     }
 
-    /// An engine starts again under the name that it had; orders to the life before may still reach it.
+    /// Restarts an engine under the same name. Orders to its previous incarnation may still arrive.
     pub(crate) fn restart_engine(&mut self, number: usize) {
         self.incarnations += 1;
         let index = number % self.engines.len();
--- a/crates/core/tests/store_throughput.rs
+++ b/crates/core/tests/store_throughput.rs
@@ -1,4 +1,5 @@
-//! How the pace of the weight store is learnt from reports, against a store that is played millisecond by millisecond.
+//! Estimation of the weight store's throughput from observations of a store simulated in steps of
+//! one millisecond.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -10,44 +11,44 @@
     placement::{LoadObservation, StoreThroughput, ThroughputEstimator},
 };
 
-/// How old the state in a report is taken to be. Unit: milliseconds.
-const TYPICAL_REPORT_AGE: u64 = 100;
+/// Assumed age of the state in a report. Unit: milliseconds.
+const TYPICAL_REPORT_AGE_MS: u64 = 100;
 
-/// How wrong that may be.
+/// Maximum deviation from that age.
 const REPORT_AGE_UNCERTAINTY: Duration = Duration::from_millis(40);
 
-/// By how much the time of a refused send may be wrong.
+/// Uncertainty of the time at which an engine refused a request.
 const RESPONSE_TIME_UNCERTAINTY: Duration = Duration::from_millis(8);
 
-/// How many engines there are.
+/// Number of engines.
 const ENGINES: usize = 12;
 
-/// How far beyond full speed loads are ordered, as the planner does.
+/// Ratio of ordered loads to the parallel loads of the store, as in the planner.
 const STORE_OVERCOMMIT: f64 = 1.5;
 
-/// A load on its way in the played store.
+/// A load of the simulated store.
 struct SimulatedLoad {
     order_id: u64,
-    /// What is left of it. Unit: milliseconds at full speed.
+    /// Remaining work. Unit: milliseconds at full speed.
     remaining_ms: f64,
     started_at: u64,
-    /// When it was there.
+    /// When the load completed.
     completed_at: Option<u64>,
-    /// When the next report of its engine is asked for.
+    /// When the next report is requested from the engine, or zero before the due time.
     next_report_at: u64,
-    /// When a waiting request is sent for it.
+    /// When a waiting request is sent to the engine, or zero before the due time.
     next_request_at: u64,
-    /// Whether its engine is so slow that it is never there in time.
+    /// Whether the load never completes because of its engine.
     is_stuck: bool,
 }
 
-/// A store that carries so many adapters at full speed, and a placer that orders as many as it takes to be good.
+/// A simulated store, and a placer that orders as many loads as the estimate allows.
 struct SimulatedStore {
     parallel_loads: f64,
     load_ms: f64,
-    /// How many engines are far too slow.
+    /// Number of engines whose loads never complete.
     stuck_engines: usize,
-    /// How many loads are wanted at a time at most.
+    /// Maximum number of pending loads wanted.
     max_wanted: usize,
     estimator: ThroughputEstimator,
     loads: Vec<SimulatedLoad>,
@@ -71,7 +72,8 @@
         }
     }
 
-    /// Plays so many seconds, each half of which wants as many loads as `demand` says in turn.
+    /// Runs for `seconds` seconds, taking the number of wanted loads for each half second from
+    /// `demand` in turn.
     fn run(&mut self, seconds: usize, demand: Demand) {
         for wanted in demand.iter().cycle().take(2 * seconds) {
             self.max_wanted = *wanted;
@@ -98,7 +100,7 @@
         }
     }
 
-    /// Asks an engine some time after its load is due, and takes what it said a moment ago.
+    /// Delivers refused requests and engine reports for loads after their due time.
     fn deliver_observations(&mut self) {
         let now = self.now;
         let mut observations = Vec::new();
@@ -130,7 +132,7 @@
                 observations.push((
                     load.order_id,
                     completed,
-                    now - TYPICAL_REPORT_AGE,
+                    now - TYPICAL_REPORT_AGE_MS,
                     REPORT_AGE_UNCERTAINTY,
                 ));
                 load.next_report_at = if completed { u64::MAX } else { now + 250 };
@@ -148,7 +150,7 @@
     fn start_load(&mut self) {
         let throughput = self.estimator.throughput();
         let max_loads = (STORE_OVERCOMMIT * throughput.parallel_loads).round();
-        // The placer counts what it expects to be on its way.
+        // The placer counts the loads that it expects to be pending.
         let pending = self.estimator.due_times(ClockMillis::from_millis(self.now)).len();
         if pending as f64 >= max_loads || pending >= self.max_wanted {
             return;
@@ -170,31 +172,31 @@
     }
 }
 
-/// How many loads are wanted at a time, half second by half second.
+/// Number of loads wanted at a time, for each half second.
 type Demand = &'static [usize];
 
 const SATURATED: Demand = &[1000];
 const WAVES: Demand = &[1000, 6, 20];
 const LOW: Demand = &[6];
 
-/// A store and what is learnt of it.
+/// A store and the expected estimate.
 struct ThroughputCase {
     name: &'static str,
     parallel_loads: f64,
     load_ms: f64,
-    /// How many are assumed to come at full speed at the start.
+    /// Initially assumed number of parallel loads.
     initial_parallel_loads: f64,
     demand: Demand,
-    /// How many engines of twelve are far too slow.
+    /// Number of engines whose loads never complete.
     stuck_engines: usize,
     seconds: usize,
-    /// The least and the most that may be taken to come at full speed then.
+    /// Minimum and maximum of the estimated parallel loads at the end.
     expected_range: (f64, f64),
 }
 
 const CASES: &[ThroughputCase] = &[
     ThroughputCase {
-        name: "as assumed",
+        name: "initial estimate is correct",
         parallel_loads: 8.0,
         load_ms: 250.0,
         initial_parallel_loads: 8.0,
@@ -204,7 +206,7 @@
         expected_range: (6.0, 12.0),
     },
     ThroughputCase {
-        name: "more than assumed",
+        name: "store is faster",
         parallel_loads: 40.0,
         load_ms: 250.0,
         initial_parallel_loads: 8.0,
@@ -214,7 +216,7 @@
         expected_range: (30.0, 55.0),
     },
     ThroughputCase {
-        name: "more, in waves",
+        name: "store is faster, varying demand",
         parallel_loads: 40.0,
         load_ms: 250.0,
         initial_parallel_loads: 8.0,
@@ -224,7 +226,7 @@
         expected_range: (30.0, 65.0),
     },
     ThroughputCase {
-        name: "far more",
+        name: "store is much faster",
         parallel_loads: 150.0,
         load_ms: 250.0,
         initial_parallel_loads: 22.0,
@@ -234,7 +236,7 @@
         expected_range: (105.0, 220.0),
     },
     ThroughputCase {
-        name: "less than assumed",
+        name: "store is slower",
         parallel_loads: 32.0,
         load_ms: 250.0,
         initial_parallel_loads: 64.0,
@@ -244,7 +246,7 @@
         expected_range: (24.0, 46.0),
     },
     ThroughputCase {
-        name: "far less",
+        name: "store is much slower",
         parallel_loads: 8.0,
         load_ms: 250.0,
         initial_parallel_loads: 64.0,
@@ -254,7 +256,7 @@
         expected_range: (6.0, 12.0),
     },
     ThroughputCase {
-        name: "never tried",
+        name: "never saturated",
         parallel_loads: 40.0,
         load_ms: 250.0,
         initial_parallel_loads: 22.0,
@@ -264,7 +266,7 @@
         expected_range: (8.0, 46.0),
     },
     ThroughputCase {
-        name: "one engine stuck",
+        name: "one engine never completes loads",
         parallel_loads: 32.0,
         load_ms: 250.0,
         initial_parallel_loads: 22.0,
@@ -274,7 +276,7 @@
         expected_range: (22.0, 65.0),
     },
     ThroughputCase {
-        name: "slower loads",
+        name: "longer load time",
         parallel_loads: 32.0,
         load_ms: 400.0,
         initial_parallel_loads: 22.0,
@@ -312,7 +314,7 @@
     }
 }
 
-/// After fourteen seconds without demand a placer took the store to carry sixteen, whatever it had known.
+/// Guards against the estimate decaying while nothing is loaded.
 #[test]
 fn estimate_is_kept_while_nothing_loads() {
     let mut store = SimulatedStore::new(32.0, 250.0, StoreThroughput::assumed(22.0), 1);
@@ -381,7 +383,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 24, rng_seed: RngSeed::Fixed(26), ..ProptestConfig::default() })]
 
-    /// Any store that carries what the users' stores carry is known within eight seconds, whatever was assumed.
+    /// The estimate converges within eight seconds from any initial value.
     #[test]
     fn any_store_throughput_is_estimated_within_seconds(parallel_loads in 8.0..100.0_f64, initial in 8.0..64.0_f64, seed in 0..1000_u64) {
         let mut store = SimulatedStore::new(parallel_loads, 250.0, StoreThroughput::assumed(initial), seed);
--- a/crates/core/tests/tenure.rs
+++ b/crates/core/tests/tenure.rs
@@ -1,4 +1,4 @@
-//! Who may give orders in a placement domain, and with which token.
+//! Permission to issue orders in a placement domain, and their fencing tokens.
 
 use std::time::Duration;
 
@@ -18,7 +18,8 @@
 const UNFENCED: LeaseRules = LeaseRules { engines_enforce_fencing: false, ..FENCED };
 
 enum TenureStep {
-    /// A join sent at the first time is answered at the second.
+    /// Answer to a join: whether the lease is listed, the token, when the join was sent and when it
+    /// was answered.
     JoinAnswered(bool, u64, u64, u64),
     JoinFailed(u64),
     TokenRefused(u64),
@@ -36,7 +37,7 @@
 
 const CASES: &[TenureCase] = &[
     TenureCase {
-        name: "without the lease no order",
+        name: "no orders without the lease",
         rules: FENCED,
         steps: &[TenureStep::JoinAnswered(false, 4, 10, 12)],
         checked_at: 20,
@@ -44,7 +45,7 @@
         state: TenureState::Absent,
     },
     TenureCase {
-        name: "engines that check tokens need no wait",
+        name: "no wait if engines enforce fencing",
         rules: FENCED,
         steps: &[TenureStep::JoinAnswered(true, 4, 10, 12)],
         checked_at: 13,
@@ -52,7 +53,7 @@
         state: TenureState::Acting,
     },
     TenureCase {
-        name: "engines that do not check tokens need one",
+        name: "wait if engines do not enforce fencing",
         rules: UNFENCED,
         steps: &[
             TenureStep::JoinAnswered(true, 4, 10, 12),
@@ -63,7 +64,7 @@
         state: TenureState::Waiting,
     },
     TenureCase {
-        name: "after the wait the holder acts",
+        name: "orders allowed after the wait",
         rules: UNFENCED,
         steps: &[
             TenureStep::JoinAnswered(true, 4, 10, 12),
@@ -75,7 +76,7 @@
         state: TenureState::Acting,
     },
     TenureCase {
-        name: "the token stays while others join",
+        name: "token unchanged when other hosts join",
         rules: FENCED,
         steps: &[
             TenureStep::JoinAnswered(true, 4, 10, 12),
@@ -86,7 +87,7 @@
         state: TenureState::Acting,
     },
     TenureCase {
-        name: "a frozen holder gives no order when it wakes",
+        name: "no orders after the holder was suspended",
         rules: FENCED,
         steps: &[TenureStep::JoinAnswered(true, 4, 10, 12)],
         checked_at: 9000,
@@ -94,7 +95,7 @@
         state: TenureState::Lapsed,
     },
     TenureCase {
-        name: "a frozen holder that still has the lease in a later generation begins anew",
+        name: "new tenure if a suspended holder has the lease in a later generation",
         rules: FENCED,
         steps: &[
             TenureStep::JoinAnswered(true, 4, 10, 12),
@@ -105,7 +106,7 @@
         state: TenureState::Acting,
     },
     TenureCase {
-        name: "a holder that the store does not answer goes on where engines check",
+        name: "store unreachable, engines enforce fencing: holder continues",
         rules: FENCED,
         steps: &[
             TenureStep::JoinAnswered(true, 4, 10, 12),
@@ -117,7 +118,7 @@
         state: TenureState::Lapsed,
     },
     TenureCase {
-        name: "and stops where they do not",
+        name: "store unreachable, engines do not enforce fencing: holder stops",
         rules: UNFENCED,
         steps: &[
             TenureStep::JoinAnswered(true, 4, 10, 12),
@@ -129,7 +130,7 @@
         state: TenureState::LapsedWaiting,
     },
     TenureCase {
-        name: "a refused token is not used again",
+        name: "refused token is not reused",
         rules: FENCED,
         steps: &[
             TenureStep::JoinAnswered(true, 4, 10, 12),
@@ -141,7 +142,7 @@
         state: TenureState::Refused,
     },
     TenureCase {
-        name: "the refusal of an earlier token does not end the tenure",
+        name: "refusal of an earlier token is ignored",
         rules: FENCED,
         steps: &[TenureStep::JoinAnswered(true, 4, 10, 12), TenureStep::TokenRefused(3)],
         checked_at: 600,
@@ -149,7 +150,7 @@
         state: TenureState::Acting,
     },
     TenureCase {
-        name: "after a refusal a later generation begins a new tenure, which waits the other out",
+        name: "later generation after a refusal begins a tenure with a wait",
         rules: FENCED,
         steps: &[
             TenureStep::JoinAnswered(true, 4, 10, 12),
@@ -161,7 +162,7 @@
         state: TenureState::Waiting,
     },
     TenureCase {
-        name: "and then acts with the new token",
+        name: "orders with the new token after that wait",
         rules: FENCED,
         steps: &[
             TenureStep::JoinAnswered(true, 4, 10, 12),
@@ -175,7 +176,7 @@
         state: TenureState::Acting,
     },
     TenureCase {
-        name: "who gives the lease up gives no order",
+        name: "no orders after leaving the group",
         rules: FENCED,
         steps: &[TenureStep::JoinAnswered(true, 4, 10, 12), TenureStep::Left],
         checked_at: 20,
@@ -188,7 +189,7 @@
     let at = ClockMillis::from_millis;
     match *step {
         TenureStep::JoinAnswered(listed, generation, sent_at, now) => {
-            // The host looks at its lease all the time.
+            // Hosts check their lease continuously, so also before and after the join.
             tenure.acting_token(at(sent_at));
             tenure.handle_join(listed, generation, at(sent_at), at(now));
             tenure.acting_token(at(now));
@@ -220,14 +221,14 @@
     assert_eq!(tenure.acting_token(at(500)), Some(4));
     tenure.handle_join(false, 5, at(600), at(601));
     tenure.handle_join(true, 6, at(1200), at(1201));
-    assert_eq!(tenure.acting_token(at(1300)), None, "it would take turns with the holder between");
+    assert_eq!(tenure.acting_token(at(1300)), None, "would alternate with the holder in between");
     tenure.handle_join(true, 6, at(2500), at(2501));
     tenure.handle_join(true, 6, at(4000), at(4001));
     assert_eq!(tenure.acting_token(at(4300)), Some(6));
 }
 
-/// The last order of a tenure reached its engine 0.46 s after it was given; another holder acted, and
-/// 3.02 s after the order was given the lease came back.
+/// The last order arrived 0.46 s after it was issued, and the lease returned 3.02 s after that
+/// order was issued. The wait must count from the order's end.
 #[test]
 fn returning_holder_wait_counts_from_its_last_order_end() {
     let at = ClockMillis::from_millis;
@@ -237,7 +238,7 @@
     tenure.handle_join(false, 98, at(1300), at(1301));
     tenure.record_order_end(at(1460));
     tenure.handle_join(true, 99, at(4020), at(4021));
-    assert_eq!(tenure.acting_token(at(4100)), None, "it would take turns with the holder between");
+    assert_eq!(tenure.acting_token(at(4100)), None, "would alternate with the holder in between");
     tenure.handle_join(true, 99, at(5500), at(5501));
     tenure.handle_join(true, 99, at(7000), at(7001));
     assert_eq!(tenure.acting_token(at(7100)), Some(99));
@@ -266,7 +267,7 @@
     assert_eq!(tenure.acting_token(at(4200)), None);
 }
 
-/// A group as the store keeps it: members, their last joins, and who was dealt the lease.
+/// Group as kept by the store: lease holder, generation and the last join of each member.
 struct StoreGroup {
     holder: Option<usize>,
     generation: u64,
@@ -295,8 +296,8 @@
 }
 
 proptest! {
-    /// Whatever joins are lost and whoever freezes: no two hosts ever act with one token, and
-    /// where engines don't check tokens no two act at the same time.
+    /// Regardless of lost joins and suspended hosts, no two hosts use the same token. If engines do
+    /// not enforce fencing, no two hosts issue orders at the same time.
     #[test]
     fn no_two_hosts_act_with_one_token(
         fenced in any::<bool>(),
@@ -313,20 +314,21 @@
             let at = ClockMillis::from_millis(now);
             store.expire(now);
             match event {
-                // The join is lost on its way.
+                // The join is lost.
                 0 => tenures[member].handle_join_failure(at),
-                // It arrives and its answer is lost.
+                // The join arrives and its answer is lost.
                 1 => {
                     store.join(member, now);
                     tenures[member].handle_join_failure(at);
                 }
-                // The store deals anew at once, unasked; only tokens that engines check cover that.
+                // The store reassigns the lease without a join. Only fencing by the engines
+                // protects against this.
                 2 if fenced => {
                     store.holder = Some((member + 1) % 3);
                     store.last_join[(member + 1) % 3] = now;
                     store.generation += 1;
                 }
-                // The host is frozen meanwhile.
+                // The host is suspended.
                 2 | 3 => {}
                 _ => {
                     let (listed, generation) = store.join(member, now);
@@ -337,12 +339,12 @@
             for (host, tenure) in tenures.iter_mut().enumerate() {
                 if let Some(token) = tenure.acting_token(at) {
                     let first_host = host_by_token.entry(token).or_insert(host);
-                    prop_assert_eq!(*first_host, host, "token {} has two users", token);
+                    prop_assert_eq!(*first_host, host, "token {} used by two hosts", token);
                     acting_hosts.push(host);
                 }
             }
             if !fenced {
-                prop_assert!(acting_hosts.len() <= 1, "{:?} act at the same time", acting_hosts);
+                prop_assert!(acting_hosts.len() <= 1, "hosts {:?} may issue orders at the same time", acting_hosts);
             }
         }
     }
