--- a/crates/core/tests/placement/planning.rs
+++ b/crates/core/tests/placement/planning.rs
@@ -142,9 +142,9 @@
     let mut simulation = Simulation::new(3);
     settle(&mut simulation);
     let engine = Arc::clone(&simulation.engines[2].entry.name);
-    let mut memory = EngineWeightCache::default();
-    memory.insert(&key(1));
-    simulation.planner.restore_weight_caches(&HashMap::from([(Arc::clone(&engine), memory)]));
+    let mut cache = EngineWeightCache::default();
+    cache.insert(&key(1));
+    simulation.planner.restore_weight_caches(&HashMap::from([(Arc::clone(&engine), cache)]));
     simulation.request(1, 1);
     let actions = simulation.planner.plan(true, simulation.time());
     let orders = actions.iter().filter_map(|action| match action {
@@ -160,7 +160,7 @@
     // The store serves 8.9 adapters in parallel: 2.7 per base model load per second.
     let mut simulation = Simulation::new(6);
     settle(&mut simulation);
-    let began = simulation.time();
+    let started_at = simulation.time();
     for number in 0..12 {
         simulation.request(number, 1);
     }
@@ -169,7 +169,7 @@
     }
     let due_delays = |simulation: &Simulation| -> Vec<u128> {
         let loads = simulation.planner.inventories().flat_map(|inventory| &inventory.pending);
-        loads.map(|load| load.due.since(began).as_millis()).collect()
+        loads.map(|load| load.due.since(started_at).as_millis()).collect()
     };
     let delays = due_delays(&simulation);
     assert_eq!(delays.len(), 12, "{delays:?}");
--- a/crates/core/tests/store_throughput.rs
+++ b/crates/core/tests/store_throughput.rs
@@ -176,7 +176,7 @@
 type Demand = &'static [usize];
 
 const SATURATED: Demand = &[1000];
-const WAVES: Demand = &[1000, 6, 20];
+const VARYING: Demand = &[1000, 6, 20];
 const LOW: Demand = &[6];
 
 /// A store and the expected estimate.
@@ -220,7 +220,7 @@
         parallel_loads: 40.0,
         load_ms: 250.0,
         initial_parallel_loads: 8.0,
-        demand: WAVES,
+        demand: VARYING,
         stuck_engines: 0,
         seconds: 6,
         expected_range: (30.0, 65.0),
@@ -270,7 +270,7 @@
         parallel_loads: 32.0,
         load_ms: 250.0,
         initial_parallel_loads: 22.0,
-        demand: WAVES,
+        demand: VARYING,
         stuck_engines: 1,
         seconds: 6,
         expected_range: (22.0, 65.0),
@@ -280,7 +280,7 @@
         parallel_loads: 32.0,
         load_ms: 400.0,
         initial_parallel_loads: 22.0,
-        demand: WAVES,
+        demand: VARYING,
         stuck_engines: 0,
         seconds: 6,
         expected_range: (15.0, 46.0),
