--- a/crates/core/tests/placement/planning.rs
+++ b/crates/core/tests/placement/planning.rs
@@ -157,7 +157,7 @@
 
 #[test]
 fn loads_beyond_store_parallelism_delay_each_other() {
-    // The store serves 8.9 adapters in parallel: 2.7 per base model load per second.
+    // The planner initially assumes that the store serves 8 loads in parallel.
     let mut simulation = Simulation::new(6);
     settle(&mut simulation);
     let started_at = simulation.time();
