--- a/crates/core/src/fleet/limits/events.rs
+++ b/crates/core/src/fleet/limits/events.rs
@@ -1,100 +1,100 @@
-//! What is logged of engines' limits: what is new or changed much, a line a second for each engine at the most.
+//! Throttled log events of engines' limits: new limits and significant changes, at most one per second and engine.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
 use crate::{
     clock::ClockMillis,
-    fleet::{EngineBirth, EngineName, limits::limit::RequestLimit},
+    fleet::{EngineIncarnation, EngineName, limits::limit::RequestLimit},
 };
 
-/// The least time between two lines on one engine: it may name another limit, or none, in each answer.
-const NEWS_PAUSE: Duration = Duration::from_secs(1);
+/// The least time between two log lines on one engine, which may declare another limit in each response.
+const MIN_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What became of an engine's limit, for log lines.
+/// A change of an engine's limit, for the log.
 #[derive(Debug, Clone, PartialEq)]
 pub enum LimitEvent {
-    /// The engine names one, or another one than before.
-    Named {
+    /// The engine declares a limit, or a different one.
+    Limited {
         /// The engine.
         engine: EngineName,
-        /// When the life that names it began.
-        born: EngineBirth,
+        /// The incarnation that declares it.
+        born: EngineIncarnation,
         /// The limit.
         limit: RequestLimit,
-        /// The limit that was logged before, if it still held.
-        before: Option<RequestLimit>,
+        /// The limit that was logged before, if it was still in force.
+        previous: Option<RequestLimit>,
     },
-    /// The engine has none any more, or is gone.
+    /// The engine has no limit any more, or is gone.
     Ended {
         /// The engine.
         engine: EngineName,
-        /// The limit that it had named.
+        /// The limit that was logged last.
         limit: RequestLimit,
     },
-    /// The engine says something that is no limit.
+    /// The engine declared values that are not a limit.
     Unreadable {
         /// The engine.
         engine: EngineName,
-        /// How many such answers there were since the last line on them.
-        answers: u64,
+        /// The number of such responses since the last line on them.
+        responses: u64,
     },
 }
 
-/// What was logged, and what is to be.
+/// Throttles the log events of engines' limits.
 #[derive(Debug, Clone, Default)]
 pub struct EventThrottle {
-    /// What was last logged of each engine that has a limit, and when.
+    /// The limit that was last logged for each limited engine, and when.
     logged: HashMap<EngineName, (RequestLimit, ClockMillis)>,
-    /// Answers with something that is no limit since the last line on them, by engine, and when that was.
+    /// Responses with unreadable limits since the last line on them, by engine, and when that line was logged.
     unreadable: HashMap<EngineName, (u64, ClockMillis)>,
 }
 
 impl EventThrottle {
-    /// Counts an answer with something that is no limit.
+    /// Counts a response whose limit is unreadable.
     pub fn unreadable(&mut self, engine: &EngineName) {
         self.unreadable.entry(Arc::clone(engine)).or_default().0 += 1;
     }
 
-    /// Forgets what engines said that are listed no more.
-    pub fn retain(&mut self, listed: impl Fn(&str) -> bool) {
-        self.unreadable.retain(|engine, _| listed(engine));
+    /// Drops engines that are no longer listed.
+    pub fn retain(&mut self, is_listed: impl Fn(&str) -> bool) {
+        self.unreadable.retain(|engine, _| is_listed(engine));
     }
 
-    /// Returns what is to be logged now, where these engines have these limits.
-    pub fn take<'known>(
+    /// Returns the events to log now, given the current limits.
+    pub fn take<'engine>(
         &mut self,
-        known: impl Iterator<Item = (&'known EngineName, EngineBirth, RequestLimit)>,
+        limits: impl Iterator<Item = (&'engine EngineName, EngineIncarnation, RequestLimit)>,
         now: ClockMillis,
     ) -> Vec<LimitEvent> {
-        let mut news = Vec::new();
-        let mut present = HashMap::new();
-        for (engine, born, limit) in known {
-            let before = self.logged.remove(engine);
-            let due = before.is_none_or(|(before, logged_at)| {
-                limit.differs(before) && now.since(logged_at) >= NEWS_PAUSE
+        let mut events = Vec::new();
+        let mut still_limited = HashMap::new();
+        for (engine, born, limit) in limits {
+            let previous = self.logged.remove(engine);
+            let due = previous.is_none_or(|(previous, logged_at)| {
+                limit.differs_significantly(previous) && now.since(logged_at) >= MIN_LOG_INTERVAL
             });
             if due {
-                let (engine, before) = (Arc::clone(engine), before.map(|(limit, _)| limit));
-                news.push(LimitEvent::Named { engine, born, limit, before });
+                let (engine, previous) = (Arc::clone(engine), previous.map(|(limit, _)| limit));
+                events.push(LimitEvent::Limited { engine, born, limit, previous });
             }
-            let logged = before.filter(|_| !due).unwrap_or((limit, now));
-            present.insert(Arc::clone(engine), logged);
+            let logged = previous.filter(|_| !due).unwrap_or((limit, now));
+            still_limited.insert(Arc::clone(engine), logged);
         }
         for (engine, (limit, logged_at)) in std::mem::take(&mut self.logged) {
-            if now.since(logged_at) >= NEWS_PAUSE {
-                news.push(LimitEvent::Ended { engine, limit });
+            if now.since(logged_at) >= MIN_LOG_INTERVAL {
+                events.push(LimitEvent::Ended { engine, limit });
             } else {
-                present.insert(engine, (limit, logged_at));
+                still_limited.insert(engine, (limit, logged_at));
             }
         }
-        self.logged = present;
-        for (engine, (answers, logged_at)) in &mut self.unreadable {
-            if *answers > 0 && now.since(*logged_at) >= NEWS_PAUSE {
+        self.logged = still_limited;
+        for (engine, (responses, logged_at)) in &mut self.unreadable {
+            if *responses > 0 && now.since(*logged_at) >= MIN_LOG_INTERVAL {
                 *logged_at = now;
-                let (engine, answers) = (Arc::clone(engine), std::mem::take(answers));
-                news.push(LimitEvent::Unreadable { engine, answers });
+                let (engine, responses) = (Arc::clone(engine), std::mem::take(responses));
+                events.push(LimitEvent::Unreadable { engine, responses });
             }
         }
-        news
+        events
     }
 }
--- a/crates/core/src/load.rs
+++ b/crates/core/src/load.rs
@@ -1,9 +1,10 @@
-//! Turns at the weight store: one host of the site gives them, the most valuable load first.
+//! Schedules loads from the weight store: one host of the site grants turns, highest value first.
 //!
-//! The store serves few loads a second and is fastest one at a time, so the order of loads decides
-//! most of how long requests wait. Which host gives the turns follows from the hosts' view of each
-//! other. When views differ, two hosts give turns for a moment and the store is asked for more than
-//! it likes, never for long; a hall that is cut off gives itself its share of the turns.
+//! The store serves only a few loads per second and is fastest with little concurrency, so the
+//! order of loads largely determines how long requests wait. The scheduling host is chosen by
+//! rendezvous hashing over the membership. While hosts disagree about the membership, several may
+//! grant turns and briefly exceed the store's limits. A partitioned hall grants its own share of
+//! the turns.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -14,174 +15,175 @@
     message::{LoadAsk, LoadPlace, LoadTurn},
 };
 
-/// How long a load that is not asked for again is kept; owners repeat their asks twice a second.
-const HEARD_WITHIN: Duration = Duration::from_secs(3);
+/// Time after which a load is dropped unless its owner asks again. Owners ask twice per second.
+const ASK_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How much a newly measured load moves the estimate of how long one takes.
-const TURN_LEARNING: f64 = 0.2;
+/// Smoothing factor of the moving average of load durations.
+const DURATION_SMOOTHING: f64 = 0.2;
 
-/// How many turns further back each pass puts a load in the estimate its callers are told.
-const PASSED_WEIGHT: u32 = 1;
+/// Number of queue positions that each overtaking load adds to the reported position.
+const OVERTAKEN_WEIGHT: u32 = 1;
 
-/// The store's limits, from the settings tree.
+/// Limits of the weight store, from the settings tree.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct StoreLimits {
-    /// Loads a second for the whole site.
-    pub per_second: f64,
-    /// Loads at once at full speed.
-    pub parallel: usize,
-    /// The part of both that this host may give out: below one while halls are out of reach.
-    pub part: f64,
+pub struct WeightStoreLimits {
+    /// Loads per second for the whole site.
+    pub loads_per_second: f64,
+    /// Number of concurrent loads that the store serves at full speed.
+    pub parallel_loads: usize,
+    /// Fraction of both limits that this host may grant; below one while halls are unreachable.
+    pub fraction: f64,
 }
 
-impl StoreLimits {
-    fn parallel_now(&self) -> usize {
-        let parallel = (self.parallel as f64 * self.part).floor();
+impl WeightStoreLimits {
+    fn parallel_limit(&self) -> usize {
+        let parallel_loads = (self.parallel_loads as f64 * self.fraction).floor();
         #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "small count")]
-        let parallel = parallel as usize;
-        parallel.max(1)
+        let parallel_loads = parallel_loads as usize;
+        parallel_loads.max(1)
     }
 }
 
 #[derive(Debug, Clone)]
-struct AskedLoad {
+struct QueuedLoad {
     state: LoadState,
     value: f64,
     owner: HostId,
-    /// When it was first asked for.
-    asked: ClockMillis,
-    /// Turns that went to loads asked for later: the store does not keep up.
-    passed: u32,
-    heard: ClockMillis,
-    granted: ClockMillis,
+    /// Time of the first ask.
+    queued_at: ClockMillis,
+    /// Number of turns granted to loads that were queued later.
+    overtaken: u32,
+    last_asked_at: ClockMillis,
+    granted_at: ClockMillis,
 }
 
-type LoadName = (EngineId, AdapterKey);
+type LoadKey = (EngineId, AdapterKey);
 
-/// A turn that was just given, and to whom.
+/// A granted turn and its recipient.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct GivenTurn {
+pub struct TurnGrant {
     /// The engine's owner.
     pub owner: HostId,
     /// The turn.
     pub turn: LoadTurn,
 }
 
-/// The turns as the host that gives them sees them.
+/// The queued and running loads, as tracked by the host that grants turns.
 #[derive(Debug)]
-pub struct StoreTurns {
-    loads: BTreeMap<LoadName, AskedLoad>,
-    /// Loads that may start at once, refilled at the store's rate.
+pub struct LoadScheduler {
+    loads: BTreeMap<LoadKey, QueuedLoad>,
+    /// Number of loads that may start now; a token bucket refilled at the store's rate.
     allowance: f64,
-    refilled: ClockMillis,
-    turn_seconds: f64,
+    refilled_at: ClockMillis,
+    mean_turn_seconds: f64,
 }
 
-impl Default for StoreTurns {
+impl Default for LoadScheduler {
     fn default() -> Self {
-        // Three loads a second, one at a time: the brief's store, until one has been measured.
-        let turn_seconds = 1.0 / 3.0;
+        // Initial estimate, used until a load has been measured.
+        let mean_turn_seconds = 1.0 / 3.0;
         Self {
             loads: BTreeMap::new(),
             allowance: 1.0,
-            refilled: ClockMillis::default(),
-            turn_seconds,
+            refilled_at: ClockMillis::default(),
+            mean_turn_seconds,
         }
     }
 }
 
-impl StoreTurns {
-    /// Takes an ask, first or repeated.
-    pub fn ask(&mut self, from: HostId, ask: &LoadAsk, now: ClockMillis) {
-        let load = self.loads.entry((ask.engine, ask.adapter)).or_insert_with(|| AskedLoad {
-            // A load that runs already was granted by a host that gave the turns before.
+impl LoadScheduler {
+    /// Queues a load, or updates one that is already queued.
+    pub fn request_turn(&mut self, from: HostId, ask: &LoadAsk, now: ClockMillis) {
+        let load = self.loads.entry((ask.engine, ask.adapter)).or_insert_with(|| QueuedLoad {
+            // A running load was granted by the previous scheduling host.
             state: if ask.running { LoadState::Running } else { LoadState::initial() },
             value: ask.value,
             owner: from,
-            asked: now,
-            passed: 0,
-            heard: now,
-            granted: now,
+            queued_at: now,
+            overtaken: 0,
+            last_asked_at: now,
+            granted_at: now,
         });
         load.value = ask.value;
         load.owner = from;
-        load.heard = now;
+        load.last_asked_at = now;
     }
 
-    /// Takes the end of a load, or of the wish for it.
-    pub fn end(&mut self, turn: LoadTurn, now: ClockMillis) {
+    /// Removes a load that has ended or is no longer wanted.
+    pub fn release_turn(&mut self, turn: LoadTurn, now: ClockMillis) {
         let Some(load) = self.loads.get_mut(&(turn.engine, turn.adapter)) else { return };
         if load.state == LoadState::Running {
-            let took = now.since(load.granted).as_secs_f64();
-            self.turn_seconds += TURN_LEARNING * (took - self.turn_seconds);
+            let elapsed_seconds = now.since(load.granted_at).as_secs_f64();
+            self.mean_turn_seconds +=
+                DURATION_SMOOTHING * (elapsed_seconds - self.mean_turn_seconds);
         }
         load.state = load.state.after(LoadEvent::Finished);
-        self.drop_ended();
+        self.remove_ended();
     }
 
-    /// Forgets what nobody asks for any more and gives the turns that are due.
-    pub fn give(&mut self, limits: StoreLimits, now: ClockMillis) -> Vec<GivenTurn> {
-        self.forget_silent(now);
+    /// Drops stale loads and grants turns within the limits.
+    pub fn grant_turns(&mut self, limits: WeightStoreLimits, now: ClockMillis) -> Vec<TurnGrant> {
+        self.expire_stale(now);
         self.refill(limits, now);
-        let mut given = Vec::new();
-        while self.running() < limits.parallel_now() && self.allowance >= 1.0 {
-            let Some(name) = self.most_valuable() else { break };
+        let mut grants = Vec::new();
+        while self.running() < limits.parallel_limit() && self.allowance >= 1.0 {
+            let Some(key) = self.highest_value_load() else { break };
             self.allowance -= 1.0;
-            let Some(load) = self.loads.get_mut(&name) else { break };
+            let Some(load) = self.loads.get_mut(&key) else { break };
             load.state = load.state.after(LoadEvent::Granted);
-            load.granted = now;
-            let (owner, asked) = (load.owner, load.asked);
-            self.pass_over(asked);
-            let turn = LoadTurn { engine: name.0, adapter: name.1 };
-            given.push(GivenTurn { owner, turn });
+            load.granted_at = now;
+            let (owner, queued_at) = (load.owner, load.queued_at);
+            self.count_overtaken(queued_at);
+            let turn = LoadTurn { engine: key.0, adapter: key.1 };
+            grants.push(TurnGrant { owner, turn });
         }
-        given
+        grants
     }
 
-    /// Returns the turn again to an owner that repeats its ask although it has the turn: the
-    /// message that gave it was lost.
-    pub fn given_again(&self, ask: &LoadAsk) -> Option<LoadTurn> {
+    /// Returns the turn if the owner still asks for one that was granted: the grant was lost.
+    pub fn lost_grant(&self, ask: &LoadAsk) -> Option<LoadTurn> {
         let load = self.loads.get(&(ask.engine, ask.adapter))?;
-        let lost = load.state == LoadState::Running && !ask.running;
-        lost.then_some(LoadTurn { engine: ask.engine, adapter: ask.adapter })
+        let grant_lost = load.state == LoadState::Running && !ask.running;
+        grant_lost.then_some(LoadTurn { engine: ask.engine, adapter: ask.adapter })
     }
 
-    /// Says how many loads go before one that was asked for.
-    pub fn place(&self, engine: EngineId, adapter: AdapterKey) -> LoadPlace {
+    /// Returns the queue position of a load.
+    pub fn queue_position(&self, engine: EngineId, adapter: AdapterKey) -> LoadPlace {
         let value = self.loads.get(&(engine, adapter)).map_or(0.0, |load| load.value);
-        let before = |(name, load): &(&LoadName, &AskedLoad)| {
+        let before = |(key, load): &(&LoadKey, &QueuedLoad)| {
             let ahead = load.state == LoadState::Running || load.value > value;
-            **name != (engine, adapter) && ahead
+            **key != (engine, adapter) && ahead
         };
-        let passed = self.loads.get(&(engine, adapter)).map_or(0, |load| load.passed);
-        let before = self.loads.iter().filter(before).count() + (passed * PASSED_WEIGHT) as usize;
+        let overtaken = self.loads.get(&(engine, adapter)).map_or(0, |load| load.overtaken);
+        let before =
+            self.loads.iter().filter(before).count() + (overtaken * OVERTAKEN_WEIGHT) as usize;
         LoadPlace {
             engine,
             adapter,
             before: u32::try_from(before).unwrap_or(u32::MAX),
-            turn: Duration::from_secs_f64(self.turn_seconds.max(0.0)),
+            turn: Duration::from_secs_f64(self.mean_turn_seconds.max(0.0)),
         }
     }
 
-    /// Counts the loads that wait or run.
+    /// Returns the number of queued and running loads.
     pub fn len(&self) -> usize {
         self.loads.len()
     }
 
-    /// Says whether nothing waits or runs.
+    /// Returns whether no loads are queued or running.
     pub fn is_empty(&self) -> bool {
         self.loads.is_empty()
     }
 
-    /// Forgets everything, when another host gives the turns.
+    /// Removes all loads, when another host becomes the scheduler.
     pub fn clear(&mut self) {
         self.loads.clear();
     }
 
-    fn pass_over(&mut self, asked: ClockMillis) {
+    fn count_overtaken(&mut self, queued_at: ClockMillis) {
         for load in self.loads.values_mut() {
-            if load.state == LoadState::Waiting && load.asked < asked {
-                load.passed += 1;
+            if load.state == LoadState::Waiting && load.queued_at < queued_at {
+                load.overtaken += 1;
             }
         }
     }
@@ -190,31 +192,32 @@
         self.loads.values().filter(|load| load.state == LoadState::Running).count()
     }
 
-    fn most_valuable(&self) -> Option<LoadName> {
+    fn highest_value_load(&self) -> Option<LoadKey> {
         self.loads
             .iter()
             .filter(|(_, load)| load.state == LoadState::Waiting)
             .max_by(|left, right| left.1.value.total_cmp(&right.1.value))
-            .map(|(name, _)| *name)
+            .map(|(key, _)| *key)
     }
 
-    fn forget_silent(&mut self, now: ClockMillis) {
+    fn expire_stale(&mut self, now: ClockMillis) {
         for load in self.loads.values_mut() {
-            if now.since(load.heard) > HEARD_WITHIN {
+            if now.since(load.last_asked_at) > ASK_TIMEOUT {
                 load.state = load.state.after(LoadEvent::Dropped).after(LoadEvent::TimedOut);
             }
         }
-        self.drop_ended();
+        self.remove_ended();
     }
 
-    fn drop_ended(&mut self) {
+    fn remove_ended(&mut self) {
         self.loads.retain(|_, load| load.state != LoadState::Ended);
     }
 
-    fn refill(&mut self, limits: StoreLimits, now: ClockMillis) {
-        let seconds = now.since(self.refilled).as_secs_f64();
-        let most = limits.parallel_now() as f64;
-        self.allowance = (self.allowance + seconds * limits.per_second * limits.part).min(most);
-        self.refilled = now;
+    fn refill(&mut self, limits: WeightStoreLimits, now: ClockMillis) {
+        let seconds = now.since(self.refilled_at).as_secs_f64();
+        let max_allowance = limits.parallel_limit() as f64;
+        self.allowance = (self.allowance + seconds * limits.loads_per_second * limits.fraction)
+            .min(max_allowance);
+        self.refilled_at = now;
     }
 }
--- a/crates/core/src/node/arrivals.rs
+++ b/crates/core/src/node/arrivals.rs
@@ -33,7 +33,7 @@
             Ok(open) => {
                 let key = request.key.filter(|_| open.keyed);
                 let (service, organisation) = (open.service, open.organisation);
-                self.retries.note_try(self.now());
+                self.retries.record_attempt(self.now());
                 self.open.insert(id, open);
                 match key {
                     Some(key) => {
@@ -158,7 +158,7 @@
         route: RequestRoute,
     ) -> OpenRequest {
         let settings = self.fold.tree().effective(path);
-        let patience = request.patience.unwrap_or(settings.deadline);
+        let max_wait = request.max_wait.unwrap_or(settings.deadline);
         let max_tokens =
             request.max_tokens.map_or(settings.max_tokens, |asked| asked.min(settings.max_tokens));
         let base_model = self.fold.tree().text(path, SettingKey::BaseModel).unwrap_or_default();
@@ -170,7 +170,7 @@
             service_name,
             organisation: 0,
             route,
-            deadline: self.now() + patience,
+            deadline: self.now() + max_wait,
             max_tokens,
             settings,
             repeatable: false,
--- a/crates/core/src/placement/engine_reports.rs
+++ b/crates/core/src/placement/engine_reports.rs
@@ -20,7 +20,7 @@
         requested_at: ClockMillis,
     ) {
         let Some(inventory) = self.engines.get_mut(engine) else { return };
-        if !inventory.entry.is_life(report.born) {
+        if !inventory.entry.is_incarnation(report.born) {
             inventory.apply_report(report, requested_at);
             return;
         }
@@ -30,7 +30,7 @@
         for key in completed {
             self.load_suspects.record_success(key);
         }
-        self.load_suspects.record_engine_alive(engine, inventory.entry.born);
+        self.load_suspects.record_engine_alive(engine, inventory.entry.incarnation);
         inventory.apply_report(report, requested_at);
         for observation in observations {
             self.throughput_estimator.load_observed(&observation, requested_at);
--- a/crates/core/src/placement/engine_work.rs
+++ b/crates/core/src/placement/engine_work.rs
@@ -159,7 +159,7 @@
         let mut changed = Vec::new();
         for (engine, engine_totals) in &mut self.engines {
             let total = engine_totals.total();
-            if total.differs(&engine_totals.published, min_prefill_change) {
+            if total.differs_significantly(&engine_totals.published, min_prefill_change) {
                 engine_totals.published = total;
                 changed.push((Arc::clone(engine), total));
             }
--- a/crates/core/src/placement/inventory.rs
+++ b/crates/core/src/placement/inventory.rs
@@ -14,7 +14,8 @@
 use crate::{
     clock::ClockMillis,
     fleet::{
-        EngineBirth, EngineEntry, HeldModel, ModelKey, WeightVersion, adapter_name, base_model,
+        EngineEntry, EngineIncarnation, LoadedModel, ModelKey, WeightVersion, adapter_name,
+        base_model,
     },
     placement::{EngineWeightCache, LoadObservation, OrderId, OrderKind, PlannedOrder},
 };
@@ -46,15 +47,15 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineReport {
     /// Incarnation of the reporting engine, or zero if the report does not state it.
-    pub born: EngineBirth,
+    pub born: EngineIncarnation,
     /// Number of orders taken.
     pub sequence: u64,
     /// Whether the engine is loading or unloading a base model.
     pub model_change_in_progress: bool,
     /// Models and adapters that the engine holds.
-    pub held: Vec<HeldModel>,
+    pub held: Vec<LoadedModel>,
     /// Models and adapters that the engine is loading.
-    pub pending: Vec<HeldModel>,
+    pub pending: Vec<LoadedModel>,
 }
 
 /// A load that was ordered and is not yet known to be complete.
@@ -163,7 +164,7 @@
 impl EngineInventory {
     /// Creates an inventory from the engine's list entry.
     pub fn new(entry: Arc<EngineEntry>) -> Self {
-        let held = entry.held.iter().map(|model| (Arc::clone(&model.key), model.version));
+        let held = entry.loaded_models.iter().map(|model| (Arc::clone(&model.key), model.version));
         Self {
             held: held.collect(),
             entry,
@@ -205,7 +206,9 @@
 
     /// Records that an order to this incarnation was not answered.
     pub fn record_unanswered(&mut self, order: &PlannedOrder) {
-        if matches!(order.kind, OrderKind::Load { .. }) && self.entry.is_life(order.engine.born) {
+        if matches!(order.kind, OrderKind::Load { .. })
+            && self.entry.is_incarnation(order.engine.incarnation)
+        {
             self.unanswered_loads.push(UnansweredLoad::new(order, self.last_order_sent_at));
         }
     }
@@ -257,7 +260,7 @@
     /// a new inventory.
     pub fn apply_report(&mut self, report: &EngineReport, requested_at: ClockMillis) -> bool {
         self.report_pending = false;
-        if !self.entry.is_life(report.born) {
+        if !self.entry.is_incarnation(report.born) {
             self.sequence = None;
             return false;
         }
@@ -397,14 +400,14 @@
     }
 
     /// Returns the held models and adapters that are not being replaced or unloaded.
-    pub fn servable_models(&self) -> Vec<HeldModel> {
+    pub fn servable_models(&self) -> Vec<LoadedModel> {
         let servable = self.held.iter().filter(|(key, version)| {
             let mut loads = self.pending.iter();
             let replaced = loads.any(|load| load.key == **key && load.version > **version);
             !replaced && !self.unloading.contains(*key)
         });
         servable
-            .map(|(key, version)| HeldModel { key: Arc::clone(key), version: *version })
+            .map(|(key, version)| LoadedModel { key: Arc::clone(key), version: *version })
             .collect()
     }
 
--- a/crates/core/src/placement/load_candidates.rs
+++ b/crates/core/src/placement/load_candidates.rs
@@ -176,7 +176,7 @@
     /// them.
     pub(super) fn copy_value(&self, key: &str, copies: f64, now: ClockMillis) -> f64 {
         let offloaded_rate = |rate: f64, tokens: f64, max_share: f64| {
-            let share = self.prefill_speed.share_for(tokens) / copies;
+            let share = self.prefill_speed.utilization_for(tokens) / copies;
             if share > max_share { rate / copies * (1.0 - max_share / share) } else { 0.0 }
         };
         let sustained =
--- a/crates/core/src/placement/load_suspects.rs
+++ b/crates/core/src/placement/load_suspects.rs
@@ -13,8 +13,8 @@
 use crate::{
     clock::ClockMillis,
     fleet::{
-        EngineBirth, EngineEntry, EngineName, ModelKey, WeightVersion,
-        quarantine::{ENDS_UNTIL_HELD, Hold},
+        EngineEntry, EngineIncarnation, EngineName, ModelKey, WeightVersion,
+        quarantine::{CRASHES_UNTIL_QUARANTINED, QuarantinePeriod},
     },
     placement::inventory::PendingLoad,
 };
@@ -25,7 +25,7 @@
 /// A load after which its engine did not respond.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct FailedLoad {
-    born: EngineBirth,
+    born: EngineIncarnation,
     version: WeightVersion,
     started_at: ClockMillis,
     recorded_at: ClockMillis,
@@ -62,23 +62,23 @@
     ) {
         let loads = self.by_key.entry(Arc::clone(&load.key)).or_default();
         if let Some(existing) =
-            loads.get_mut(&engine.name).filter(|existing| existing.born == engine.born)
+            loads.get_mut(&engine.name).filter(|existing| existing.born == engine.incarnation)
         {
             existing.engine_ended |= engine_ended;
             return;
         }
-        let (born, version, started_at) = (engine.born, load.version, load.started_at);
+        let (born, version, started_at) = (engine.incarnation, load.version, load.started_at);
         let failed = FailedLoad { born, version, started_at, recorded_at: now, engine_ended };
         loads.insert(Arc::clone(&engine.name), failed);
         let engine_failures = consecutive_failures(loads);
-        if let Some(hold) = Hold::after(engine_failures, ENDS_UNTIL_HELD) {
-            let (key, quarantine) = (Arc::clone(&load.key), hold.time(false));
+        if let Some(hold) = QuarantinePeriod::after(engine_failures, CRASHES_UNTIL_QUARANTINED) {
+            let (key, quarantine) = (Arc::clone(&load.key), hold.duration(false));
             self.new_quarantines.push(QuarantinedLoad { key, engine_failures, quarantine });
         }
     }
 
     /// Records that an engine is alive, which clears failures recorded for its missing reports.
-    pub fn record_engine_alive(&mut self, engine: &str, born: EngineBirth) {
+    pub fn record_engine_alive(&mut self, engine: &str, born: EngineIncarnation) {
         for loads in self.by_key.values_mut() {
             let known = loads.get(engine);
             if known.is_some_and(|load| load.born == born && !load.engine_ended) {
@@ -105,17 +105,18 @@
         now: ClockMillis,
     ) -> Option<Duration> {
         let loads = self.by_key.get(key)?;
-        let hold = Hold::after(consecutive_failures(loads), ENDS_UNTIL_HELD)?;
+        let hold = QuarantinePeriod::after(consecutive_failures(loads), CRASHES_UNTIL_QUARANTINED)?;
         let last = loads.values().max_by_key(|load| load.recorded_at)?;
-        let until = last.recorded_at + hold.time(version > last.version);
+        let until = last.recorded_at + hold.duration(version > last.version);
         (now < until).then(|| until.since(now))
     }
 
     /// Drops adapters without recent failures.
     pub fn drop_expired(&mut self, now: ClockMillis) {
         self.by_key.retain(|_, loads| {
-            let hold = Hold::after(consecutive_failures(loads), ENDS_UNTIL_HELD);
-            let retention = hold.map_or(SUSPECT_TTL, Hold::remembered);
+            let hold =
+                QuarantinePeriod::after(consecutive_failures(loads), CRASHES_UNTIL_QUARANTINED);
+            let retention = hold.map_or(SUSPECT_TTL, QuarantinePeriod::retention);
             loads.values().any(|load| now.since(load.recorded_at) < retention)
         });
     }
--- a/crates/core/src/placement/load_target.rs
+++ b/crates/core/src/placement/load_target.rs
@@ -148,7 +148,7 @@
         if adapter_name(key).is_none() || inventory.held.contains_key(key) {
             return true;
         }
-        let max_adapters = usize::try_from(self.hosting.most_adapters).unwrap_or(usize::MAX);
+        let max_adapters = usize::try_from(self.hosting.adapter_limit).unwrap_or(usize::MAX);
         inventory.reserved_adapter_count() < max_adapters
             && self.has_weight_memory_for(inventory, key)
     }
@@ -159,7 +159,7 @@
         let keys = inventory.held.keys().chain(pending.map(|load| &load.key));
         let keys = keys.chain(inventory.possible_late_loads());
         let used: f64 = keys.map(|key| self.weight_megabytes(key)).sum();
-        used + self.weight_megabytes(key) <= self.hosting.weight_megabytes
+        used + self.weight_megabytes(key) <= self.hosting.memory_megabytes
     }
 
     fn weight_megabytes(&self, key: &str) -> f64 {
@@ -185,8 +185,9 @@
         let work = self.work.total(&inventory.entry.name);
         let open =
             OPEN_REQUEST_PREFILL_SHARE * f64::from(work.open) * self.totals.mean_prompt_tokens();
-        let backlog =
-            work.unread as f64 + self.totals.expected_prefill(&inventory.entry.name) + open;
+        let backlog = work.pending_prefill_tokens as f64
+            + self.totals.expected_prefill(&inventory.entry.name)
+            + open;
         #[expect(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
--- a/crates/core/src/placement/planner.rs
+++ b/crates/core/src/placement/planner.rs
@@ -15,8 +15,8 @@
 use crate::{
     clock::ClockMillis,
     fleet::{
-        EngineEntry, EngineName, HeldModel, ModelKey, WeightVersion, adapter_name,
-        reading::ReadingSpeed, routes::ModelHosting, work::EngineWork,
+        EngineEntry, EngineName, LoadedModel, ModelKey, WeightVersion, adapter_name,
+        prefill_speed::PrefillSpeed, routes::ModelHosting, work::EngineWork,
     },
     placement::{
         DemandEntry, DemandTracker, EngineInventory, EngineWeightCache, HostWork, LoadRateLimiter,
@@ -66,7 +66,7 @@
     pub(super) throughput_estimator: ThroughputEstimator,
     /// Rate of load orders, from which queueing delays are estimated.
     load_rate: DecayedRate,
-    pub(super) prefill_speed: ReadingSpeed,
+    pub(super) prefill_speed: PrefillSpeed,
     pub(super) outstanding_orders: HashMap<OrderId, PlannedOrder>,
     pub(super) totals: RoundTotals,
     last_order_id: OrderId,
@@ -92,7 +92,7 @@
             versions: HashMap::new(),
             throughput_estimator,
             load_rate: DecayedRate::default(),
-            prefill_speed: ReadingSpeed::default(),
+            prefill_speed: PrefillSpeed::default(),
             outstanding_orders: HashMap::new(),
             totals: RoundTotals::default(),
             last_order_id: 0,
@@ -126,7 +126,7 @@
             let name = Arc::clone(&entry.name);
             let new_inventory = || EngineInventory::new(Arc::clone(entry));
             let inventory = self.engines.entry(name).or_insert_with(new_inventory);
-            if !inventory.entry.is_life(entry.born) {
+            if !inventory.entry.is_incarnation(entry.incarnation) {
                 // A restarted engine holds none of its previous models and has taken no orders.
                 let engine_orders = self.outstanding_orders.values();
                 let engine_orders = engine_orders.filter(|order| order.engine.name == entry.name);
@@ -174,7 +174,7 @@
     }
 
     /// Sets the measured prefill speed of the domain's engines.
-    pub fn set_prefill_speed(&mut self, speed: &ReadingSpeed) {
+    pub fn set_prefill_speed(&mut self, speed: &PrefillSpeed) {
         self.prefill_speed.clone_from(speed);
     }
 
@@ -208,7 +208,7 @@
         let load_time = self.expected_load_time(&order.key, order.kind.loads_from_store());
         let due = now + load_time;
         let Some(inventory) = self.engines.get_mut(&order.engine.name) else { return };
-        if !inventory.entry.is_life(order.engine.born) {
+        if !inventory.entry.is_incarnation(order.engine.incarnation) {
             // The next incarnation may have taken the order, so only a report can settle its
             // sequence number.
             inventory.sequence = None;
@@ -360,13 +360,13 @@
     /// Returns the models and adapters that requests may be sent to on each engine.
     ///
     /// A version that is being replaced is left out.
-    pub fn residency(&self) -> Vec<(EngineName, Vec<HeldModel>)> {
+    pub fn residency(&self) -> Vec<(EngineName, Vec<LoadedModel>)> {
         let engines = self.engines.iter();
         engines.map(|(name, inventory)| (Arc::clone(name), inventory.servable_models())).collect()
     }
 
     /// Returns the servable models of engines where they may have changed since the last call.
-    pub fn take_changed_residency(&mut self) -> Vec<(EngineName, Vec<HeldModel>)> {
+    pub fn take_changed_residency(&mut self) -> Vec<(EngineName, Vec<LoadedModel>)> {
         let mut changed = Vec::new();
         for (name, inventory) in &mut self.engines {
             if std::mem::take(&mut inventory.residency_changed) {
--- a/crates/core/tests/herd.rs
+++ b/crates/core/tests/herd.rs
@@ -1,5 +1,5 @@
-//! Many hosts: a start of all, a hall restarted at once, a hall lost and regained. Ownership
-//! settles, and neither engines nor log are run down.
+//! Tests of many hosts: simultaneous start, restart of a hall, and a network partition of a hall.
+//! Ownership must converge without excess orders to the engines or appends to the log.
 
 use reelreel_core::{
     chart::EngineState,
@@ -9,7 +9,7 @@
 
 const HOSTS: u32 = 21;
 const ENGINES: u32 = HOSTS * 16;
-const SETTLED: u64 = 10_000;
+const STABLE_AT: u64 = 10_000;
 
 fn site() -> FakeSite {
     let hall = |index: u32| 1 + u16::try_from(index % 3).expect("three halls");
@@ -26,7 +26,7 @@
         })
         .collect();
     let mut site = FakeSite::new(shape, FaultPlan::default());
-    let tree = read_tree("[service.assist]\n").expect("no mistakes");
+    let tree = read_tree("[service.assist]\n").expect("the tree is valid");
     site.act_at(
         1,
         SiteAction::Publish(ChangeRecord {
@@ -35,14 +35,14 @@
             base_revision: 0,
             author: String::new(),
             message: String::new(),
-            edits: SettingsTree::default().edits_towards(&tree),
+            edits: SettingsTree::default().diff_edits(&tree),
         }),
     );
-    site.run_until(SETTLED);
+    site.run_until(STABLE_AT);
     site
 }
 
-fn owned(site: &FakeSite) -> usize {
+fn owned_count(site: &FakeSite) -> usize {
     site.cores()
         .flat_map(|(_, core)| core.controls())
         .filter(|control| control.state() == EngineState::Owned)
@@ -50,46 +50,46 @@
 }
 
 #[test]
-fn hosts_that_start_together_take_each_engine_over_once() {
+fn hosts_that_start_together_take_over_each_engine_once() {
     let site = site();
-    assert_eq!(owned(&site), ENGINES as usize);
+    assert_eq!(owned_count(&site), ENGINES as usize);
     let orders = site.evidence.orders;
     assert!(orders <= u64::from(ENGINES) * 11 / 10, "{orders} orders for {ENGINES} engines");
     assert!(site.evidence.appends <= 1, "{} appends", site.evidence.appends);
 }
 
 #[test]
-fn a_hall_restarted_at_once_settles_without_a_storm_of_orders() {
+fn a_restarted_hall_recovers_without_excess_orders() {
     let mut site = site();
     let orders = site.evidence.orders;
     for host in (1..=HOSTS).filter(|host| host % 3 == 0) {
-        site.act_at(SETTLED, SiteAction::KillHost(host, 20_000));
+        site.act_at(STABLE_AT, SiteAction::KillHost(host, 20_000));
     }
-    site.run_until(SETTLED + 15_000);
+    site.run_until(STABLE_AT + 15_000);
     let reachable = ENGINES as usize * 2 / 3;
-    assert_eq!(owned(&site), reachable, "the other halls keep theirs");
-    site.run_until(SETTLED + 35_000);
-    assert_eq!(owned(&site), ENGINES as usize, "all are owned again");
+    assert_eq!(owned_count(&site), reachable, "the other halls keep their engines");
+    site.run_until(STABLE_AT + 35_000);
+    assert_eq!(owned_count(&site), ENGINES as usize, "all engines are owned again");
     let orders = site.evidence.orders - orders;
     assert!(orders <= u64::from(ENGINES), "{orders} orders for a third of {ENGINES} engines");
 }
 
 #[test]
-fn a_hall_cut_off_keeps_its_engines_and_is_known_again_afterwards() {
+fn a_partitioned_hall_keeps_its_engines_and_rejoins() {
     let mut site = site();
     let (orders, messages) = (site.evidence.orders, site.evidence.messages);
-    site.act_at(SETTLED, SiteAction::CutHall(2, 60_000));
-    site.run_until(SETTLED + 50_000);
-    assert_eq!(owned(&site), ENGINES as usize, "each hall owns its own engines throughout");
+    site.act_at(STABLE_AT, SiteAction::CutHall(2, 60_000));
+    site.run_until(STABLE_AT + 50_000);
+    assert_eq!(owned_count(&site), ENGINES as usize, "each hall owns its own engines throughout");
     for (host, core) in site.cores() {
-        let alone = core.members().live_count() <= HOSTS as usize * 2 / 3;
-        assert!(alone, "host {host} believes hosts beyond the cut to be there");
+        let sees_no_host_beyond = core.members().live_count() <= HOSTS as usize * 2 / 3;
+        assert!(sees_no_host_beyond, "host {host} considers hosts beyond the partition alive");
     }
-    site.run_until(SETTLED + 100_000);
+    site.run_until(STABLE_AT + 100_000);
     for (host, core) in site.cores() {
         assert_eq!(core.members().live_count(), HOSTS as usize, "host {host}");
     }
-    assert_eq!(site.evidence.orders, orders, "no engine changed hands for it");
+    assert_eq!(site.evidence.orders, orders, "no engine changed its owner");
     let sent = (site.evidence.messages - messages) / u64::from(HOSTS) / 100;
-    assert!(sent <= 12, "{sent} messages a host and second");
+    assert!(sent <= 12, "{sent} messages per host and second");
 }
--- a/crates/core/tests/placement/planning.rs
+++ b/crates/core/tests/placement/planning.rs
@@ -4,7 +4,7 @@
 
 use reelreel_core::{
     ClockMillis,
-    fleet::{EngineEntry, HeldModel, work::EngineWork},
+    fleet::{EngineEntry, LoadedModel, work::EngineWork},
     placement::{EngineWeightCache, HostWork, OrderKind, PlacementAction},
 };
 
@@ -27,8 +27,8 @@
 fn listed_models_are_published_before_the_first_report() {
     let mut planner = planner();
     let mut engine = TestEngine::new(0, 0);
-    let held = vec![HeldModel { key: key(5), version: 1 }];
-    engine.entry = Arc::new(EngineEntry { held: held.clone(), ..(*engine.entry).clone() });
+    let held = vec![LoadedModel { key: key(5), version: 1 }];
+    engine.entry = Arc::new(EngineEntry { loaded_models: held.clone(), ..(*engine.entry).clone() });
     planner.set_engines(&[Arc::clone(&engine.entry)]);
     planner.begin_tenure(ClockMillis::from_millis(10));
     planner.plan(true, ClockMillis::from_millis(10));
@@ -328,7 +328,7 @@
     let holder = simulation.engines.iter().find(|engine| engine.held.contains_key(&key(1)));
     let name = Arc::clone(&holder.expect("no engine holds the adapter").entry.name);
     let host = Arc::from("host");
-    let work = EngineWork { open: 13, unread: 0 };
+    let work = EngineWork { open: 13, pending_prefill_tokens: 0 };
     let host_work = HostWork { engines: vec![(name, work)], ..HostWork::default() };
     simulation.planner.record_work(&host, &host_work, simulation.time());
     settle(&mut simulation);
--- a/crates/core/tests/placement/simulation.rs
+++ b/crates/core/tests/placement/simulation.rs
@@ -9,8 +9,8 @@
 use reelreel_core::{
     ClockMillis,
     fleet::{
-        EngineEntry, HeldModel, ModelKey,
-        reading::ReadingSpeed,
+        EngineEntry, LoadedModel, ModelKey,
+        prefill_speed::PrefillSpeed,
         routes::{ModelHosting, ModelSize},
     },
     placement::{
@@ -32,8 +32,8 @@
             adapter_megabytes: 10.0,
             load_time: Duration::from_millis(600),
         }],
-        weight_megabytes: 1100.0,
-        most_adapters: MAX_ADAPTERS,
+        memory_megabytes: 1100.0,
+        adapter_limit: MAX_ADAPTERS,
         loads_per_second: 3.3,
     }
 }
@@ -66,14 +66,14 @@
     pub(crate) fn new(number: usize, incarnation: usize) -> Self {
         let entry = EngineEntry {
             name: Arc::from(format!("engine-{number}-{incarnation}")),
-            born: 1,
+            incarnation: 1,
             service: Arc::from("assist"),
             address: format!("127.0.0.1:{}", 9000 + number).parse().expect("address is valid"),
             hall: Arc::from("hall"),
             slots: 16,
             leaving: false,
             sequence: 0,
-            held: Vec::new(),
+            loaded_models: Vec::new(),
         };
         let held = BTreeMap::from([(ModelKey::from(MODEL), 1)]);
         let entry = Arc::new(entry);
@@ -141,9 +141,9 @@
     }
 
     pub(crate) fn report(&self) -> EngineReport {
-        let held = |key: &ModelKey| HeldModel { key: Arc::clone(key), version: 1 };
+        let held = |key: &ModelKey| LoadedModel { key: Arc::clone(key), version: 1 };
         EngineReport {
-            born: self.entry.born,
+            born: self.entry.incarnation,
             sequence: self.sequence,
             model_change_in_progress: false,
             held: self.held.keys().map(held).collect(),
@@ -206,9 +206,9 @@
     }
 
     fn set_prefill_time(&mut self, time: Duration) {
-        let mut speed = ReadingSpeed::default();
+        let mut speed = PrefillSpeed::default();
         for _ in 0..PREFILL_SAMPLES {
-            speed.note(PROMPT_TOKENS, 0, time);
+            speed.record(PROMPT_TOKENS, 0, time);
         }
         self.planner.set_prefill_speed(&speed);
     }
@@ -285,7 +285,7 @@
         let index = number % self.engines.len();
         let previous = &self.engines[index];
         let born = 1 + u64::try_from(self.incarnations).unwrap_or_default();
-        let entry = EngineEntry { born, ..(*previous.entry).clone() };
+        let entry = EngineEntry { incarnation: born, ..(*previous.entry).clone() };
         let delayed_orders = previous.delayed_orders.clone();
         let engine = TestEngine::new(index, 0);
         self.engines[index] = TestEngine { entry: Arc::new(entry), delayed_orders, ..engine };
--- a/crates/gateway/src/control/placing.rs
+++ b/crates/gateway/src/control/placing.rs
@@ -186,8 +186,8 @@
             }
         }
         planner.set_versions(&versions);
-        planner.set_limits(self.shared.limits().known());
-        planner.set_cooldowns(self.shared.cooldowns().closed(now).cloned().collect());
+        planner.set_limits(self.shared.limits().limits());
+        planner.set_cooldowns(self.shared.cooldowns().unavailable_engines(now).cloned().collect());
         if let Some(speed) = self.shared.reading().get(service) {
             planner.set_prefill_speed(speed);
         }
--- a/crates/gateway/src/entry/exchange.rs
+++ b/crates/gateway/src/entry/exchange.rs
@@ -12,7 +12,7 @@
     clock::duration_millis,
     fleet::{
         EngineEntry, EngineName, ServiceName, WeightVersion,
-        quarantine::{EndedRun, RequestMark},
+        quarantine::{InterruptedRun, RequestMark},
         routes::{ConfigRevision, RouteEntry},
     },
     organisation::OrganisationEntry,
@@ -130,7 +130,7 @@
     /// When it was sent the last time. Unit: milliseconds after the arrival.
     pub sent: u64,
     /// The run under way, as it is known if its engine ends.
-    pub run: Option<EndedRun>,
+    pub run: Option<InterruptedRun>,
     /// What its engine had to read before its prompt when it was sent the last time. Unit: tokens.
     pub ahead: u64,
     /// The longest pause between two events that were passed on.
@@ -279,7 +279,7 @@
     pub fn pick(&self) -> EnginePick {
         let mut excluded = self.unreached.clone();
         // Once the route's engines are used up, only those that were asked may be asked again.
-        let used_up = self.sent_to.len() >= self.route.most_attempts.max(1) as usize;
+        let used_up = self.sent_to.len() >= self.route.attempt_limit.max(1) as usize;
         if used_up {
             let table = self.traffic.table();
             let others = table.ready_engines(&self.service);
@@ -349,7 +349,7 @@
                 None
             }
             SendEnd::Failed => {
-                let repeat = self.route.kind.may_repeat() && self.has_other_engine();
+                let repeat = self.route.kind.is_retryable() && self.has_other_engine();
                 if repeat && self.may_send_again() {
                     self.unreached.push(Arc::clone(&entry.name));
                     return None;
@@ -357,7 +357,7 @@
                 Some(self.answer(ENGINE_FAILED, "engine_failed").await)
             }
             SendEnd::Erred(answer, body) => {
-                let repeat = self.route.kind.may_repeat() && self.has_other_engine();
+                let repeat = self.route.kind.is_retryable() && self.has_other_engine();
                 if repeat && self.may_send_again() {
                     self.unreached.push(Arc::clone(&entry.name));
                     return None;
@@ -370,7 +370,7 @@
 
     /// Returns whether the route allows another engine.
     pub fn has_other_engine(&self) -> bool {
-        self.sent_to.len() < self.route.most_attempts as usize
+        self.sent_to.len() < self.route.attempt_limit as usize
     }
 
     /// Returns whether the request may be sent once more as far as its own bounds go.
@@ -393,7 +393,7 @@
         };
         if !self.may_have_run {
             let now = self.traffic.now();
-            self.traffic.shared.quotas().give_back(&organisation.name, self.quota_cost, now);
+            self.traffic.shared.quotas().refund(&organisation.name, self.quota_cost, now);
         }
     }
 
--- a/crates/gateway/src/entry/quarantine.rs
+++ b/crates/gateway/src/entry/quarantine.rs
@@ -3,8 +3,8 @@
 use std::{sync::Arc, time::Duration};
 
 use reelreel_core::fleet::{
-    EngineEntry, WeightVersion, base_model, choice::NamedVersions, condition::EngineOutcome,
-    quarantine::EndedRun,
+    EngineEntry, WeightVersion, base_model, engine_choice::PublishedVersions,
+    health::EngineOutcome, quarantine::InterruptedRun,
 };
 
 use crate::{engines::ends::run_broke, entry::exchange::Exchange};
@@ -18,7 +18,7 @@
     pub(super) fn held_back(&self) -> Option<Duration> {
         let now = self.traffic.now();
         let version = self.named_version();
-        self.traffic.shared.quarantine().held(self.mark, version, now)
+        self.traffic.shared.quarantine().quarantine_left(self.mark, version, now)
     }
 
     /// Returns whether engines ended under the request since it last ran whole.
@@ -30,10 +30,10 @@
     pub(super) fn run_begins(&mut self) {
         let now = self.traffic.now();
         let shared = &self.traffic.shared;
-        if shared.quarantine().run_begins(self.mark, now) {
+        if shared.quarantine().record_start(self.mark, now) {
             shared.wake_control.notify_one();
         }
-        self.run = Some(EndedRun {
+        self.run = Some(InterruptedRun {
             mark: self.mark,
             organisation: self.organisation.as_ref().map(|entry| Arc::clone(&entry.name)),
             began: now,
@@ -45,17 +45,17 @@
     pub(super) fn ran_whole(&mut self) {
         self.run = None;
         let now = self.traffic.now();
-        self.traffic.shared.quarantine().ran_whole(self.mark, now);
+        self.traffic.shared.quarantine().record_completion(self.mark, now);
     }
 
     /// Takes that the run under way broke off, and finds out whether its engine ended.
     ///
     /// Whoever would send the request again waits for that: one engine more would end before anything is known.
     pub(super) async fn broke_off(&mut self, entry: &Arc<EngineEntry>) {
-        self.note(entry, EngineOutcome::Broken);
+        self.note(entry, EngineOutcome::Failed);
         let Some(run) = self.run.take() else { return };
         let looked_at = run_broke(self.traffic, entry, run);
-        if self.route.kind.may_repeat() && self.has_other_engine() {
+        if self.route.kind.is_retryable() && self.has_other_engine() {
             // Not known in time is as good as not ended: whoever comes next finds out.
             let _ = tokio::time::timeout(END_PATIENCE, looked_at).await;
         }
@@ -65,7 +65,7 @@
     fn named_version(&self) -> WeightVersion {
         let Some(key) = &self.facts.model else { return 0 };
         let table = self.traffic.table();
-        let named = |key: &str| table.versions.get(key).map_or(0, NamedVersions::newest);
+        let named = |key: &str| table.versions.get(key).map_or(0, PublishedVersions::newest);
         named(key).max(named(base_model(key)))
     }
 }
--- a/crates/gateway/src/gate.rs
+++ b/crates/gateway/src/gate.rs
@@ -8,9 +8,9 @@
     ClockMillis,
     fleet::{
         EngineEntry,
-        cooldown::{CooldownStanding, CooldownTable},
+        cooldown::{CooldownState, CooldownTable},
         departures::DepartureRegistry,
-        limits::share::{LimitShare, LimitStanding, PermitUse},
+        limits::share::{LimitShare, LimitStatus, PermitUse},
     },
 };
 
@@ -52,21 +52,21 @@
         if verdict != GateVerdict::Open {
             return verdict;
         }
-        match self.limits.standing(&entry.name, wanted, self.now) {
-            LimitStanding::Used => GateVerdict::Limited,
-            LimitStanding::Free | LimitStanding::Permitted => GateVerdict::Open,
+        match self.limits.limit_status(&entry.name, wanted, self.now) {
+            LimitStatus::Exhausted => GateVerdict::Limited,
+            LimitStatus::Unlimited | LimitStatus::Permitted => GateVerdict::Open,
         }
     }
 
     /// Returns whether an engine takes a call, its limit aside: an order, a question for a report, or a request that holds a
     /// permit.
     pub fn own_verdict(&self, entry: &EngineEntry) -> GateVerdict {
-        if self.departures.is_departing(&entry.name, entry.born) {
+        if self.departures.is_departing(&entry.name, entry.incarnation) {
             return GateVerdict::Departing;
         }
-        match self.cooldowns.standing(&entry.name, entry.born, self.now) {
-            CooldownStanding::Open => GateVerdict::Open,
-            CooldownStanding::Closed(time) => GateVerdict::Cooling(time),
+        match self.cooldowns.state(&entry.name, entry.incarnation, self.now) {
+            CooldownState::Available => GateVerdict::Open,
+            CooldownState::Unavailable(time) => GateVerdict::Cooling(time),
         }
     }
 }
--- a/crates/gateway/src/host.rs
+++ b/crates/gateway/src/host.rs
@@ -16,9 +16,9 @@
         announcement::{Declared, EngineAnnouncements},
         cooldown::CooldownTable,
         departures::DepartureRegistry,
-        limits::{limit::AnswerReport, share::LimitShare},
-        quarantine::{ENDS_UNTIL_HELD, QuarantineBook},
-        reading::ReadingSpeed,
+        limits::{limit::LimitDeclaration, share::LimitShare},
+        prefill_speed::PrefillSpeed,
+        quarantine::{CRASHES_UNTIL_QUARANTINED, QuarantineTracker},
     },
     organisation::share::QuotaShare,
 };
@@ -80,9 +80,9 @@
     pub wake_control: Notify,
     demand: Mutex<DemandCollector>,
     shared_work: Mutex<SharedWork>,
-    reading: Mutex<HashMap<ServiceName, ReadingSpeed>>,
+    reading: Mutex<HashMap<ServiceName, PrefillSpeed>>,
     quotas: Mutex<QuotaShare>,
-    quarantine: Mutex<QuarantineBook>,
+    quarantine: Mutex<QuarantineTracker>,
     limits: Mutex<LimitShare>,
     departures: Mutex<DepartureRegistry>,
     cooldowns: Mutex<CooldownTable>,
@@ -100,7 +100,7 @@
     ) -> Self {
         let quotas =
             if profile.first_start { QuotaShare::unspent() } else { QuotaShare::default() };
-        let quarantine = QuarantineBook::new(&profile.name, ENDS_UNTIL_HELD);
+        let quarantine = QuarantineTracker::new(&profile.name, CRASHES_UNTIL_QUARANTINED);
         Self {
             profile,
             dialects,
@@ -131,7 +131,7 @@
     }
 
     /// Locks how fast the engines of each service read prompts for a moment.
-    pub fn reading(&self) -> MutexGuard<'_, HashMap<ServiceName, ReadingSpeed>> {
+    pub fn reading(&self) -> MutexGuard<'_, HashMap<ServiceName, PrefillSpeed>> {
         self.reading.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -159,7 +159,7 @@
     }
 
     /// Locks what this host knows of requests under which engines ended for a moment.
-    pub fn quarantine(&self) -> MutexGuard<'_, QuarantineBook> {
+    pub fn quarantine(&self) -> MutexGuard<'_, QuarantineTracker> {
         self.quarantine.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -192,22 +192,27 @@
         kind: ResponseKind,
     ) {
         let now = self.clock.now();
-        let (engine, born) = (&entry.name, entry.born);
+        let (engine, born) = (&entry.name, entry.incarnation);
         let mut wake = false;
         if let Declared::Present(_) = announcements.departure {
-            wake |= self.departures().announced(engine, born, now);
+            wake |= self.departures().record_announced(engine, born, now);
         }
         if !self.departures().is_departing(engine, born) {
-            let would_say = kind == ResponseKind::Accepted;
-            let word = AnswerReport { said: announcements.limit, asked: sent, would_say };
-            wake |= self.limits().answered(engine, born, word, now);
+            let absence_is_conclusive = kind == ResponseKind::Accepted;
+            let word = LimitDeclaration {
+                limit: announcements.limit,
+                requested_at: sent,
+                absence_is_conclusive,
+            };
+            wake |= self.limits().receive_declaration(engine, born, word, now);
         }
         let mut cooldowns = self.cooldowns();
         match announcements.cooldown {
-            Declared::Present(cooldown) => cooldowns.requested(engine, born, cooldown, now),
+            Declared::Present(cooldown) => cooldowns.record_cooldown(engine, born, cooldown, now),
             Declared::Absent | Declared::Unreadable => {
                 let accepted = kind == ResponseKind::Accepted;
-                if kind != ResponseKind::Other && cooldowns.responded(engine, born, sent, accepted)
+                if kind != ResponseKind::Other
+                    && cooldowns.record_response(engine, born, sent, accepted)
                 {
                     self.permits_changed();
                 }
