--- a/crates/core/src/fleet/cold_start.rs
+++ b/crates/core/src/fleet/cold_start.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use crate::placement::store_pace::LEAST_LOAD_TIME;
+use crate::placement::store_throughput::MIN_LOAD_TIME;
 
 /// Fraction of the latency target for which a request waits for a load estimate.
 const ESTIMATE_WAIT_FRACTION: f64 = 0.17;
@@ -100,7 +100,7 @@
 
     /// Returns the worth of the request if a load of its adapter begins now.
     pub fn worth(&self) -> f64 {
-        let first_event = self.elapsed + LEAST_LOAD_TIME + self.prefill_time + FIRST_EVENT_OVERHEAD;
+        let first_event = self.elapsed + MIN_LOAD_TIME + self.prefill_time + FIRST_EVENT_OVERHEAD;
         if self.client_retried || first_event > self.latency_target { LATE_WORTH } else { 1.0 }
     }
 
--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -1,40 +1,42 @@
-//! Which engine holds which adapter: one placer per domain decides, as long as it holds the lease.
+//! Decides which engine holds which adapter. Each placement domain has one placer, the host that
+//! holds the domain's lease.
 //!
-//! A placement domain is the engines of one service. The placer alone gives orders there and spends
-//! the weight store's rate; whether this host is the placer says [`tenure`]. [`demand`] sums up what
-//! all hosts are asked for, [`inventory`] keeps what each engine holds in spite of lost and late
-//! answers, [`window`] keeps loads below the store's ceiling, and [`planner`] picks the next order.
+//! A placement domain consists of the engines of one service. Only the placer issues orders there
+//! and spends the weight store's load rate. [`tenure`] tells whether this host is the placer,
+//! [`demand`] aggregates demand over all hosts, [`inventory`] tracks what each engine holds despite
+//! lost and delayed answers, [`load_rate_limiter`] limits the rate of base model loads, and
+//! [`planner`] chooses the next orders.
 
 pub mod candidacy;
-mod candidates;
+mod load_candidates;
 pub mod demand;
-mod doubts;
-mod due;
+mod unanswered_orders;
+mod load_timing;
 pub mod inventory;
-mod limited;
+mod limited_engines;
 pub mod load_suspects;
-mod memory;
-mod odd_engines;
+mod engine_weight_cache;
+mod slow_engines;
 pub mod order;
-pub mod pace_learner;
+pub mod throughput_estimator;
 pub mod planner;
 mod store_model;
-mod signs;
-pub mod store_pace;
-mod target;
+mod engine_reports;
+pub mod store_throughput;
+mod load_target;
 pub mod tenure;
-mod totals;
-pub mod window;
-pub mod work;
+mod round_totals;
+pub mod load_rate_limiter;
+pub mod engine_work;
 
 pub use candidacy::HostCapacity;
-pub use demand::{DemandBook, DemandEntry};
+pub use demand::{DemandEntry, DemandTracker};
+pub use engine_weight_cache::EngineWeightCache;
+pub use engine_work::{AbsentEntry, HostWork, OpenRequestsEntry, WorkTracker};
 pub use inventory::{EngineInventory, EngineReport};
-pub use memory::EngineMemory;
+pub use load_rate_limiter::LoadRateLimiter;
 pub use order::{OrderAnswer, OrderId, OrderKind, PlacementAction, PlannedOrder};
-pub use pace_learner::{LoadSight, PaceLearner};
 pub use planner::PlacementPlanner;
-pub use store_pace::StorePace;
+pub use store_throughput::StoreThroughput;
 pub use tenure::{LeaseRules, PlacerTenure};
-pub use window::LoadWindow;
-pub use work::{AbsentEntry, HostWork, RunEntry, WorkBook};
+pub use throughput_estimator::{LoadObservation, ThroughputEstimator};
--- a/crates/core/src/placement/inventory.rs
+++ b/crates/core/src/placement/inventory.rs
@@ -1,9 +1,9 @@
-//! What one engine holds, kept true in spite of lost answers, late orders and other placers.
+//! Tracks what one engine holds despite lost answers, delayed orders and other placers.
 //!
-//! An engine counts the orders that it has taken. Each order names the count that it expects, so an
-//! order that arrives late, after another one, is refused by the engine itself. Whenever the count
-//! is in doubt, a report settles it; a report counts only when it can not be older than the last
-//! order.
+//! An engine counts the orders that it has taken, and each order names the sequence number that it
+//! expects, so the engine refuses an order that arrives after a later one. When the sequence number
+//! is uncertain, a report settles it. A report counts only if its state cannot be older than the
+//! last order.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -17,148 +17,152 @@
         EngineEntry, EngineIncarnation, LoadedModel, ModelKey, WeightVersion, adapter_name,
         base_model,
     },
-    placement::{EngineMemory, LoadSight, OrderId, OrderKind, PlannedOrder},
+    placement::{EngineWeightCache, LoadObservation, OrderId, OrderKind, PlannedOrder},
 };
 
-/// How old the state in a report may be when it arrives.
-pub const REPORT_LAG: Duration = Duration::from_millis(250);
+/// Maximum age of the state in a report when the report arrives.
+pub const MAX_REPORT_AGE: Duration = Duration::from_millis(250);
 
-/// How old the state in a report is as a rule. Source: the users' pages, some hundred milliseconds.
-const REPORT_AGE: Duration = Duration::from_millis(100);
+/// Typical age of the state in a report.
+const TYPICAL_REPORT_AGE: Duration = Duration::from_millis(100);
 
-/// By how much that may be wrong either way.
-const REPORT_BLUR: Duration = Duration::from_millis(40);
+/// Maximum deviation of that age from the typical age, in either direction.
+const REPORT_AGE_UNCERTAINTY: Duration = Duration::from_millis(40);
 
-/// How long after a load is due a report is asked for: one that shows the engine just after the load has ended.
-const REPORT_DELAY: Duration = Duration::from_millis(130);
+/// Delay between a load's due time and the report request, so that the report shows the engine just
+/// after the load.
+const OVERDUE_REPORT_DELAY: Duration = Duration::from_millis(130);
 
-/// How long a host's report holds that it can't use an engine: hosts leave one that they can't connect to for 400 ms at first,
-/// and report it again when they have tried again.
-const UNREACHED_HOLDS: Duration = Duration::from_millis(1500);
+/// How long a host's message that it cannot use an engine stays valid. It must exceed the host's
+/// first reconnect interval of 400 ms, after which the host reports again.
+const UNREACHABLE_TTL: Duration = Duration::from_millis(1500);
 
-/// How many hosts must say so: one may be cut off itself.
-const LEAST_UNREACHED: usize = 2;
+/// Number of hosts that must report an engine as unreachable. A single host may itself be cut off.
+const MIN_UNREACHABLE_HOSTS: usize = 2;
 
-/// How many loads may be in transit to one engine.
-pub const MOST_IN_TRANSIT: usize = 4;
+/// Maximum number of pending loads per engine.
+pub const MAX_PENDING_LOADS: usize = 4;
 
-/// What an engine tells when it is asked.
+/// Engine state returned on request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineReport {
-    /// The life of the engine that tells it; zero where it does not say.
+    /// Incarnation of the reporting engine, or zero if the report does not state it.
     pub born: EngineIncarnation,
-    /// How many orders it had taken.
+    /// Number of orders taken.
     pub sequence: u64,
-    /// Whether a model's order is under way.
-    pub busy: bool,
-    /// What it held.
+    /// Whether the engine is loading or unloading a base model.
+    pub model_change_in_progress: bool,
+    /// Models and adapters that the engine holds.
     pub held: Vec<LoadedModel>,
-    /// What was in transit to it.
+    /// Models and adapters that the engine is loading.
     pub pending: Vec<LoadedModel>,
 }
 
-/// A load that was ordered and has not been seen to end.
+/// A load that was ordered and is not yet known to be complete.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PendingLoad {
-    /// What is loaded.
+    /// Model or adapter to load.
     pub key: ModelKey,
-    /// Its version, where one is named.
+    /// Version to load, or the default version.
     pub version: WeightVersion,
-    /// When it was ordered.
-    pub began: ClockMillis,
-    /// When it is expected to end.
+    /// When the load started, as far as the placer knows.
+    pub started_at: ClockMillis,
+    /// When the load is expected to complete.
     pub due: ClockMillis,
-    /// Before when it is not expected, since its engine said that it was not there.
+    /// Earliest due time, set after the engine denied holding the model or adapter.
     pub not_before: ClockMillis,
-    /// The order that began it; of another placer's order nothing is known.
-    pub order: Option<OrderId>,
-    /// Whether it uses the weight store.
+    /// Order that started the load, or `None` if it was another placer's.
+    pub order_id: Option<OrderId>,
+    /// Whether the weights come from the weight store.
     pub from_store: bool,
-    /// Whether a host sent requests for it to the engine: whatever ends the engine then need not be the load.
-    pub used: bool,
+    /// Whether a host has sent the engine requests for this key. A later crash may then be due to
+    /// those requests instead of the load.
+    pub has_requests: bool,
 }
 
 impl PendingLoad {
-    /// Returns whether it is an adapter from the weight store.
+    /// Returns whether this is an adapter load from the weight store.
     pub fn is_store_adapter(&self) -> bool {
         self.from_store && adapter_name(&self.key).is_some()
     }
 }
 
-/// A load order that got no answer.
+/// An unanswered load order.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct DoubtedLoad {
-    /// What was to be loaded.
+pub struct UnresolvedLoad {
+    /// Model or adapter of the order.
     pub key: ModelKey,
-    /// When the order was counted against the weight store's rate, if it was.
-    pub noted: Option<ClockMillis>,
+    /// When the order was counted by the weight store's rate limiter, if it was.
+    pub counted_at: Option<ClockMillis>,
 }
 
-/// How long after it was sent an order without an answer may still be carried out. Source: the users' pages, seconds; twelve
-/// were seen.
-const LATE_ORDER: Duration = Duration::from_secs(15);
+/// Maximum time after which an engine may still execute an unanswered order.
+const MAX_ORDER_DELAY: Duration = Duration::from_secs(15);
 
-/// A load order without an answer, which may still be carried out once the engine has taken as many orders as it names.
+/// An unanswered load order that an engine may still execute once it reaches the expected sequence
+/// number.
 ///
-/// In the life to which it was sent another order takes its place at that count. The next life under the same name counts
-/// anew, and may come by the same count while it is full.
+/// In the incarnation that the order was sent to, another order takes that sequence number. The
+/// next incarnation under the same name starts counting again and may reach the number while it is
+/// full.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct LateLoad {
+struct UnansweredLoad {
     key: ModelKey,
     expected_sequence: u64,
-    sent: ClockMillis,
+    sent_at: ClockMillis,
 }
 
-impl LateLoad {
-    fn new(order: &PlannedOrder, sent: ClockMillis) -> Self {
+impl UnansweredLoad {
+    fn new(order: &PlannedOrder, sent_at: ClockMillis) -> Self {
         let key = Arc::clone(&order.key);
-        Self { key, expected_sequence: order.expected_sequence, sent }
+        Self { key, expected_sequence: order.expected_sequence, sent_at }
     }
 }
 
-/// One engine as its placer knows it.
+/// The placer's view of one engine.
 #[derive(Debug, Clone)]
 pub struct EngineInventory {
-    /// The engine as listed.
+    /// Entry of the engine in the engine list.
     pub entry: Arc<EngineEntry>,
-    /// Orders taken, when that is known.
+    /// Number of orders taken, if known.
     pub sequence: Option<u64>,
-    /// What it holds.
+    /// Models and adapters that the engine holds.
     pub held: BTreeMap<ModelKey, WeightVersion>,
-    /// What is in transit to it.
+    /// Loads in progress.
     pub pending: Vec<PendingLoad>,
-    /// What it held before and may bring back without the weight store, the latest last.
-    pub memory: EngineMemory,
-    /// What it drops as soon as its runs have ended.
-    pub closing: BTreeSet<ModelKey>,
-    /// The order that is on its way.
-    pub order: Option<OrderKind>,
-    /// Load orders without an answer at the present count of orders: one may still be carried out.
-    pub doubted: Vec<DoubtedLoad>,
-    /// Load orders to this life that got no answer lately.
-    unanswered: Vec<LateLoad>,
-    /// Load orders to the life before that may still be carried out in this one.
-    late: Vec<LateLoad>,
-    /// When the last order was given.
-    pub noted: ClockMillis,
-    /// When the last order ended.
-    pub ordered: ClockMillis,
-    /// When a report was last asked for.
-    pub asked: ClockMillis,
-    /// Whether a report is on its way.
-    pub asking: bool,
-    /// Whether the engine said that it is busy with a model.
-    pub busy: bool,
-    /// When a host was told that it lacks something that it is taken to hold, until a report has settled that.
-    pub contradicted: Option<ClockMillis>,
-    /// Hosts that could not connect to it, and when they said so.
-    unreached: BTreeMap<Arc<str>, ClockMillis>,
-    /// Whether what requests may be sent to has changed since it was last told.
-    pub touched: bool,
+    /// Models and adapters that the engine can probably reload without the weight store.
+    pub weight_cache: EngineWeightCache,
+    /// Adapters that the engine drops once their open requests have ended.
+    pub unloading: BTreeSet<ModelKey>,
+    /// Order that has been sent and not yet answered.
+    pub outstanding_order: Option<OrderKind>,
+    /// Unanswered load orders at the current sequence number. At most one of them may still be
+    /// executed.
+    pub unresolved_loads: Vec<UnresolvedLoad>,
+    /// Recent unanswered load orders to this incarnation.
+    unanswered_loads: Vec<UnansweredLoad>,
+    /// Load orders to previous incarnations that may still be executed in this one.
+    previous_unanswered_loads: Vec<UnansweredLoad>,
+    /// When the last order was issued.
+    pub last_order_sent_at: ClockMillis,
+    /// When the last order was issued or answered.
+    pub last_order_activity_at: ClockMillis,
+    /// When a report was last requested.
+    pub report_requested_at: ClockMillis,
+    /// Whether a requested report is outstanding.
+    pub report_pending: bool,
+    /// Whether the engine last reported a base model load or unload in progress.
+    pub model_change_in_progress: bool,
+    /// When the engine last denied holding something that is in `held`, until a report settles it.
+    pub contradicted_at: Option<ClockMillis>,
+    /// Hosts that could not connect to the engine, with the time of their message.
+    unreachable_from: BTreeMap<Arc<str>, ClockMillis>,
+    /// Whether the servable models have changed since they were last published.
+    pub residency_changed: bool,
 }
 
 impl EngineInventory {
-    /// Starts with what the engine's entry says that it holds.
+    /// Creates an inventory from the engine's list entry.
     pub fn new(entry: Arc<EngineEntry>) -> Self {
         let held = entry.loaded_models.iter().map(|model| (Arc::clone(&model.key), model.version));
         Self {
@@ -166,112 +170,120 @@
             entry,
             sequence: None,
             pending: Vec::new(),
-            memory: EngineMemory::default(),
-            closing: BTreeSet::new(),
-            order: None,
-            doubted: Vec::new(),
-            unanswered: Vec::new(),
-            late: Vec::new(),
-            noted: ClockMillis::default(),
-            ordered: ClockMillis::default(),
-            asked: ClockMillis::default(),
-            asking: false,
-            busy: false,
-            contradicted: None,
-            unreached: BTreeMap::new(),
-            touched: true,
+            weight_cache: EngineWeightCache::default(),
+            unloading: BTreeSet::new(),
+            outstanding_order: None,
+            unresolved_loads: Vec::new(),
+            unanswered_loads: Vec::new(),
+            previous_unanswered_loads: Vec::new(),
+            last_order_sent_at: ClockMillis::default(),
+            last_order_activity_at: ClockMillis::default(),
+            report_requested_at: ClockMillis::default(),
+            report_pending: false,
+            model_change_in_progress: false,
+            contradicted_at: None,
+            unreachable_from: BTreeMap::new(),
+            residency_changed: true,
         }
     }
 
-    /// Starts with the next life of the same engine; `outstanding` are orders to the life before that have no answer yet.
+    /// Creates the inventory of the engine's next incarnation. `outstanding_orders` are unanswered
+    /// orders to this one.
     #[must_use]
-    pub fn next_life<'order>(
+    pub fn next_incarnation<'order>(
         &self,
         entry: Arc<EngineEntry>,
-        outstanding: impl Iterator<Item = &'order PlannedOrder>,
+        outstanding_orders: impl Iterator<Item = &'order PlannedOrder>,
     ) -> Self {
         let mut next = Self::new(entry);
-        next.late.extend(self.late.iter().chain(&self.unanswered).cloned());
-        let loads = outstanding.filter(|order| matches!(order.kind, OrderKind::Load { .. }));
-        next.late.extend(loads.map(|order| LateLoad::new(order, self.noted)));
+        next.previous_unanswered_loads
+            .extend(self.previous_unanswered_loads.iter().chain(&self.unanswered_loads).cloned());
+        let loads = outstanding_orders.filter(|order| matches!(order.kind, OrderKind::Load { .. }));
+        next.previous_unanswered_loads
+            .extend(loads.map(|order| UnansweredLoad::new(order, self.last_order_sent_at)));
         next
     }
 
-    /// Takes that an order to this life has no answer.
-    pub fn note_unanswered(&mut self, order: &PlannedOrder) {
+    /// Records that an order to this incarnation was not answered.
+    pub fn record_unanswered(&mut self, order: &PlannedOrder) {
         if matches!(order.kind, OrderKind::Load { .. })
             && self.entry.is_incarnation(order.engine.incarnation)
         {
-            self.unanswered.push(LateLoad::new(order, self.noted));
+            self.unanswered_loads.push(UnansweredLoad::new(order, self.last_order_sent_at));
         }
     }
 
-    /// Forgets orders without an answer that are not carried out any more.
-    pub fn forget_late(&mut self, now: ClockMillis) {
-        for loads in [&mut self.unanswered, &mut self.late] {
-            loads.retain(|load| now.since(load.sent) < LATE_ORDER);
+    /// Drops unanswered orders that can no longer be executed.
+    pub fn drop_expired_unanswered(&mut self, now: ClockMillis) {
+        for loads in [&mut self.unanswered_loads, &mut self.previous_unanswered_loads] {
+            loads.retain(|load| now.since(load.sent_at) < MAX_ORDER_DELAY);
         }
     }
 
-    /// Returns what orders to the life before may still bring: one load for each count of orders that lies ahead.
-    pub fn may_come_late(&self) -> impl Iterator<Item = &ModelKey> {
-        let ahead = |load: &&LateLoad| {
+    /// Returns the loads that orders to previous incarnations may still cause: one per sequence
+    /// number that has not been reached.
+    pub fn possible_late_loads(&self) -> impl Iterator<Item = &ModelKey> {
+        let can_still_run = |load: &&UnansweredLoad| {
             self.sequence.is_none_or(|sequence| load.expected_sequence >= sequence)
         };
-        let by_count: BTreeMap<u64, &ModelKey> = self
-            .late
+        let by_sequence: BTreeMap<u64, &ModelKey> = self
+            .previous_unanswered_loads
             .iter()
-            .filter(ahead)
+            .filter(can_still_run)
             .filter(|load| !self.held.contains_key(&load.key))
             .map(|load| (load.expected_sequence, &load.key))
             .collect();
-        by_count.into_values()
+        by_sequence.into_values()
     }
 
-    /// Returns whether a report is needed before anything can be ordered or decided.
+    /// Returns whether a report is needed before further orders or decisions.
     pub fn needs_report(&self, now: ClockMillis) -> bool {
-        if self.asking || self.order.is_some() {
+        if self.report_pending || self.outstanding_order.is_some() {
             return false;
         }
-        let settled = now.since(self.ordered) >= REPORT_LAG;
-        let rested = now.since(self.asked) >= REPORT_LAG;
-        let overdue = self.pending.iter().any(|load| now >= load.due + REPORT_DELAY);
-        settled
-            && rested
+        let orders_settled = now.since(self.last_order_activity_at) >= MAX_REPORT_AGE;
+        let interval_elapsed = now.since(self.report_requested_at) >= MAX_REPORT_AGE;
+        let overdue = self.pending.iter().any(|load| now >= load.due + OVERDUE_REPORT_DELAY);
+        orders_settled
+            && interval_elapsed
             && (self.sequence.is_none()
-                || self.busy
-                || self.contradicted.is_some()
+                || self.model_change_in_progress
+                || self.contradicted_at.is_some()
                 || overdue
-                || !self.closing.is_empty())
+                || !self.unloading.is_empty())
     }
 
-    /// Takes a report that was asked for at `asked`; returns whether it counted.
+    /// Applies a report that was requested at `requested_at` and returns whether it was current
+    /// enough.
     ///
-    /// One of a life that is not listed yet does not: its entry comes within a moment, and brings a new inventory.
-    pub fn take_report(&mut self, report: &EngineReport, asked: ClockMillis) -> bool {
-        self.asking = false;
+    /// A report of an incarnation that is not listed yet is ignored, because its list entry creates
+    /// a new inventory.
+    pub fn apply_report(&mut self, report: &EngineReport, requested_at: ClockMillis) -> bool {
+        self.report_pending = false;
         if !self.entry.is_incarnation(report.born) {
             self.sequence = None;
             return false;
         }
-        let fresh = asked.since(self.ordered) >= REPORT_LAG && self.order.is_none();
+        let fresh = requested_at.since(self.last_order_activity_at) >= MAX_REPORT_AGE
+            && self.outstanding_order.is_none();
         if !fresh {
             return false;
         }
         let held: BTreeMap<ModelKey, WeightVersion> =
             report.held.iter().map(|held| (Arc::clone(&held.key), held.version)).collect();
-        let known: Vec<ModelKey> = self.held.keys().chain(held.keys()).cloned().collect();
-        for key in known {
-            self.remember(&key);
+        let recently_held: Vec<ModelKey> = self.held.keys().chain(held.keys()).cloned().collect();
+        for key in recently_held {
+            self.record_cached(&key);
         }
         self.held = held;
-        self.touched = true;
-        self.closing.retain(|key| self.held.contains_key(key));
-        self.busy = report.busy;
-        // A report may show the engine as it was before it said so.
-        self.contradicted = self.contradicted.filter(|said| asked < *said + REPORT_LAG);
-        if self.sequence.is_some_and(|known| known < report.sequence) {
-            self.doubted.clear();
+        self.residency_changed = true;
+        self.unloading.retain(|key| self.held.contains_key(key));
+        self.model_change_in_progress = report.model_change_in_progress;
+        // The report may describe the engine before it denied holding the model or adapter.
+        self.contradicted_at =
+            self.contradicted_at.filter(|reported_at| requested_at < *reported_at + MAX_REPORT_AGE);
+        if self.sequence.is_some_and(|sequence| sequence < report.sequence) {
+            self.unresolved_loads.clear();
         }
         self.sequence = Some(report.sequence);
         self.pending.retain(|load| report.pending.iter().any(|pending| pending.key == load.key));
@@ -280,123 +292,138 @@
                 self.pending.push(PendingLoad {
                     key: Arc::clone(&pending.key),
                     version: pending.version,
-                    began: asked,
-                    due: asked + REPORT_LAG,
+                    started_at: requested_at,
+                    due: requested_at + MAX_REPORT_AGE,
                     not_before: ClockMillis::default(),
-                    order: None,
+                    order_id: None,
                     from_store: true,
-                    used: false,
+                    has_requests: false,
                 });
             }
         }
         true
     }
 
-    /// Takes that a host could not connect to it.
-    pub fn unreached_by(&mut self, host: &Arc<str>, now: ClockMillis) {
-        self.unreached.retain(|_, said| now.since(*said) < UNREACHED_HOLDS);
-        self.unreached.insert(Arc::clone(host), now);
+    /// Records that `host` could not connect to the engine.
+    pub fn record_unreachable_from(&mut self, host: &Arc<str>, now: ClockMillis) {
+        self.unreachable_from.retain(|_, reported_at| now.since(*reported_at) < UNREACHABLE_TTL);
+        self.unreachable_from.insert(Arc::clone(host), now);
     }
 
-    /// Returns whether hosts can't use it, so that another copy of what it holds is worth a load.
-    pub fn is_unreached(&self, now: ClockMillis) -> bool {
-        let lately = self.unreached.values().filter(|said| now.since(**said) < UNREACHED_HOLDS);
-        lately.count() >= LEAST_UNREACHED
+    /// Returns whether enough hosts cannot use the engine that its models need copies elsewhere.
+    pub fn is_unreachable(&self, now: ClockMillis) -> bool {
+        let recent = self
+            .unreachable_from
+            .values()
+            .filter(|reported_at| now.since(**reported_at) < UNREACHABLE_TTL);
+        recent.count() >= MIN_UNREACHABLE_HOSTS
     }
 
-    /// Takes that a host has requests for `key` there.
-    pub fn note_use(&mut self, key: &str) {
+    /// Records that a host has requests for `key` on this engine.
+    pub fn record_requests(&mut self, key: &str) {
         for load in self.pending.iter_mut().filter(|load| &*load.key == key) {
-            load.used = true;
+            load.has_requests = true;
         }
     }
 
-    /// Returns the adapters on their way that began before `moment` and were not used: what may have ended the engine if it has ended.
-    pub fn unproved_loads(&self, moment: ClockMillis) -> impl Iterator<Item = &PendingLoad> {
+    /// Returns the pending adapter loads started earlier than `before` that have no requests: a
+    /// crash of the engine may be due to one of them.
+    pub fn possible_crash_causes(&self, before: ClockMillis) -> impl Iterator<Item = &PendingLoad> {
         self.pending.iter().filter(move |load| {
-            adapter_name(&load.key).is_some() && !load.used && load.began < moment
+            adapter_name(&load.key).is_some() && !load.has_requests && load.started_at < before
         })
     }
 
-    /// Returns what a report that was asked for at `asked` shows of the adapters on their way from the store.
-    pub fn load_sights(&self, report: &EngineReport, asked: ClockMillis) -> Vec<LoadSight> {
-        let at = asked - REPORT_AGE;
+    /// Returns what a report requested at `requested_at` shows about pending adapter loads from the
+    /// weight store.
+    pub fn load_observations(
+        &self,
+        report: &EngineReport,
+        requested_at: ClockMillis,
+    ) -> Vec<LoadObservation> {
+        let observed_at = requested_at - TYPICAL_REPORT_AGE;
         let adapters = self.pending.iter().filter(|load| load.is_store_adapter());
-        let sights = adapters.filter_map(|load| {
-            let on_its_way = report.pending.iter().any(|pending| pending.key == load.key);
-            let there =
+        let observations = adapters.filter_map(|load| {
+            let still_pending = report.pending.iter().any(|pending| pending.key == load.key);
+            let is_held =
                 report.held.iter().any(|held| held.key == load.key && held.version >= load.version);
-            let seen = on_its_way || there;
-            let order = load.order?;
-            seen.then_some(LoadSight { load: order, there: !on_its_way, at, blur: REPORT_BLUR })
+            let observed = still_pending || is_held;
+            let order_id = load.order_id?;
+            observed.then_some(LoadObservation {
+                load: order_id,
+                completed: !still_pending,
+                observed_at,
+                uncertainty: REPORT_AGE_UNCERTAINTY,
+            })
         });
-        sights.collect()
+        observations.collect()
     }
 
-    /// Takes that the engine holds, or has just dropped, a model or adapter.
-    pub fn remember(&mut self, key: &ModelKey) {
-        self.memory.note(key);
+    /// Records that the engine holds `key` or has just dropped it.
+    pub fn record_cached(&mut self, key: &ModelKey) {
+        self.weight_cache.insert(key);
     }
 
-    /// Returns whether the engine held something lately.
-    pub fn remembers(&self, key: &str) -> bool {
-        self.memory.contains(key)
+    /// Returns whether `key` is probably in the engine's weight cache.
+    pub fn has_cached(&self, key: &str) -> bool {
+        self.weight_cache.contains(key)
     }
 
-    /// Moves loads whose time has come to what is held; a later report corrects it.
+    /// Adds loads that are due to `held` until a report corrects it.
     ///
-    /// Returns whether anything moved.
-    pub fn settle_due(&mut self, now: ClockMillis) -> bool {
-        let mut landed = Vec::new();
+    /// Returns whether there were any.
+    pub fn complete_due_loads(&mut self, now: ClockMillis) -> bool {
+        let mut completed = Vec::new();
         for load in &self.pending {
-            let known = self.held.get(&load.key).is_some_and(|held| *held >= load.version);
-            if now >= load.due && !known && !self.busy {
+            let already_held = self.held.get(&load.key).is_some_and(|held| *held >= load.version);
+            if now >= load.due && !already_held && !self.model_change_in_progress {
                 self.held.insert(Arc::clone(&load.key), load.version);
-                landed.push(Arc::clone(&load.key));
+                completed.push(Arc::clone(&load.key));
             }
         }
-        for key in &landed {
-            self.remember(key);
+        for key in &completed {
+            self.record_cached(key);
         }
-        self.touched |= !landed.is_empty();
-        !landed.is_empty()
+        self.residency_changed |= !completed.is_empty();
+        !completed.is_empty()
     }
 
-    /// Returns whether the engine holds a base model, or is getting it.
+    /// Returns whether the engine holds or is loading a base model.
     pub fn has_model(&self, model: &str) -> bool {
         self.held.contains_key(model) || self.pending.iter().any(|load| &*load.key == model)
     }
 
-    /// Returns whether the engine holds `key` in `version` or a later one, or is getting it.
+    /// Returns whether the engine holds or is loading `key` in `version` or a later one.
     pub fn has(&self, key: &str, version: WeightVersion) -> bool {
         let held = self.held.get(key).is_some_and(|held| *held >= version);
         held || self.pending.iter().any(|load| &*load.key == key && load.version >= version)
     }
 
-    /// Returns what requests may be sent to, without what is being replaced or dropped.
-    pub fn usable(&self) -> Vec<LoadedModel> {
-        let usable = self.held.iter().filter(|(key, version)| {
+    /// Returns the held models and adapters that are not being replaced or unloaded.
+    pub fn servable_models(&self) -> Vec<LoadedModel> {
+        let servable = self.held.iter().filter(|(key, version)| {
             let mut loads = self.pending.iter();
             let replaced = loads.any(|load| load.key == **key && load.version > **version);
-            !replaced && !self.closing.contains(*key)
+            !replaced && !self.unloading.contains(*key)
         });
-        usable
+        servable
             .map(|(key, version)| LoadedModel { key: Arc::clone(key), version: *version })
             .collect()
     }
 
-    /// Returns how many places for adapters are taken, those in transit included.
-    pub fn adapters_taken(&self) -> usize {
+    /// Returns the number of adapters that may occupy the engine: held, pending and possibly loaded
+    /// late.
+    pub fn reserved_adapter_count(&self) -> usize {
         let held = self.held.keys().filter(|key| adapter_name(key).is_some());
-        let coming = self
+        let pending = self
             .pending
             .iter()
             .filter(|load| adapter_name(&load.key).is_some() && !self.held.contains_key(&load.key));
-        held.count() + coming.count() + self.may_come_late().count()
+        held.count() + pending.count() + self.possible_late_loads().count()
     }
 
-    /// Returns how many adapters of a model the engine holds.
-    pub fn adapters_of(&self, model: &str) -> usize {
+    /// Returns the number of held adapters of a base model.
+    pub fn adapters_of_model(&self, model: &str) -> usize {
         let adapters = self.held.keys().filter(|key| adapter_name(key).is_some());
         adapters.filter(|key| base_model(key) == model).count()
     }
--- a/crates/core/src/placement/load_suspects.rs
+++ b/crates/core/src/placement/load_suspects.rs
@@ -1,8 +1,8 @@
-//! Adapters under whose loads engines end.
+//! Tracks adapters whose loads may crash engines.
 //!
-//! An engine that ends under a load is listed for seconds more, so that its end alone would be known too late: by then its placer has
-//! ordered the same load at several others. An engine that gives no report once the load is due is the first sign; one load more is
-//! risked on it, since most engines end of something else.
+//! A crashed engine stays listed for seconds, during which the placer could order the same load on
+//! several others. So a missing report after the load's due time already counts as a failure. One
+//! more load is then allowed, because most crashes have other causes.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -19,119 +19,125 @@
     placement::inventory::PendingLoad,
 };
 
-/// How long an adapter is remembered under whose load one engine ended.
-const KEPT: Duration = Duration::from_mins(10);
+/// How long an adapter is remembered after a single failure.
+const SUSPECT_TTL: Duration = Duration::from_mins(10);
 
-/// A load after which its engine gave no sign of life.
+/// A load after which its engine did not respond.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct SilentLoad {
+struct FailedLoad {
     born: EngineIncarnation,
     version: WeightVersion,
-    began: ClockMillis,
-    noted: ClockMillis,
-    /// Whether the engine is gone, or has started again.
-    ended: bool,
+    started_at: ClockMillis,
+    recorded_at: ClockMillis,
+    /// Whether the engine was delisted or restarted.
+    engine_ended: bool,
 }
 
-/// An adapter that is not loaded for a while.
+/// An adapter that is temporarily not loaded.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct HeldLoad {
-    /// The adapter.
+pub struct QuarantinedLoad {
+    /// Quarantined adapter.
     pub key: ModelKey,
-    /// How many engines ended in a row while they loaded it, or gave no sign of life since.
-    pub ends: usize,
-    /// For how long it is not loaded.
-    pub time: Duration,
+    /// Number of consecutive engine failures during or after loads of the adapter.
+    pub engine_failures: usize,
+    /// Duration of the quarantine.
+    pub quarantine: Duration,
 }
 
-/// What is known of adapters under whose loads engines ended.
+/// Adapters whose loads may have crashed engines.
 #[derive(Debug, Clone, Default)]
 pub struct LoadSuspects {
-    by_key: HashMap<ModelKey, BTreeMap<EngineName, SilentLoad>>,
-    news: Vec<HeldLoad>,
+    by_key: HashMap<ModelKey, BTreeMap<EngineName, FailedLoad>>,
+    new_quarantines: Vec<QuarantinedLoad>,
 }
 
 impl LoadSuspects {
-    /// Takes that an engine gave no report after a load was due, or has ended.
-    pub fn silent(
+    /// Records that an engine did not report after a load was due, or was delisted or restarted.
+    pub fn record_failure(
         &mut self,
         engine: &EngineEntry,
         load: &PendingLoad,
-        ended: bool,
+        engine_ended: bool,
         now: ClockMillis,
     ) {
         let loads = self.by_key.entry(Arc::clone(&load.key)).or_default();
-        if let Some(known) =
-            loads.get_mut(&engine.name).filter(|known| known.born == engine.incarnation)
+        if let Some(existing) =
+            loads.get_mut(&engine.name).filter(|existing| existing.born == engine.incarnation)
         {
-            known.ended |= ended;
+            existing.engine_ended |= engine_ended;
             return;
         }
-        let (born, version, began) = (engine.incarnation, load.version, load.began);
-        let silent = SilentLoad { born, version, began, noted: now, ended };
-        loads.insert(Arc::clone(&engine.name), silent);
-        let ends = ends_in_a_row(loads);
-        if let Some(hold) = QuarantinePeriod::after(ends, CRASHES_UNTIL_QUARANTINED) {
-            let (key, time) = (Arc::clone(&load.key), hold.duration(false));
-            self.news.push(HeldLoad { key, ends, time });
+        let (born, version, started_at) = (engine.incarnation, load.version, load.started_at);
+        let failed = FailedLoad { born, version, started_at, recorded_at: now, engine_ended };
+        loads.insert(Arc::clone(&engine.name), failed);
+        let engine_failures = consecutive_failures(loads);
+        if let Some(hold) = QuarantinePeriod::after(engine_failures, CRASHES_UNTIL_QUARANTINED) {
+            let (key, quarantine) = (Arc::clone(&load.key), hold.duration(false));
+            self.new_quarantines.push(QuarantinedLoad { key, engine_failures, quarantine });
         }
     }
 
-    /// Takes that an engine lives: its silence was something else.
-    pub fn engine_lives(&mut self, engine: &str, born: EngineIncarnation) {
+    /// Records that an engine is alive, which clears failures recorded for its missing reports.
+    pub fn record_engine_alive(&mut self, engine: &str, born: EngineIncarnation) {
         for loads in self.by_key.values_mut() {
             let known = loads.get(engine);
-            if known.is_some_and(|load| load.born == born && !load.ended) {
+            if known.is_some_and(|load| load.born == born && !load.engine_ended) {
                 loads.remove(engine);
             }
         }
     }
 
-    /// Takes that an engine holds an adapter and lives.
-    pub fn loaded(&mut self, key: &str) {
+    /// Records that a live engine holds the adapter.
+    pub fn record_success(&mut self, key: &str) {
         self.by_key.remove(key);
     }
 
-    /// Returns whether an engine gave no sign of life since it was to load an adapter, and none has held it since.
+    /// Returns whether a load of `key` has failed and no engine has held it since.
     pub fn is_suspect(&self, key: &str) -> bool {
         self.by_key.contains_key(key)
     }
 
-    /// Returns for how long an adapter is not to be loaded, if it is held back; `version` is the one that is named now.
-    pub fn held(&self, key: &str, version: WeightVersion, now: ClockMillis) -> Option<Duration> {
+    /// Returns the remaining quarantine of an adapter, if any. `version` is its latest version.
+    pub fn remaining_quarantine(
+        &self,
+        key: &str,
+        version: WeightVersion,
+        now: ClockMillis,
+    ) -> Option<Duration> {
         let loads = self.by_key.get(key)?;
-        let hold = QuarantinePeriod::after(ends_in_a_row(loads), CRASHES_UNTIL_QUARANTINED)?;
-        let last = loads.values().max_by_key(|load| load.noted)?;
-        let until = last.noted + hold.duration(version > last.version);
+        let hold = QuarantinePeriod::after(consecutive_failures(loads), CRASHES_UNTIL_QUARANTINED)?;
+        let last = loads.values().max_by_key(|load| load.recorded_at)?;
+        let until = last.recorded_at + hold.duration(version > last.version);
         (now < until).then(|| until.since(now))
     }
 
-    /// Forgets adapters of which nothing was seen for long.
-    pub fn forget_old(&mut self, now: ClockMillis) {
+    /// Drops adapters without recent failures.
+    pub fn drop_expired(&mut self, now: ClockMillis) {
         self.by_key.retain(|_, loads| {
-            let hold = QuarantinePeriod::after(ends_in_a_row(loads), CRASHES_UNTIL_QUARANTINED);
-            let remembered = hold.map_or(KEPT, QuarantinePeriod::retention);
-            loads.values().any(|load| now.since(load.noted) < remembered)
+            let hold =
+                QuarantinePeriod::after(consecutive_failures(loads), CRASHES_UNTIL_QUARANTINED);
+            let retention = hold.map_or(SUSPECT_TTL, QuarantinePeriod::retention);
+            loads.values().any(|load| now.since(load.recorded_at) < retention)
         });
     }
 
-    /// Takes which adapters were held back since the last call.
-    pub fn take_events(&mut self) -> Vec<HeldLoad> {
-        std::mem::take(&mut self.news)
+    /// Returns the adapters that were quarantined since the last call.
+    pub fn take_new_quarantines(&mut self) -> Vec<QuarantinedLoad> {
+        std::mem::take(&mut self.new_quarantines)
     }
 }
 
-/// Counts engines one after the other: of loads that were under way at the same time one counts, since whatever ended their engines
-/// together was not them.
-fn ends_in_a_row(loads: &BTreeMap<EngineName, SilentLoad>) -> usize {
-    let mut by_time: Vec<&SilentLoad> = loads.values().collect();
-    by_time.sort_by_key(|load| load.began);
+/// Counts consecutive failures. Loads that were pending at the same time count once, because a
+/// common cause is more likely than the adapter.
+fn consecutive_failures(loads: &BTreeMap<EngineName, FailedLoad>) -> usize {
+    let mut by_time: Vec<&FailedLoad> = loads.values().collect();
+    by_time.sort_by_key(|load| load.started_at);
     let mut count = 0;
     let mut last: Option<ClockMillis> = None;
     for load in by_time {
-        if last.is_none_or(|noted| load.began >= noted) {
+        if last.is_none_or(|recorded_at| load.started_at >= recorded_at) {
             count += 1;
-            last = Some(load.noted);
+            last = Some(load.recorded_at);
         }
     }
     count
--- a/crates/core/tests/suspended.rs
+++ b/crates/core/tests/suspended.rs
@@ -41,19 +41,19 @@
 
 #[test]
 fn a_lease_has_lapsed() {
-    for engines_check in [false, true] {
+    for engines_enforce_fencing in [false, true] {
         let mut tenure = PlacerTenure::new(LeaseRules {
             time_to_live: Duration::from_secs(2),
             handover_wait: Duration::from_secs(3),
-            engines_check,
+            engines_enforce_fencing,
         });
-        tenure.joined(
+        tenure.handle_join(
             true,
             7,
             SUSPENDED_AT - Duration::from_secs(9),
             SUSPENDED_AT - Duration::from_secs(9),
         );
-        tenure.joined(true, 7, SUSPENDED_AT, SUSPENDED_AT);
+        tenure.handle_join(true, 7, SUSPENDED_AT, SUSPENDED_AT);
         assert_eq!(tenure.acting_token(SUSPENDED_AT), Some(7));
         assert_eq!(tenure.acting_token(RESUMED_AT), None);
         assert_eq!(tenure.state(), TenureState::Lapsed);
