--- a/crates/cli/src/bench.rs
+++ b/crates/cli/src/bench.rs
@@ -10,7 +10,7 @@
 
 use eyre::{WrapErr, bail};
 use figures::{PolicyFigures, figures};
-use reelreel_core::engine::{ArrivalPolicy, ResidencyPolicy, ValuePolicy};
+use reelreel_core::engine::{FifoLruPolicy, ResidencyPolicy, ValuePolicy};
 use scenario::Scenario;
 
 use crate::{options::BenchOptions, output::print};
@@ -38,7 +38,7 @@
 fn policy(name: &str) -> eyre::Result<Arc<dyn ResidencyPolicy>> {
     match name {
         "value" => Ok(Arc::new(ValuePolicy)),
-        "arrival" => Ok(Arc::new(ArrivalPolicy)),
+        "arrival" => Ok(Arc::new(FifoLruPolicy)),
         other => bail!("there is no policy `{other}`; there are {}", POLICIES.join(", ")),
     }
 }
--- a/crates/cli/src/capacity/claims.rs
+++ b/crates/cli/src/capacity/claims.rs
@@ -1,7 +1,7 @@
 //! Claims of idempotency keys: bytes in the log, memory and time for each.
 
 use reelreel_core::{
-    claim::{ClaimFold, ClaimItem, ClaimRecord},
+    claim::{ClaimItem, ClaimRecord, ClaimTable},
     id::request_id,
     settings::fold::LogRecord,
 };
@@ -27,7 +27,7 @@
             "bytes",
         );
         let before = live_bytes();
-        let mut fold = ClaimFold::default();
+        let mut fold = ClaimTable::default();
         let (micros, ()) = micros_each(count, || {
             for record in &records {
                 fold.fold(record, WINDOW);
--- a/crates/cli/src/capacity/decisions.rs
+++ b/crates/cli/src/capacity/decisions.rs
@@ -3,11 +3,11 @@
 use reelreel_core::{
     ClockMillis, NodeConfig, NodeCore, NodeEvent,
     clock::HybridStamp,
-    engine::EngineFacts,
+    engine::EngineInfo,
     gossip::EngineDigest,
     id::{AdapterKey, EngineId, RequestId, request_id},
     message::{PeerMessage, SyncReply},
-    node::{HostChange, HostEntry, HostKind, LogStream, NodeReading},
+    node::{ClockReading, HostEntry, HostKind, HostListChange, LogStream},
     request::{ArrivedRequest, RequestTarget},
 };
 use reelreel_fakes::{CallerCall, EngineShape, FakeSite, FaultPlan, SiteAction, SiteShape};
@@ -36,8 +36,8 @@
     whole_requests(table)
 }
 
-fn reading(millis: u64) -> NodeReading {
-    NodeReading { now: ClockMillis::from_millis(millis), wall_millis: millis }
+fn reading(millis: u64) -> ClockReading {
+    ClockReading { now: ClockMillis::from_millis(millis), wall_millis: millis }
 }
 
 /// Makes a core that knows a hall's hosts, engines and adapters, and owns nothing.
@@ -53,7 +53,7 @@
         leaving: false,
     };
     let engine = |engine: EngineId| HostEntry {
-        kind: HostKind::Engine(EngineFacts {
+        kind: HostKind::Engine(EngineInfo {
             engine,
             hall: 1,
             service: String::from("assist"),
@@ -66,7 +66,10 @@
         leaving: false,
     };
     let entries = (1..=HALL_HOSTS).map(host).chain((1..=engines).map(engine)).collect();
-    core.handle(reading(3), NodeEvent::Hosts(HostChange { entries, ..HostChange::default() }));
+    core.handle(
+        reading(3),
+        NodeEvent::HostListChanged(HostListChange { entries, ..HostListChange::default() }),
+    );
     core.handle(reading(3_000), NodeEvent::Tick);
     Ok(core)
 }
@@ -81,7 +84,7 @@
         key: None,
         max_tokens: None,
     };
-    (id, NodeEvent::Arrived(arrived))
+    (id, NodeEvent::RequestArrived(arrived))
 }
 
 /// Times `REQUESTS` arrivals and ends each one after it.
@@ -120,7 +123,7 @@
     let digests = (1..=engines).map(digest).collect();
     let reply = SyncReply { digests, ..SyncReply::default() };
     let stamp = HybridStamp::default();
-    let event = NodeEvent::Peer { from: 1, stamp, message: PeerMessage::SyncReply(reply) };
+    let event = NodeEvent::PeerMessage { from: 1, stamp, message: PeerMessage::SyncReply(reply) };
     let (sync, _) = micros_each(engines as usize, || core.handle(reading(3_001), event));
     table.add("core: full exchange taken in, per engine", &size, sync, "us");
     let held_bytes = (live_bytes() - with_tree).max(0.0) / f64::from(engines);
--- a/crates/cli/src/capacity/hosts.rs
+++ b/crates/cli/src/capacity/hosts.rs
@@ -136,7 +136,7 @@
 
 fn owned_engines(site: &FakeSite) -> usize {
     site.cores()
-        .flat_map(|(_, core)| core.controls())
+        .flat_map(|(_, core)| core.engine_controllers())
         .filter(|control| control.state() == EngineState::Owned)
         .count()
 }
--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -4,7 +4,7 @@
 //! run its request, so nobody needs to know whether it is alive.
 
 mod book;
-mod fold;
+mod table;
 
 pub use book::{ClaimBook, ClaimVerdict, OwnClaim};
-pub use fold::{ClaimFold, ClaimItem, ClaimRecord, DecidedClaim};
+pub use table::{ClaimItem, ClaimRecord, ClaimTable, DecidedClaim};
--- a/crates/core/src/claim/book.rs
+++ b/crates/core/src/claim/book.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, time::Duration};
 
-use super::fold::{ClaimItem, ClaimRecord, DecidedClaim};
+use super::table::{ClaimItem, ClaimRecord, DecidedClaim};
 use crate::{
     chart::{ClaimEvent, ClaimState},
     clock::ClockMillis,
--- a/crates/core/src/claim/fold.rs
+++ b/crates/core/src/claim/table.rs
@@ -70,7 +70,7 @@
 
 /// Which request holds each key that is still remembered.
 #[derive(Debug, Default)]
-pub struct ClaimFold {
+pub struct ClaimTable {
     next_offset: LogOffset,
     first: HashMap<KeyHash, FirstClaim>,
     by_age: VecDeque<(u64, KeyHash)>,
@@ -92,7 +92,7 @@
     pub written_millis: u64,
 }
 
-impl ClaimFold {
+impl ClaimTable {
     /// Returns the offset of the first record not yet folded.
     pub const fn next_offset(&self) -> LogOffset {
         self.next_offset
--- a/crates/core/src/engine.rs
+++ b/crates/core/src/engine.rs
@@ -9,8 +9,8 @@
 //! owner's own count, or after any doubt (a take-over, a holder that died, an exchange that broke)
 //! by a report that the engine wrote after its fence was raised above every token in doubt.
 
-mod control;
-mod facts;
+mod controller;
+mod info;
 mod orders;
 mod permits;
 mod policy;
@@ -18,10 +18,10 @@
 mod residency;
 mod slots;
 
-pub use control::{ControlOutput, EngineControl, EngineTimes, StoreWish};
-pub use facts::{
-    EngineFacts, EngineOrder, EngineReport, OrderAction, OrderResult, ReportedAdapter,
-    ReportedStranger,
+pub use controller::{ControlOutput, EngineController, EngineTimes, StoreWish};
+pub use info::{
+    EngineInfo, EngineOrder, EngineReport, OrderAction, OrderResult, ReportedAdapter,
+    ReportedUnknownAdapter,
 };
-pub use policy::{AdapterStay, ArrivalPolicy, LoadWish, ResidencyPolicy, ValuePolicy};
+pub use policy::{AdapterStay, FifoLruPolicy, LoadWish, ResidencyPolicy, ValuePolicy};
 pub use residency::Residency;
--- a/crates/core/src/engine/control.rs
+++ b/crates/core/src/engine/controller.rs
@@ -6,7 +6,7 @@
     chart::{EngineEvent, EngineState, ResidencyEvent, ResidencyState},
     clock::ClockMillis,
     engine::{
-        EngineFacts, EngineOrder, OrderAction, Residency, ResidencyPolicy,
+        EngineInfo, EngineOrder, OrderAction, Residency, ResidencyPolicy,
         permits::{GrantedPermit, WaitingPermit},
     },
     gossip::EngineDigest,
@@ -39,7 +39,7 @@
     End(LoadTurn),
 }
 
-/// What follows from one call of [`EngineControl`].
+/// What follows from one call of [`EngineController`].
 #[derive(Debug, Default)]
 pub struct ControlOutput {
     /// Orders to the engine.
@@ -65,8 +65,8 @@
 }
 
 /// One engine as a host sees it that owns it or may come to.
-pub struct EngineControl {
-    pub(super) facts: EngineFacts,
+pub struct EngineController {
+    pub(super) info: EngineInfo,
     pub(super) host: HostId,
     pub(super) policy: Arc<dyn ResidencyPolicy>,
     pub(super) times: EngineTimes,
@@ -105,10 +105,10 @@
 /// Assumed time a request runs, until some have been measured.
 const USUAL_SERVICE_SECONDS: f64 = 2.0;
 
-impl EngineControl {
+impl EngineController {
     /// Starts without ownership.
     pub fn new(
-        facts: EngineFacts,
+        info: EngineInfo,
         host: HostId,
         policy: Arc<dyn ResidencyPolicy>,
         times: EngineTimes,
@@ -116,7 +116,7 @@
         let zero = ClockMillis::default();
         Self {
             incarnation: 0,
-            facts,
+            info,
             host,
             policy,
             times,
@@ -141,13 +141,13 @@
     }
 
     /// Returns what the host list says of the engine.
-    pub const fn facts(&self) -> &EngineFacts {
-        &self.facts
+    pub const fn info(&self) -> &EngineInfo {
+        &self.info
     }
 
     /// Takes a new entry of the host list.
-    pub fn update_facts(&mut self, facts: EngineFacts) {
-        self.facts = facts;
+    pub fn update_info(&mut self, info: EngineInfo) {
+        self.info = info;
     }
 
     /// Returns where ownership stands.
@@ -205,7 +205,7 @@
             return;
         }
         self.step(EngineEvent::Assigned);
-        let fenced = self.facts.checks_fence;
+        let fenced = self.info.checks_fence;
         let wait = if fenced { Duration::ZERO } else { self.times.handover_wait };
         self.wait_until = now + wait;
     }
@@ -300,11 +300,11 @@
         self.seen_token = self.seen_token.max(self.token);
         self.raising = Some(now);
         self.raised_at = now;
-        self.order(OrderAction::Raise, out);
+        self.order(OrderAction::RaiseFence, out);
     }
 
     pub(super) fn order(&self, action: OrderAction, out: &mut ControlOutput) {
-        out.orders.push(EngineOrder { engine: self.facts.engine, token: self.token, action });
+        out.orders.push(EngineOrder { engine: self.info.engine, token: self.token, action });
     }
 
     /// Moves on by the chart; says whether the state changed.
@@ -347,7 +347,7 @@
             (stay.state == ResidencyState::Resident).then_some(*adapter)
         };
         Some(EngineDigest {
-            engine: self.facts.engine,
+            engine: self.info.engine,
             incarnation: self.incarnation,
             owner: self.host,
             token: self.token,
@@ -376,12 +376,12 @@
     }
 }
 
-impl EngineControl {
+impl EngineController {
     /// Takes the news that another host holds a higher token although the view makes this host
     /// the owner.
     pub fn overtaken(&mut self, token: FenceToken, now: ClockMillis, out: &mut ControlOutput) {
         self.seen_token = self.seen_token.max(token);
-        if token > self.token && self.facts.checks_fence {
+        if token > self.token && self.info.checks_fence {
             self.lose(EngineEvent::FenceLost, now, out);
         }
     }
--- a/crates/core/src/engine/facts.rs
+++ b/crates/core/src/engine/info.rs
@@ -4,7 +4,7 @@
 
 /// An engine as the platform's host list has it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct EngineFacts {
+pub struct EngineInfo {
     /// The engine.
     pub engine: EngineId,
     /// Its data hall.
@@ -39,7 +39,7 @@
     /// The adapters that it is loading.
     pub loading: Vec<AdapterKey>,
     /// Names that it holds and that the settings tree does not know (any more).
-    pub strangers: Vec<ReportedStranger>,
+    pub unknown_adapters: Vec<ReportedUnknownAdapter>,
 }
 
 /// An adapter that an engine holds.
@@ -53,7 +53,7 @@
 
 /// An adapter that an engine holds and that the settings tree does not know.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ReportedStranger {
+pub struct ReportedUnknownAdapter {
     /// Its name at the engine.
     pub name: String,
     /// How many requests run on it.
@@ -64,13 +64,13 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OrderAction {
     /// Raises the fence to the order's token and does nothing else.
-    Raise,
+    RaiseFence,
     /// Loads an adapter into a free slot.
     Load(AdapterKey),
     /// Frees an adapter's slot.
     Unload(AdapterKey),
     /// Frees the slot of an adapter that the settings tree does not know.
-    UnloadStranger(String),
+    UnloadUnknown(String),
 }
 
 /// An order to one engine.
@@ -102,7 +102,7 @@
     /// The engine says that it did not work.
     Failed,
     /// No answer came; it may have taken effect, or do so later.
-    Lost,
+    NoAnswer,
     /// It never left: the connection was refused.
-    NeverSent,
+    NotSent,
 }
--- a/crates/core/src/engine/orders.rs
+++ b/crates/core/src/engine/orders.rs
@@ -3,11 +3,11 @@
 use crate::{
     chart::{EngineEvent, EngineState, ResidencyState},
     clock::ClockMillis,
-    engine::{ControlOutput, EngineControl, EngineOrder, OrderAction, OrderResult},
+    engine::{ControlOutput, EngineController, EngineOrder, OrderAction, OrderResult},
     id::{AdapterKey, FenceToken},
 };
 
-impl EngineControl {
+impl EngineController {
     /// Takes the end of an order.
     pub fn order_ended(
         &mut self,
@@ -30,10 +30,10 @@
             self.sequence = self.sequence.max(sequence);
         }
         match &order.action {
-            OrderAction::Raise => self.raise_ended(order.token, result, out),
+            OrderAction::RaiseFence => self.raise_ended(order.token, result, out),
             OrderAction::Load(adapter) => self.load_ended(*adapter, result, now, out),
             OrderAction::Unload(adapter) => self.unload_ended(*adapter, result, now, out),
-            OrderAction::UnloadStranger(_) => {}
+            OrderAction::UnloadUnknown(_) => {}
         }
     }
 
@@ -101,7 +101,7 @@
         }
         match result {
             OrderResult::Done { sequence, .. } => self.load_done(adapter, sequence, now, out),
-            OrderResult::Failed | OrderResult::NeverSent => self.load_failed(adapter, now, out),
+            OrderResult::Failed | OrderResult::NotSent => self.load_failed(adapter, now, out),
             // It may have taken effect: the next raise and the report after it will tell.
             _ => {
                 stay.doubtful = true;
--- a/crates/core/src/engine/permits.rs
+++ b/crates/core/src/engine/permits.rs
@@ -5,7 +5,7 @@
 use crate::{
     chart::{EngineState, ResidencyState},
     clock::ClockMillis,
-    engine::{ControlOutput, EngineControl, Residency},
+    engine::{ControlOutput, EngineController, Residency},
     id::{AdapterKey, HostId, Incarnation, OrganisationId, RequestId, request_incarnation},
     limit::QueuedItem,
     message::{
@@ -57,7 +57,7 @@
     }
 }
 
-impl EngineControl {
+impl EngineController {
     /// Takes an ask for a permit; one that comes twice is answered as before.
     pub fn ask(&mut self, from: HostId, ask: PermitAsk, now: ClockMillis, out: &mut ControlOutput) {
         let PermitAsk { attempt, patience, mut request, may_load, .. } = ask;
@@ -170,7 +170,7 @@
 
     /// Estimates how long the requests that wait now take to get their permits.
     fn drain_time(&self) -> Duration {
-        let streams = f64::from(self.facts.streams.max(1));
+        let streams = f64::from(self.info.streams.max(1));
         Duration::from_secs_f64(self.queue.len() as f64 * self.service_seconds / streams)
     }
 
@@ -187,7 +187,7 @@
         if self.state != EngineState::Owned {
             return;
         }
-        while self.permits.len() < self.facts.streams as usize {
+        while self.permits.len() < self.info.streams as usize {
             let residencies = &self.residencies;
             let ready = |waiting: &WaitingPermit| {
                 let stay = residencies.get(&waiting.request.adapter);
@@ -201,11 +201,11 @@
     fn grant(&mut self, waiting: WaitingPermit, now: ClockMillis, out: &mut ControlOutput) {
         let WaitingPermit { holder, attempt, request, stalled, .. } = waiting;
         let in_use = self.permits.len() + 1;
-        let streams = self.facts.streams.max(1) as usize;
+        let streams = self.info.streams.max(1) as usize;
         let answer = PermitGranted {
             request: request.request,
             attempt,
-            engine: self.facts.engine,
+            engine: self.info.engine,
             token: self.token,
             fill: u32::try_from(100 * (in_use + self.queue.len()) / streams).unwrap_or(u32::MAX),
             stalled,
@@ -231,7 +231,7 @@
         let refused = PermitRefused {
             request: waiting.request.request,
             attempt: waiting.attempt,
-            engine: self.facts.engine,
+            engine: self.info.engine,
             reason,
             retry_after,
         };
@@ -270,7 +270,7 @@
 
     /// An engine without fence lets in whatever was already sent, so time must pass first.
     pub(super) fn quiet_from(&mut self, now: ClockMillis) {
-        if !self.facts.checks_fence {
+        if !self.info.checks_fence {
             self.quiet_until = now + self.times.quiet;
         }
     }
@@ -299,7 +299,7 @@
         but: Option<Incarnation>,
         now: ClockMillis,
     ) {
-        if !self.facts.checks_fence && !certain {
+        if !self.info.checks_fence && !certain {
             return;
         }
         let gone = |host: HostId, request: RequestId| {
@@ -329,7 +329,7 @@
 
     /// Asks holders after permits that have been out for long.
     pub(super) fn check_permits(&mut self, now: ClockMillis, out: &mut ControlOutput) {
-        let engine = self.facts.engine;
+        let engine = self.info.engine;
         let mut checks: BTreeMap<HostId, Vec<PermitQueued>> = BTreeMap::new();
         for (request, permit) in &mut self.permits {
             if now.since(permit.checked) < CHECK_AFTER {
--- a/crates/core/src/engine/policy.rs
+++ b/crates/core/src/engine/policy.rs
@@ -65,9 +65,9 @@
 
 /// First come, first loaded; least recently used, first unloaded. The baseline for measurements.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct ArrivalPolicy;
+pub struct FifoLruPolicy;
 
-impl ResidencyPolicy for ArrivalPolicy {
+impl ResidencyPolicy for FifoLruPolicy {
     fn load_value(&self, wish: &LoadWish) -> f64 {
         wish.oldest_wait.as_secs_f64()
     }
--- a/crates/core/src/engine/reports.rs
+++ b/crates/core/src/engine/reports.rs
@@ -5,11 +5,11 @@
 use crate::{
     chart::{EngineEvent, EngineState, ResidencyEvent, ResidencyState},
     clock::ClockMillis,
-    engine::{ControlOutput, EngineControl, EngineReport, OrderAction, Residency},
+    engine::{ControlOutput, EngineController, EngineReport, OrderAction, Residency},
     id::AdapterKey,
 };
 
-impl EngineControl {
+impl EngineController {
     /// Takes a report. Reports lag and overtake one another, so only their sequence counts.
     pub fn report(&mut self, report: &EngineReport, now: ClockMillis, out: &mut ControlOutput) {
         if self.state == EngineState::Foreign {
@@ -134,8 +134,8 @@
     }
 
     fn unload_strangers(&self, report: &EngineReport, out: &mut ControlOutput) {
-        for stranger in report.strangers.iter().filter(|stranger| stranger.running == 0) {
-            self.order(OrderAction::UnloadStranger(stranger.name.clone()), out);
+        for stranger in report.unknown_adapters.iter().filter(|stranger| stranger.running == 0) {
+            self.order(OrderAction::UnloadUnknown(stranger.name.clone()), out);
         }
     }
 }
--- a/crates/core/src/engine/slots.rs
+++ b/crates/core/src/engine/slots.rs
@@ -6,7 +6,7 @@
     chart::{EngineState, ResidencyEvent, ResidencyState},
     clock::ClockMillis,
     engine::{
-        ControlOutput, EngineControl, LoadWish, OrderAction, Residency, StoreWish,
+        ControlOutput, EngineController, LoadWish, OrderAction, Residency, StoreWish,
         permits::WaitingPermit,
     },
     id::AdapterKey,
@@ -29,7 +29,7 @@
 /// Doublings of the back-off at most: 32 s.
 const MOST_DOUBLINGS: u32 = 6;
 
-impl EngineControl {
+impl EngineController {
     pub(super) fn is_resident(&self, adapter: AdapterKey) -> bool {
         let stay = self.residencies.get(&adapter);
         stay.is_some_and(|stay| stay.state == ResidencyState::Resident)
@@ -42,7 +42,7 @@
 
     /// Gives a turn, or the wish for one, back.
     pub(super) fn end_turn(&self, adapter: AdapterKey, out: &mut ControlOutput) {
-        out.wishes.push(StoreWish::End(LoadTurn { engine: self.facts.engine, adapter }));
+        out.wishes.push(StoreWish::End(LoadTurn { engine: self.info.engine, adapter }));
     }
 
     /// Gathers what waits for each adapter that is not resident.
@@ -90,7 +90,7 @@
                 stay.step(ResidencyEvent::Wanted, now);
             }
             if uses_turn(stay.state) {
-                let engine = self.facts.engine;
+                let engine = self.info.engine;
                 out.wishes.push(StoreWish::Ask(LoadAsk { engine, adapter, value, running }));
             }
         }
@@ -167,7 +167,7 @@
 
     fn free_slots(&self) -> usize {
         let held = self.residencies.values().filter(|stay| stay.holds_slot()).count();
-        (self.facts.slots as usize).saturating_sub(held)
+        (self.info.slots as usize).saturating_sub(held)
     }
 
     /// Lists what each slot that could be had costs, dearest first.
@@ -201,7 +201,7 @@
         for (adapter, stay) in &self.residencies {
             let loading = matches!(stay.state, ResidencyState::Clearing | ResidencyState::Loading);
             if loading && !wanted.contains_key(adapter) {
-                let (engine, adapter) = (self.facts.engine, *adapter);
+                let (engine, adapter) = (self.info.engine, *adapter);
                 let ask = LoadAsk { engine, adapter, value: 0.0, running: true };
                 out.wishes.push(StoreWish::Ask(ask));
             }
@@ -211,7 +211,7 @@
     /// Gives back the wishes for adapters that nobody waits for any more.
     pub(super) fn drop_unwanted(&mut self, now: ClockMillis, out: &mut ControlOutput) {
         let wanted = self.wishes(now);
-        let engine = self.facts.engine;
+        let engine = self.info.engine;
         for (adapter, stay) in &mut self.residencies {
             let queued = stay.state == ResidencyState::Queued;
             if queued && !wanted.contains_key(adapter) {
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! Nothing in here reads a socket, starts a thread or asks for the time. A [`NodeCore`] takes one
 //! [`NodeEvent`] at a time together with the clock reading at which it happened, and writes the
-//! [`NodeOrder`]s that follow from it. Everything that must always hold is decided here, so that a
+//! [`NodeAction`]s that follow from it. Everything that must always hold is decided here, so that a
 //! test can place any fault between any two events.
 //!
 //! The crate is read best in this order: [`request`] for what callers ask and what they are told,
@@ -32,6 +32,6 @@
 pub mod timeline;
 
 pub use clock::{ClockMillis, ClockSource, ManualClock, MonotonicClock};
-pub use node::{NodeConfig, NodeCore, NodeEvent, NodeOrder};
+pub use node::{NodeAction, NodeConfig, NodeCore, NodeEvent};
 pub use position::StorePosition;
 pub use request::{CallerOutcome, RefusalKind, RequestRefusal};
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -23,8 +23,8 @@
 pub use config::{NodeConfig, NodeTimes};
 pub use counters::NodeCounters;
 pub use event::{
-    AppendResult, DispatchEnding, DispatchOrder, HostChange, HostEntry, HostKind, LogStream,
-    NodeEvent, NodeOrder, NodeReading, NotRunReason, SEND_WITHIN, ServerFacts,
+    AppendResult, ClockReading, DispatchResult, HostEntry, HostKind, HostListChange, LogStream,
+    MAX_DISPATCH_DELAY, NodeAction, NodeEvent, NotRunReason, RequestDispatch, ServerInfo,
 };
 pub use state::NodeCore;
 pub use status::{EngineStatus, MemberStatus, NodeStatus};
--- a/crates/core/src/node/arrivals.rs
+++ b/crates/core/src/node/arrivals.rs
@@ -8,7 +8,7 @@
     clock::ClockMillis,
     id::RequestId,
     node::{
-        NodeCore, NodeOrder,
+        NodeAction, NodeCore,
         open::{AskState, OpenRequest, RequestRoute},
     },
     request::{ArrivedRequest, RefusalKind, RequestRefusal, RequestTarget},
@@ -50,7 +50,7 @@
 
     fn refuse_unopened(&mut self, request: RequestId, refusal: RequestRefusal) {
         *self.counters.refused.entry(refusal.kind).or_default() += 1;
-        self.orders.push(NodeOrder::Refuse { request, refusal });
+        self.orders.push(NodeAction::Refuse { request, refusal });
     }
 
     fn admit(&self, request: &ArrivedRequest) -> Result<OpenRequest, RequestRefusal> {
--- a/crates/core/src/node/dispatch.rs
+++ b/crates/core/src/node/dispatch.rs
@@ -2,11 +2,11 @@
 
 use crate::{
     chart::{RequestEvent, RequestState},
-    engine::EngineControl,
+    engine::EngineController,
     id::{EngineId, RequestId},
     message::{PeerMessage, PermitDone},
     node::{
-        DispatchEnding, DispatchOrder, NodeCore, NodeOrder, NotRunReason, ServerId,
+        DispatchResult, NodeAction, NodeCore, NotRunReason, RequestDispatch, ServerId,
         open::{AskState, OpenRequest},
         table::ServerView,
     },
@@ -26,12 +26,12 @@
         let now = self.now();
         let Some(view) = self.backends.servers.get_mut(&server) else { return };
         view.outstanding += 1;
-        let address = view.facts.address.clone();
+        let address = view.info.address.clone();
         let Some(open) = self.open.get_mut(&id) else { return };
         open.attempt += 1;
         open.server = Some(server);
         open.state = open.state.after(RequestEvent::Permitted);
-        let order = DispatchOrder {
+        let order = RequestDispatch {
             request: id,
             address,
             adapter_name: String::new(),
@@ -40,50 +40,48 @@
             priority: open.settings.priority,
             max_tokens: 0,
             patience: open.deadline.since(now),
-            issued: now,
+            issued_at: now,
         };
         self.set_timer(id, None);
-        self.orders.push(NodeOrder::Dispatch(order));
+        self.orders.push(NodeAction::Dispatch(order));
     }
 
     fn choose_server(&self, id: RequestId) -> Option<ServerId> {
         let now = self.now();
         let open = self.open.get(&id)?;
         let usable = |view: &&ServerView| {
-            view.facts.service == open.service_name
-                && !view.leave.holds()
-                && now >= view.avoid_until
+            view.info.service == open.service_name && !view.leave.holds() && now >= view.avoid_until
         };
         let cost = |view: &&ServerView| {
-            let far = view.facts.hall != self.config.hall;
-            (far, view.outstanding, view.facts.server)
+            let far = view.info.hall != self.config.hall;
+            (far, view.outstanding, view.info.server)
         };
         let views = self.backends.servers.values();
-        views.filter(usable).min_by_key(cost).map(|view| view.facts.server)
+        views.filter(usable).min_by_key(cost).map(|view| view.info.server)
     }
 
     /// Takes the end of an exchange with a backend server.
-    pub(super) fn dispatch_ended(&mut self, id: RequestId, ending: DispatchEnding) {
+    pub(super) fn dispatch_ended(&mut self, id: RequestId, result: DispatchResult) {
         let Some(open) = self.open.get(&id) else { return };
         if !open.state.is_dispatched() {
             return;
         }
         // The exchange is known to be over there only if the backend server itself ended it.
         let clean = matches!(
-            ending,
-            DispatchEnding::Answered | DispatchEnding::NotRun(_) | DispatchEnding::Errored
+            result,
+            DispatchResult::Answered | DispatchResult::NotRun(_) | DispatchResult::BackendError
         );
         self.return_permit(id, clean);
-        match ending {
-            DispatchEnding::Answered => self.end_answered(id),
-            DispatchEnding::NotRun(reason) => self.not_run_there(id, reason),
-            DispatchEnding::Broke { answer_begun } => self.broke(id, answer_begun),
-            DispatchEnding::Errored => {
+        match result {
+            DispatchResult::Answered => self.end_answered(id),
+            DispatchResult::NotRun(reason) => self.not_run_there(id, reason),
+            DispatchResult::Interrupted { answer_started } => self.broke(id, answer_started),
+            DispatchResult::BackendError => {
                 let message = "the backend server answered with an error";
                 let refusal = RequestRefusal::unknown(RefusalKind::BackendError, message);
                 self.end_dispatched(id, RequestEvent::Broke, refusal);
             }
-            DispatchEnding::CallerGone => {
+            DispatchResult::CallerGone => {
                 let refusal = RequestRefusal::unknown(RefusalKind::CallerGone, "caller hung up");
                 self.end_dispatched(id, RequestEvent::GivenUp, refusal);
             }
@@ -147,10 +145,10 @@
         }
     }
 
-    fn broke(&mut self, id: RequestId, answer_begun: bool) {
+    fn broke(&mut self, id: RequestId, answer_started: bool) {
         let now = self.now();
         let Some(open) = self.open.get(&id) else { return };
-        let again = open.repeatable && !answer_begun && now < open.deadline;
+        let again = open.repeatable && !answer_started && now < open.deadline;
         let share = open.settings.retry_share;
         if again && self.retries.take(share, now) {
             self.counters.retries += 1;
@@ -178,7 +176,7 @@
         self.counters.unknown += 1;
         *self.counters.refused.entry(refusal.kind).or_default() += 1;
         self.close(id, event);
-        self.orders.push(NodeOrder::Refuse { request: id, refusal });
+        self.orders.push(NodeAction::Refuse { request: id, refusal });
     }
 
     /// Ends a request that no backend server has, and says so at once.
@@ -196,7 +194,7 @@
             self.counters.unknown += 1;
         }
         self.close(id, RequestEvent::GivenUp);
-        self.orders.push(NodeOrder::Refuse { request: id, refusal });
+        self.orders.push(NodeAction::Refuse { request: id, refusal });
     }
 
     /// A caller hung up while its request waited; no backend server has it.
@@ -219,18 +217,18 @@
 
     /// Takes any sign that an engine is leaving. It sticks until a later life of the engine.
     pub(super) fn mark_leaving(&mut self, engine: EngineId) {
-        let known = self.controls.get(&engine).map_or(0, EngineControl::incarnation);
+        let known = self.engine_controllers.get(&engine).map_or(0, EngineController::incarnation);
         let Some(view) = self.backends.engines.get_mut(&engine) else { return };
         let passed_on = view.digest.as_ref().map_or(0, |digest| digest.incarnation);
-        if view.leave.mark(view.facts.incarnation, known.max(passed_on)) {
+        if view.leave.mark(view.info.incarnation, known.max(passed_on)) {
             self.note(format!("engine {engine}"), "seen leaving");
         }
-        self.control(engine, EngineControl::leave_seen);
+        self.control(engine, EngineController::leave_seen);
     }
 
     fn mark_server_leaving(&mut self, server: ServerId) {
         if let Some(view) = self.backends.servers.get_mut(&server) {
-            view.leave.mark(view.facts.incarnation, 0);
+            view.leave.mark(view.info.incarnation, 0);
         }
     }
 }
--- a/crates/core/src/node/event.rs
+++ b/crates/core/src/node/event.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     clock::{ClockMillis, HybridStamp},
-    engine::{EngineFacts, EngineOrder, EngineReport, OrderResult},
+    engine::{EngineInfo, EngineOrder, EngineReport, OrderResult},
     id::{EngineId, FenceToken, HallId, HostId, Incarnation, LogOffset, RequestId, StoreEra},
     message::PeerMessage,
     node::ServerId,
@@ -14,7 +14,7 @@
 
 /// The time at which an event is handled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct NodeReading {
+pub struct ClockReading {
     /// The clock that decisions go by.
     pub now: ClockMillis,
     /// The wall clock, in milliseconds since the Unix epoch; only for the time line.
@@ -48,7 +48,7 @@
 
 /// A plain server as the platform's host list has it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ServerFacts {
+pub struct ServerInfo {
     /// The server.
     pub server: ServerId,
     /// Its data hall.
@@ -74,9 +74,9 @@
         address: String,
     },
     /// A model engine.
-    Engine(EngineFacts),
+    Engine(EngineInfo),
     /// A plain server.
-    Server(ServerFacts),
+    Server(ServerInfo),
 }
 
 /// An entry of the platform's host list.
@@ -90,15 +90,15 @@
 
 /// What changed in the platform's host list.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct HostChange {
+pub struct HostListChange {
     /// Entries that are new or changed.
     pub entries: Vec<HostEntry>,
     /// Entry hosts that are gone.
-    pub gone_hosts: Vec<HostId>,
+    pub removed_hosts: Vec<HostId>,
     /// Engines that are gone.
-    pub gone_engines: Vec<EngineId>,
+    pub removed_engines: Vec<EngineId>,
     /// Plain servers that are gone.
-    pub gone_servers: Vec<ServerId>,
+    pub removed_servers: Vec<ServerId>,
 }
 
 /// Why a backend server is known not to have run a request.
@@ -120,18 +120,18 @@
 
 /// How an exchange with a backend server ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum DispatchEnding {
+pub enum DispatchResult {
     /// The whole answer was passed on to the caller.
     Answered,
     /// It truly was not run.
     NotRun(NotRunReason),
     /// It broke off after bytes may have arrived.
-    Broke {
+    Interrupted {
         /// Whether the caller has seen any of the answer.
-        answer_begun: bool,
+        answer_started: bool,
     },
     /// The backend server answered with an error, after it may have run.
-    Errored,
+    BackendError,
     /// The caller hung up; the exchange was cancelled.
     CallerGone,
 }
@@ -144,7 +144,7 @@
     /// Truly not written.
     Refused,
     /// No answer; it may have been written, or be so later.
-    Lost,
+    NoAnswer,
 }
 
 /// What a host is told.
@@ -153,7 +153,7 @@
     /// Time has passed; comes some ten times a second.
     Tick,
     /// A caller's request has been read whole and is well formed.
-    Arrived(ArrivedRequest),
+    RequestArrived(ArrivedRequest),
     /// A caller hung up while its request waited.
     CallerGone(RequestId),
     /// An exchange with a backend server ended.
@@ -161,10 +161,10 @@
         /// The request.
         request: RequestId,
         /// How.
-        ending: DispatchEnding,
+        result: DispatchResult,
     },
     /// A message came from another entry host.
-    Peer {
+    PeerMessage {
         /// The sender.
         from: HostId,
         /// The sender's stamp.
@@ -173,7 +173,7 @@
         message: PeerMessage,
     },
     /// An engine's report came.
-    Report {
+    EngineReported {
         /// The engine.
         engine: EngineId,
         /// The report.
@@ -187,7 +187,7 @@
         result: OrderResult,
     },
     /// The platform's host list changed.
-    Hosts(HostChange),
+    HostListChanged(HostListChange),
     /// Records of a stream were read; none means that the end was reached.
     LogRead {
         /// The stream.
@@ -202,7 +202,7 @@
         end: LogOffset,
     },
     /// A stream could not be read.
-    LogAway(LogStream),
+    LogUnavailable(LogStream),
     /// An append ended.
     AppendEnded {
         /// The append.
@@ -211,12 +211,12 @@
         result: AppendResult,
     },
     /// The host is asked to stop.
-    StopAsked,
+    StopRequested,
 }
 
 /// The order to send one request to a backend server, once.
 #[derive(Debug, Clone, PartialEq)]
-pub struct DispatchOrder {
+pub struct RequestDispatch {
     /// The request.
     pub request: RequestId,
     /// Where, as `ip:port`.
@@ -233,19 +233,19 @@
     pub max_tokens: u32,
     /// How long the caller still waits for the first byte of the answer.
     pub patience: Duration,
-    /// When the order was given. Whoever carries it out later than [`SEND_WITHIN`] must not.
-    pub issued: ClockMillis,
+    /// When the order was given. Whoever carries it out later than [`MAX_DISPATCH_DELAY`] must not.
+    pub issued_at: ClockMillis,
 }
 
 /// How long after its order a request may be sent: a paused process must not send on waking what
 /// its peers have long given up.
-pub const SEND_WITHIN: Duration = Duration::from_secs(1);
+pub const MAX_DISPATCH_DELAY: Duration = Duration::from_secs(1);
 
 /// What a host orders.
 #[derive(Debug, Clone, PartialEq)]
-pub enum NodeOrder {
+pub enum NodeAction {
     /// Sends a message to another entry host.
-    Send {
+    SendMessage {
         /// The receiver.
         to: HostId,
         /// Where it is reached.
@@ -256,7 +256,7 @@
         message: PeerMessage,
     },
     /// Sends a request to a backend server.
-    Dispatch(DispatchOrder),
+    Dispatch(RequestDispatch),
     /// Tells a caller that its request ended without a whole answer.
     Refuse {
         /// The request.
@@ -265,14 +265,14 @@
         refusal: RequestRefusal,
     },
     /// Sends an order to an engine.
-    Order {
+    SendOrder {
         /// Where it is reached.
         address: String,
         /// The order.
         order: EngineOrder,
     },
     /// Asks an engine for its report.
-    AskReport {
+    FetchReport {
         /// The engine.
         engine: EngineId,
         /// Where it is reached.
@@ -295,7 +295,7 @@
         from: LogOffset,
     },
     /// Does not read a stream any more.
-    Ignore {
+    Unfollow {
         /// The stream.
         stream: LogStream,
     },
--- a/crates/core/src/node/inbox.rs
+++ b/crates/core/src/node/inbox.rs
@@ -48,7 +48,7 @@
                 retry_after: None,
             })
         };
-        if !self.controls.contains_key(&ask.engine) {
+        if !self.engine_controllers.contains_key(&ask.engine) {
             self.send(from, refuse(PermitRefusal::NotOwner));
             return;
         }
@@ -73,7 +73,7 @@
     /// Finds another engine that holds the adapter which this one would have to load.
     fn held_elsewhere(&self, ask: &PermitAsk) -> Option<crate::id::EngineId> {
         let adapter = ask.request.adapter;
-        let control = self.controls.get(&ask.engine)?;
+        let control = self.engine_controllers.get(&ask.engine)?;
         if control.residencies().get(&adapter).is_some_and(Residency::is_here_or_coming) {
             return None;
         }
@@ -82,7 +82,7 @@
             let view = self.backends.engines.get(*engine);
             view.is_some_and(|view| {
                 let serving = view.digest.as_ref().is_some_and(|digest| digest.serving);
-                view.open(now) && serving && self.members.hall_reachable(view.facts.hall)
+                view.open(now) && serving && self.members.hall_reachable(view.info.hall)
             })
         };
         let others = self.backends.holders(adapter).iter();
--- a/crates/core/src/node/log.rs
+++ b/crates/core/src/node/log.rs
@@ -7,7 +7,7 @@
 use crate::{
     id::{HostId, KeyHash, LogOffset, RequestId, StoreEra, request_host},
     message::{PeerMessage, SettingsPull, SettingsRecords, SettingsState},
-    node::{AppendResult, LogStream, NodeCore, NodeOrder},
+    node::{AppendResult, LogStream, NodeAction, NodeCore},
     owner::{OwnedRole, rendezvous, role_key},
     settings::{SettingKey, SettingsSnapshot, fold::LogRecord},
 };
@@ -52,7 +52,7 @@
             self.claims.holders().filter(|(key, request)| teller(*key, *request) == Some(own));
         self.book.renew(told.collect::<Vec<_>>().into_iter());
         for stream in LogStream::ALL {
-            self.orders.push(NodeOrder::Follow { stream, from: 0 });
+            self.orders.push(NodeAction::Follow { stream, from: 0 });
         }
     }
 
@@ -71,7 +71,7 @@
         let gap = records.first().is_some_and(|record| record.offset > next);
         if gap && first <= next && stream != LogStream::Snapshots {
             // The records in between are there, only this read came before an earlier one.
-            self.orders.push(NodeOrder::Follow { stream, from: next });
+            self.orders.push(NodeAction::Follow { stream, from: next });
             return;
         }
         match stream {
@@ -85,7 +85,7 @@
         if expired {
             // The log's retention passed this host by: only a snapshot helps.
             self.note("settings", "records expired before they were read");
-            self.orders.push(NodeOrder::Follow { stream: LogStream::Snapshots, from: 0 });
+            self.orders.push(NodeAction::Follow { stream: LogStream::Snapshots, from: 0 });
             self.ask_any_peer_for_settings();
             return;
         }
@@ -100,7 +100,7 @@
     pub(super) fn confirm_settings(&mut self) {
         if !self.progress.settings_confirmed {
             self.progress.settings_confirmed = true;
-            self.orders.push(NodeOrder::Ignore { stream: LogStream::Snapshots });
+            self.orders.push(NodeAction::Unfollow { stream: LogStream::Snapshots });
         }
     }
 
@@ -151,8 +151,8 @@
                 let (revision, from) = (self.fold.revision(), self.fold.next_offset());
                 self.note("settings", format!("revision {revision} taken from a snapshot"));
                 let stream = LogStream::Settings;
-                self.orders.push(NodeOrder::Follow { stream, from });
-                self.orders.push(NodeOrder::Ignore { stream: LogStream::Snapshots });
+                self.orders.push(NodeAction::Follow { stream, from });
+                self.orders.push(NodeAction::Unfollow { stream: LogStream::Snapshots });
                 self.view_dirty = true;
                 self.settle_ownership();
             }
@@ -231,7 +231,7 @@
         self.counters.appends += 1;
         let payload = record.to_json();
         let stream = LogStream::Claims;
-        self.orders.push(NodeOrder::Append { stream, payload, ticket });
+        self.orders.push(NodeAction::Append { stream, payload, ticket });
     }
 
     pub(super) fn append_ended(&mut self, ticket: u64, result: AppendResult) {
@@ -264,6 +264,6 @@
         self.progress.snapshot_offset = self.fold.next_offset();
         self.counters.appends += 1;
         let payload = self.fold.snapshot().to_json();
-        self.orders.push(NodeOrder::Append { stream: LogStream::Snapshots, payload, ticket });
+        self.orders.push(NodeAction::Append { stream: LogStream::Snapshots, payload, ticket });
     }
 }
--- a/crates/core/src/node/owning.rs
+++ b/crates/core/src/node/owning.rs
@@ -6,13 +6,13 @@
     chart::{DrainState, EngineState, MemberState},
     clock::ClockMillis,
     engine::{
-        ControlOutput, EngineControl, EngineOrder, EngineReport, OrderAction, OrderResult,
+        ControlOutput, EngineController, EngineOrder, EngineReport, OrderAction, OrderResult,
         StoreWish,
     },
     id::{EngineId, HostId},
     member::MemberUpdate,
     message::PeerMessage,
-    node::{HostChange, HostEntry, HostKind, NodeCore, NodeOrder},
+    node::{HostEntry, HostKind, HostListChange, NodeAction, NodeCore},
     owner::{OwnedRole, rendezvous, role_key},
     settings::SettingKey,
 };
@@ -22,10 +22,10 @@
     pub(super) fn control(
         &mut self,
         engine: EngineId,
-        call: impl FnOnce(&mut EngineControl, ClockMillis, &mut ControlOutput),
+        call: impl FnOnce(&mut EngineController, ClockMillis, &mut ControlOutput),
     ) {
         let now = self.now();
-        let Some(control) = self.controls.get_mut(&engine) else { return };
+        let Some(control) = self.engine_controllers.get_mut(&engine) else { return };
         let before = control.state();
         let mut output = ControlOutput::default();
         call(control, now, &mut output);
@@ -46,10 +46,10 @@
         self.counters.loads_ended += u64::from(output.loads_ended);
         self.counters.loads_failed += u64::from(output.loads_failed);
         self.counters.permits_granted += u64::from(output.granted);
-        let address = self.backends.engines.get(&engine).map(|view| view.facts.address.clone());
+        let address = self.backends.engines.get(&engine).map(|view| view.info.address.clone());
         for order in orders {
             let Some(address) = address.clone() else { continue };
-            self.orders.push(NodeOrder::Order { address, order });
+            self.orders.push(NodeAction::SendOrder { address, order });
         }
         for envelope in messages {
             self.send(envelope.to, envelope.message);
@@ -77,29 +77,30 @@
         self.control(order.engine, |control, now, out| {
             control.order_ended(order, result, now, out);
         });
-        let awaits = self.controls.get(&order.engine).is_some_and(EngineControl::awaits_proof);
-        if awaits && order.action == OrderAction::Raise {
+        let awaits =
+            self.engine_controllers.get(&order.engine).is_some_and(EngineController::awaits_proof);
+        if awaits && order.action == OrderAction::RaiseFence {
             self.report_due.insert(order.engine, self.now());
         }
     }
 
     /// Takes changes of the platform's host list, which lags: it seeds, and never takes back.
-    pub(super) fn take_hosts(&mut self, change: HostChange) {
+    pub(super) fn take_hosts(&mut self, change: HostListChange) {
         self.hosts_known = true;
         for entry in change.entries {
             self.take_host(entry);
         }
-        for host in change.gone_hosts {
+        for host in change.removed_hosts {
             // Only the platform's word that a host is gone is certain enough without a fence.
             self.holder_gone(host, true, None);
         }
-        for engine in change.gone_engines {
+        for engine in change.removed_engines {
             self.backends.remove_engine(engine);
-            self.control(engine, EngineControl::unassign);
-            self.controls.remove(&engine);
+            self.control(engine, EngineController::unassign);
+            self.engine_controllers.remove(&engine);
             self.report_due.remove(&engine);
         }
-        for server in change.gone_servers {
+        for server in change.removed_servers {
             self.backends.servers.remove(&server);
         }
         self.view_dirty = true;
@@ -123,17 +124,17 @@
                 let update = MemberUpdate { host, hall, address, incarnation, refutations, state };
                 self.hear_member(&update);
             }
-            HostKind::Engine(facts) => {
-                let engine = facts.engine;
-                if let Some(control) = self.controls.get_mut(&engine) {
-                    control.update_facts(facts.clone());
+            HostKind::Engine(info) => {
+                let engine = info.engine;
+                if let Some(control) = self.engine_controllers.get_mut(&engine) {
+                    control.update_info(info.clone());
                 }
-                self.backends.put_engine(facts, leaving);
+                self.backends.put_engine(info, leaving);
                 if leaving {
                     self.mark_leaving(engine);
                 }
             }
-            HostKind::Server(facts) => self.backends.put_server(facts, leaving),
+            HostKind::Server(info) => self.backends.put_server(info, leaving),
         }
     }
 
@@ -149,8 +150,8 @@
             .backends
             .engines
             .values()
-            .filter(|view| view.facts.hall == own_hall)
-            .map(|view| view.facts.engine)
+            .filter(|view| view.info.hall == own_hall)
+            .map(|view| view.info.engine)
             .collect();
         for engine in engines {
             if self.owner_in(engine, own_hall) == Some(self.config.host) {
@@ -166,11 +167,11 @@
         let Some(view) = self.backends.engines.get(&engine) else { return };
         let (host, policy) = (self.config.host, self.config.policy.clone());
         let times = self.config.times.engine(half_life);
-        let facts = &view.facts;
+        let info = &view.info;
         let left = view.leave.holds();
-        self.controls
+        self.engine_controllers
             .entry(engine)
-            .or_insert_with(|| EngineControl::new(facts.clone(), host, policy, times));
+            .or_insert_with(|| EngineController::new(info.clone(), host, policy, times));
         self.control(engine, |control, now, out| {
             control.assign(now);
             if left {
@@ -180,18 +181,21 @@
     }
 
     fn disown(&mut self, engine: EngineId) {
-        let Some(control) = self.controls.get(&engine) else { return };
+        let Some(control) = self.engine_controllers.get(&engine) else { return };
         // A stopping host serves a fenced engine until another has raised the fence.
-        let hands_over = self.drain == DrainState::HandingOver && control.facts().checks_fence;
+        let hands_over = self.drain == DrainState::HandingOver && control.info().checks_fence;
         if !hands_over {
-            self.control(engine, EngineControl::unassign);
+            self.control(engine, EngineController::unassign);
         }
     }
 
     /// Passes on the residencies that changed.
     pub(super) fn spread_digests(&mut self) {
-        let digests: Vec<_> =
-            self.controls.values_mut().filter_map(EngineControl::take_digest).collect();
+        let digests: Vec<_> = self
+            .engine_controllers
+            .values_mut()
+            .filter_map(EngineController::take_digest)
+            .collect();
         let hosts = self.members.live_count();
         for digest in digests {
             let engine = digest.engine;
@@ -203,7 +207,7 @@
 
     /// Takes the news that a holder of permits is gone, or that its process began a new life.
     pub(super) fn holder_gone(&mut self, host: HostId, certain: bool, but: Option<u64>) {
-        let engines: Vec<EngineId> = self.controls.keys().copied().collect();
+        let engines: Vec<EngineId> = self.engine_controllers.keys().copied().collect();
         for engine in engines {
             self.control(engine, |control, now, _| control.holder_gone(host, certain, but, now));
         }
@@ -215,13 +219,13 @@
         self.counters.pauses += 1;
         self.note("host", format!("was paused for {} ms", gap.as_millis()));
         let unfenced: Vec<EngineId> = self
-            .controls
+            .engine_controllers
             .iter()
-            .filter(|(_, control)| !control.facts().checks_fence)
+            .filter(|(_, control)| !control.info().checks_fence)
             .map(|(engine, _)| *engine)
             .collect();
         for engine in unfenced {
-            self.control(engine, EngineControl::unassign);
+            self.control(engine, EngineController::unassign);
         }
         self.view_dirty = true;
     }
--- a/crates/core/src/node/peers.rs
+++ b/crates/core/src/node/peers.rs
@@ -12,7 +12,7 @@
     id::{EngineId, HostId},
     member::{MemberEntry, MemberUpdate},
     message::{Heartbeat, PeerMessage, SettingsPull, SyncAsk, SyncReply},
-    node::{NodeCore, NodeOrder},
+    node::{NodeAction, NodeCore},
 };
 
 /// Member changes in one heartbeat at most; about 40 bytes each.
@@ -57,7 +57,7 @@
             let heartbeat = self.heartbeat(self.heartbeat_sequence);
             let stamp = self.timeline.tick(self.reading.wall_millis);
             let message = PeerMessage::Heartbeat(heartbeat);
-            self.orders.push(NodeOrder::Send { to: UNKNOWN_HOST, address, stamp, message });
+            self.orders.push(NodeAction::SendMessage { to: UNKNOWN_HOST, address, stamp, message });
         }
     }
 
--- a/crates/core/src/node/permits.rs
+++ b/crates/core/src/node/permits.rs
@@ -10,7 +10,7 @@
         PermitRefusal, PermitRefused,
     },
     node::{
-        DispatchOrder, NodeCore, NodeOrder,
+        NodeAction, NodeCore, RequestDispatch,
         open::{AskState, OpenRequest, RequestRoute},
         table::EngineView,
     },
@@ -131,12 +131,12 @@
         let full = open.full;
         let usable = |view: &&EngineView| {
             view.open(now)
-                && Some(view.facts.engine) != full
-                && self.members.hall_reachable(view.facts.hall)
+                && Some(view.info.engine) != full
+                && self.members.hall_reachable(view.info.hall)
         };
         let candidate = |view: &EngineView| RouteCandidate {
-            engine: view.facts.engine,
-            hall: view.facts.hall,
+            engine: view.info.engine,
+            hall: view.info.hall,
             fill: view.expected_fill(),
         };
         let view = |engine: &EngineId| self.backends.engines.get(engine);
@@ -168,7 +168,7 @@
 
     /// Returns the owner of an engine, as this host's view has it.
     pub(super) fn owner_of(&self, engine: EngineId) -> Option<HostId> {
-        let hall = self.backends.engines.get(&engine)?.facts.hall;
+        let hall = self.backends.engines.get(&engine)?.info.hall;
         self.owner_in(engine, hall)
     }
 
@@ -227,13 +227,13 @@
         let now = self.now();
         let Some(view) = self.backends.engines.get_mut(&granted.engine) else { return };
         view.outstanding += 1;
-        let address = view.facts.address.clone();
+        let address = view.info.address.clone();
         let Some(open) = self.open.get_mut(&granted.request) else { return };
         let RequestRoute::Adapter { name, .. } = &open.route else { return };
         open.owner = Some(from);
         open.state = open.state.after(RequestEvent::Permitted);
         self.counters.stalled += u64::from(granted.stalled);
-        let order = DispatchOrder {
+        let order = RequestDispatch {
             request: granted.request,
             address,
             adapter_name: name.clone(),
@@ -242,10 +242,10 @@
             priority: open.settings.priority,
             max_tokens: open.max_tokens,
             patience: open.deadline.since(now),
-            issued: now,
+            issued_at: now,
         };
         self.set_timer(granted.request, None);
-        self.orders.push(NodeOrder::Dispatch(order));
+        self.orders.push(NodeAction::Dispatch(order));
     }
 
     pub(super) fn take_refused(&mut self, refused: PermitRefused) {
--- a/crates/core/src/node/state.rs
+++ b/crates/core/src/node/state.rs
@@ -10,9 +10,9 @@
 
 use crate::{
     chart::{DrainState, MemberState},
-    claim::{ClaimBook, ClaimFold},
+    claim::{ClaimBook, ClaimTable},
     clock::ClockMillis,
-    engine::EngineControl,
+    engine::EngineController,
     gossip::GossipQueue,
     id::{EngineId, HostId, RequestId},
     limit::RetryBudget,
@@ -20,8 +20,8 @@
     member::{MemberTable, MemberUpdate},
     message::PeerMessage,
     node::{
-        LogStream, NodeConfig, NodeCounters, NodeEvent, NodeOrder, NodeReading, open::OpenRequest,
-        table::BackendTable,
+        ClockReading, LogStream, NodeAction, NodeConfig, NodeCounters, NodeEvent,
+        open::OpenRequest, table::BackendTable,
     },
     settings::{SettingKey, SettingsFold, SettingsPath},
     timeline::TimelineRing,
@@ -60,17 +60,17 @@
 /// One entry host.
 pub struct NodeCore {
     pub(super) config: NodeConfig,
-    pub(super) reading: NodeReading,
+    pub(super) reading: ClockReading,
     pub(super) rng: Pcg64Mcg,
     pub(super) fold: SettingsFold,
-    pub(super) claims: ClaimFold,
+    pub(super) claims: ClaimTable,
     pub(super) book: ClaimBook,
     pub(super) progress: LogProgress,
     pub(super) members: MemberTable,
     pub(super) member_gossip: GossipQueue<HostId>,
     pub(super) digest_gossip: GossipQueue<EngineId>,
     pub(super) backends: BackendTable,
-    pub(super) controls: BTreeMap<EngineId, EngineControl>,
+    pub(super) engine_controllers: BTreeMap<EngineId, EngineController>,
     pub(super) report_due: BTreeMap<EngineId, ClockMillis>,
     pub(super) turns: StoreTurns,
     pub(super) turns_host: HostId,
@@ -90,7 +90,7 @@
     /// The host list was seen, or a peer's copy of it.
     pub(super) hosts_known: bool,
     pub(super) loopback: VecDeque<PeerMessage>,
-    pub(super) orders: Vec<NodeOrder>,
+    pub(super) orders: Vec<NodeAction>,
 }
 
 impl NodeCore {
@@ -106,17 +106,17 @@
         };
         let zero = ClockMillis::default();
         Self {
-            reading: NodeReading { now: zero, wall_millis: 0 },
+            reading: ClockReading { now: zero, wall_millis: 0 },
             rng: Pcg64Mcg::seed_from_u64(config.seed),
             fold: SettingsFold::default(),
-            claims: ClaimFold::default(),
+            claims: ClaimTable::default(),
             book: ClaimBook::new(config.times.claim_interval),
             progress: LogProgress::default(),
             members: MemberTable::new(own, config.times.member()),
             member_gossip: GossipQueue::default(),
             digest_gossip: GossipQueue::default(),
             backends: BackendTable::default(),
-            controls: BTreeMap::new(),
+            engine_controllers: BTreeMap::new(),
             report_due: BTreeMap::new(),
             turns: StoreTurns::default(),
             turns_host: config.host,
@@ -141,19 +141,19 @@
     }
 
     /// Returns the orders with which a host's life begins.
-    pub fn start(&mut self, reading: NodeReading) -> Vec<NodeOrder> {
+    pub fn start(&mut self, reading: ClockReading) -> Vec<NodeAction> {
         self.reading = reading;
         self.started = reading.now;
         self.progress.snapshot_at = reading.now;
         self.note("host", format!("started in hall {}", self.config.hall));
         for stream in LogStream::ALL {
-            self.orders.push(NodeOrder::Follow { stream, from: 0 });
+            self.orders.push(NodeAction::Follow { stream, from: 0 });
         }
         std::mem::take(&mut self.orders)
     }
 
     /// Takes one event and returns what follows from it.
-    pub fn handle(&mut self, reading: NodeReading, event: NodeEvent) -> Vec<NodeOrder> {
+    pub fn handle(&mut self, reading: ClockReading, event: NodeEvent) -> Vec<NodeAction> {
         self.reading = reading;
         self.take_event(event);
         while let Some(message) = self.loopback.pop_front() {
@@ -166,25 +166,25 @@
     fn take_event(&mut self, event: NodeEvent) {
         match event {
             NodeEvent::Tick => self.tick(),
-            NodeEvent::Arrived(request) => self.arrive(request),
+            NodeEvent::RequestArrived(request) => self.arrive(request),
             NodeEvent::CallerGone(request) => self.caller_gone(request),
-            NodeEvent::DispatchEnded { request, ending } => self.dispatch_ended(request, ending),
-            NodeEvent::Peer { from, stamp, message } => {
+            NodeEvent::DispatchEnded { request, result } => self.dispatch_ended(request, result),
+            NodeEvent::PeerMessage { from, stamp, message } => {
                 self.counters.messages_received += 1;
                 self.timeline.receive(stamp, self.reading.wall_millis);
                 self.take_message(from, message);
             }
-            NodeEvent::Report { engine, report } => self.take_report(engine, &report),
+            NodeEvent::EngineReported { engine, report } => self.take_report(engine, &report),
             NodeEvent::OrderEnded { order, result } => self.order_ended(&order, result),
-            NodeEvent::Hosts(change) => self.take_hosts(change),
+            NodeEvent::HostListChanged(change) => self.take_hosts(change),
             NodeEvent::LogRead { stream, era, first, records, end } => {
                 if self.in_era(era) {
                     self.log_read(stream, first, records, end);
                 }
             }
-            NodeEvent::LogAway(stream) => self.log_away(stream),
+            NodeEvent::LogUnavailable(stream) => self.log_away(stream),
             NodeEvent::AppendEnded { ticket, result } => self.append_ended(ticket, result),
-            NodeEvent::StopAsked => self.stop_asked(),
+            NodeEvent::StopRequested => self.stop_asked(),
         }
     }
 
@@ -203,7 +203,7 @@
         let address = entry.update.address.clone();
         let stamp = self.timeline.tick(self.reading.wall_millis);
         self.counters.messages_sent += 1;
-        self.orders.push(NodeOrder::Send { to, address, stamp, message });
+        self.orders.push(NodeAction::SendMessage { to, address, stamp, message });
     }
 
     /// Puts a line on the time line.
@@ -248,8 +248,8 @@
     }
 
     /// Returns the engines that this host owns or may come to own.
-    pub fn controls(&self) -> impl Iterator<Item = &EngineControl> {
-        self.controls.values()
+    pub fn engine_controllers(&self) -> impl Iterator<Item = &EngineController> {
+        self.engine_controllers.values()
     }
 
     /// Returns what is known of the other hosts.
--- a/crates/core/src/node/status.rs
+++ b/crates/core/src/node/status.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     chart::ResidencyState,
-    engine::EngineControl,
+    engine::EngineController,
     id::{EngineId, HallId, HostId, LogOffset, Revision},
     node::NodeCore,
 };
@@ -95,11 +95,15 @@
             known_servers: self.backends.servers.len(),
             claims_open: self.progress.claims_open(self.now()),
             members: self.members.others().map(member).collect(),
-            engines: self.controls.values().map(|control| self.engine_status(control)).collect(),
+            engines: self
+                .engine_controllers
+                .values()
+                .map(|control| self.engine_status(control))
+                .collect(),
         }
     }
 
-    fn engine_status(&self, control: &EngineControl) -> EngineStatus {
+    fn engine_status(&self, control: &EngineController) -> EngineStatus {
         let residents = control
             .residencies()
             .iter()
@@ -107,7 +111,7 @@
             .filter_map(|(adapter, _)| self.fold.tree().adapter_name(*adapter))
             .collect();
         EngineStatus {
-            engine: control.facts().engine,
+            engine: control.info().engine,
             state: control.state().name().to_owned(),
             token: format!("{:x}", control.token()),
             permits: control.permit_count(),
--- a/crates/core/src/node/table.rs
+++ b/crates/core/src/node/table.rs
@@ -4,10 +4,10 @@
 
 use crate::{
     clock::ClockMillis,
-    engine::EngineFacts,
+    engine::EngineInfo,
     gossip::EngineDigest,
     id::{AdapterKey, EngineId, Incarnation},
-    node::{HostEntry, HostKind, ServerFacts},
+    node::{HostEntry, HostKind, ServerInfo},
 };
 
 /// Names a plain server, as in the platform's host list.
@@ -55,7 +55,7 @@
 /// One engine as an entry host sees it.
 #[derive(Debug, Clone)]
 pub(super) struct EngineView {
-    pub(super) facts: EngineFacts,
+    pub(super) info: EngineInfo,
     pub(super) digest: Option<EngineDigest>,
     pub(super) leave: LeaveSign,
     /// Not to be tried before.
@@ -73,14 +73,14 @@
 
     /// Estimates how full it is, in hundredths.
     pub(super) fn expected_fill(&self) -> u32 {
-        self.fill.max(100 * self.outstanding / self.facts.streams.max(1))
+        self.fill.max(100 * self.outstanding / self.info.streams.max(1))
     }
 }
 
 /// One plain server as an entry host sees it.
 #[derive(Debug, Clone)]
 pub(super) struct ServerView {
-    pub(super) facts: ServerFacts,
+    pub(super) info: ServerInfo,
     pub(super) leave: LeaveSign,
     pub(super) avoid_until: ClockMillis,
     pub(super) outstanding: u32,
@@ -97,39 +97,39 @@
 
 impl BackendTable {
     /// Takes an engine of the host list. Being listed as leaving sticks until a later life.
-    pub(super) fn put_engine(&mut self, facts: EngineFacts, leaving: bool) {
-        let incarnation = facts.incarnation;
-        let engine = facts.engine;
+    pub(super) fn put_engine(&mut self, info: EngineInfo, leaving: bool) {
+        let incarnation = info.incarnation;
+        let engine = info.engine;
         let view = self.engines.entry(engine).or_insert_with(|| EngineView {
-            facts: facts.clone(),
+            info: info.clone(),
             digest: None,
             leave: LeaveSign::default(),
             avoid_until: ClockMillis::default(),
             fill: 0,
             outstanding: 0,
         });
-        if incarnation < view.facts.incarnation {
+        if incarnation < view.info.incarnation {
             return;
         }
         view.leave.hear_list(incarnation, leaving);
-        view.facts = facts;
+        view.info = info;
         self.index_services();
     }
 
     /// Takes a plain server of the host list.
-    pub(super) fn put_server(&mut self, facts: ServerFacts, leaving: bool) {
-        let incarnation = facts.incarnation;
-        let view = self.servers.entry(facts.server).or_insert_with(|| ServerView {
-            facts: facts.clone(),
+    pub(super) fn put_server(&mut self, info: ServerInfo, leaving: bool) {
+        let incarnation = info.incarnation;
+        let view = self.servers.entry(info.server).or_insert_with(|| ServerView {
+            info: info.clone(),
             leave: LeaveSign::default(),
             avoid_until: ClockMillis::default(),
             outstanding: 0,
         });
-        if incarnation < view.facts.incarnation {
+        if incarnation < view.info.incarnation {
             return;
         }
         view.leave.hear_list(incarnation, leaving);
-        view.facts = facts;
+        view.info = info;
     }
 
     /// Forgets an engine that the host list has no more.
@@ -179,11 +179,11 @@
     /// Lists the backend servers as entries of the host list, for a host that has not seen it.
     pub(super) fn host_entries(&self) -> Vec<HostEntry> {
         let engine = |view: &EngineView| HostEntry {
-            kind: HostKind::Engine(view.facts.clone()),
+            kind: HostKind::Engine(view.info.clone()),
             leaving: view.leave.holds(),
         };
         let server = |view: &ServerView| HostEntry {
-            kind: HostKind::Server(view.facts.clone()),
+            kind: HostKind::Server(view.info.clone()),
             leaving: view.leave.holds(),
         };
         let servers = self.servers.values().map(server);
@@ -198,7 +198,7 @@
     fn index_services(&mut self) {
         self.by_service.clear();
         for (engine, view) in &self.engines {
-            self.by_service.entry(view.facts.service.clone()).or_default().push(*engine);
+            self.by_service.entry(view.info.service.clone()).or_default().push(*engine);
         }
     }
 }
--- a/crates/core/src/node/timers.rs
+++ b/crates/core/src/node/timers.rs
@@ -3,9 +3,9 @@
 use crate::{
     chart::{DrainEvent, DrainState, EngineState, RequestState},
     clock::ClockMillis,
-    engine::EngineControl,
+    engine::EngineController,
     id::{EngineId, RequestId},
-    node::{NodeCore, NodeOrder, open::AskState},
+    node::{NodeAction, NodeCore, open::AskState},
     request::{RefusalKind, RequestRefusal},
 };
 
@@ -35,17 +35,17 @@
     }
 
     fn tick_engines(&mut self) {
-        let engines: Vec<EngineId> = self.controls.keys().copied().collect();
+        let engines: Vec<EngineId> = self.engine_controllers.keys().copied().collect();
         for engine in engines {
-            self.control(engine, EngineControl::tick);
+            self.control(engine, EngineController::tick);
         }
-        self.controls.retain(|_, control| control.state() != EngineState::Foreign);
+        self.engine_controllers.retain(|_, control| control.state() != EngineState::Foreign);
     }
 
     fn ask_reports(&mut self) {
         let now = self.now();
         let wanted: Vec<EngineId> = self
-            .controls
+            .engine_controllers
             .iter()
             .filter(|(_, control)| control.wants_reports())
             .map(|(engine, _)| *engine)
@@ -55,14 +55,15 @@
             let pause = self.report_pause(engine);
             self.report_due.insert(engine, now + pause);
             let Some(view) = self.backends.engines.get(&engine) else { continue };
-            let address = view.facts.address.clone();
-            self.orders.push(NodeOrder::AskReport { engine, address });
+            let address = view.info.address.clone();
+            self.orders.push(NodeAction::FetchReport { engine, address });
         }
     }
 
     fn report_pause(&mut self, engine: EngineId) -> std::time::Duration {
         let usual = self.config.times.report_every;
-        let awaits = self.controls.get(&engine).is_some_and(EngineControl::awaits_proof);
+        let awaits =
+            self.engine_controllers.get(&engine).is_some_and(EngineController::awaits_proof);
         // What waits for the report, which lags, asks for it more often.
         if awaits { usual / FAST_REPORTS } else { self.jitter(usual) }
     }
@@ -129,13 +130,15 @@
         if self.drain == DrainState::HandingOver {
             let late = self.now().since(self.drain_since) > self.config.times.handover_limit;
             if late {
-                let engines: Vec<EngineId> = self.controls.keys().copied().collect();
+                let engines: Vec<EngineId> = self.engine_controllers.keys().copied().collect();
                 for engine in engines {
-                    self.control(engine, EngineControl::unassign);
+                    self.control(engine, EngineController::unassign);
                 }
             }
-            let owns =
-                self.controls.values().any(|control| control.state() != EngineState::Foreign);
+            let owns = self
+                .engine_controllers
+                .values()
+                .any(|control| control.state() != EngineState::Foreign);
             if !owns || !self.has_heirs() {
                 self.drain = self.drain.after(DrainEvent::HandedOver);
                 self.note("host", "engines handed over");
@@ -156,7 +159,7 @@
         if self.open.is_empty() && self.drain == DrainState::Finishing {
             self.drain = self.drain.after(DrainEvent::StreamsEnded);
             self.note("host", "stopped");
-            self.orders.push(NodeOrder::Stopped);
+            self.orders.push(NodeAction::Stopped);
         }
     }
 }
--- a/crates/core/src/node/turns.rs
+++ b/crates/core/src/node/turns.rs
@@ -31,7 +31,7 @@
     }
 
     pub(super) fn take_load_grant(&mut self, from: HostId, turn: LoadTurn) {
-        if self.controls.contains_key(&turn.engine) {
+        if self.engine_controllers.contains_key(&turn.engine) {
             self.control(turn.engine, |control, now, out| {
                 control.turn_came(turn.adapter, now, out);
             });
@@ -55,8 +55,7 @@
     /// Returns the store's limits, less the part of the halls that are out of reach: they give
     /// turns of their own meanwhile.
     fn store_limits(&self) -> StoreLimits {
-        let mut halls: Vec<_> =
-            self.backends.engines.values().map(|view| view.facts.hall).collect();
+        let mut halls: Vec<_> = self.backends.engines.values().map(|view| view.info.hall).collect();
         halls.sort_unstable();
         halls.dedup();
         let reached = halls.iter().filter(|hall| self.members.hall_reachable(**hall)).count();
--- a/crates/core/tests/claims.rs
+++ b/crates/core/tests/claims.rs
@@ -5,7 +5,7 @@
 use proptest::{prelude::*, test_runner::RngSeed};
 use reelreel_core::{
     ClockMillis,
-    claim::{ClaimBook, ClaimFold, ClaimItem, ClaimRecord, ClaimVerdict, DecidedClaim},
+    claim::{ClaimBook, ClaimItem, ClaimRecord, ClaimTable, ClaimVerdict, DecidedClaim},
     settings::fold::LogRecord,
 };
 
@@ -86,7 +86,7 @@
 #[test]
 fn the_log_decides_alike_for_everybody() {
     for case in FOLDS {
-        let mut fold = ClaimFold::default();
+        let mut fold = ClaimTable::default();
         let mut decided = Vec::new();
         for (offset, (written, claims, releases)) in (0..).zip(case.records) {
             let record = log_record(offset, *written, claims, releases);
@@ -104,7 +104,7 @@
 }
 
 /// Appends what waits and folds it at once; returns the verdicts.
-fn append(book: &mut ClaimBook, fold: &mut ClaimFold, at: u64) -> Vec<ClaimVerdict> {
+fn append(book: &mut ClaimBook, fold: &mut ClaimTable, at: u64) -> Vec<ClaimVerdict> {
     let Some((ticket, record)) = book.next_append(now(at)) else { return Vec::new() };
     let payload = record.to_json();
     let record = LogRecord { offset: fold.next_offset(), written_millis: at, payload };
@@ -116,7 +116,7 @@
 #[test]
 fn many_claims_go_into_one_append() {
     let mut book = ClaimBook::new(Duration::from_millis(100));
-    let mut fold = ClaimFold::default();
+    let mut fold = ClaimTable::default();
     for request in 0..40 {
         book.enter(request, request + 1000, None);
     }
@@ -130,7 +130,7 @@
 #[test]
 fn a_lost_answer_is_settled_by_the_log_and_never_appended_again() {
     let mut book = ClaimBook::new(Duration::ZERO);
-    let mut fold = ClaimFold::default();
+    let mut fold = ClaimTable::default();
     book.enter(1, 7, None);
     let (ticket, record) = book.next_append(now(1)).expect("a claim waits");
     book.append_ended(ticket, false);
@@ -158,7 +158,7 @@
 #[test]
 fn a_claim_given_up_before_it_shows_up_is_released_when_it_does() {
     let mut book = ClaimBook::new(Duration::ZERO);
-    let mut fold = ClaimFold::default();
+    let mut fold = ClaimTable::default();
     book.enter(1, 7, None);
     let (ticket, record) = book.next_append(now(1)).expect("a claim waits");
     book.append_ended(ticket, false);
@@ -175,7 +175,7 @@
 #[test]
 fn a_key_older_than_keys_are_remembered_is_refused() {
     let mut book = ClaimBook::new(Duration::ZERO);
-    let mut fold = ClaimFold::default();
+    let mut fold = ClaimTable::default();
     book.enter(1, 7, Some(10));
     book.enter(2, 8, Some(1_500));
     let verdicts = append(&mut book, &mut fold, 2_000);
@@ -209,13 +209,13 @@
             };
             log.push(record);
         }
-        let mut early = ClaimFold::default();
+        let mut early = ClaimTable::default();
         let all: Vec<_> = log.iter().map(|record| early.fold(record, WINDOW)).collect();
         let cut = log.iter().position(|record| record.written_millis > WINDOW);
         let Some(cut) = cut else { return Ok(()) };
         let begin = log[cut].written_millis - WINDOW;
         let first = log.iter().position(|record| record.written_millis >= begin).unwrap_or(0);
-        let mut late = ClaimFold::default();
+        let mut late = ClaimTable::default();
         let seen: Vec<_> = log[first..].iter().map(|record| late.fold(record, WINDOW)).collect();
         for (early, late) in all[cut..].iter().flatten().zip(seen[cut - first..].iter().flatten()) {
             let won = |claim: &DecidedClaim| claim.holder == claim.request;
--- a/crates/core/tests/herd.rs
+++ b/crates/core/tests/herd.rs
@@ -44,7 +44,7 @@
 
 fn owned(site: &FakeSite) -> usize {
     site.cores()
-        .flat_map(|(_, core)| core.controls())
+        .flat_map(|(_, core)| core.engine_controllers())
         .filter(|control| control.state() == EngineState::Owned)
         .count()
 }
--- a/crates/core/tests/log_eras.rs
+++ b/crates/core/tests/log_eras.rs
@@ -4,10 +4,10 @@
 
 use proptest::{prelude::*, test_runner::RngSeed};
 use reelreel_core::{
-    ClockMillis, NodeConfig, NodeCore, NodeEvent, NodeOrder,
+    ClockMillis, NodeAction, NodeConfig, NodeCore, NodeEvent,
     claim::{ClaimItem, ClaimRecord},
     id::{KeyHash, LogOffset, RequestId, StoreEra, request_id},
-    node::{LogStream, NodeReading},
+    node::{ClockReading, LogStream},
     settings::{
         ChangeRecord, EditAction, SettingKey, SettingValue, SettingsEdit, SettingsFold,
         SettingsPath, fold::LogRecord,
@@ -126,8 +126,8 @@
 
 const KEY: KeyHash = 77;
 
-fn reading(millis: u64) -> NodeReading {
-    NodeReading { now: ClockMillis::from_millis(millis), wall_millis: millis }
+fn reading(millis: u64) -> ClockReading {
+    ClockReading { now: ClockMillis::from_millis(millis), wall_millis: millis }
 }
 
 fn claims_read(era: StoreEra, records: Vec<LogRecord>) -> NodeEvent {
@@ -136,9 +136,9 @@
 }
 
 /// Returns the claims that a host appends.
-fn appended_claims(orders: &[NodeOrder]) -> Vec<(KeyHash, RequestId)> {
+fn appended_claims(orders: &[NodeAction]) -> Vec<(KeyHash, RequestId)> {
     let payloads = orders.iter().filter_map(|order| match order {
-        NodeOrder::Append { stream: LogStream::Claims, payload, .. } => Some(payload),
+        NodeAction::Append { stream: LogStream::Claims, payload, .. } => Some(payload),
         _ => None,
     });
     let records = payloads
@@ -160,7 +160,7 @@
     let mut orders = core.handle(reading(5000), claims_read(1, Vec::new()));
     let followed = |stream: LogStream| {
         orders.iter().any(
-            |order| matches!(order, NodeOrder::Follow { stream: told, from: 0 } if *told == stream),
+            |order| matches!(order, NodeAction::Follow { stream: told, from: 0 } if *told == stream),
         )
     };
     assert!(LogStream::ALL.into_iter().all(followed), "{orders:?}");
--- a/crates/core/tests/one_host.rs
+++ b/crates/core/tests/one_host.rs
@@ -3,13 +3,13 @@
 use std::time::Duration;
 
 use reelreel_core::{
-    ClockMillis, NodeConfig, NodeCore, NodeEvent, NodeOrder,
+    ClockMillis, NodeAction, NodeConfig, NodeCore, NodeEvent,
     clock::HybridStamp,
-    engine::EngineFacts,
+    engine::EngineInfo,
     gossip::EngineDigest,
     id::request_id,
     message::{PeerMessage, PermitAsk, PermitGranted, PermitRefusal, PermitRefused, SyncReply},
-    node::{AppendResult, HostChange, HostEntry, HostKind, LogStream, NodeReading},
+    node::{AppendResult, ClockReading, HostEntry, HostKind, HostListChange, LogStream},
     request::{ArrivedRequest, RequestTarget},
     settings::{ChangeRecord, SettingsTree, fold::LogRecord, read_tree},
 };
@@ -19,8 +19,8 @@
 
 const OWNER: u32 = 2;
 
-fn reading(millis: u64) -> NodeReading {
-    NodeReading { now: ClockMillis::from_millis(millis), wall_millis: millis }
+fn reading(millis: u64) -> ClockReading {
+    ClockReading { now: ClockMillis::from_millis(millis), wall_millis: millis }
 }
 
 /// Makes a host in hall 9 that knows one engine and one host in hall 1.
@@ -42,7 +42,7 @@
         NodeEvent::LogRead { stream: LogStream::Settings, era: 0, first: 0, records, end: 1 };
     core.handle(reading(2), read);
     let address = String::from("10.0.0.2:7000");
-    let engine = EngineFacts {
+    let engine = EngineInfo {
         engine: 1,
         hall: 1,
         service: String::from("assist"),
@@ -56,23 +56,26 @@
         HostEntry { kind: HostKind::Entry { host: OWNER, hall: 1, address }, leaving: false },
         HostEntry { kind: HostKind::Engine(engine), leaving: false },
     ];
-    core.handle(reading(3), NodeEvent::Hosts(HostChange { entries, ..HostChange::default() }));
+    core.handle(
+        reading(3),
+        NodeEvent::HostListChanged(HostListChange { entries, ..HostListChange::default() }),
+    );
     core
 }
 
-fn ask_of(orders: &[NodeOrder]) -> Option<PermitAsk> {
+fn ask_of(orders: &[NodeAction]) -> Option<PermitAsk> {
     orders.iter().find_map(|order| match order {
-        NodeOrder::Send { message: PeerMessage::PermitAsk(ask), .. } => Some(ask.clone()),
+        NodeAction::SendMessage { message: PeerMessage::PermitAsk(ask), .. } => Some(ask.clone()),
         _ => None,
     })
 }
 
 fn from_owner(message: PeerMessage) -> NodeEvent {
-    NodeEvent::Peer { from: OWNER, stamp: HybridStamp::default(), message }
+    NodeEvent::PeerMessage { from: OWNER, stamp: HybridStamp::default(), message }
 }
 
 fn arrival(counter: u32) -> NodeEvent {
-    NodeEvent::Arrived(ArrivedRequest {
+    NodeEvent::RequestArrived(ArrivedRequest {
         id: request_id(1, 1, counter),
         target: RequestTarget::Model(String::from("north/brakes")),
         patience: Some(Duration::from_secs(10)),
@@ -87,7 +90,7 @@
     let mut core = core();
     let left = |millis, core: &mut NodeCore, counter| {
         let orders = core.handle(reading(millis), arrival(counter));
-        let refused = orders.iter().any(|order| matches!(order, NodeOrder::Refuse { .. }));
+        let refused = orders.iter().any(|order| matches!(order, NodeAction::Refuse { .. }));
         assert_ne!(refused, ask_of(&orders).is_some(), "{orders:?}");
         refused
     };
@@ -131,7 +134,7 @@
     let mut last_ask = None;
     let mut asks = 0;
     for millis in (3_000..8_000).step_by(20) {
-        let refused = orders.iter().any(|order| matches!(order, NodeOrder::Refuse { .. }));
+        let refused = orders.iter().any(|order| matches!(order, NodeAction::Refuse { .. }));
         assert!(!refused, "refused after {} ms and {asks} asks", millis - 3_000);
         let mut next = core.handle(reading(millis), NodeEvent::Tick);
         if let Some(ask) = ask_of(&orders) {
@@ -165,7 +168,7 @@
         stalled: false,
     };
     let orders = core.handle(reading(10_000), from_owner(PeerMessage::PermitGranted(granted)));
-    let sent = orders.iter().any(|order| matches!(order, NodeOrder::Dispatch(_)));
+    let sent = orders.iter().any(|order| matches!(order, NodeAction::Dispatch(_)));
     assert!(sent, "{orders:?}");
 }
 
@@ -179,7 +182,7 @@
     let second = ask_of(&orders).expect("it asks again");
     assert_eq!(second.attempt, first.attempt + 1);
     let withdrawn = orders.iter().any(|order| match order {
-        NodeOrder::Send { message: PeerMessage::PermitDone(done), .. } => {
+        NodeAction::SendMessage { message: PeerMessage::PermitDone(done), .. } => {
             done.attempt == first.attempt && done.clean
         }
         _ => false,
@@ -197,7 +200,7 @@
         for second in 0..4 {
             let now = 5_000 + minute * MINUTE + second * 5_000;
             for order in core.handle(reading(now), NodeEvent::Tick) {
-                if let NodeOrder::Append { stream: LogStream::Snapshots, ticket, .. } = order {
+                if let NodeAction::Append { stream: LogStream::Snapshots, ticket, .. } = order {
                     written.push(minute);
                     let result = AppendResult::Written;
                     core.handle(reading(now), NodeEvent::AppendEnded { ticket, result });
--- a/crates/fakes/src/actions.rs
+++ b/crates/fakes/src/actions.rs
@@ -4,7 +4,7 @@
     NodeEvent,
     engine::OrderResult,
     id::{EngineId, HallId, HostId, RequestId},
-    node::{AppendResult, HostChange, HostEntry, HostKind, LogStream},
+    node::{AppendResult, HostEntry, HostKind, HostListChange, LogStream},
     settings::ChangeRecord,
 };
 
@@ -41,9 +41,9 @@
             }
             self.log.append(stream, payload, WALL_START + self.now);
             self.wake_readers(stream);
-            if self.active.append_lost > 0 { AppendResult::Lost } else { AppendResult::Written }
+            if self.active.append_lost > 0 { AppendResult::NoAnswer } else { AppendResult::Written }
         };
-        let delay = if result == AppendResult::Lost { 3_000 } else { 2 };
+        let delay = if result == AppendResult::NoAnswer { 3_000 } else { 2 };
         let event = NodeEvent::AppendEnded { ticket, result };
         self.push(delay, Arrival::Input(id, life, HostInput::Event(event)));
     }
@@ -84,7 +84,7 @@
                     self.host_stopped(id);
                     return;
                 }
-                self.input(id, life, HostInput::Event(NodeEvent::StopAsked));
+                self.input(id, life, HostInput::Event(NodeEvent::StopRequested));
             }
             SiteAction::LeaveEngine(engine) => self.leave_engine(engine),
             SiteAction::KillHost(id, back) => {
@@ -112,11 +112,11 @@
         }
         fake.leaving = Some(now);
         fake.changed(now);
-        let kind = HostKind::Engine(fake.facts());
+        let kind = HostKind::Engine(fake.info());
         self.step(StepKind::LeaveBegins, None, Some(engine), None);
         if !hide {
             let entries = vec![HostEntry { kind, leaving: true }];
-            self.change_hosts(HostChange { entries, ..HostChange::default() });
+            self.change_hosts(HostListChange { entries, ..HostListChange::default() });
         }
         self.push(6_000, Arrival::EngineGone(engine));
     }
@@ -132,16 +132,16 @@
             return;
         }
         fake.gone = true;
-        let gone_engines = vec![engine];
-        self.change_hosts(HostChange { gone_engines, ..HostChange::default() });
+        let removed_engines = vec![engine];
+        self.change_hosts(HostListChange { removed_engines, ..HostListChange::default() });
         self.push(10_000, Arrival::EngineBack(engine));
     }
 
     pub(crate) fn engine_back(&mut self, engine: EngineId) {
         self.restart_engine(engine);
         let Some(fake) = self.engines.get(&engine) else { return };
-        let entries = vec![HostEntry { kind: HostKind::Engine(fake.facts()), leaving: false }];
-        self.change_hosts(HostChange { entries, ..HostChange::default() });
+        let entries = vec![HostEntry { kind: HostKind::Engine(fake.info()), leaving: false }];
+        self.change_hosts(HostListChange { entries, ..HostListChange::default() });
     }
 
     pub(crate) fn restart_engine(&mut self, engine: EngineId) {
@@ -152,7 +152,7 @@
         for load in loads {
             self.store.drop_load(load, now);
             if let Some((id, life, order)) = self.store_loads.remove(&load) {
-                self.order_result(id, life, order, OrderResult::Lost, NEAR);
+                self.order_result(id, life, order, OrderResult::NoAnswer, NEAR);
             }
         }
         self.cut(cut);
--- a/crates/fakes/src/engine.rs
+++ b/crates/fakes/src/engine.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use reelreel_core::{
-    engine::{EngineFacts, EngineReport, OrderResult, ReportedAdapter},
+    engine::{EngineInfo, EngineReport, OrderResult, ReportedAdapter},
     id::{AdapterKey, EngineId, FenceToken, HallId, RequestId},
     node::NotRunReason,
 };
@@ -81,8 +81,8 @@
     }
 
     /// Returns the engine's entry of the host list.
-    pub fn facts(&self) -> EngineFacts {
-        EngineFacts {
+    pub fn info(&self) -> EngineInfo {
+        EngineInfo {
             engine: self.shape.engine,
             hall: self.shape.hall,
             service: self.shape.service.clone(),
@@ -125,7 +125,7 @@
             leaving: self.leaving.is_some(),
             adapters: self.slots.iter().filter_map(loaded).collect(),
             loading: self.slots.iter().filter_map(loading).collect(),
-            strangers: Vec::new(),
+            unknown_adapters: Vec::new(),
         }
     }
 
--- a/crates/fakes/src/exchange.rs
+++ b/crates/fakes/src/exchange.rs
@@ -3,7 +3,7 @@
 use reelreel_core::{
     CallerOutcome, NodeEvent, RequestRefusal,
     id::{EngineId, HostId, RequestId, request_id},
-    node::{DispatchEnding, DispatchOrder, NotRunReason, SEND_WITHIN},
+    node::{DispatchResult, MAX_DISPATCH_DELAY, NotRunReason, RequestDispatch},
     request::{ArrivedRequest, IdempotencyKey, RequestTarget},
     settings::SettingsPath,
 };
@@ -79,7 +79,7 @@
             key: call.key.map(|text| IdempotencyKey { text, created_millis: None }),
             max_tokens: Some(call.tokens),
         };
-        self.input(id, life, HostInput::Event(NodeEvent::Arrived(arrived)));
+        self.input(id, life, HostInput::Event(NodeEvent::RequestArrived(arrived)));
     }
 
     /// Notes what a caller was told.
@@ -96,7 +96,7 @@
     }
 
     /// A traffic thread writes a request to a backend server.
-    pub(crate) fn send_request(&mut self, id: HostId, order: DispatchOrder) {
+    pub(crate) fn send_request(&mut self, id: HostId, order: RequestDispatch) {
         self.step(StepKind::RequestSends, Some(id), None, Some(order.request));
         let Some(host) = self.hosts.get_mut(&id) else { return };
         let life = host.life;
@@ -107,13 +107,13 @@
             host.waiting.push_back(HostInput::Send(order));
             return;
         }
-        let age = (self.now + 1).saturating_sub(order.issued.as_millis());
-        if age > Self::millis(SEND_WITHIN) {
+        let age = (self.now + 1).saturating_sub(order.issued_at.as_millis());
+        if age > Self::millis(MAX_DISPATCH_DELAY) {
             self.exchange_ended(
                 id,
                 life,
                 order.request,
-                DispatchEnding::NotRun(NotRunReason::Late),
+                DispatchResult::NotRun(NotRunReason::Late),
                 0,
             );
             return;
@@ -130,16 +130,16 @@
         id: HostId,
         life: u64,
         request: RequestId,
-        ending: DispatchEnding,
+        result: DispatchResult,
         delay: u64,
     ) {
-        let ending = match (self.shape.mutation, ending) {
-            (Some(SiteMutation::BrokenMeansNotRun), DispatchEnding::Broke { .. }) => {
-                DispatchEnding::NotRun(NotRunReason::NoConnection)
+        let result = match (self.shape.mutation, result) {
+            (Some(SiteMutation::BrokenMeansNotRun), DispatchResult::Interrupted { .. }) => {
+                DispatchResult::NotRun(NotRunReason::NoConnection)
             }
-            (_, ending) => ending,
+            (_, result) => result,
         };
-        let event = NodeEvent::DispatchEnded { request, ending };
+        let event = NodeEvent::DispatchEnded { request, result };
         self.push(delay, Arrival::Input(id, life, HostInput::Event(event)));
     }
 
@@ -157,11 +157,11 @@
         }
     }
 
-    pub(crate) fn backend_request(&mut self, id: HostId, life: u64, order: &DispatchOrder) {
+    pub(crate) fn backend_request(&mut self, id: HostId, life: u64, order: &RequestDispatch) {
         let backend = backend_of(&order.address);
         if !self.reaches(id, backend) {
-            let ending = DispatchEnding::NotRun(NotRunReason::NoConnection);
-            self.exchange_ended(id, life, order.request, ending, UNREACHED);
+            let result = DispatchResult::NotRun(NotRunReason::NoConnection);
+            self.exchange_ended(id, life, order.request, result, UNREACHED);
             return;
         }
         if backend >= SERVER_BASE {
@@ -171,7 +171,7 @@
         }
     }
 
-    pub(crate) fn run_plain(&mut self, id: HostId, order: &DispatchOrder, backend: u32) {
+    pub(crate) fn run_plain(&mut self, id: HostId, order: &RequestDispatch, backend: u32) {
         self.note_run(id, order.request, backend, String::new());
         self.push(
             PLAIN_MILLIS,
@@ -187,20 +187,20 @@
         &mut self,
         id: HostId,
         life: u64,
-        order: &DispatchOrder,
+        order: &RequestDispatch,
         backend: u32,
     ) {
         let now = self.now;
         let key = self.reference.tree().adapter_key(&order.adapter_name);
         let wrong = self.shape.mutation == Some(SiteMutation::WrongVersion);
         let Some(engine) = self.engines.get_mut(&backend).filter(|engine| !engine.gone) else {
-            let ending = DispatchEnding::NotRun(NotRunReason::NoConnection);
-            self.exchange_ended(id, life, order.request, ending, NEAR);
+            let result = DispatchResult::NotRun(NotRunReason::NoConnection);
+            self.exchange_ended(id, life, order.request, result, NEAR);
             return;
         };
         let Some(key) = key else {
-            let ending = DispatchEnding::NotRun(NotRunReason::NotResident);
-            self.exchange_ended(id, life, order.request, ending, NEAR);
+            let result = DispatchResult::NotRun(NotRunReason::NotResident);
+            self.exchange_ended(id, life, order.request, result, NEAR);
             return;
         };
         let refusal = engine.refusal(key, order.token, now);
@@ -215,7 +215,7 @@
         });
         let Some(engine) = self.engines.get_mut(&backend) else { return };
         if let Some(reason) = refusal {
-            self.exchange_ended(id, life, order.request, DispatchEnding::NotRun(reason), NEAR);
+            self.exchange_ended(id, life, order.request, DispatchResult::NotRun(reason), NEAR);
             return;
         }
         if let Some(leaving) = engine.leaving {
@@ -334,8 +334,8 @@
             return;
         }
         if !reached {
-            let ending = DispatchEnding::Broke { answer_begun: begun };
-            self.exchange_ended(id, life, request, ending, UNREACHED);
+            let result = DispatchResult::Interrupted { answer_started: begun };
+            self.exchange_ended(id, life, request, result, UNREACHED);
             return;
         }
         host.exchanges.remove(&request);
@@ -348,7 +348,7 @@
                 caller.told.get_or_insert((CallerOutcome::Answered, now + NEAR));
             }
         }
-        self.exchange_ended(id, life, request, DispatchEnding::Answered, NEAR);
+        self.exchange_ended(id, life, request, DispatchResult::Answered, NEAR);
     }
 
     /// Breaks off what ran on an engine.
@@ -359,8 +359,8 @@
             let Some(host) = self.hosts.get_mut(&id) else { continue };
             let life = host.life;
             let Some(exchange) = host.exchanges.remove(&request) else { continue };
-            let ending = DispatchEnding::Broke { answer_begun: exchange.first_token };
-            self.exchange_ended(id, life, request, ending, NEAR);
+            let result = DispatchResult::Interrupted { answer_started: exchange.first_token };
+            self.exchange_ended(id, life, request, result, NEAR);
         }
     }
 }
--- a/crates/fakes/src/host.rs
+++ b/crates/fakes/src/host.rs
@@ -5,7 +5,7 @@
 use reelreel_core::{
     NodeCore, NodeEvent,
     id::{HallId, HostId, RequestId},
-    node::{DispatchOrder, LogStream},
+    node::{LogStream, RequestDispatch},
 };
 
 /// A request that a traffic thread has sent to a backend server.
@@ -22,7 +22,7 @@
     /// For the control thread.
     Event(NodeEvent),
     /// A traffic thread is about to write a request to a backend server.
-    Send(DispatchOrder),
+    Send(RequestDispatch),
 }
 
 /// An entry host.
--- a/crates/fakes/src/orders.rs
+++ b/crates/fakes/src/orders.rs
@@ -18,19 +18,19 @@
     pub(crate) fn engine_order(&mut self, id: HostId, life: u64, order: EngineOrder) {
         let now = self.now;
         if !self.reaches(id, order.engine) {
-            self.order_result(id, life, order, OrderResult::NeverSent, UNREACHED);
+            self.order_result(id, life, order, OrderResult::NotSent, UNREACHED);
             return;
         }
         let kind = match order.action {
-            OrderAction::Raise => StepKind::RaiseArrives,
+            OrderAction::RaiseFence => StepKind::RaiseArrives,
             OrderAction::Load(_) => StepKind::LoadBegins,
-            OrderAction::Unload(_) | OrderAction::UnloadStranger(_) => StepKind::UnloadArrives,
+            OrderAction::Unload(_) | OrderAction::UnloadUnknown(_) => StepKind::UnloadArrives,
         };
         self.note(|| format!("order from host {id}: {order:?}"));
         self.step(kind, Some(id), Some(order.engine), None);
         let unfenced = self.shape.mutation == Some(SiteMutation::IgnoreFence);
         let Some(engine) = self.engines.get_mut(&order.engine).filter(|engine| !engine.gone) else {
-            self.order_result(id, life, order, OrderResult::NeverSent, NEAR);
+            self.order_result(id, life, order, OrderResult::NotSent, NEAR);
             return;
         };
         if !unfenced && let Err(token) = engine.pass_fence(order.token, now) {
@@ -38,13 +38,13 @@
             return;
         }
         match order.action {
-            OrderAction::Raise => {
+            OrderAction::RaiseFence => {
                 let result = engine.done();
                 self.order_result(id, life, order, result, NEAR);
             }
             OrderAction::Load(adapter) => self.begin_load(id, life, order, adapter),
             OrderAction::Unload(adapter) => self.unload(id, life, order, adapter),
-            OrderAction::UnloadStranger(_) => {}
+            OrderAction::UnloadUnknown(_) => {}
         }
     }
 
@@ -58,7 +58,7 @@
     ) {
         let done = matches!(result, OrderResult::Done { .. } | OrderResult::Failed);
         let lost = done && self.active.order_answer_lost > 0;
-        let (result, delay) = if lost { (OrderResult::Lost, 3_000) } else { (result, delay) };
+        let (result, delay) = if lost { (OrderResult::NoAnswer, 3_000) } else { (result, delay) };
         let event = NodeEvent::OrderEnded { order, result };
         self.push(delay, Arrival::Input(id, life, HostInput::Event(event)));
     }
@@ -123,7 +123,7 @@
         let Some(engine) = self.engines.get_mut(&order.engine) else { return };
         // The step may have restarted the engine, whose new life knows nothing of the load.
         if engine.slots.get(&adapter) != Some(&FakeSlot::Loading(load)) {
-            self.order_result(id, life, order, OrderResult::Lost, NEAR);
+            self.order_result(id, life, order, OrderResult::NoAnswer, NEAR);
             return;
         }
         let result = if fails {
@@ -180,7 +180,7 @@
         let Some(fake) = self.engines.get(&engine).filter(|engine| !engine.gone) else { return };
         let mut report = fake.report(now);
         report.leaving &= !hide;
-        let event = NodeEvent::Report { engine, report };
+        let event = NodeEvent::EngineReported { engine, report };
         self.push(NEAR, Arrival::Input(id, life, HostInput::Event(event)));
     }
 }
--- a/crates/fakes/src/site.rs
+++ b/crates/fakes/src/site.rs
@@ -9,11 +9,11 @@
 use rand::{RngExt, SeedableRng, seq::IndexedRandom};
 use rand_pcg::Pcg64Mcg;
 use reelreel_core::{
-    ClockMillis, NodeCore, NodeEvent, NodeOrder,
+    ClockMillis, NodeAction, NodeCore, NodeEvent,
     engine::{EngineOrder, OrderResult},
     id::{EngineId, HallId, HostId, RequestId},
     message::PeerMessage,
-    node::{HostChange, HostEntry, HostKind, NodeReading, ServerFacts, ServerId},
+    node::{ClockReading, HostEntry, HostKind, HostListChange, ServerId, ServerInfo},
     settings::SettingsFold,
 };
 
@@ -92,7 +92,7 @@
     /// The weight store.
     pub store: FakeStore,
     pub(crate) store_loads: BTreeMap<StoreLoad, (HostId, u64, EngineOrder)>,
-    host_changes: Vec<(u64, HostChange)>,
+    host_changes: Vec<(u64, HostListChange)>,
     pub(crate) plan: FaultPlan,
     pub(crate) active: ActiveFaults,
     /// What was seen.
@@ -165,23 +165,23 @@
             entries.push(HostEntry { kind, leaving: false });
         }
         for engine in self.engines.values() {
-            entries.push(HostEntry { kind: HostKind::Engine(engine.facts()), leaving: false });
+            entries.push(HostEntry { kind: HostKind::Engine(engine.info()), leaving: false });
         }
         for (server, fake) in &self.servers {
-            let facts = ServerFacts {
+            let info = ServerInfo {
                 server: *server,
                 hall: fake.hall,
                 service: self.shape.plain_service.clone(),
                 address: format!("server-{server}"),
                 incarnation: 1,
             };
-            entries.push(HostEntry { kind: HostKind::Server(facts), leaving: false });
+            entries.push(HostEntry { kind: HostKind::Server(info), leaving: false });
         }
-        self.change_hosts(HostChange { entries, ..HostChange::default() });
+        self.change_hosts(HostListChange { entries, ..HostListChange::default() });
     }
 
     /// Changes the host list, which shows it some time later.
-    pub(crate) fn change_hosts(&mut self, change: HostChange) {
+    pub(crate) fn change_hosts(&mut self, change: HostListChange) {
         const LAG: u64 = 1_500;
         let shown = if self.now == 0 { 0 } else { self.now + LAG };
         self.host_changes.push((shown, change));
@@ -248,9 +248,9 @@
         }
     }
 
-    pub(crate) fn reading(&self, host: HostId) -> NodeReading {
+    pub(crate) fn reading(&self, host: HostId) -> ClockReading {
         let skew = self.hosts.get(&host).map_or(0, |host| host.wall_skew);
-        NodeReading {
+        ClockReading {
             now: ClockMillis::from_millis(self.now + 1),
             wall_millis: (WALL_START + self.now).saturating_add_signed(skew),
         }
@@ -328,7 +328,7 @@
         }
     }
 
-    pub(crate) fn carry_out(&mut self, id: HostId, orders: Vec<NodeOrder>) {
+    pub(crate) fn carry_out(&mut self, id: HostId, orders: Vec<NodeAction>) {
         let Some(host) = self.hosts.get(&id) else { return };
         let life = host.life;
         for order in orders {
@@ -336,47 +336,47 @@
         }
     }
 
-    pub(crate) fn carry_out_one(&mut self, id: HostId, life: u64, order: NodeOrder) {
+    pub(crate) fn carry_out_one(&mut self, id: HostId, life: u64, order: NodeAction) {
         match order {
-            NodeOrder::Send { to, stamp, message, .. } => self.post(id, to, stamp, message),
-            NodeOrder::Dispatch(order) => {
+            NodeAction::SendMessage { to, stamp, message, .. } => self.post(id, to, stamp, message),
+            NodeAction::Dispatch(order) => {
                 self.push(0, Arrival::Input(id, life, HostInput::Send(order)));
             }
-            NodeOrder::Refuse { request, refusal } => self.told(request, &refusal),
-            NodeOrder::Order { order, .. } if self.active.order_given_up > 0 => {
-                let result = OrderResult::Lost;
+            NodeAction::Refuse { request, refusal } => self.told(request, &refusal),
+            NodeAction::SendOrder { order, .. } if self.active.order_given_up > 0 => {
+                let result = OrderResult::NoAnswer;
                 let event = NodeEvent::OrderEnded { order: order.clone(), result };
                 self.push(1_000, Arrival::Input(id, life, HostInput::Event(event)));
                 let delay = self.rng.random_range(1..5_000);
                 // Nobody waits for the answer any more.
                 self.push(delay, Arrival::Order { host: id, life: 0, order });
             }
-            NodeOrder::Order { order, .. } => {
+            NodeAction::SendOrder { order, .. } => {
                 self.evidence.orders += 1;
                 let late = if self.active.order_late > 0 { 3_000 } else { 0 };
                 self.push(NEAR + late, Arrival::Order { host: id, life, order });
             }
-            NodeOrder::AskReport { engine, .. } => {
+            NodeAction::FetchReport { engine, .. } => {
                 self.evidence.reports += 1;
                 self.push(NEAR, Arrival::AskReport { host: id, life, engine });
             }
-            NodeOrder::Append { stream, payload, ticket } => {
+            NodeAction::Append { stream, payload, ticket } => {
                 self.evidence.appends += 1;
                 let slow = if self.active.log_slow > 0 { 2_500 } else { 2 };
                 self.push(slow, Arrival::Append { host: id, life, stream, payload, ticket });
             }
-            NodeOrder::Follow { stream, from } => {
+            NodeAction::Follow { stream, from } => {
                 if let Some(host) = self.hosts.get_mut(&id) {
                     host.follows.insert(stream, from);
                 }
                 self.push(1, Arrival::ReadLog(id, life, stream));
             }
-            NodeOrder::Ignore { stream } => {
+            NodeAction::Unfollow { stream } => {
                 if let Some(host) = self.hosts.get_mut(&id) {
                     host.follows.remove(&stream);
                 }
             }
-            NodeOrder::Stopped => self.host_stopped(id),
+            NodeAction::Stopped => self.host_stopped(id),
         }
     }
 
--- a/crates/fakes/src/site/lives.rs
+++ b/crates/fakes/src/site/lives.rs
@@ -6,7 +6,7 @@
 use reelreel_core::{
     NodeConfig, NodeCore, NodeEvent,
     id::HostId,
-    node::{HostChange, LogStream},
+    node::{HostListChange, LogStream},
     settings::fold::LogRecord,
 };
 
@@ -101,7 +101,7 @@
         let Some(host) = self.hosts.get_mut(&id).filter(|host| host.life == life) else { return };
         let Some(from) = host.follows.get(&stream).copied() else { return };
         if away {
-            let event = NodeEvent::LogAway(stream);
+            let event = NodeEvent::LogUnavailable(stream);
             self.push(1, Arrival::Input(id, life, HostInput::Event(event)));
             return;
         }
@@ -134,13 +134,13 @@
         let now = self.now;
         let Some(host) = self.hosts.get_mut(&id) else { return };
         let shown = self.host_changes.iter().take_while(|(at, _)| *at <= now).count();
-        let fresh: Vec<HostChange> = self.host_changes[host.hosts_version.min(shown)..shown]
+        let fresh: Vec<HostListChange> = self.host_changes[host.hosts_version.min(shown)..shown]
             .iter()
             .map(|(_, change)| change.clone())
             .collect();
         host.hosts_version = shown;
         for change in fresh {
-            let event = NodeEvent::Hosts(change);
+            let event = NodeEvent::HostListChanged(change);
             self.push(1, Arrival::Input(id, life, HostInput::Event(event)));
         }
     }
--- a/crates/fakes/src/site/post.rs
+++ b/crates/fakes/src/site/post.rs
@@ -65,7 +65,7 @@
         }
         let life = receiver.life;
         self.step_of_message(to, &message);
-        let event = NodeEvent::Peer { from, stamp, message };
+        let event = NodeEvent::PeerMessage { from, stamp, message };
         self.input(to, life, HostInput::Event(event));
     }
 
--- a/crates/fakes/src/site/queue.rs
+++ b/crates/fakes/src/site/queue.rs
@@ -23,7 +23,7 @@
     Peer { from: HostId, to: HostId, stamp: HybridStamp, message: PeerMessage },
     Order { host: HostId, life: u64, order: EngineOrder },
     AskReport { host: HostId, life: u64, engine: EngineId },
-    Request { host: HostId, life: u64, order: reelreel_core::node::DispatchOrder },
+    Request { host: HostId, life: u64, order: reelreel_core::node::RequestDispatch },
     FirstToken { backend: u32, incarnation: u64, request: RequestId },
     Finish { backend: u32, incarnation: u64, request: RequestId },
     StoreCheck,
--- a/crates/fakes/src/strike.rs
+++ b/crates/fakes/src/strike.rs
@@ -3,7 +3,7 @@
 use rand::RngExt;
 use reelreel_core::{
     NodeEvent,
-    node::{DispatchEnding, LogStream},
+    node::{DispatchResult, LogStream},
     settings::{ChangeRecord, EditAction, SettingKey, SettingValue, SettingsEdit, SettingsPath},
 };
 
@@ -169,7 +169,7 @@
         let Some(host) = self.hosts.get_mut(&id) else { return };
         let life = host.life;
         let event = match host.exchanges.remove(&request) {
-            Some(_) => NodeEvent::DispatchEnded { request, ending: DispatchEnding::CallerGone },
+            Some(_) => NodeEvent::DispatchEnded { request, result: DispatchResult::CallerGone },
             None => NodeEvent::CallerGone(request),
         };
         self.push(NEAR, Arrival::Input(id, life, HostInput::Event(event)));
--- a/crates/node/src/border.rs
+++ b/crates/node/src/border.rs
@@ -7,7 +7,7 @@
 use reelreel_core::{
     engine::OrderResult,
     id::{FenceToken, Incarnation, LogOffset, StoreEra},
-    node::{AppendResult, HostChange, LogStream},
+    node::{AppendResult, HostListChange, LogStream},
     settings::fold::LogRecord,
 };
 
@@ -65,7 +65,7 @@
     ///
     /// # Errors
     /// Returns why the list gave no answer.
-    fn changes(&self, since: u64) -> Result<(HostChange, u64), BorderError>;
+    fn changes(&self, since: u64) -> Result<(HostListChange, u64), BorderError>;
 }
 
 /// An order with the adapter's name as the engine knows it.
--- a/crates/node/src/border/engine_http.rs
+++ b/crates/node/src/border/engine_http.rs
@@ -85,8 +85,8 @@
         let body = body.unwrap_or_default();
         match agent.post(format!("http://{address}/orders")).send(&body[..]) {
             Ok(answer) => read_answer(answer),
-            Err(error) if never_connected(&error) => OrderResult::NeverSent,
-            Err(_) => OrderResult::Lost,
+            Err(error) if never_connected(&error) => OrderResult::NotSent,
+            Err(_) => OrderResult::NoAnswer,
         }
     }
 
@@ -117,17 +117,17 @@
 
 fn read_answer(mut answer: ureq::http::Response<ureq::Body>) -> OrderResult {
     let status = answer.status().as_u16();
-    let Ok(body) = answer.body_mut().read_to_vec() else { return OrderResult::Lost };
+    let Ok(body) = answer.body_mut().read_to_vec() else { return OrderResult::NoAnswer };
     match status {
         200 => match serde_json::from_slice::<DoneBody>(&body) {
             Ok(DoneBody { incarnation, sequence }) => OrderResult::Done { incarnation, sequence },
-            Err(_) => OrderResult::Lost,
+            Err(_) => OrderResult::NoAnswer,
         },
         409 => match serde_json::from_slice::<ProblemBody>(&body) {
             Ok(problem) => OrderResult::Fenced { token: problem.token },
-            Err(_) => OrderResult::Lost,
+            Err(_) => OrderResult::NoAnswer,
         },
         422 => OrderResult::Failed,
-        _ => OrderResult::Lost,
+        _ => OrderResult::NoAnswer,
     }
 }
--- a/crates/node/src/border/platform_http.rs
+++ b/crates/node/src/border/platform_http.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use reelreel_core::{
-    engine::EngineFacts,
+    engine::EngineInfo,
     id::{LogOffset, StoreEra},
-    node::{AppendResult, HostChange, HostEntry, HostKind, LogStream, ServerFacts},
+    node::{AppendResult, HostEntry, HostKind, HostListChange, LogStream, ServerInfo},
     settings::fold::LogRecord,
 };
 use serde::{Deserialize, de::DeserializeOwned};
@@ -126,25 +126,25 @@
         match self.agent.post(url).send(payload) {
             Ok(answer) if answer.status().as_u16() == 201 => AppendResult::Written,
             Ok(answer) if answer.status().as_u16() == NOT_WRITTEN => AppendResult::Refused,
-            Ok(_) => AppendResult::Lost,
+            Ok(_) => AppendResult::NoAnswer,
             Err(error) if never_connected(&error) => AppendResult::Refused,
-            Err(_) => AppendResult::Lost,
+            Err(_) => AppendResult::NoAnswer,
         }
     }
 }
 
 impl HostBorder for PlatformHttp {
-    fn changes(&self, since: u64) -> Result<(HostChange, u64), BorderError> {
+    fn changes(&self, since: u64) -> Result<(HostListChange, u64), BorderError> {
         let answer: HostsAnswer = self.fetch(&format!("/hosts?since={since}"), ANSWER)?;
-        let mut change = HostChange {
+        let mut change = HostListChange {
             entries: answer.entries.into_iter().map(host_entry).collect(),
-            ..HostChange::default()
+            ..HostListChange::default()
         };
         for (role, id) in answer.removed {
             match role.as_str() {
-                "entry" => change.gone_hosts.push(id),
-                "engine" => change.gone_engines.push(id),
-                _ => change.gone_servers.push(id),
+                "entry" => change.removed_hosts.push(id),
+                "engine" => change.removed_engines.push(id),
+                _ => change.removed_servers.push(id),
             }
         }
         Ok((change, answer.version))
@@ -155,7 +155,7 @@
     let HostAnswer { role, id, hall, address, state, incarnation, service, .. } = host;
     let kind = match role.as_str() {
         "entry" => HostKind::Entry { host: id, hall, address },
-        "engine" => HostKind::Engine(EngineFacts {
+        "engine" => HostKind::Engine(EngineInfo {
             engine: id,
             hall,
             service,
@@ -165,7 +165,7 @@
             checks_fence: host.checks_fence,
             incarnation,
         }),
-        _ => HostKind::Server(ServerFacts { server: id, hall, service, address, incarnation }),
+        _ => HostKind::Server(ServerInfo { server: id, hall, service, address, incarnation }),
     };
     HostEntry { kind, leaving: state == "leaving" }
 }
--- a/crates/node/src/callers.rs
+++ b/crates/node/src/callers.rs
@@ -26,7 +26,7 @@
 use reelreel_core::{
     ClockSource,
     id::{HostId, Incarnation, RequestId, request_id},
-    node::{DispatchOrder, SEND_WITHIN},
+    node::{MAX_DISPATCH_DELAY, RequestDispatch},
 };
 
 pub use connection::{HttpHead, HttpRequest};
@@ -100,8 +100,8 @@
     }
 
     /// Says whether an order is too old to be carried out, as after a pause of this process.
-    fn is_late(&self, order: &DispatchOrder) -> bool {
-        self.clock.now().since(order.issued) > SEND_WITHIN
+    fn is_late(&self, order: &RequestDispatch) -> bool {
+        self.clock.now().since(order.issued_at) > MAX_DISPATCH_DELAY
     }
 
     fn next_request(&self) -> RequestId {
--- a/crates/node/src/callers/exchange.rs
+++ b/crates/node/src/callers/exchange.rs
@@ -11,7 +11,7 @@
 use reelreel_core::{
     NodeEvent, RequestRefusal,
     id::RequestId,
-    node::{DispatchEnding, DispatchOrder, NotRunReason},
+    node::{DispatchResult, NotRunReason, RequestDispatch},
     request::RefusalKind,
 };
 use serde::Deserialize;
@@ -100,7 +100,7 @@
 /// How far an exchange got.
 enum Progress {
     /// It ended; the control thread says what follows, and whether the caller has seen any of it.
-    Ended(DispatchEnding),
+    Ended(DispatchResult),
     /// The answer, or what is known of it, was written whole.
     Written(io::Result<()>),
 }
@@ -115,18 +115,19 @@
                 TrafficOrder::Dispatch(order) => order,
             };
             if self.border.is_late(&order) {
-                self.end(DispatchEnding::NotRun(NotRunReason::Late));
+                self.end(DispatchResult::NotRun(NotRunReason::Late));
                 continue;
             }
             match self.dispatch(stream, &order) {
                 Progress::Written(result) => {
-                    self.end(DispatchEnding::Answered);
+                    self.end(DispatchResult::Answered);
                     return result;
                 }
-                Progress::Ended(ending) => {
-                    self.end(ending);
-                    let begun = matches!(ending, DispatchEnding::Broke { answer_begun: true });
-                    if begun || ending == DispatchEnding::CallerGone {
+                Progress::Ended(result) => {
+                    self.end(result);
+                    let begun =
+                        matches!(result, DispatchResult::Interrupted { answer_started: true });
+                    if begun || result == DispatchResult::CallerGone {
                         return Self::break_off(stream, orders);
                     }
                 }
@@ -134,8 +135,8 @@
         }
     }
 
-    fn end(&self, ending: DispatchEnding) {
-        self.border.control.event(NodeEvent::DispatchEnded { request: self.id, ending });
+    fn end(&self, result: DispatchResult) {
+        self.border.control.event(NodeEvent::DispatchEnded { request: self.id, result });
     }
 
     /// Ends an answer that has begun with an error event, and not as if it were whole.
@@ -152,14 +153,16 @@
         Err(io::ErrorKind::ConnectionAborted.into())
     }
 
-    fn dispatch(&self, stream: &mut TcpStream, order: &DispatchOrder) -> Progress {
+    fn dispatch(&self, stream: &mut TcpStream, order: &RequestDispatch) -> Progress {
         let sent = self.send(order);
         let mut engine_answer = match sent {
             Ok(answer) => answer,
             Err(error) if never_connected(&error) => {
-                return Progress::Ended(DispatchEnding::NotRun(NotRunReason::NoConnection));
+                return Progress::Ended(DispatchResult::NotRun(NotRunReason::NoConnection));
+            }
+            Err(_) => {
+                return Progress::Ended(DispatchResult::Interrupted { answer_started: false });
             }
-            Err(_) => return Progress::Ended(DispatchEnding::Broke { answer_begun: false }),
         };
         let status = engine_answer.status().as_u16();
         if status != 200 {
@@ -168,7 +171,7 @@
         if !self.echoes(&engine_answer, order) {
             log::error!("engine at {} answered for another adapter", order.address);
             self.cancel(order);
-            return Progress::Ended(DispatchEnding::Broke { answer_begun: false });
+            return Progress::Ended(DispatchResult::Interrupted { answer_started: false });
         }
         if self.call.stream {
             self.pass_stream(stream, engine_answer, order)
@@ -177,7 +180,7 @@
         }
     }
 
-    fn send(&self, order: &DispatchOrder) -> Result<EngineAnswer, ureq::Error> {
+    fn send(&self, order: &RequestDispatch) -> Result<EngineAnswer, ureq::Error> {
         let path = if self.chat { "/v1/chat/completions" } else { "/v1/completions" };
         let mut body = self.call.body.clone();
         body.insert(String::from("model"), Value::from(order.adapter_name.as_str()));
@@ -197,7 +200,7 @@
 
     /// An answer is taken only if the engine says that it is by the very base model, adapter and
     /// version.
-    fn echoes(&self, answer: &EngineAnswer, order: &DispatchOrder) -> bool {
+    fn echoes(&self, answer: &EngineAnswer, order: &RequestDispatch) -> bool {
         let header = |name: &str| answer.headers().get(name).and_then(|value| value.to_str().ok());
         let base = order.base_model.as_str();
         let same_base = base.is_empty() || header("x-base-model") == Some(base);
@@ -210,10 +213,10 @@
         let status = answer.status().as_u16();
         let body = answer.body_mut().with_config().limit(MOST_WHOLE).read_to_vec();
         let Ok(body) = body else {
-            return Progress::Ended(DispatchEnding::Broke { answer_begun: false });
+            return Progress::Ended(DispatchResult::Interrupted { answer_started: false });
         };
         if let Some(reason) = not_run_reason(status, &body) {
-            return Progress::Ended(DispatchEnding::NotRun(reason));
+            return Progress::Ended(DispatchResult::NotRun(reason));
         }
         if (400..500).contains(&status) {
             // The engine itself refuses the request: that is the caller's answer.
@@ -226,7 +229,7 @@
                 self.keep_alive,
             ));
         }
-        Progress::Ended(DispatchEnding::Errored)
+        Progress::Ended(DispatchResult::BackendError)
     }
 
     fn pass_whole(&self, stream: &mut TcpStream, answer: &mut EngineAnswer) -> Progress {
@@ -235,7 +238,7 @@
                 let headers = [("content-type", "application/json")];
                 Progress::Written(write_whole(stream, 200, &headers, &body, self.keep_alive))
             }
-            Err(_) => Progress::Ended(DispatchEnding::Broke { answer_begun: false }),
+            Err(_) => Progress::Ended(DispatchResult::Interrupted { answer_started: false }),
         }
     }
 
@@ -244,7 +247,7 @@
         &self,
         stream: &mut TcpStream,
         answer: EngineAnswer,
-        order: &DispatchOrder,
+        order: &RequestDispatch,
     ) -> Progress {
         let mut writer: Option<PieceWriter<'_>> = None;
         let mut stream = Some(stream);
@@ -252,18 +255,18 @@
         let mut source = Some(answer);
         let mut resumes = 0;
         loop {
-            let ending = match source.take() {
+            let result = match source.take() {
                 Some(answer) => self.pass_events(answer, &mut stream, &mut writer, &mut expected),
                 None => StreamEnding::Broken,
             };
-            match ending {
+            match result {
                 StreamEnding::Complete => {
                     let ended = writer.map_or(Ok(()), PieceWriter::end);
                     return Progress::Written(ended);
                 }
                 StreamEnding::CallerGone => {
                     self.cancel(order);
-                    return Progress::Ended(DispatchEnding::CallerGone);
+                    return Progress::Ended(DispatchResult::CallerGone);
                 }
                 StreamEnding::Broken if resumes < MOST_RESUMES => {
                     resumes += 1;
@@ -272,8 +275,8 @@
                 }
                 StreamEnding::Broken => {
                     self.cancel(order);
-                    let answer_begun = writer.is_some();
-                    return Progress::Ended(DispatchEnding::Broke { answer_begun });
+                    let answer_started = writer.is_some();
+                    return Progress::Ended(DispatchResult::Interrupted { answer_started });
                 }
             }
         }
@@ -314,7 +317,7 @@
     }
 
     /// Takes a broken stream up at the engine, from the first event that is missing.
-    fn resume(&self, order: &DispatchOrder, from: u64) -> Option<EngineAnswer> {
+    fn resume(&self, order: &RequestDispatch, from: u64) -> Option<EngineAnswer> {
         let url = format!(
             "http://{}/v1/streams/{:x}?from={from}&chat={}",
             order.address, self.id, self.chat
@@ -324,7 +327,7 @@
     }
 
     /// Tells the engine that nobody waits for the answer any more.
-    fn cancel(&self, order: &DispatchOrder) {
+    fn cancel(&self, order: &RequestDispatch) {
         let url = format!("http://{}/v1/streams/{:x}", order.address, self.id);
         drop(self.border.backends.delete(url).header("connection", "close").call());
     }
--- a/crates/node/src/callers/plain.rs
+++ b/crates/node/src/callers/plain.rs
@@ -4,7 +4,7 @@
 
 use reelreel_core::{
     NodeEvent,
-    node::{DispatchEnding, DispatchOrder, NotRunReason},
+    node::{DispatchResult, NotRunReason, RequestDispatch},
     request::RequestTarget,
 };
 
@@ -48,19 +48,19 @@
             TrafficOrder::Dispatch(order) => order,
         };
         if border.is_late(&order) {
-            let ending = DispatchEnding::NotRun(NotRunReason::Late);
-            border.control.event(NodeEvent::DispatchEnded { request: id, ending });
+            let result = DispatchResult::NotRun(NotRunReason::Late);
+            border.control.event(NodeEvent::DispatchEnded { request: id, result });
             continue;
         }
-        let ending = match call(border, &order, request) {
+        let result = match call(border, &order, request) {
             Ok(answer) => {
                 let written = pass(stream, answer, keep_alive);
-                let ending = match &written {
-                    Ok(Some(())) => DispatchEnding::Answered,
-                    Ok(None) => DispatchEnding::Broke { answer_begun: false },
-                    Err(_) => DispatchEnding::CallerGone,
+                let result = match &written {
+                    Ok(Some(())) => DispatchResult::Answered,
+                    Ok(None) => DispatchResult::Interrupted { answer_started: false },
+                    Err(_) => DispatchResult::CallerGone,
                 };
-                border.control.event(NodeEvent::DispatchEnded { request: id, ending });
+                border.control.event(NodeEvent::DispatchEnded { request: id, result });
                 match written {
                     Ok(Some(())) => return Ok(()),
                     Ok(None) => continue,
@@ -68,17 +68,17 @@
                 }
             }
             Err(error) if never_connected(&error) => {
-                DispatchEnding::NotRun(NotRunReason::NoConnection)
+                DispatchResult::NotRun(NotRunReason::NoConnection)
             }
-            Err(_) => DispatchEnding::Broke { answer_begun: false },
+            Err(_) => DispatchResult::Interrupted { answer_started: false },
         };
-        border.control.event(NodeEvent::DispatchEnded { request: id, ending });
+        border.control.event(NodeEvent::DispatchEnded { request: id, result });
     }
 }
 
 fn call(
     border: &CallerBorder,
-    order: &DispatchOrder,
+    order: &RequestDispatch,
     request: &HttpRequest,
 ) -> Result<ServerAnswer, ureq::Error> {
     let HttpRequest { head, body } = request;
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -11,12 +11,13 @@
 };
 
 use reelreel_core::{
-    ClockSource, NodeCore, NodeEvent, NodeOrder, RequestRefusal,
+    ClockSource, NodeAction, NodeCore, NodeEvent, RequestRefusal,
     engine::{
-        EngineOrder, EngineReport, OrderAction, OrderResult, ReportedAdapter, ReportedStranger,
+        EngineOrder, EngineReport, OrderAction, OrderResult, ReportedAdapter,
+        ReportedUnknownAdapter,
     },
     id::{EngineId, RequestId},
-    node::{DispatchOrder, NodeCounters, NodeReading, NodeStatus},
+    node::{ClockReading, NodeCounters, NodeStatus, RequestDispatch},
     request::ArrivedRequest,
     settings::{ChangeVerdict, SettingsSnapshot},
     timeline::TimelineEvent,
@@ -39,7 +40,7 @@
 #[derive(Debug)]
 pub enum TrafficOrder {
     /// Send it to a backend server, once.
-    Dispatch(DispatchOrder),
+    Dispatch(RequestDispatch),
     /// Tell the caller that it ended.
     Refuse(RequestRefusal),
 }
@@ -172,8 +173,8 @@
         }
     }
 
-    fn reading(&self) -> NodeReading {
-        NodeReading { now: self.clock.now(), wall_millis: wall_millis() }
+    fn reading(&self) -> ClockReading {
+        ClockReading { now: self.clock.now(), wall_millis: wall_millis() }
     }
 
     fn take(&mut self, input: ControlInput) {
@@ -181,11 +182,11 @@
             ControlInput::Event(event) => self.handle(event),
             ControlInput::Arrived(request, traffic) => {
                 self.traffic.insert(request.id, traffic);
-                self.handle(NodeEvent::Arrived(request));
+                self.handle(NodeEvent::RequestArrived(request));
             }
             ControlInput::Report(engine, report) => {
                 let report = self.read_report(report);
-                self.handle(NodeEvent::Report { engine, report });
+                self.handle(NodeEvent::EngineReported { engine, report });
             }
             ControlInput::Query(query) => self.answer(query),
         }
@@ -224,41 +225,41 @@
         }
     }
 
-    fn carry_out(&mut self, orders: Vec<NodeOrder>) {
+    fn carry_out(&mut self, orders: Vec<NodeAction>) {
         for order in orders {
             self.carry_out_one(order);
         }
     }
 
-    fn carry_out_one(&mut self, order: NodeOrder) {
+    fn carry_out_one(&mut self, order: NodeAction) {
         match order {
-            NodeOrder::Send { address, stamp, message, .. } => {
+            NodeAction::SendMessage { address, stamp, message, .. } => {
                 drop(self.outputs.peers.send(OutgoingMessage { address, stamp, message }));
             }
-            NodeOrder::Dispatch(order) => {
+            NodeAction::Dispatch(order) => {
                 if let Some(traffic) = self.traffic.get(&order.request) {
                     drop(traffic.send(TrafficOrder::Dispatch(order)));
                 }
             }
-            NodeOrder::Refuse { request, refusal } => {
+            NodeAction::Refuse { request, refusal } => {
                 if let Some(traffic) = self.traffic.remove(&request) {
                     drop(traffic.send(TrafficOrder::Refuse(refusal)));
                 }
             }
-            NodeOrder::Order { address, order } => self.order(address, order),
-            NodeOrder::AskReport { engine, address } => {
+            NodeAction::SendOrder { address, order } => self.order(address, order),
+            NodeAction::FetchReport { engine, address } => {
                 drop(self.outputs.reports.send((engine, address)));
             }
-            NodeOrder::Append { stream, payload, ticket } => {
+            NodeAction::Append { stream, payload, ticket } => {
                 drop(self.outputs.appends.send(AppendCall { stream, payload, ticket }));
             }
-            NodeOrder::Follow { stream, from } => {
+            NodeAction::Follow { stream, from } => {
                 let _ended = self.outputs.follows.send(FollowCall { stream, from: Some(from) });
             }
-            NodeOrder::Ignore { stream } => {
+            NodeAction::Unfollow { stream } => {
                 let _ended = self.outputs.follows.send(FollowCall { stream, from: None });
             }
-            NodeOrder::Stopped => drop(self.outputs.stopped.send(())),
+            NodeAction::Stopped => drop(self.outputs.stopped.send(())),
         }
     }
 
@@ -266,10 +267,10 @@
     fn order(&self, address: String, order: EngineOrder) {
         let tree = self.core.settings().tree();
         let action = match &order.action {
-            OrderAction::Raise => Some(NamedAction::Raise),
+            OrderAction::RaiseFence => Some(NamedAction::Raise),
             OrderAction::Load(adapter) => tree.adapter_name(*adapter).map(NamedAction::Load),
             OrderAction::Unload(adapter) => tree.adapter_name(*adapter).map(NamedAction::Unload),
-            OrderAction::UnloadStranger(name) => Some(NamedAction::Unload(name.clone())),
+            OrderAction::UnloadUnknown(name) => Some(NamedAction::Unload(name.clone())),
         };
         let sender = self.sender.clone();
         let Some(action) = action else {
@@ -285,7 +286,7 @@
             sender.event(NodeEvent::OrderEnded { order, result });
         });
         if spawned.is_err() {
-            let result = OrderResult::NeverSent;
+            let result = OrderResult::NotSent;
             self.sender.event(NodeEvent::OrderEnded { order: unsent, result });
         }
     }
@@ -293,11 +294,11 @@
     fn read_report(&self, report: NamedReport) -> EngineReport {
         let tree = self.core.settings().tree();
         let mut adapters = Vec::new();
-        let mut strangers = Vec::new();
+        let mut unknown_adapters = Vec::new();
         for (name, running) in report.adapters {
             match tree.adapter_key(&name) {
                 Some(adapter) => adapters.push(ReportedAdapter { adapter, running }),
-                None => strangers.push(ReportedStranger { name, running }),
+                None => unknown_adapters.push(ReportedUnknownAdapter { name, running }),
             }
         }
         EngineReport {
@@ -307,7 +308,7 @@
             leaving: report.leaving,
             adapters,
             loading: report.loading.iter().filter_map(|name| tree.adapter_key(name)).collect(),
-            strangers,
+            unknown_adapters,
         }
     }
 }
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -119,7 +119,7 @@
 
     /// Begins the planned stop.
     pub fn drain(&self) {
-        self.control.event(NodeEvent::StopAsked);
+        self.control.event(NodeEvent::StopRequested);
     }
 
     /// Waits until the planned stop is complete and the last answer written; says whether it is.
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -115,7 +115,7 @@
     while let Some(frame) = frames.next().await {
         match frame {
             Ok(PeerFrame { from, stamp, message }) => {
-                control.event(NodeEvent::Peer { from, stamp, message });
+                control.event(NodeEvent::PeerMessage { from, stamp, message });
             }
             Err(error) => {
                 counters.unreadable.fetch_add(1, Ordering::Relaxed);
--- a/crates/node/src/platform.rs
+++ b/crates/node/src/platform.rs
@@ -160,7 +160,7 @@
             }
             Err(error) => {
                 log::debug!("{} stream: {error}", stream.name());
-                control.event(NodeEvent::LogAway(stream));
+                control.event(NodeEvent::LogUnavailable(stream));
                 wait = Duration::ZERO;
                 thread::sleep(READ_PAUSE);
             }
@@ -183,7 +183,7 @@
                 Ok((change, newer)) => {
                     if newer != version || !seen {
                         seen = true;
-                        control.event(NodeEvent::Hosts(change));
+                        control.event(NodeEvent::HostListChanged(change));
                     }
                     version = newer;
                 }
--- a/crates/wire/src/convert/table.rs
+++ b/crates/wire/src/convert/table.rs
@@ -2,12 +2,12 @@
 
 use reelreel_core::{
     chart::MemberState,
-    engine::EngineFacts,
+    engine::EngineInfo,
     gossip::{DigestVersion, EngineDigest},
     id::HallId,
     member::MemberUpdate,
     message::{Heartbeat, SyncAsk, SyncReply},
-    node::{HostEntry, HostKind, ServerFacts},
+    node::{HostEntry, HostKind, ServerInfo},
 };
 
 use super::{DecodeError, need};
@@ -163,24 +163,24 @@
 fn backend(HostEntry { kind, leaving }: HostEntry) -> Option<peer::Backend> {
     match kind {
         HostKind::Entry { .. } => None,
-        HostKind::Engine(facts) => Some(peer::Backend {
+        HostKind::Engine(info) => Some(peer::Backend {
             engine: true,
-            id: facts.engine,
-            hall: facts.hall.into(),
-            service: facts.service,
-            address: facts.address,
-            slots: facts.slots,
-            streams: facts.streams,
-            checks_fence: facts.checks_fence,
-            incarnation: facts.incarnation,
+            id: info.engine,
+            hall: info.hall.into(),
+            service: info.service,
+            address: info.address,
+            slots: info.slots,
+            streams: info.streams,
+            checks_fence: info.checks_fence,
+            incarnation: info.incarnation,
             leaving,
         }),
-        HostKind::Server(facts) => Some(peer::Backend {
-            id: facts.server,
-            hall: facts.hall.into(),
-            service: facts.service,
-            address: facts.address,
-            incarnation: facts.incarnation,
+        HostKind::Server(info) => Some(peer::Backend {
+            id: info.server,
+            hall: info.hall.into(),
+            service: info.service,
+            address: info.address,
+            incarnation: info.incarnation,
             leaving,
             ..peer::Backend::default()
         }),
@@ -191,7 +191,7 @@
     let hall = need(HallId::try_from(backend.hall).ok(), "hall")?;
     let peer::Backend { id, service, address, incarnation, leaving, .. } = backend;
     let kind = if backend.engine {
-        HostKind::Engine(EngineFacts {
+        HostKind::Engine(EngineInfo {
             engine: id,
             hall,
             service,
@@ -202,7 +202,7 @@
             incarnation,
         })
     } else {
-        HostKind::Server(ServerFacts { server: id, hall, service, address, incarnation })
+        HostKind::Server(ServerInfo { server: id, hall, service, address, incarnation })
     };
     Ok(HostEntry { kind, leaving })
 }
--- a/crates/wire/tests/frames.rs
+++ b/crates/wire/tests/frames.rs
@@ -8,7 +8,7 @@
     ClockMillis,
     chart::MemberState,
     clock::HybridStamp,
-    engine::EngineFacts,
+    engine::EngineInfo,
     gossip::{DigestVersion, EngineDigest},
     id::AdapterKey,
     member::MemberUpdate,
@@ -17,7 +17,7 @@
         PermitGranted, PermitQueued, PermitRefusal, PermitRefused, SettingsPull, SettingsRecords,
         SettingsState, SyncAsk, SyncReply,
     },
-    node::{HostEntry, HostKind, ServerFacts},
+    node::{HostEntry, HostKind, ServerInfo},
     request::{PermitRequest, RefusalKind},
     settings::fold::LogRecord,
 };
@@ -63,7 +63,7 @@
 }
 
 fn backends() -> Vec<HostEntry> {
-    let engine = EngineFacts {
+    let engine = EngineInfo {
         engine: 1,
         hall: 2,
         service: String::from("assist"),
@@ -73,7 +73,7 @@
         checks_fence: true,
         incarnation: 4,
     };
-    let server = ServerFacts {
+    let server = ServerInfo {
         server: 3,
         hall: 2,
         service: String::from("orders"),
