--- a/crates/core/tests/promises.rs
+++ b/crates/core/tests/promises.rs
@@ -2,7 +2,7 @@
 //!
 //! `PROPTEST_CASES=100000` makes a longer run, `PROPTEST_SEED=2` another one. The seed is fixed
 //! where none is named, so that each run gives the same verdict; a case that ever failed is kept in
-//! [`KEPT_CASES`].
+//! [`REGRESSION_CASES`].
 
 use proptest::{
     prelude::*,
@@ -14,18 +14,18 @@
 };
 
 /// Runs in CI; a longer run names its number in `PROPTEST_CASES`.
-const USUAL_CASES: u32 = 400;
+const DEFAULT_CASES: u32 = 400;
 
 /// The seed of the run in CI.
-const USUAL_SEED: u64 = 0x7ee1;
+const DEFAULT_SEED: u64 = 0x7ee1;
 
-fn number(name: &str) -> Option<u64> {
+fn env_number(name: &str) -> Option<u64> {
     std::env::var(name).ok()?.parse().ok()
 }
 
-fn cases() -> u32 {
-    let cases = number("PROPTEST_CASES").and_then(|cases| u32::try_from(cases).ok());
-    cases.unwrap_or(USUAL_CASES)
+fn case_count() -> u32 {
+    let cases = env_number("PROPTEST_CASES").and_then(|cases| u32::try_from(cases).ok());
+    cases.unwrap_or(DEFAULT_CASES)
 }
 
 fn any_fault() -> impl Strategy<Value = PlannedFault> {
@@ -39,11 +39,11 @@
     })
 }
 
-fn short_script(seed: u64) -> SiteScript {
+fn short_site_script(seed: u64) -> SiteScript {
     SiteScript { calls_until: 24_000, call_every: 100, end: 56_000, ..SiteScript::new(seed) }
 }
 
-fn play(script: SiteScript, faults: Vec<PlannedFault>) -> Vec<BrokenPromise> {
+fn run_script(script: SiteScript, faults: Vec<PlannedFault>) -> Vec<BrokenPromise> {
     let mut site = standard_site(script, FaultPlan::new(faults));
     site.run_until(script.end);
     check_promises(&site)
@@ -51,8 +51,8 @@
 
 proptest! {
     #![proptest_config(Config {
-        cases: cases(),
-        rng_seed: RngSeed::Fixed(number("PROPTEST_SEED").unwrap_or(USUAL_SEED)),
+        cases: case_count(),
+        rng_seed: RngSeed::Fixed(env_number("PROPTEST_SEED").unwrap_or(DEFAULT_SEED)),
         failure_persistence: None,
         max_shrink_iters: 200,
         ..Config::default()
@@ -63,25 +63,31 @@
         seed in 0..1_000_000u64,
         faults in prop::collection::vec(any_fault(), 0..5),
     ) {
-        let broken = play(short_script(seed), faults);
+        let broken = run_script(short_site_script(seed), faults);
         prop_assert!(broken.is_empty(), "{broken:#?}");
     }
 }
 
 /// A run that once broke a promise.
-struct KeptCase {
+struct RegressionCase {
     seed: u64,
     faults: &'static [(FaultKind, StepKind, u64, u64)],
 }
 
 /// Cases that failed once, each kept for what it found.
-const KEPT_CASES: &[KeptCase] = &[
+const REGRESSION_CASES: &[RegressionCase] = &[
     // A host that raised its own fence overtook another that had taken the engine over meanwhile.
-    KeptCase { seed: 1, faults: &[(FaultKind::MessageLost, StepKind::GrantArrives, 1, 6_000)] },
+    RegressionCase {
+        seed: 1,
+        faults: &[(FaultKind::MessageLost, StepKind::GrantArrives, 1, 6_000)],
+    },
     // A request was tried again after its engine was restarted, then told as not run.
-    KeptCase { seed: 1, faults: &[(FaultKind::EngineRestarted, StepKind::RequestRuns, 1, 6_000)] },
+    RegressionCase {
+        seed: 1,
+        faults: &[(FaultKind::EngineRestarted, StepKind::RequestRuns, 1, 6_000)],
+    },
     // The digest of an engine's earlier life outlived its restart and sent requests in circles.
-    KeptCase {
+    RegressionCase {
         seed: 5,
         faults: &[
             (FaultKind::MessageLost, StepKind::PublicationAppends, 4, 5_000),
@@ -89,7 +95,7 @@
         ],
     },
     // A host that stopped as planned exited before it told its last callers.
-    KeptCase {
+    RegressionCase {
         seed: 756_212,
         faults: &[
             (FaultKind::HallCutOff, StepKind::UnloadArrives, 17, 608),
@@ -97,13 +103,19 @@
         ],
     },
     // A read of the claims that came before an earlier one was taken for one after a gap.
-    KeptCase { seed: 541_435, faults: &[(FaultKind::LogSlow, StepKind::ClaimReads, 30, 300)] },
-    KeptCase { seed: 983_096, faults: &[(FaultKind::LogSlow, StepKind::ClaimReads, 33, 300)] },
+    RegressionCase {
+        seed: 541_435,
+        faults: &[(FaultKind::LogSlow, StepKind::ClaimReads, 30, 300)],
+    },
+    RegressionCase {
+        seed: 983_096,
+        faults: &[(FaultKind::LogSlow, StepKind::ClaimReads, 33, 300)],
+    },
 ];
 
 #[test]
-fn kept_cases_hold() {
-    for case in KEPT_CASES {
+fn regression_cases_hold() {
+    for case in REGRESSION_CASES {
         let planned = |(fault, step, nth, lasts): &(FaultKind, StepKind, u64, u64)| PlannedFault {
             fault: *fault,
             step: *step,
@@ -111,8 +123,8 @@
             lasts: *lasts,
         };
         let faults: Vec<PlannedFault> = case.faults.iter().map(planned).collect();
-        for script in [SiteScript::new(case.seed), short_script(case.seed)] {
-            let broken = play(script, faults.clone());
+        for script in [SiteScript::new(case.seed), short_site_script(case.seed)] {
+            let broken = run_script(script, faults.clone());
             assert_eq!(broken, Vec::new(), "seed {} {faults:?}", case.seed);
         }
     }
--- a/crates/core/tests/one_host.rs
+++ b/crates/core/tests/single_host.rs
@@ -24,9 +24,9 @@
 }
 
 /// Makes a host in hall 9 that knows one engine and one host in hall 1.
-fn core() -> NodeCore {
-    let mut core = NodeCore::new(NodeConfig::new(1, 9, 1));
-    core.start(reading(1));
+fn new_host() -> NodeCore {
+    let mut host = NodeCore::new(NodeConfig::new(1, 9, 1));
+    host.start(reading(1));
     let tree = read_tree(TREE).expect("no mistakes");
     let record = ChangeRecord {
         format: 1,
@@ -40,7 +40,7 @@
     let records = vec![LogRecord { offset: 0, written_millis: 0, payload }];
     let read =
         NodeEvent::LogRead { stream: LogStream::Settings, era: 0, first: 0, records, end: 1 };
-    core.handle(reading(2), read);
+    host.handle(reading(2), read);
     let address = String::from("10.0.0.2:7000");
     let engine = EngineInfo {
         engine: 1,
@@ -56,21 +56,21 @@
         HostEntry { kind: HostKind::Entry { host: OWNER, hall: 1, address }, leaving: false },
         HostEntry { kind: HostKind::Engine(engine), leaving: false },
     ];
-    core.handle(
+    host.handle(
         reading(3),
         NodeEvent::HostListChanged(HostListChange { entries, ..HostListChange::default() }),
     );
-    core
+    host
 }
 
-fn ask_of(orders: &[NodeAction]) -> Option<PermitAsk> {
-    orders.iter().find_map(|order| match order {
+fn find_permit_ask(actions: &[NodeAction]) -> Option<PermitAsk> {
+    actions.iter().find_map(|action| match action {
         NodeAction::SendMessage { message: PeerMessage::PermitAsk(ask), .. } => Some(ask.clone()),
         _ => None,
     })
 }
 
-fn from_owner(message: PeerMessage) -> NodeEvent {
+fn message_from_owner(message: PeerMessage) -> NodeEvent {
     NodeEvent::PeerMessage { from: OWNER, stamp: HybridStamp::default(), message }
 }
 
@@ -86,12 +86,12 @@
 }
 
 #[test]
-fn a_leaving_engine_is_used_again_only_in_a_later_life() {
-    let mut core = core();
-    let left = |millis, core: &mut NodeCore, counter| {
-        let orders = core.handle(reading(millis), arrival(counter));
-        let refused = orders.iter().any(|order| matches!(order, NodeAction::Refuse { .. }));
-        assert_ne!(refused, ask_of(&orders).is_some(), "{orders:?}");
+fn a_leaving_engine_is_used_again_only_in_a_later_incarnation() {
+    let mut host = new_host();
+    let is_refused = |millis, host: &mut NodeCore, counter| {
+        let actions = host.handle(reading(millis), arrival(counter));
+        let refused = actions.iter().any(|action| matches!(action, NodeAction::Refuse { .. }));
+        assert_ne!(refused, find_permit_ask(&actions).is_some(), "{actions:?}");
         refused
     };
     let digest = |incarnation, sequence| {
@@ -104,13 +104,13 @@
             serving: true,
             residents: Vec::new(),
         };
-        from_owner(PeerMessage::SyncReply(SyncReply {
+        message_from_owner(PeerMessage::SyncReply(SyncReply {
             digests: vec![digest],
             ..SyncReply::default()
         }))
     };
-    core.handle(reading(2_000), digest(5, 1));
-    assert!(!left(2_001, &mut core, 1));
+    host.handle(reading(2_000), digest(5, 1));
+    assert!(!is_refused(2_001, &mut host, 1));
     let refused = PermitRefused {
         request: request_id(1, 1, 1),
         attempt: 1,
@@ -118,26 +118,26 @@
         reason: PermitRefusal::Leaving,
         retry_after: None,
     };
-    core.handle(reading(2_002), from_owner(PeerMessage::PermitRefused(refused)));
-    assert!(left(2_003, &mut core, 2), "its owner says that it is leaving");
-    core.handle(reading(2_004), digest(5, 2));
-    assert!(left(2_005, &mut core, 3), "late news of the same life takes nothing back");
-    core.handle(reading(2_006), digest(6, 1));
-    assert!(!left(2_007, &mut core, 4), "it is back in a new life");
+    host.handle(reading(2_002), message_from_owner(PeerMessage::PermitRefused(refused)));
+    assert!(is_refused(2_003, &mut host, 2), "its owner says that it is leaving");
+    host.handle(reading(2_004), digest(5, 2));
+    assert!(is_refused(2_005, &mut host, 3), "late news of the same life takes nothing back");
+    host.handle(reading(2_006), digest(6, 1));
+    assert!(!is_refused(2_007, &mut host, 4), "it is back in a new life");
 }
 
 #[test]
-fn a_request_outlasts_five_seconds_without_an_owner() {
-    let mut core = core();
+fn a_request_keeps_asking_for_five_seconds_without_an_owner() {
+    let mut host = new_host();
     let request = request_id(1, 1, 1);
-    let mut orders = core.handle(reading(3_000), arrival(1));
+    let mut actions = host.handle(reading(3_000), arrival(1));
     let mut last_ask = None;
     let mut asks = 0;
     for millis in (3_000..8_000).step_by(20) {
-        let refused = orders.iter().any(|order| matches!(order, NodeAction::Refuse { .. }));
+        let refused = actions.iter().any(|action| matches!(action, NodeAction::Refuse { .. }));
         assert!(!refused, "refused after {} ms and {asks} asks", millis - 3_000);
-        let mut next = core.handle(reading(millis), NodeEvent::Tick);
-        if let Some(ask) = ask_of(&orders) {
+        let mut next = host.handle(reading(millis), NodeEvent::Tick);
+        if let Some(ask) = find_permit_ask(&actions) {
             asks += 1;
             let refused = PermitRefused {
                 request,
@@ -147,16 +147,16 @@
                 retry_after: None,
             };
             let message = PeerMessage::PermitRefused(refused);
-            next.extend(core.handle(reading(millis), from_owner(message)));
+            next.extend(host.handle(reading(millis), message_from_owner(message)));
         }
-        orders = next;
+        actions = next;
     }
     for millis in (8_000..10_000).step_by(20) {
-        last_ask = ask_of(&orders).or(last_ask);
+        last_ask = find_permit_ask(&actions).or(last_ask);
         if last_ask.is_some() {
             break;
         }
-        orders = core.handle(reading(millis), NodeEvent::Tick);
+        actions = host.handle(reading(millis), NodeEvent::Tick);
     }
     let ask = last_ask.expect("it asks on");
     let granted = PermitGranted {
@@ -167,43 +167,44 @@
         fill: 10,
         stalled: false,
     };
-    let orders = core.handle(reading(10_000), from_owner(PeerMessage::PermitGranted(granted)));
-    let sent = orders.iter().any(|order| matches!(order, NodeAction::Dispatch(_)));
-    assert!(sent, "{orders:?}");
+    let actions =
+        host.handle(reading(10_000), message_from_owner(PeerMessage::PermitGranted(granted)));
+    let sent = actions.iter().any(|action| matches!(action, NodeAction::Dispatch(_)));
+    assert!(sent, "{actions:?}");
 }
 
 #[test]
-fn an_ask_that_is_given_up_for_another_is_withdrawn() {
-    let mut core = core();
-    let orders = core.handle(reading(3_000), arrival(1));
-    let first = ask_of(&orders).expect("it asks");
+fn a_superseded_permit_ask_is_withdrawn() {
+    let mut host = new_host();
+    let actions = host.handle(reading(3_000), arrival(1));
+    let first = find_permit_ask(&actions).expect("it asks");
     // No answer comes: after half a second it is routed anew.
-    let orders = core.handle(reading(3_600), NodeEvent::Tick);
-    let second = ask_of(&orders).expect("it asks again");
+    let actions = host.handle(reading(3_600), NodeEvent::Tick);
+    let second = find_permit_ask(&actions).expect("it asks again");
     assert_eq!(second.attempt, first.attempt + 1);
-    let withdrawn = orders.iter().any(|order| match order {
+    let withdrawn = actions.iter().any(|action| match action {
         NodeAction::SendMessage { message: PeerMessage::PermitDone(done), .. } => {
             done.attempt == first.attempt && done.clean
         }
         _ => false,
     });
-    assert!(withdrawn, "{orders:?}");
+    assert!(withdrawn, "{actions:?}");
 }
 
 #[test]
-fn a_snapshot_is_written_by_time_too_and_anew_before_the_log_forgets_it() {
+fn snapshots_are_written_by_age_and_renewed_before_log_retention() {
     const MINUTE: u64 = 60_000;
-    let mut core = core();
+    let mut host = new_host();
     // The host in hall 1 is not there: after a few silent heartbeats only this one is left.
     let mut written = Vec::new();
     for minute in 0..800 {
         for second in 0..4 {
             let now = 5_000 + minute * MINUTE + second * 5_000;
-            for order in core.handle(reading(now), NodeEvent::Tick) {
-                if let NodeAction::Append { stream: LogStream::Snapshots, ticket, .. } = order {
+            for action in host.handle(reading(now), NodeEvent::Tick) {
+                if let NodeAction::Append { stream: LogStream::Snapshots, ticket, .. } = action {
                     written.push(minute);
                     let result = AppendResult::Written;
-                    core.handle(reading(now), NodeEvent::AppendEnded { ticket, result });
+                    host.handle(reading(now), NodeEvent::AppendEnded { ticket, result });
                 }
             }
         }
