--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -1,7 +1,7 @@
-//! One entry host: its decision core, from events to orders.
+//! The decision core of one entry host: turns events into actions.
 //!
-//! [`NodeCore::handle`] is the only way in. A border hands it an event and the time, and carries
-//! out the orders it gets back. The core never waits; what it waits for comes as an event.
+//! The I/O layer passes each event and the current time to [`NodeCore::handle`] and carries out the
+//! actions it returns. The core performs no I/O and never blocks; results arrive as later events.
 
 mod arrivals;
 mod config;
--- a/crates/core/src/node/arrivals.rs
+++ b/crates/core/src/node/arrivals.rs
@@ -1,4 +1,5 @@
-//! A request's arrival: resolved once, to one immutable adapter version or one plain service.
+//! Admission of arriving requests. Each is resolved once, to one immutable adapter version or one
+//! plain service.
 
 use std::time::Duration;
 
@@ -15,10 +16,10 @@
     settings::{SettingKey, SettingsPath, tree::ModelError},
 };
 
-/// How soon to try another host, where this one can not serve.
+/// The retry delay told to callers of a host that is stopping or not ready.
 const OTHER_HOST_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// How soon to come back while the log is away.
+/// The retry delay told to callers while the platform's log is unavailable.
 const LOG_RETRY_AFTER: Duration = Duration::from_secs(5);
 
 impl NodeCore {
@@ -55,12 +56,12 @@
 
     fn admit(&self, request: &ArrivedRequest) -> Result<OpenRequest, RequestRefusal> {
         if self.drain != DrainState::Serving {
-            let message = "this host is stopping";
+            let message = "this host is shutting down";
             return Err(RequestRefusal::not_run(RefusalKind::Stopping, message)
                 .retry_after(OTHER_HOST_RETRY_AFTER));
         }
         if !self.is_ready() {
-            let message = "this host has no configuration yet";
+            let message = "this host has not loaded its configuration yet";
             return Err(RequestRefusal::not_run(RefusalKind::NotReady, message)
                 .retry_after(OTHER_HOST_RETRY_AFTER));
         }
@@ -68,7 +69,7 @@
             RequestTarget::Model(model) => self.resolve_model_request(request, model)?,
             RequestTarget::Path(path) => self.resolve_plain_request(request, path)?,
         };
-        // A key is given so that the request runs at most once, unless the caller says otherwise.
+        // A request with an idempotency key runs at most once, unless the caller allows repeats.
         open_request.keyed = request.key.is_some() && request.repeatable != Some(true);
         open_request.repeatable =
             !open_request.keyed && request.repeatable.unwrap_or(open_request.settings.repeatable);
@@ -80,7 +81,8 @@
 
     fn check_idempotency_key(&self, request: &ArrivedRequest) -> Result<(), RequestRefusal> {
         if !self.progress.claims_open(self.now()) {
-            let message = "the platform's log is away, so the idempotency key can not be claimed";
+            let message =
+                "the platform's log is unavailable, so the idempotency key cannot be claimed";
             return Err(
                 RequestRefusal::not_run(RefusalKind::LogAway, message).retry_after(LOG_RETRY_AFTER)
             );
@@ -89,7 +91,7 @@
         let created = request.key.as_ref().and_then(|key| key.created_millis);
         let age = created.map_or(0, |created| self.reading.wall_millis.saturating_sub(created));
         if age > window {
-            let message = format!("idempotency keys are remembered for {window} ms");
+            let message = format!("the idempotency key has expired; keys are kept for {window} ms");
             return Err(RequestRefusal::unknown(RefusalKind::KeyExpired, message));
         }
         Ok(())
@@ -142,7 +144,7 @@
             .filter(|(name, _, prefix)| plain(name) && !prefix.is_empty() && below(prefix))
             .max_by_key(|(_, _, prefix)| prefix.len());
         let Some((name, node, _)) = service else {
-            let message = format!("no service is reached at `{path}`");
+            let message = format!("no service is configured for path `{path}`");
             return Err(RequestRefusal::not_run(RefusalKind::NotFound, message));
         };
         let place = SettingsPath::site().child(name);
@@ -190,31 +192,31 @@
         }
     }
 
-    /// Goes on with a request whose key is claimed, or that has none.
+    /// Starts routing a request whose key is claimed, or that has no key.
     fn start_routing(&mut self, id: RequestId) {
         let Some(open_request) = self.open_requests.get_mut(&id) else { return };
         open_request.state = open_request.state.after(RequestEvent::Claimed);
         self.route_request(id);
     }
 
-    /// Takes what the log decided about a claim.
+    /// Continues or refuses a request according to the log's decision on its claim.
     pub(super) fn apply_verdict(&mut self, verdict: ClaimVerdict) {
         match verdict {
             ClaimVerdict::Won(id) => self.start_routing(id),
             ClaimVerdict::Lost(id) => {
-                let message = "another request holds this idempotency key";
+                let message = "the idempotency key is claimed by another request";
                 let refusal = RequestRefusal::unknown(RefusalKind::KeyClaimed, message);
                 self.end_not_run(id, refusal);
             }
             ClaimVerdict::Expired(id) => {
-                let message = "the idempotency key is older than keys are remembered";
+                let message = "the idempotency key expired before it was claimed";
                 let refusal = RequestRefusal::unknown(RefusalKind::KeyExpired, message);
                 self.end_not_run(id, refusal);
             }
         }
     }
 
-    /// Gives up, at once, the requests whose keys can not be claimed while the log is away.
+    /// Refuses the requests whose keys are still being claimed; the log is unavailable.
     pub(super) fn refuse_claiming_requests(&mut self) {
         let claiming = |open_request: &&OpenRequest| open_request.state == RequestState::Claiming;
         let ids: Vec<RequestId> = self
@@ -224,7 +226,8 @@
             .map(|open_request| open_request.id)
             .collect();
         for id in ids {
-            let message = "the platform's log is away, so the idempotency key can not be claimed";
+            let message =
+                "the platform's log is unavailable, so the idempotency key cannot be claimed";
             let refusal = RequestRefusal::not_run(RefusalKind::LogAway, message);
             self.end_not_run(id, refusal.retry_after(LOG_RETRY_AFTER));
         }
--- a/crates/core/src/node/backends.rs
+++ b/crates/core/src/node/backends.rs
@@ -1,4 +1,4 @@
-//! What a host knows of the backend servers: the host list, digests, and its own experience.
+//! The table of backend servers: host list entries, digests and this host's own observations.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -10,25 +10,25 @@
     node::{HostEntry, HostKind, ServerInfo},
 };
 
-/// Names a plain server, as in the platform's host list.
+/// The ID of a plain server in the platform's host list.
 pub type ServerId = u32;
 
-/// What says that a backend server is leaving. It sticks until a later life of the server.
+/// Whether a backend server is leaving. The mark stays until a later incarnation of the server.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct LeavingMark {
-    /// The life, as the host list counts it, in which it was seen leaving.
+    /// The host list's incarnation of the server when it was marked as leaving.
     listed_incarnation: Option<Incarnation>,
-    /// The life as the server itself counted it then; zero where that was not known.
+    /// The server's own incarnation at that time; zero if unknown.
     own_incarnation: Incarnation,
 }
 
 impl LeavingMark {
-    /// Says whether nothing new may go there.
+    /// Returns whether the server is leaving.
     pub(super) const fn is_set(self) -> bool {
         self.listed_incarnation.is_some()
     }
 
-    /// Takes an entry of the host list.
+    /// Applies a host-list entry.
     fn apply_listing(&mut self, incarnation: Incarnation, leaving: bool) {
         if self.listed_incarnation.is_some_and(|left| left < incarnation) {
             self.listed_incarnation = None;
@@ -38,13 +38,13 @@
         }
     }
 
-    /// Notes any other sign; says whether it is the first.
+    /// Sets the mark; returns whether it was not set before.
     pub(super) fn mark(&mut self, listed: Incarnation, own: Incarnation) -> bool {
         self.own_incarnation = self.own_incarnation.max(own);
         self.listed_incarnation.replace(listed).is_none()
     }
 
-    /// Takes the word that the server serves in a life of its own counting.
+    /// Clears the mark if the server reports that it serves in a later incarnation.
     fn apply_serving(&mut self, own: Incarnation) {
         if own > self.own_incarnation {
             self.listed_incarnation = None;
@@ -52,32 +52,33 @@
     }
 }
 
-/// One engine as an entry host sees it.
+/// An engine as seen by this host.
 #[derive(Debug, Clone)]
 pub(super) struct EngineView {
     pub(super) info: EngineInfo,
     pub(super) digest: Option<EngineDigest>,
     pub(super) leaving_mark: LeavingMark,
-    /// Not to be tried before.
+    /// The engine is not used before this time.
     pub(super) avoid_until: ClockMillis,
-    /// How full it was at the last permit, in hundredths, and our permits since.
+    /// The load at the last permit, in percent of the engine's streams.
     pub(super) fill: u32,
+    /// This host's dispatches in progress.
     pub(super) outstanding: u32,
 }
 
 impl EngineView {
-    /// Says whether new work may go there.
+    /// Returns whether new requests may be sent to the engine.
     pub(super) fn accepts_requests(&self, now: ClockMillis) -> bool {
         !self.leaving_mark.is_set() && now >= self.avoid_until
     }
 
-    /// Estimates how full it is, in hundredths.
+    /// Estimates the engine's load in percent.
     pub(super) fn estimated_fill(&self) -> u32 {
         self.fill.max(100 * self.outstanding / self.info.streams.max(1))
     }
 }
 
-/// One plain server as an entry host sees it.
+/// A plain server as seen by this host.
 #[derive(Debug, Clone)]
 pub(super) struct ServerView {
     pub(super) info: ServerInfo,
@@ -96,7 +97,7 @@
 }
 
 impl BackendTable {
-    /// Takes an engine of the host list. Being listed as leaving sticks until a later life.
+    /// Inserts or updates an engine from the host list.
     pub(super) fn upsert_engine(&mut self, info: EngineInfo, leaving: bool) {
         let incarnation = info.incarnation;
         let engine = info.engine;
@@ -116,7 +117,7 @@
         self.rebuild_service_index();
     }
 
-    /// Takes a plain server of the host list.
+    /// Inserts or updates a plain server from the host list.
     pub(super) fn upsert_server(&mut self, info: ServerInfo, leaving: bool) {
         let incarnation = info.incarnation;
         let view = self.servers.entry(info.server).or_insert_with(|| ServerView {
@@ -132,7 +133,7 @@
         view.info = info;
     }
 
-    /// Forgets an engine that the host list has no more.
+    /// Removes an engine that is no longer in the host list.
     pub(super) fn remove_engine(&mut self, engine: EngineId) {
         if let Some(view) = self.engines.remove(&engine) {
             self.unindex_residents(view.digest.as_ref());
@@ -140,7 +141,7 @@
         self.rebuild_service_index();
     }
 
-    /// Takes a digest; says whether it was newer than the one known.
+    /// Stores a digest; returns whether it was newer than the known one.
     pub(super) fn put_digest(&mut self, digest: &EngineDigest) -> bool {
         let Some(view) = self.engines.get_mut(&digest.engine) else { return false };
         if view.digest.as_ref().is_some_and(|known| known.version() >= digest.version()) {
@@ -169,14 +170,14 @@
         }
     }
 
-    /// Forgets that an engine holds an adapter, when its owner says that it does not.
+    /// Removes an engine from an adapter's holders, after its owner reported that it is not resident.
     pub(super) fn remove_holder(&mut self, engine: EngineId, adapter: AdapterKey) {
         if let Some(holders) = self.holders.get_mut(&adapter) {
             holders.retain(|holder| *holder != engine);
         }
     }
 
-    /// Lists the backend servers as entries of the host list, for a host that has not seen it.
+    /// Returns the backend servers as host-list entries, for peers that have not received the list.
     pub(super) fn host_entries(&self) -> Vec<HostEntry> {
         let engine = |view: &EngineView| HostEntry {
             kind: HostKind::Engine(view.info.clone()),
@@ -190,7 +191,7 @@
         self.engines.values().map(engine).chain(servers).collect()
     }
 
-    /// Lists the engines that hold an adapter, as far as is known here.
+    /// Returns the engines known to hold an adapter.
     pub(super) fn holders(&self, adapter: AdapterKey) -> &[EngineId] {
         self.holders.get(&adapter).map_or(&[], Vec::as_slice)
     }
--- a/crates/core/src/node/config.rs
+++ b/crates/core/src/node/config.rs
@@ -1,4 +1,4 @@
-//! What a host learns from its own settings, and the times it goes by.
+//! Configuration of a host core, with its intervals and timeouts.
 
 use std::{sync::Arc, time::Duration};
 
@@ -8,49 +8,49 @@
     member::MemberTimes,
 };
 
-/// The times a host goes by. The defaults suit halls a few milliseconds apart.
+/// Intervals and timeouts of a host. The defaults suit data halls a few milliseconds apart.
 #[derive(Debug, Clone, Copy)]
 pub struct NodeTimes {
-    /// How often heartbeats go out.
+    /// The interval between heartbeats.
     pub heartbeat: Duration,
-    /// To how many hosts each time.
+    /// The number of hosts that each heartbeat goes to.
     pub fanout: usize,
-    /// How long the answer to a heartbeat may take.
+    /// How long a host may take to answer a heartbeat before it is suspected.
     pub answer_within: Duration,
-    /// How long a suspected host has to refute.
+    /// How long a suspected host has to refute before it is declared dead.
     pub refute_within: Duration,
-    /// How long a dead host is remembered.
+    /// How long a dead host is kept in the member table.
     pub forget_after: Duration,
-    /// How long an owner may take to answer an ask for a permit.
+    /// How long an owner may take to answer a permit ask.
     pub permit_ask_timeout: Duration,
-    /// How often a request that waits at an owner makes sure that it still does.
+    /// The interval at which a queued permit ask is repeated to check that it is still queued.
     pub queued_recheck_interval: Duration,
-    /// How long to wait before asking again after an owner said that it is none.
+    /// The delay before a request is routed again; it grows with each attempt.
     pub reroute_delay: Duration,
-    /// The least time between two appends of claims.
+    /// The minimum time between two appends of claims.
     pub claim_interval: Duration,
-    /// How long a backend server that refused a connection is not tried again.
+    /// How long a backend server that was full or refused a connection is avoided.
     pub avoid_duration: Duration,
-    /// How often an owned engine is asked for its report.
+    /// The interval at which an owned engine's report is fetched.
     pub report_every: Duration,
-    /// A gap between two ticks above this means that the process was paused.
+    /// The gap between two ticks above which the process counts as paused.
     pub pause_threshold: Duration,
-    /// How long a stopping host keeps engines that no other host has taken over.
+    /// How long a stopping host waits for other hosts to take over its engines.
     pub handover_timeout: Duration,
-    /// How long a host that has just started listens before it owns anything, so that hosts that
-    /// start together do not each take over what belongs to others.
+    /// How long a host listens after its start before it owns engines, so that hosts that start
+    /// together learn of each other first.
     pub join_delay: Duration,
-    /// How many log records a snapshot may lie behind.
+    /// The number of records after which a new snapshot is written.
     pub snapshot_record_limit: u64,
-    /// How long a snapshot may lie behind at all.
+    /// The age after which a snapshot that lacks any record is replaced.
     pub snapshot_max_lag: Duration,
-    /// How long before a snapshot is written anew although nothing changed: the log forgets it too.
+    /// The age after which a snapshot is rewritten unchanged, before the log's retention drops it.
     pub snapshot_renewal_interval: Duration,
-    /// How long a new owner of an engine without fence waits for the earlier one to stop.
+    /// How long a new owner of an engine without a fence waits for the previous owner to stop.
     pub handover_wait: Duration,
-    /// How long bytes already sent may take to reach an engine without fence.
+    /// How long bytes already sent may take to reach an engine without a fence.
     pub quiet: Duration,
-    /// How long to wait after a fence was lost before taking it again.
+    /// The delay before a lost fence is taken again.
     pub retake_delay: Duration,
 }
 
@@ -101,29 +101,29 @@
     }
 }
 
-/// What a host is told at its start.
+/// The configuration of a host.
 #[derive(Clone)]
 pub struct NodeConfig {
-    /// The host.
+    /// The host's ID.
     pub host: HostId,
-    /// Its life: when it started, in milliseconds since the Unix epoch.
+    /// The process's incarnation: its start time in milliseconds since the Unix epoch.
     pub incarnation: Incarnation,
     /// Its data hall.
     pub hall: HallId,
-    /// Where peers reach it, as `ip:port`.
+    /// Its address for peers, as `ip:port`.
     pub peer_address: String,
-    /// Where some peers are reached, for a start while the platform is away.
+    /// Addresses of some peers, used while the platform's host list is unavailable at startup.
     pub seeds: Vec<String>,
-    /// Seeds the choice of peers and the jitter of pauses.
+    /// The seed of the host's random choices.
     pub seed: u64,
-    /// The times it goes by.
+    /// Its intervals and timeouts.
     pub times: NodeTimes,
-    /// How loads and stays are valued.
+    /// The policy that ranks loads and evictions.
     pub policy: Arc<dyn ResidencyPolicy>,
 }
 
 impl NodeConfig {
-    /// Makes the settings of a host with the usual times and policy.
+    /// Creates a configuration with the default times and policy.
     pub fn new(host: HostId, hall: HallId, incarnation: Incarnation) -> Self {
         Self {
             host,
@@ -137,35 +137,35 @@
         }
     }
 
-    /// Sets where peers reach the host.
+    /// Sets the host's address for peers.
     #[must_use]
     pub fn peer_address(mut self, address: impl Into<String>) -> Self {
         self.peer_address = address.into();
         self
     }
 
-    /// Names where some peers are reached.
+    /// Sets the seed addresses.
     #[must_use]
     pub fn seeds(mut self, seeds: Vec<String>) -> Self {
         self.seeds = seeds;
         self
     }
 
-    /// Sets the times it goes by.
+    /// Sets the intervals and timeouts.
     #[must_use]
     pub const fn times(mut self, times: NodeTimes) -> Self {
         self.times = times;
         self
     }
 
-    /// Sets how loads and stays are valued.
+    /// Sets the policy that ranks loads and evictions.
     #[must_use]
     pub fn policy(mut self, policy: Arc<dyn ResidencyPolicy>) -> Self {
         self.policy = policy;
         self
     }
 
-    /// Seeds the host's random choices.
+    /// Sets the seed of the host's random choices.
     #[must_use]
     pub const fn seed(mut self, seed: u64) -> Self {
         self.seed = seed;
--- a/crates/core/src/node/counters.rs
+++ b/crates/core/src/node/counters.rs
@@ -1,42 +1,42 @@
-//! What a host counts.
+//! Counters of a host.
 
 use std::collections::BTreeMap;
 
 use crate::request::RefusalKind;
 
-/// Counts since the host's start.
+/// Counters since the host's start.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct NodeCounters {
-    /// Requests that arrived well formed.
+    /// Well-formed requests that arrived.
     pub arrived: u64,
-    /// Requests answered whole.
+    /// Requests answered completely.
     pub answered: u64,
-    /// Requests refused or broken off, by kind.
+    /// Requests refused or interrupted, by kind.
     pub refused: BTreeMap<RefusalKind, u64>,
     /// Requests whose outcome is unknown.
     pub unknown: u64,
     /// Requests that waited for a load.
     pub stalled: u64,
-    /// Permits given by this host's engines.
+    /// Permits granted for this host's engines.
     pub permits_granted: u64,
-    /// Asks for permits that had to be repeated.
+    /// Permit asks repeated because no answer came or the owner changed.
     pub asks_repeated: u64,
-    /// Requests sent to a backend server again.
+    /// Requests retried after an interrupted exchange.
     pub retries: u64,
-    /// Adapter loads ordered that ended.
+    /// Adapter loads that ended, including failed ones.
     pub loads_ended: u64,
     /// Adapter loads that failed.
     pub loads_failed: u64,
-    /// Take-overs of engines begun.
+    /// Engine take-overs begun.
     pub takeovers: u64,
     /// Messages sent to peers.
     pub messages_sent: u64,
     /// Messages received from peers.
     pub messages_received: u64,
-    /// Pauses of this process noticed.
+    /// Detected pauses of the process.
     pub pauses: u64,
     /// Appends to the log.
     pub appends: u64,
-    /// Settings snapshots refused for their digest.
+    /// Settings snapshots refused as invalid.
     pub snapshots_refused: u64,
 }
--- a/crates/core/src/node/dispatch.rs
+++ b/crates/core/src/node/dispatch.rs
@@ -1,4 +1,4 @@
-//! A request at a backend server, and the end of a request.
+//! Dispatch of requests to backend servers, and the end of requests.
 
 use crate::{
     chart::{RequestEvent, RequestState},
@@ -14,11 +14,12 @@
 };
 
 impl NodeCore {
-    /// Sends a request to a plain server. No owner is asked: the host that a caller came to is the
-    /// request's only dispatcher, and plain servers have no adapters to guard.
+    /// Dispatches a request to a plain server.
+    ///
+    /// Plain servers hold no adapters, so they have no owner and need no permit.
     pub(super) fn dispatch_plain(&mut self, id: RequestId) {
         let Some(server) = self.choose_server(id) else {
-            let message = "no server of the service is known and live";
+            let message = "no live server is known for the service";
             let refusal = RequestRefusal::not_run(RefusalKind::NoBackend, message);
             self.end_not_run(id, refusal.retry_after(std::time::Duration::from_secs(2)));
             return;
@@ -62,13 +63,13 @@
         views.filter(usable).min_by_key(cost).map(|view| view.info.server)
     }
 
-    /// Takes the end of an exchange with a backend server.
+    /// Handles the result of a dispatch.
     pub(super) fn handle_dispatch_ended(&mut self, id: RequestId, result: DispatchResult) {
         let Some(entry) = self.open_requests.get(&id) else { return };
         if !entry.state.is_dispatched() {
             return;
         }
-        // The exchange is known to be over there only if the backend server itself ended it.
+        // Only an exchange that the backend server itself ended is known to be over there.
         let clean = matches!(
             result,
             DispatchResult::Answered | DispatchResult::NotRun(_) | DispatchResult::BackendError
@@ -81,18 +82,19 @@
                 self.handle_interrupted(id, answer_started)
             }
             DispatchResult::BackendError => {
-                let message = "the backend server answered with an error";
+                let message = "the backend server returned an error";
                 let refusal = RequestRefusal::unknown(RefusalKind::BackendError, message);
                 self.end_dispatched(id, RequestEvent::Broke, refusal);
             }
             DispatchResult::CallerGone => {
-                let refusal = RequestRefusal::unknown(RefusalKind::CallerGone, "caller hung up");
+                let refusal =
+                    RequestRefusal::unknown(RefusalKind::CallerGone, "the caller disconnected");
                 self.end_dispatched(id, RequestEvent::GivenUp, refusal);
             }
         }
     }
 
-    /// Tells the owner that a permit is not used any more.
+    /// Returns a permit to the engine's owner.
     fn return_permit(&mut self, id: RequestId, clean: bool) {
         let Some(entry) = self.open_requests.get(&id) else { return };
         let (attempt, owner) = (entry.attempt, entry.owner);
@@ -163,7 +165,7 @@
             self.reroute_later(id);
             return;
         }
-        let message = "the exchange with the backend server broke off";
+        let message = "the connection to the backend server was lost during the exchange";
         let refusal = RequestRefusal::unknown(RefusalKind::BackendBroke, message);
         self.end_dispatched(id, RequestEvent::Broke, refusal);
     }
@@ -183,9 +185,9 @@
         self.actions.push(NodeAction::Refuse { request: id, refusal });
     }
 
-    /// Ends a request that no backend server has, and says so at once.
+    /// Ends a request that is not at a backend server and refuses it to the caller.
     ///
-    /// When an earlier try may have run, the chart leads to unknown and the caller is told that.
+    /// If an earlier attempt may have run, the outcome told to the caller is unknown.
     pub(super) fn end_not_run(&mut self, id: RequestId, mut refusal: RequestRefusal) {
         let Some(entry) = self.open_requests.get(&id) else { return };
         if entry.state.after(RequestEvent::GivenUp) == RequestState::Unknown {
@@ -201,14 +203,15 @@
         self.actions.push(NodeAction::Refuse { request: id, refusal });
     }
 
-    /// A caller hung up while its request waited; no backend server has it.
+    /// Ends a request whose caller disconnected before it was dispatched.
     pub(super) fn handle_caller_gone(&mut self, id: RequestId) {
         let waits = self
             .open_requests
             .get(&id)
             .is_some_and(|entry| entry.state == RequestState::Claiming || entry.state.is_asking());
         if waits {
-            let refusal = RequestRefusal::not_run(RefusalKind::CallerGone, "caller hung up");
+            let refusal =
+                RequestRefusal::not_run(RefusalKind::CallerGone, "the caller disconnected");
             self.end_not_run(id, refusal);
         }
     }
@@ -216,16 +219,20 @@
     fn close_request(&mut self, id: RequestId, event: RequestEvent) {
         let Some(entry) = self.open_requests.remove(&id) else { return };
         self.timers.remove(&(entry.timer_at, id));
-        debug_assert!(entry.state.after(event) != entry.state, "{event:?} ends {:?}", entry.state);
+        debug_assert!(
+            entry.state.after(event) != entry.state,
+            "{event:?} does not end a request in state {:?}",
+            entry.state
+        );
     }
 
-    /// Takes any sign that an engine is leaving. It sticks until a later life of the engine.
+    /// Marks an engine as leaving until a later incarnation of it serves.
     pub(super) fn mark_leaving(&mut self, engine: EngineId) {
         let known = self.controllers.get(&engine).map_or(0, EngineController::incarnation);
         let Some(view) = self.backends.engines.get_mut(&engine) else { return };
         let digest_incarnation = view.digest.as_ref().map_or(0, |digest| digest.incarnation);
         if view.leaving_mark.mark(view.info.incarnation, known.max(digest_incarnation)) {
-            self.note(format!("engine {engine}"), "seen leaving");
+            self.note(format!("engine {engine}"), "marked as leaving");
         }
         self.with_controller(engine, EngineController::mark_leaving);
     }
--- a/crates/core/src/node/event.rs
+++ b/crates/core/src/node/event.rs
@@ -1,4 +1,4 @@
-//! What a host is told and what it orders.
+//! The events a host core handles and the actions it returns.
 
 use std::time::Duration;
 
@@ -12,21 +12,21 @@
     settings::fold::LogRecord,
 };
 
-/// The time at which an event is handled.
+/// The clock values at which an event is handled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClockReading {
-    /// The clock that decisions go by.
+    /// The monotonic clock, which all decisions use.
     pub now: ClockMillis,
-    /// The wall clock, in milliseconds since the Unix epoch; only for the time line.
+    /// The wall clock, in milliseconds since the Unix epoch; used for the timeline and the age of keys.
     pub wall_millis: u64,
 }
 
 /// A stream of the platform's log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum LogStream {
-    /// Publications of operators.
+    /// Settings published by operators.
     Settings,
-    /// Snapshots of the settings fold.
+    /// Snapshots of the settings state.
     Snapshots,
     /// Claims of idempotency keys.
     Claims,
@@ -36,7 +36,7 @@
     /// All streams.
     pub const ALL: [Self; 3] = [Self::Settings, Self::Snapshots, Self::Claims];
 
-    /// Returns the stream's name at the platform.
+    /// Returns the stream's name on the platform.
     pub const fn name(self) -> &'static str {
         match self {
             Self::Settings => "settings",
@@ -46,7 +46,7 @@
     }
 }
 
-/// A plain server as the platform's host list has it.
+/// A plain server as given in the platform's host list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServerInfo {
     /// The server.
@@ -57,11 +57,11 @@
     pub service: String,
     /// Its address, as `ip:port`.
     pub address: String,
-    /// Its life, as the host list has it.
+    /// Its incarnation according to the host list.
     pub incarnation: Incarnation,
 }
 
-/// What an entry of the host list is.
+/// The kind of a host-list entry.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum HostKind {
     /// An entry host of this system.
@@ -70,7 +70,7 @@
         host: HostId,
         /// Its data hall.
         hall: HallId,
-        /// Where peers reach it.
+        /// Its address for peers, as `ip:port`.
         address: String,
     },
     /// A model engine.
@@ -82,200 +82,201 @@
 /// An entry of the platform's host list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HostEntry {
-    /// Who it is.
+    /// The host or server.
     pub kind: HostKind,
-    /// Whether the list has it as leaving.
+    /// Whether it is listed as leaving.
     pub leaving: bool,
 }
 
-/// What changed in the platform's host list.
+/// A change of the platform's host list.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct HostListChange {
     /// Entries that are new or changed.
     pub entries: Vec<HostEntry>,
-    /// Entry hosts that are gone.
+    /// Entry hosts that were removed.
     pub removed_hosts: Vec<HostId>,
-    /// Engines that are gone.
+    /// Engines that were removed.
     pub removed_engines: Vec<EngineId>,
-    /// Plain servers that are gone.
+    /// Plain servers that were removed.
     pub removed_servers: Vec<ServerId>,
 }
 
-/// Why a backend server is known not to have run a request.
+/// Why a request is known not to have run at a backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NotRunReason {
-    /// No connection came about, so no byte left.
+    /// No connection was established, so nothing was sent.
     NoConnection,
-    /// The engine has accepted a higher token.
+    /// The engine has already accepted a higher fence token.
     StaleToken,
-    /// The adapter version is not loaded there.
+    /// The engine does not hold the adapter version.
     NotResident,
     /// The backend server is leaving.
     Leaving,
-    /// It has no room.
+    /// The backend server is full.
     Full,
-    /// The sending thread came to it too late, so that the permit may have gone stale.
+    /// The dispatch was older than [`MAX_DISPATCH_DELAY`], so its permit may be stale.
     Late,
 }
 
 /// How an exchange with a backend server ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DispatchResult {
-    /// The whole answer was passed on to the caller.
+    /// The complete answer was passed on to the caller.
     Answered,
-    /// It truly was not run.
+    /// The request did not run.
     NotRun(NotRunReason),
-    /// It broke off after bytes may have arrived.
+    /// The exchange broke off after bytes may have reached the backend server.
     Interrupted {
-        /// Whether the caller has seen any of the answer.
+        /// Whether the caller has received part of the answer.
         answer_started: bool,
     },
-    /// The backend server answered with an error, after it may have run.
+    /// The backend server answered with an error; the request may have run.
     BackendError,
-    /// The caller hung up; the exchange was cancelled.
+    /// The caller disconnected and the exchange was cancelled.
     CallerGone,
 }
 
 /// How an append ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AppendResult {
-    /// Written.
+    /// The record was written.
     Written,
-    /// Truly not written.
+    /// The record was not written.
     Refused,
-    /// No answer; it may have been written, or be so later.
+    /// No answer arrived; the record may have been written or may still be.
     NoAnswer,
 }
 
-/// What a host is told.
+/// An event for the host core.
 #[derive(Debug, Clone, PartialEq)]
 pub enum NodeEvent {
-    /// Time has passed; comes some ten times a second.
+    /// Periodic tick, about ten times a second.
     Tick,
-    /// A caller's request has been read whole and is well formed.
+    /// A complete, well-formed request arrived.
     RequestArrived(ArrivedRequest),
-    /// A caller hung up while its request waited.
+    /// A caller disconnected while its request waited.
     CallerGone(RequestId),
     /// An exchange with a backend server ended.
     DispatchEnded {
         /// The request.
         request: RequestId,
-        /// How.
+        /// The result.
         result: DispatchResult,
     },
-    /// A message came from another entry host.
+    /// A message arrived from another entry host.
     PeerMessage {
         /// The sender.
         from: HostId,
-        /// The sender's stamp.
+        /// The sender's timestamp.
         stamp: HybridStamp,
         /// The message.
         message: PeerMessage,
     },
-    /// An engine's report came.
+    /// An engine's report arrived.
     EngineReported {
         /// The engine.
         engine: EngineId,
         /// The report.
         report: EngineReport,
     },
-    /// An order to an engine ended.
+    /// An order to an engine completed or failed.
     OrderEnded {
         /// The order.
         order: EngineOrder,
-        /// How.
+        /// The result.
         result: OrderResult,
     },
     /// The platform's host list changed.
     HostListChanged(HostListChange),
-    /// Records of a stream were read; none means that the end was reached.
+    /// A read of a stream returned; an empty read means that its end was reached.
     LogRead {
         /// The stream.
         stream: LogStream,
-        /// The era of the log in which it was read.
+        /// The log's era at the read.
         era: StoreEra,
-        /// The first offset that the stream still has.
+        /// The first offset that the stream still retains.
         first: LogOffset,
         /// The records, in order.
         records: Vec<LogRecord>,
         /// The offset after the stream's last record.
         end: LogOffset,
     },
-    /// A stream could not be read.
+    /// A read of a stream failed.
     LogUnavailable(LogStream),
-    /// An append ended.
+    /// An append completed or failed.
     AppendEnded {
-        /// The append.
+        /// The ticket of the append.
         ticket: u64,
-        /// How.
+        /// The result.
         result: AppendResult,
     },
-    /// The host is asked to stop.
+    /// The host was asked to shut down.
     StopRequested,
 }
 
-/// The order to send one request to a backend server, once.
+/// A single attempt to send a request to a backend server.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RequestDispatch {
     /// The request.
     pub request: RequestId,
-    /// Where, as `ip:port`.
+    /// The backend server's address, as `ip:port`.
     pub address: String,
     /// The adapter's name at the engine; empty for a plain server.
     pub adapter_name: String,
-    /// The base model that the engine must say it runs; empty where any will do.
+    /// The base model that the engine must report; empty if any is accepted.
     pub base_model: String,
-    /// The token the engine checks; zero for a plain server.
+    /// The fence token that the engine checks; zero for a plain server.
     pub token: FenceToken,
-    /// The priority the engine is told.
+    /// The priority passed to the engine.
     pub priority: i32,
-    /// The most tokens of the answer; zero for a plain server.
+    /// The token limit of the answer; zero for a plain server.
     pub max_tokens: u32,
-    /// How long the caller still waits for the first byte of the answer.
+    /// The remaining time for the first byte of the answer.
     pub patience: Duration,
-    /// When the order was given. Whoever carries it out later than [`MAX_DISPATCH_DELAY`] must not.
+    /// When the attempt was issued. It must not be sent later than [`MAX_DISPATCH_DELAY`] after this.
     pub issued_at: ClockMillis,
 }
 
-/// How long after its order a request may be sent: a paused process must not send on waking what
-/// its peers have long given up.
+/// The maximum time between issuing a dispatch and sending it.
+///
+/// A process that resumes after a pause must not use permits that the owner has since revoked.
 pub const MAX_DISPATCH_DELAY: Duration = Duration::from_secs(1);
 
-/// What a host orders.
+/// An action that the I/O layer carries out for the host core.
 #[derive(Debug, Clone, PartialEq)]
 pub enum NodeAction {
     /// Sends a message to another entry host.
     SendMessage {
-        /// The receiver.
+        /// The receiving host.
         to: HostId,
-        /// Where it is reached.
+        /// The receiver's address.
         address: String,
-        /// The sender's stamp.
+        /// The sender's timestamp.
         stamp: HybridStamp,
         /// The message.
         message: PeerMessage,
     },
     /// Sends a request to a backend server.
     Dispatch(RequestDispatch),
-    /// Tells a caller that its request ended without a whole answer.
+    /// Tells a caller that its request ended without a complete answer.
     Refuse {
         /// The request.
         request: RequestId,
-        /// Why, and what may be relied on.
+        /// The reason, and whether the request may have run.
         refusal: RequestRefusal,
     },
     /// Sends an order to an engine.
     SendOrder {
-        /// Where it is reached.
+        /// The receiver's address.
         address: String,
         /// The order.
         order: EngineOrder,
     },
-    /// Asks an engine for its report.
+    /// Fetches an engine's report.
     FetchReport {
         /// The engine.
         engine: EngineId,
-        /// Where it is reached.
+        /// The receiver's address.
         address: String,
     },
     /// Appends to a stream.
@@ -284,21 +285,21 @@
         stream: LogStream,
         /// The record.
         payload: Vec<u8>,
-        /// Names the append in [`NodeEvent::AppendEnded`].
+        /// Identifies the append in [`NodeEvent::AppendEnded`].
         ticket: u64,
     },
-    /// Reads a stream from this offset on, from now on.
+    /// Follows a stream from an offset.
     Follow {
         /// The stream.
         stream: LogStream,
-        /// The first offset wanted.
+        /// The first offset to read.
         from: LogOffset,
     },
-    /// Does not read a stream any more.
+    /// Stops following a stream.
     Unfollow {
         /// The stream.
         stream: LogStream,
     },
-    /// The planned stop is complete: the process may exit.
+    /// The graceful shutdown is complete; the process may exit.
     Stopped,
 }
--- a/crates/core/src/node/inbox.rs
+++ b/crates/core/src/node/inbox.rs
@@ -1,4 +1,4 @@
-//! Messages from other hosts, each to its handler.
+//! Dispatch of peer messages to their handlers.
 
 use crate::{
     engine::Residency,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Takes an ask for a permit of an engine that this host may own.
+    /// Handles a permit ask for an engine that this host may own.
     fn handle_permit_ask(&mut self, from: HostId, ask: PermitAsk) {
         let refuse = |reason| {
             PeerMessage::PermitRefused(PermitRefused {
@@ -76,7 +76,7 @@
         });
     }
 
-    /// Finds another engine that holds the adapter which this one would have to load.
+    /// Finds another engine that holds an adapter that the asked engine would have to load.
     fn find_other_holder(&self, ask: &PermitAsk) -> Option<crate::id::EngineId> {
         let adapter = ask.request.adapter;
         let controller = self.controllers.get(&ask.engine)?;
--- a/crates/core/src/node/log.rs
+++ b/crates/core/src/node/log.rs
@@ -1,4 +1,4 @@
-//! What the platform's log says, and what this host writes there.
+//! Reads of the platform's log and appends to it.
 
 use std::time::Duration;
 
@@ -12,15 +12,17 @@
     settings::{SettingKey, SettingsSnapshot, fold::LogRecord},
 };
 
-/// Tickets of appends that carry no claims start here.
+/// Snapshot appends use tickets above this one; claim appends use those below.
 const FIRST_SNAPSHOT_TICKET: u64 = 1 << 62;
 
-/// For how long no key can be claimed after the log came back from an older copy: a host hears of it within two and a half seconds (a
-/// read that the log holds, and the pause after one that failed), and writes the claims that it knows within one more.
+/// How long no key can be claimed after the log was restored from an older copy.
+///
+/// Hosts notice the new era within 2.5 s (a long-poll read plus the pause after a failed one) and
+/// rewrite the claims they know within another second.
 const CLAIM_RECOVERY_DELAY: Duration = Duration::from_secs(4);
 
 impl NodeCore {
-    /// Takes in which era of the log something was read; returns whether that is the present one.
+    /// Enters the era of a read if it is newer; returns whether the read belongs to the present era.
     pub(super) fn enter_era(&mut self, era: StoreEra) -> bool {
         if self.settings.enter(era) {
             self.handle_new_era(era);
@@ -28,9 +30,9 @@
         era == self.settings.era()
     }
 
-    /// Reads everything again, and writes again the claims that the log may have lost.
+    /// Rereads all streams and schedules a rewrite of the claims that the log may have lost.
     fn handle_new_era(&mut self, era: StoreEra) {
-        self.note("log", format!("came back from an older copy, era {era}; it is read again"));
+        self.note("log", format!("restored from an older copy, era {era}; rereading all streams"));
         self.progress.settings_caught_up = false;
         self.progress.newest_snapshot_offset = 0;
         self.progress.claims_caught_up = false;
@@ -39,7 +41,7 @@
         self.refuse_claiming_requests();
         let own = self.config.host;
         let members: Vec<HostId> = self.members.owners(None).collect();
-        // Claims of a host that is gone are written again by one that every host picks.
+        // A claim of a host that is gone is rewritten by one member, chosen by rendezvous hashing.
         let writer = |key: KeyHash, request: RequestId| {
             let host = request_host(request);
             if members.contains(&host) {
@@ -70,7 +72,7 @@
         };
         let gap = records.first().is_some_and(|record| record.offset > next);
         if gap && first <= next && stream != LogStream::Snapshots {
-            // The records in between are there, only this read came before an earlier one.
+            // Reads arrived out of order: the missing records are still retained, so read them again.
             self.actions.push(NodeAction::Follow { stream, from: next });
             return;
         }
@@ -83,8 +85,8 @@
 
     fn read_settings(&mut self, records: Vec<LogRecord>, expired: bool, end: LogOffset) {
         if expired {
-            // The log's retention passed this host by: only a snapshot helps.
-            self.note("settings", "records expired before they were read");
+            // Retention removed records that were not yet read; only a snapshot can replace them.
+            self.note("settings", "records expired before they were read; requesting a snapshot");
             self.actions.push(NodeAction::Follow { stream: LogStream::Snapshots, from: 0 });
             self.ask_any_peer_for_settings();
             return;
@@ -95,8 +97,9 @@
         }
     }
 
-    /// Notes that this host has all that there is. Snapshots are for those who have not: with
-    /// 94,000 adapters one takes 9 MB, which a host that folds the records need not read.
+    /// Marks the settings as caught up and stops following the snapshots.
+    ///
+    /// A snapshot of a large site takes several megabytes; a host that reads the records needs none.
     pub(super) fn confirm_settings(&mut self) {
         if !self.progress.settings_caught_up {
             self.progress.settings_caught_up = true;
@@ -134,7 +137,7 @@
         }
     }
 
-    /// Takes a snapshot from the log or a peer, after checking it.
+    /// Checks a snapshot from the log or a peer and adopts it if it is newer.
     pub(super) fn adopt_snapshot(&mut self, payload: &[u8]) {
         let adopted = SettingsSnapshot::from_json(payload).and_then(|snapshot| {
             self.progress.newest_snapshot_offset =
@@ -151,7 +154,7 @@
         match adopted {
             Ok(true) => {
                 let (revision, from) = (self.settings.revision(), self.settings.next_offset());
-                self.note("settings", format!("revision {revision} taken from a snapshot"));
+                self.note("settings", format!("revision {revision} adopted from a snapshot"));
                 let stream = LogStream::Settings;
                 self.actions.push(NodeAction::Follow { stream, from });
                 self.actions.push(NodeAction::Unfollow { stream: LogStream::Snapshots });
@@ -166,7 +169,9 @@
         }
     }
 
-    /// Passes on to a peer what it lacks; one that knows an earlier era of the log lacks everything.
+    /// Sends a peer the records it lacks, or a snapshot if they are no longer kept.
+    ///
+    /// A peer in an earlier era of the log lacks all records.
     pub(super) fn handle_settings_pull(&mut self, from: HostId, pull: SettingsPull) {
         let era = self.settings.era();
         if pull.era > era {
@@ -184,14 +189,14 @@
         self.send(from, message);
     }
 
-    /// Takes settings records from a peer; the fold passes over those that it knows.
+    /// Applies settings records from a peer; known ones are skipped.
     pub(super) fn handle_settings_records(&mut self, passed: SettingsRecords) {
         if self.enter_era(passed.era) {
             self.fold_records(passed.records);
         }
     }
 
-    /// Takes a snapshot from a peer.
+    /// Adopts a settings snapshot from a peer.
     pub(super) fn handle_settings_state(&mut self, passed: &SettingsState) {
         if self.enter_era(passed.era) {
             self.adopt_snapshot(&passed.snapshot);
@@ -219,11 +224,11 @@
             return;
         }
         self.progress.claims_unavailable = true;
-        self.note("log", "claims stream is away");
+        self.note("log", "claims stream is unavailable");
         self.refuse_claiming_requests();
     }
 
-    /// Appends the claims that have gathered, when an append is due.
+    /// Appends the pending claims and releases if an append is due.
     pub(super) fn append_claims(&mut self) {
         if self.progress.claims_unavailable {
             return;
@@ -244,7 +249,7 @@
         self.claim_tracker.append_ended(ticket, result == AppendResult::Refused);
     }
 
-    /// Appends a snapshot when enough records have come since the last one. One host does it.
+    /// Appends a settings snapshot if one is due and this host is the one chosen to write it.
     pub(super) fn append_snapshot(&mut self) {
         let behind =
             self.settings.next_offset().saturating_sub(self.progress.newest_snapshot_offset);
@@ -264,7 +269,7 @@
         self.progress.next_ticket += 1;
         let ticket = FIRST_SNAPSHOT_TICKET + self.progress.next_ticket;
         self.progress.pending_snapshot = Some(ticket);
-        // Counted as written: if it was not, the next one comes with the records after it.
+        // Treated as written. If the append fails, a later snapshot covers these records.
         self.progress.newest_snapshot_offset = self.settings.next_offset();
         self.counters.appends += 1;
         let payload = self.settings.snapshot().to_json();
--- a/crates/core/src/node/membership.rs
+++ b/crates/core/src/node/membership.rs
@@ -1,4 +1,4 @@
-//! Signs of life and the tables that hosts keep in step.
+//! Heartbeats and gossip that keep the hosts' tables in sync.
 
 use std::time::Duration;
 
@@ -15,29 +15,29 @@
     node::{NodeAction, NodeCore},
 };
 
-/// Member changes in one heartbeat at most; about 40 bytes each.
+/// The maximum number of member updates in a heartbeat, about 40 bytes each.
 const MEMBERS_PER_HEARTBEAT: usize = 8;
 
-/// Engine digests in one heartbeat at most; about 100 bytes each.
+/// The maximum number of engine digests in a heartbeat, about 100 bytes each.
 const DIGESTS_PER_HEARTBEAT: usize = 16;
 
-/// The least time between two full exchanges that one host asks for.
+/// The minimum time between two full synchronisations that this host requests.
 const SYNC_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Stands for the host at an address of which nothing else is known.
+/// The receiver's ID in messages to seed addresses, whose hosts are not known.
 const UNKNOWN_HOST: HostId = 0;
 
-/// One heartbeat in this many also goes to a host believed dead, to find healed cuts.
+/// Every this many heartbeats, one also goes to a dead host, to detect healed network partitions.
 const DEAD_PROBE_PERIOD: u64 = 4;
 
 impl NodeCore {
-    /// Sends heartbeats when they are due.
+    /// Sends heartbeats if they are due.
     pub(super) fn send_heartbeats(&mut self) {
         let now = self.now();
         if now < self.next_heartbeat_at {
             return;
         }
-        // Jitter keeps hosts that started together from beating together.
+        // Jitter spreads the heartbeats of hosts that started at the same time.
         self.next_heartbeat_at = now + self.config.times.heartbeat.mul_f64(self.heartbeat_jitter());
         self.heartbeat_sequence += 1;
         self.contact_seeds();
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Greets the hosts named in the settings, as long as nobody else is known.
+    /// Sends heartbeats to the configured seed addresses while no other host is known.
     fn contact_seeds(&mut self) {
         if self.members.others().next().is_some() {
             return;
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Exchanges tables with one host out of turn.
+    /// Sends a host a heartbeat outside the regular schedule.
     fn send_heartbeat(&mut self, host: HostId) {
         self.heartbeat_sequence += 1;
         let heartbeat = self.heartbeat(self.heartbeat_sequence);
@@ -120,7 +120,7 @@
         self.backends.engines.get(&engine)?.digest.clone()
     }
 
-    /// Hashes the tables that hosts keep in step.
+    /// Hashes the engine digests, which all hosts keep in sync.
     fn table_hash(&self) -> u64 {
         let mut hasher = Xxh3Default::new();
         for digest in self.backends.engines.values().filter_map(|view| view.digest.as_ref()) {
@@ -135,7 +135,7 @@
     pub(super) fn handle_heartbeat(&mut self, from: HostId, heartbeat: &Heartbeat) {
         self.merge_heartbeat(from, heartbeat);
         let mut ack = self.heartbeat(heartbeat.sequence);
-        // A host that is believed to be gone must hear of it, so that it can refute.
+        // A host suspected or declared dead must learn of it, so that it can refute.
         let believed = self.member_update(from);
         if let Some(believed) = believed.filter(|known| known.state != heartbeat.sender.state) {
             ack.members.push(believed);
@@ -143,7 +143,7 @@
         self.send(from, PeerMessage::HeartbeatAck(ack));
     }
 
-    /// Takes in what a heartbeat, or its answer, passes on.
+    /// Merges the contents of a heartbeat or a heartbeat ack.
     pub(super) fn merge_heartbeat(&mut self, from: HostId, heartbeat: &Heartbeat) {
         self.merge_member(&heartbeat.sender);
         for update in &heartbeat.members {
@@ -174,13 +174,13 @@
             return;
         }
         self.member_changed(update.host);
-        // A new life says that the old process is gone, and all it could still send.
+        // A new incarnation proves that the old process has ended and sends nothing more.
         if known_incarnation.is_some_and(|life| life != 0 && life < update.incarnation) {
             self.holder_gone(update.host, true, Some(update.incarnation));
         }
     }
 
-    /// Passes on that a host's state changed and acts on it.
+    /// Gossips a member's change of state and reacts to it.
     pub(super) fn member_changed(&mut self, host: HostId) {
         let hosts = self.members.live_count();
         self.member_gossip.add(host, hosts);
@@ -260,7 +260,7 @@
             self.merge_member(update);
         }
         if !self.host_list_known && !reply.backends.is_empty() {
-            self.note("host list", "taken from a peer");
+            self.note("host list", "adopted from a peer");
             self.adopt_backends(reply.backends);
         }
         for digest in &reply.digests {
@@ -269,7 +269,7 @@
         self.update_ownership();
     }
 
-    /// Asks a host for the settings records that are missing here.
+    /// Requests the settings records that this host lacks from a peer.
     fn pull_settings(&mut self, from: HostId) {
         const PULL_INTERVAL: Duration = Duration::from_millis(300);
         let now = self.now();
@@ -282,7 +282,8 @@
         self.send(from, PeerMessage::SettingsPull(pull));
     }
 
-    /// Begins the planned stop: peers are told at once, so that they take the engines over.
+    /// Begins a graceful shutdown and tells peers of the hall at once, so that they take over the
+    /// engines.
     pub(super) fn begin_drain(&mut self) {
         use crate::chart::DrainEvent;
         if self.drain != DrainState::Serving {
--- a/crates/core/src/node/open_request.rs
+++ b/crates/core/src/node/open_request.rs
@@ -1,4 +1,4 @@
-//! A caller's request from its arrival to its end.
+//! The state of a caller's request until it ends.
 
 use crate::{
     chart::RequestState,
@@ -8,40 +8,40 @@
     settings::EffectiveSettings,
 };
 
-/// Where a request goes.
+/// The kind of backend server that serves a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum RequestRoute {
-    /// To an engine that holds this adapter version.
+    /// An engine that holds this adapter version.
     Adapter {
         /// The adapter version.
         adapter: AdapterKey,
-        /// Its name at the engines.
+        /// The adapter's name at the engines.
         name: String,
     },
-    /// To any server of the plain service.
+    /// Any server of a plain service.
     Plain,
 }
 
-/// What an open request waits for while it is being asked for.
+/// The progress of a request's permit ask.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum PermitAskState {
-    /// Nothing is asked; route again when the timer ends.
+    /// No ask is outstanding; the request is routed again when its timer fires.
     Backoff,
-    /// The owner has not answered yet.
+    /// The ask was sent and not yet answered.
     Sent,
-    /// The owner has queued it.
+    /// The owner has queued the request.
     Queued,
 }
 
-/// An open request.
+/// A request that has arrived and not yet ended.
 #[derive(Debug, Clone)]
-#[expect(clippy::struct_excessive_bools, reason = "each says another thing of the request")]
+#[expect(clippy::struct_excessive_bools, reason = "the flags are independent")]
 pub(super) struct OpenRequest {
     pub(super) id: RequestId,
     pub(super) state: RequestState,
     pub(super) service: ServiceId,
     pub(super) service_name: String,
-    /// The base model that must answer; empty where the settings name none.
+    /// The base model that must answer; empty if the settings name none.
     pub(super) base_model: String,
     pub(super) organisation: OrganisationId,
     pub(super) route: RequestRoute,
@@ -50,24 +50,24 @@
     pub(super) max_tokens: u32,
     pub(super) repeatable: bool,
     pub(super) keyed: bool,
-    /// Counts asks and, for plain servers, sendings.
+    /// The number of permit asks or, for plain services, of dispatches.
     pub(super) attempt: u32,
     pub(super) ask_state: PermitAskState,
-    /// The engine asked for or dispatched to.
+    /// The engine of the current ask or dispatch.
     pub(super) engine: Option<EngineId>,
-    /// The plain server dispatched to.
+    /// The plain server that the request was dispatched to.
     pub(super) server: Option<ServerId>,
-    /// The host that was asked, and then the one that granted.
+    /// The host that was asked for a permit; after a grant, the host that granted it.
     pub(super) owner: Option<HostId>,
-    /// Whether the next ask may have the adapter loaded, fixed while the ask stands.
+    /// Whether the current ask allows the owner to load the adapter.
     pub(super) may_load: bool,
-    /// An engine that an owner pointed to.
+    /// An engine that an owner named as holding the adapter.
     pub(super) preferred_engine: Option<EngineId>,
-    /// Whether an engine that was said to hold the adapter did not: the next home shall load it
-    /// whatever it hears of others.
+    /// Whether an engine listed as a holder did not hold the adapter. The home engine then loads it
+    /// even if other engines are listed as holders.
     pub(super) misrouted: bool,
-    /// An engine that had no room for it.
+    /// An engine that refused the request as overloaded.
     pub(super) full_engine: Option<EngineId>,
-    /// When the timer for the present step ends.
+    /// The time at which the request's timer fires.
     pub(super) timer_at: ClockMillis,
 }
--- a/crates/core/src/node/ownership.rs
+++ b/crates/core/src/node/ownership.rs
@@ -1,4 +1,4 @@
-//! Which engines this host owns, and the outside of owning one.
+//! Assignment of engines to this host, and the I/O of their controllers.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 };
 
 impl NodeCore {
-    /// Calls an engine's control and carries out what follows.
+    /// Calls an engine's controller and applies its output.
     pub(super) fn with_controller(
         &mut self,
         engine: EngineId,
@@ -35,7 +35,7 @@
             if after == EngineState::TakingOver {
                 self.counters.takeovers += 1;
             }
-            // A take-over goes on with the engine's report, so it is asked for at once.
+            // A take-over waits for the engine's report, so it is fetched at once.
             self.next_report_at.insert(engine, now);
         }
         self.apply_controller_output(engine, output);
@@ -88,14 +88,16 @@
         }
     }
 
-    /// Takes changes of the platform's host list, which lags: it seeds, and never takes back.
+    /// Applies changes of the platform's host list.
+    ///
+    /// The list lags behind, so it adds hosts but does not override what peers report of them.
     pub(super) fn handle_host_list_change(&mut self, change: HostListChange) {
         self.host_list_known = true;
         for entry in change.entries {
             self.apply_host_entry(entry);
         }
         for host in change.removed_hosts {
-            // Only the platform's word that a host is gone is certain enough without a fence.
+            // Without a fence, only removal from the host list proves that the process has ended.
             self.holder_gone(host, true, None);
         }
         for engine in change.removed_engines {
@@ -111,7 +113,7 @@
         self.update_ownership();
     }
 
-    /// Takes the backend servers from a peer, as long as the host list itself was never seen.
+    /// Adopts a peer's list of backend servers while the host list was never received.
     pub(super) fn adopt_backends(&mut self, backends: Vec<HostEntry>) {
         self.host_list_known = true;
         for entry in backends {
@@ -142,7 +144,7 @@
         }
     }
 
-    /// Brings ownership in line with the view, after the view changed.
+    /// Recomputes which engines this host owns if members or backend servers have changed.
     pub(super) fn update_ownership(&mut self) {
         let joining = self.now().since(self.started_at) < self.config.times.join_delay;
         if joining || !std::mem::take(&mut self.ownership_dirty) {
@@ -186,14 +188,14 @@
 
     fn unassign_engine(&mut self, engine: EngineId) {
         let Some(controller) = self.controllers.get(&engine) else { return };
-        // A stopping host serves a fenced engine until another has raised the fence.
+        // A stopping host keeps serving a fenced engine until its successor raises the fence.
         let hands_over = self.drain == DrainState::HandingOver && controller.info().checks_fence;
         if !hands_over {
             self.with_controller(engine, EngineController::unassign);
         }
     }
 
-    /// Passes on the residencies that changed.
+    /// Gossips the digests of owned engines that have changed.
     pub(super) fn gossip_digests(&mut self) {
         let digests: Vec<_> =
             self.controllers.values_mut().filter_map(EngineController::take_digest).collect();
@@ -206,7 +208,9 @@
         }
     }
 
-    /// Takes the news that a holder of permits is gone, or that its process began a new life.
+    /// Releases the permits of a host that is gone or has restarted.
+    ///
+    /// Permits of `except_incarnation`, which replaced the earlier process, are kept.
     pub(super) fn holder_gone(
         &mut self,
         host: HostId,
@@ -221,11 +225,11 @@
         }
     }
 
-    /// A stopped process does not know what happened meanwhile: engines that do not check fences
-    /// are given up, since another host may own them by now.
+    /// Gives up engines that do not check fences after the process was paused: another host may own
+    /// them by now.
     pub(super) fn handle_process_pause(&mut self, gap: Duration) {
         self.counters.pauses += 1;
-        self.note("host", format!("was paused for {} ms", gap.as_millis()));
+        self.note("host", format!("process was paused for {} ms", gap.as_millis()));
         let unfenced: Vec<EngineId> = self
             .controllers
             .iter()
@@ -248,6 +252,6 @@
             self.store_turns.clear();
         }
         self.turns_host = host;
-        self.note("store", format!("host {host} gives the turns"));
+        self.note("store", format!("host {host} grants the load turns"));
     }
 }
--- a/crates/core/src/node/permits.rs
+++ b/crates/core/src/node/permits.rs
@@ -1,4 +1,4 @@
-//! Asking owners for permits, on behalf of the callers of this host.
+//! Permit asks to engine owners on behalf of this host's callers.
 
 use std::time::Duration;
 
@@ -19,17 +19,17 @@
     routing::{RouteCandidate, RouteChoice, choose_route},
 };
 
-/// How soon to come back when no backend server is there.
+/// The retry delay told to callers when no backend server is available.
 const BACKEND_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// A rest grows up to this many times the first one.
+/// The upper bound of the factor by which the reroute delay grows with each attempt.
 const MAX_BACKOFF_FACTOR: u32 = 8;
 
-/// Asks and sendings of one request at most.
+/// The maximum number of permit asks and dispatches of one request.
 pub(super) const MAX_ATTEMPTS: u32 = 24;
 
 impl NodeCore {
-    /// Takes the next step of a request that no backend server has.
+    /// Routes a request that is not at a backend server, or ends it if it is out of time or attempts.
     pub(super) fn route_request(&mut self, id: RequestId) {
         let now = self.now();
         let Some(entry) = self.open_requests.get(&id) else { return };
@@ -37,7 +37,7 @@
             return;
         }
         if now >= entry.deadline {
-            let message = "the deadline passed before the request could be sent";
+            let message = "the deadline passed before the request was sent";
             let refusal = RequestRefusal::not_run(RefusalKind::DeadlinePassed, message);
             self.end_not_run(id, refusal);
             return;
@@ -59,7 +59,7 @@
 
     fn send_permit_ask(&mut self, id: RequestId, adapter: AdapterKey) {
         let Some(choice) = self.choose_engine(id, adapter) else {
-            let message = "no engine of the service is known and live";
+            let message = "no live engine is known for the service";
             let refusal = RequestRefusal::not_run(RefusalKind::NoBackend, message);
             self.end_not_run(id, refusal.retry_after(BACKEND_RETRY_AFTER));
             return;
@@ -87,8 +87,7 @@
         self.send(owner, PeerMessage::PermitAsk(ask));
     }
 
-    /// Tells the owner of an ask that still stands that it is not waited for any more, so that
-    /// nothing is loaded for it there.
+    /// Withdraws the outstanding ask of a request, so that its owner loads nothing for it.
     pub(super) fn withdraw_permit_ask(&mut self, id: RequestId) {
         let Some(entry) = self.open_requests.get(&id) else { return };
         let (attempt, asked) = (entry.attempt, entry.ask_state != PermitAskState::Backoff);
@@ -98,7 +97,7 @@
         }
     }
 
-    /// Asks the same owner again under the same attempt, which it answers as before.
+    /// Repeats the outstanding ask. The attempt number is unchanged, so the owner repeats its answer.
     pub(super) fn repeat_permit_ask(&mut self, id: RequestId) {
         let now = self.now();
         let Some(entry) = self.open_requests.get(&id) else { return };
@@ -158,7 +157,7 @@
             engines.filter(usable).map(candidate).collect()
         };
         let choice = choose_route(adapter, &holders, &engines, self.config.hall)?;
-        // Where the only holder was full or is none, the next engine loads the adapter too.
+        // The known holder was overloaded or did not hold the adapter: load it on a further engine.
         let alone = full.is_some() || entry.misrouted;
         match choice {
             RouteChoice::Home(engine) if alone => Some(RouteChoice::Replica(engine)),
@@ -166,7 +165,7 @@
         }
     }
 
-    /// Returns the owner of an engine, as this host's view has it.
+    /// Returns the owner of an engine according to this host's member table.
     pub(super) fn owner_of(&self, engine: EngineId) -> Option<HostId> {
         let hall = self.backends.engines.get(&engine)?.info.hall;
         self.owner_in(engine, hall)
@@ -177,8 +176,9 @@
         rendezvous(key, self.members.owners(Some(hall)))
     }
 
-    /// Lets a request rest before it is routed again, longer with each attempt: a take-over takes
-    /// seconds, and the attempts must last beyond it.
+    /// Schedules a request to be routed again after a delay that grows with each attempt.
+    ///
+    /// A take-over lasts seconds; the attempts must not run out before it ends.
     pub(super) fn reroute_later(&mut self, id: RequestId) {
         let attempts = self
             .open_requests
@@ -214,9 +214,9 @@
             Some((state, PermitAskState::Sent | PermitAskState::Queued)) if state.is_asking() => {
                 self.dispatch_permitted(from, granted);
             }
-            // The grant came twice and the first is in use.
+            // A duplicate of the grant in use.
             Some((state, _)) if state.is_dispatched() => {}
-            // Whether an earlier grant of this permit was used is not remembered, so not clean.
+            // An earlier grant of this permit may have been used, so the return is not clean.
             _ => {
                 let PermitGranted { request, attempt, engine, .. } = granted;
                 let done = PermitDone { request, attempt, engine, clean: false };
@@ -293,11 +293,13 @@
         retry_after: Option<Duration>,
     ) {
         let message = match kind {
-            RefusalKind::LoadTooLate => "the adapter can not be loaded before the deadline",
-            RefusalKind::LoadFailed => "the adapter's last load failed",
-            RefusalKind::Overloaded => "more waits for the engine than it can serve in time",
+            RefusalKind::LoadTooLate => "the adapter cannot be loaded before the deadline",
+            RefusalKind::LoadFailed => "the adapter failed to load",
+            RefusalKind::Overloaded => {
+                "the engine's queue is too long to serve the request in time"
+            }
             RefusalKind::DeadlinePassed => "the deadline passed while the request waited",
-            _ => "the engine's owner refused the request",
+            _ => "the engine's owner refused the permit",
         };
         let mut refusal = RequestRefusal::not_run(kind, message);
         refusal.retry_after = retry_after;
--- a/crates/core/src/node/state.rs
+++ b/crates/core/src/node/state.rs
@@ -1,4 +1,4 @@
-//! The state of one host and the way every event takes through it.
+//! The state of one host and the dispatch of events to their handlers.
 
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -27,37 +27,37 @@
     timeline::TimelineRing,
 };
 
-/// What is known of how far the log's streams have been read.
+/// Progress in reading and appending to the log's streams.
 #[derive(Debug, Default)]
 pub(super) struct LogProgress {
-    /// The end of the settings stream was reached, or a peer confirmed that we have all it has.
+    /// The end of the settings stream was reached, or a peer had no newer records.
     pub(super) settings_caught_up: bool,
-    /// The end of the claims stream was reached once.
+    /// The end of the claims stream has been reached in the present era.
     pub(super) claims_caught_up: bool,
-    /// The claims stream can not be read or appended to at present.
+    /// The claims stream cannot be read at present.
     pub(super) claims_unavailable: bool,
-    /// Until when no key can be claimed, since the log may have lost claims that hosts tell it again.
+    /// No key can be claimed before this time: hosts are rewriting claims that the log may have lost.
     pub(super) claims_blocked_until: ClockMillis,
-    /// The offset that the newest snapshot in the log covers.
+    /// The offset up to which the newest snapshot in the log covers the settings stream.
     pub(super) newest_snapshot_offset: u64,
-    /// When this host last wrote a snapshot, or began.
+    /// When this host last wrote a snapshot, or started.
     pub(super) last_snapshot_at: ClockMillis,
-    /// A snapshot's append is under way.
+    /// The ticket of the snapshot append in flight.
     pub(super) pending_snapshot: Option<u64>,
-    /// The next ticket of an append that is not of claims.
+    /// Counts the snapshot appends; their tickets are offset by `FIRST_SNAPSHOT_TICKET`.
     pub(super) next_ticket: u64,
-    /// When peers were last asked for settings.
+    /// When settings were last requested from a peer.
     pub(super) last_settings_pull_at: ClockMillis,
 }
 
 impl LogProgress {
-    /// Says whether idempotency keys can be claimed now.
+    /// Returns whether idempotency keys can be claimed now.
     pub(super) fn claims_open(&self, now: ClockMillis) -> bool {
         self.claims_caught_up && !self.claims_unavailable && now >= self.claims_blocked_until
     }
 }
 
-/// One entry host.
+/// The decision core of one entry host.
 pub struct NodeCore {
     pub(super) config: NodeConfig,
     pub(super) reading: ClockReading,
@@ -87,14 +87,14 @@
     pub(super) last_sync_at: ClockMillis,
     pub(super) started_at: ClockMillis,
     pub(super) ownership_dirty: bool,
-    /// The host list was seen, or a peer's copy of it.
+    /// The host list was received, from the platform or as a peer's copy.
     pub(super) host_list_known: bool,
     pub(super) loopback: VecDeque<PeerMessage>,
     pub(super) actions: Vec<NodeAction>,
 }
 
 impl NodeCore {
-    /// Starts a host that knows nothing but its own settings.
+    /// Creates a host that knows only its own configuration.
     pub fn new(config: NodeConfig) -> Self {
         let own = MemberUpdate {
             host: config.host,
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Returns the orders with which a host's life begins.
+    /// Starts the host; returns its first actions.
     pub fn start(&mut self, reading: ClockReading) -> Vec<NodeAction> {
         self.reading = reading;
         self.started_at = reading.now;
@@ -152,7 +152,7 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Takes one event and returns what follows from it.
+    /// Handles one event and returns the actions that result.
     pub fn handle(&mut self, reading: ClockReading, event: NodeEvent) -> Vec<NodeAction> {
         self.reading = reading;
         self.handle_event(event);
@@ -195,7 +195,7 @@
         self.reading.now
     }
 
-    /// Sends a message to a host, itself included.
+    /// Sends a message to a host, which may be this one.
     pub(super) fn send(&mut self, to: HostId, message: PeerMessage) {
         if to == self.config.host {
             self.loopback.push_back(message);
@@ -208,27 +208,27 @@
         self.actions.push(NodeAction::SendMessage { to, address, stamp, message });
     }
 
-    /// Puts a line on the time line.
+    /// Records a timeline event.
     pub(super) fn note(&mut self, subject: impl Into<String>, text: impl Into<String>) {
         self.timeline.note(self.reading.wall_millis, subject.into(), text.into());
     }
 
-    /// Returns a duration between half of and one and a half times `usual`.
+    /// Returns a random duration between 0.5 and 1.5 times `usual`.
     pub(super) fn jitter(&mut self, usual: Duration) -> Duration {
         usual.mul_f64(self.rng.random_range(0.5..1.5))
     }
 
-    /// Returns a fraction set for the whole site.
+    /// Returns a fractional setting of the site.
     pub(super) fn site_fraction(&self, key: SettingKey) -> f64 {
         self.settings.tree().fraction(&SettingsPath::site(), key)
     }
 
-    /// Returns a number set for the whole site.
+    /// Returns an integer setting of the site.
     pub(super) fn site_number(&self, key: SettingKey) -> u64 {
         self.settings.tree().number(&SettingsPath::site(), key).unsigned_abs()
     }
 
-    /// Says whether callers may be sent here.
+    /// Returns whether the host accepts callers.
     pub fn is_ready(&self) -> bool {
         let configured = self.settings.revision() > 0 && self.progress.settings_caught_up;
         configured && self.host_list_known && self.drain == DrainState::Serving
@@ -239,22 +239,22 @@
         &self.settings
     }
 
-    /// Returns the counts since the start.
+    /// Returns the counters since the start.
     pub const fn counters(&self) -> &NodeCounters {
         &self.counters
     }
 
-    /// Returns the time line.
+    /// Returns the timeline.
     pub const fn timeline(&self) -> &TimelineRing {
         &self.timeline
     }
 
-    /// Returns the engines that this host owns or may come to own.
+    /// Returns the controllers of the engines that this host owns or may own.
     pub fn engine_controllers(&self) -> impl Iterator<Item = &EngineController> {
         self.controllers.values()
     }
 
-    /// Returns what is known of the other hosts.
+    /// Returns the table of the site's hosts.
     pub const fn members(&self) -> &MemberTable {
         &self.members
     }
@@ -266,7 +266,7 @@
 }
 
 impl NodeCore {
-    /// Says whether a request is open.
+    /// Returns whether a request is open.
     pub fn is_open(&self, request: RequestId) -> bool {
         self.open_requests.contains_key(&request)
     }
--- a/crates/core/src/node/status.rs
+++ b/crates/core/src/node/status.rs
@@ -1,4 +1,4 @@
-//! What operators see of a host.
+//! The status of a host for operators.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,71 +9,71 @@
     node::NodeCore,
 };
 
-/// A host's state, as `reelreel status` shows it.
+/// A host's status, as shown by `reelreel status`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeStatus {
     /// The host.
     pub host: HostId,
     /// Its data hall.
     pub hall: HallId,
-    /// Whether callers may be sent to it.
+    /// Whether it accepts callers.
     pub ready: bool,
-    /// Where its planned stop stands.
+    /// The state of its graceful shutdown.
     pub drain: String,
     /// The settings revision in force.
     pub revision: Revision,
     /// The next offset of the settings stream.
     pub next_offset: LogOffset,
-    /// Why it stopped reading settings, if it did.
+    /// Why it stopped applying settings, if it did.
     pub halt: Option<String>,
-    /// The host that gives turns at the weight store, as this host sees it.
+    /// The host that grants load turns at the weight store, according to this host.
     pub turns_host: HostId,
-    /// Open requests.
+    /// The number of open requests.
     pub open_requests: usize,
-    /// Idempotency keys remembered.
+    /// The number of idempotency keys remembered.
     pub keys: usize,
-    /// Engines of the site that it knows.
+    /// The number of known engines.
     pub known_engines: usize,
-    /// Plain servers of the site that it knows.
+    /// The number of known plain servers.
     pub known_servers: usize,
-    /// Whether keys can be claimed: the claims stream was read to its end and is not away.
+    /// Whether idempotency keys can be claimed.
     pub claims_open: bool,
     /// The other hosts.
     pub members: Vec<MemberStatus>,
-    /// The engines it owns or may come to own.
+    /// The engines that it owns or may own.
     pub engines: Vec<EngineStatus>,
 }
 
-/// Another host, as this one sees it.
+/// Another host as seen by this one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberStatus {
     /// The host.
     pub host: HostId,
     /// Its data hall.
     pub hall: HallId,
-    /// What is believed of it.
+    /// Its membership state.
     pub state: String,
 }
 
-/// An engine, as its owner sees it.
+/// An engine as seen by its owner.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineStatus {
     /// The engine.
     pub engine: EngineId,
-    /// Where ownership stands.
+    /// The state of its ownership.
     pub state: String,
     /// The fence token, in hexadecimal.
     pub token: String,
-    /// Permits that are out.
+    /// The number of permits in use.
     pub permits: usize,
-    /// Requests that wait.
+    /// The number of waiting requests.
     pub waiting: usize,
-    /// The adapters that are resident.
+    /// The names of the resident adapters.
     pub residents: Vec<String>,
 }
 
 impl NodeCore {
-    /// Returns what operators see of the host.
+    /// Returns the host's status.
     pub fn status(&self) -> NodeStatus {
         let member = |entry: &crate::member::MemberEntry| MemberStatus {
             host: entry.update.host,
--- a/crates/core/src/node/store_turns.rs
+++ b/crates/core/src/node/store_turns.rs
@@ -1,4 +1,6 @@
-//! The host's part in giving turns at the weight store.
+//! Granting of load turns at the weight store.
+//!
+//! One host of the site, the turns host, grants the turns.
 
 use crate::{
     id::HostId,
@@ -11,7 +13,7 @@
 impl NodeCore {
     pub(super) fn handle_load_ask(&mut self, from: HostId, ask: &LoadAsk) {
         if self.turns_host != self.config.host {
-            // The asker's view differs; it repeats its ask when the views agree.
+            // The hosts' member tables differ; the owner repeats its ask, which then reaches the turns host.
             return;
         }
         let now = self.now();
@@ -40,7 +42,7 @@
         self.send(from, PeerMessage::LoadEnd(turn));
     }
 
-    /// Gives the turns that are due, if this host gives them.
+    /// Grants the turns that are due if this host is the turns host.
     pub(super) fn grant_turns(&mut self) {
         if self.turns_host != self.config.host || self.store_turns.is_empty() {
             return;
@@ -52,8 +54,7 @@
         }
     }
 
-    /// Returns the store's limits, less the part of the halls that are out of reach: they give
-    /// turns of their own meanwhile.
+    /// Returns the store's limits, less the share of unreachable halls, which grant their own turns.
     fn store_limits(&self) -> StoreLimits {
         let mut halls: Vec<_> = self.backends.engines.values().map(|view| view.info.hall).collect();
         halls.sort_unstable();
--- a/crates/core/src/node/timers.rs
+++ b/crates/core/src/node/timers.rs
@@ -1,4 +1,4 @@
-//! What is due by time alone.
+//! Periodic work and request timers.
 
 use crate::{
     chart::{DrainEvent, DrainState, EngineState, RequestState},
@@ -9,7 +9,7 @@
     request::{RefusalKind, RequestRefusal},
 };
 
-/// How many times as often a report is asked for while something waits for it.
+/// The factor by which reports are fetched more often while a controller waits for one.
 const FAST_REPORT_FACTOR: u32 = 16;
 
 impl NodeCore {
@@ -64,11 +64,11 @@
         let usual = self.config.times.report_every;
         let awaits =
             self.controllers.get(&engine).is_some_and(EngineController::awaits_settling_report);
-        // What waits for the report, which lags, asks for it more often.
+        // Reports lag, so a controller that waits for one fetches them more often.
         if awaits { usual / FAST_REPORT_FACTOR } else { self.jitter(usual) }
     }
 
-    /// Sets or, with `None`, moves a request's timer to its deadline.
+    /// Sets a request's timer; `None` sets it to the deadline.
     pub(super) fn set_timer(&mut self, id: RequestId, at: Option<ClockMillis>) {
         let Some(entry) = self.open_requests.get_mut(&id) else { return };
         self.timers.remove(&(entry.timer_at, id));
@@ -104,7 +104,7 @@
             PermitAskState::Backoff => self.route_request(id),
             PermitAskState::Queued => self.repeat_permit_ask(id),
             PermitAskState::Sent => {
-                // No answer: the message or the owner may be gone, so it is routed anew.
+                // No answer: the message was lost or the owner is gone, so the request is routed again.
                 self.counters.asks_repeated += 1;
                 self.route_request(id);
             }
@@ -115,7 +115,7 @@
         let Some(entry) = self.open_requests.get(&id) else { return };
         let claiming = entry.state == RequestState::Claiming;
         if claiming {
-            let message = "the idempotency key could not be claimed before the deadline";
+            let message = "the idempotency key was not claimed before the deadline";
             let refusal = RequestRefusal::not_run(RefusalKind::LogAway, message);
             self.end_not_run(id, refusal);
         } else if entry.state.is_asking() {
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Moves a planned stop on.
+    /// Advances a graceful shutdown.
     pub(super) fn advance_drain(&mut self) {
         if self.drain == DrainState::HandingOver {
             let late = self.now().since(self.drain_started_at) > self.config.times.handover_timeout;
@@ -153,8 +153,10 @@
         self.members.owners(Some(self.config.hall)).next().is_some()
     }
 
-    /// Ends a planned stop once the last stream has ended. Only a tick does so, so that the orders
-    /// which tell the last callers go out before the process may exit.
+    /// Completes a graceful shutdown once the last request has ended.
+    ///
+    /// Called from a tick, so that the answers to the last callers are sent before the process may
+    /// exit.
     fn finish_drain(&mut self) {
         if self.open_requests.is_empty() && self.drain == DrainState::Finishing {
             self.drain = self.drain.after(DrainEvent::StreamsEnded);
