--- a/crates/core/src/engine/controller.rs
+++ b/crates/core/src/engine/controller.rs
@@ -1,4 +1,4 @@
-//! The owner's state of one engine and how ownership begins and ends.
+//! The state of one engine's controller, and the start and end of ownership.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -15,46 +15,46 @@
     message::{Envelope, LoadAsk, LoadTurn, PeerMessage, PermitRefusal},
 };
 
-/// The times that ownership goes by.
+/// Intervals and timeouts of engine ownership.
 #[derive(Debug, Clone, Copy)]
 pub struct EngineTimes {
-    /// How long a new owner of an engine without fence waits for the earlier owner to stop.
+    /// How long a new owner of an engine without a fence waits for the previous owner to stop.
     pub handover_wait: Duration,
-    /// How long bytes already sent may take to reach an engine without fence.
+    /// How long bytes already sent may take to reach an engine without a fence.
     pub quiet: Duration,
-    /// How long to wait after the fence was lost before taking it again.
+    /// The delay before a lost fence is taken again.
     pub retake_delay: Duration,
     /// The half-life of an adapter's popularity.
     pub half_life: Duration,
-    /// How long a load takes where none has been measured.
+    /// The assumed duration of a load turn until one is reported.
     pub initial_load_duration: Duration,
 }
 
-/// A wish to the host that gives the turns at the weight store.
+/// A message about a load turn to the host that grants the turns at the weight store.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum TurnRequest {
-    /// Asks for a turn, or says that it is still used.
+    /// Asks for a turn, or reports that it is still in use.
     Ask(LoadAsk),
-    /// Gives the turn, or the wish for it, back.
+    /// Gives a turn back, or withdraws the ask for it.
     Release(LoadTurn),
 }
 
-/// What follows from one call of [`EngineController`].
+/// The output of one call of [`EngineController`].
 #[derive(Debug, Default)]
 pub struct ControllerOutput {
     /// Orders to the engine.
     pub orders: Vec<EngineOrder>,
-    /// Messages to holders of permits.
+    /// Messages to hosts that hold or ask for permits.
     pub messages: Vec<Envelope>,
-    /// Wishes to the host that gives the turns.
+    /// Messages to the host that grants load turns.
     pub turn_requests: Vec<TurnRequest>,
-    /// Lines for the time line.
+    /// Timeline entries.
     pub notes: Vec<String>,
-    /// Loads that ended, whether they worked or not.
+    /// The number of loads that ended, including failed ones.
     pub loads_ended: u32,
-    /// Loads that failed.
+    /// The number of loads that failed.
     pub loads_failed: u32,
-    /// Permits given.
+    /// The number of permits granted.
     pub permits_granted: u32,
 }
 
@@ -64,49 +64,50 @@
     }
 }
 
-/// One engine as a host sees it that owns it or may come to.
+/// Controls one engine on the host that owns it or may own it.
 pub struct EngineController {
     pub(super) info: EngineInfo,
     pub(super) host: HostId,
     pub(super) policy: Arc<dyn ResidencyPolicy>,
     pub(super) times: EngineTimes,
     pub(super) state: EngineState,
-    /// The state `Waiting` lasts until then.
+    /// The end of the state `Waiting`.
     pub(super) wait_until: ClockMillis,
-    /// Our token, once the take-over has begun.
+    /// This host's fence token; zero before the first take-over.
     pub(super) token: FenceToken,
-    /// The highest token known of.
+    /// The highest token seen in reports, answers and digests.
     pub(super) highest_seen_token: FenceToken,
-    /// The engine's life as its reports have it.
+    /// The engine's incarnation according to its reports.
     pub(super) incarnation: Incarnation,
-    /// The sequence of the newest report.
+    /// The highest engine sequence seen.
     pub(super) sequence: u64,
-    /// The first sequence written after our last raise took effect.
+    /// The first engine sequence after the last raise of the fence. Reports from this one on
+    /// reflect only what was sent under this host's tokens.
     pub(super) authoritative_from: u64,
-    /// A raise is under way since then.
+    /// When the raise in flight was ordered.
     pub(super) raise_started_at: Option<ClockMillis>,
-    /// The last raise was ordered then.
+    /// When the last raise was ordered.
     pub(super) last_raise_at: ClockMillis,
-    /// An engine without fence must be left alone until then before a raise proves anything.
+    /// The end of the quiet period of an engine without a fence; a raise proves nothing before it.
     pub(super) quiet_until: ClockMillis,
     pub(super) residencies: BTreeMap<AdapterKey, Residency>,
     pub(super) permits: BTreeMap<RequestId, GrantedPermit>,
     pub(super) queue: FairQueue<WaitingPermit>,
-    /// How long a permit is out, on average.
+    /// The moving average of the time a permit is in use.
     pub(super) mean_service_seconds: f64,
-    /// How long a turn at the store takes, by the last word of the host that gives them.
+    /// The duration of a load turn, as last reported by the host that grants them.
     pub(super) turn_duration: Duration,
-    /// Wishes were last repeated then.
+    /// When the turn asks were last repeated.
     pub(super) last_turn_renewal: ClockMillis,
     digest_sequence: u64,
     digest_dirty: bool,
 }
 
-/// Assumed time a request runs, until some have been measured.
+/// The initial average of the time a permit is in use.
 const INITIAL_SERVICE_SECONDS: f64 = 2.0;
 
 impl EngineController {
-    /// Starts without ownership.
+    /// Creates a controller that does not own its engine.
     pub fn new(
         info: EngineInfo,
         host: HostId,
@@ -140,52 +141,52 @@
         }
     }
 
-    /// Returns what the host list says of the engine.
+    /// Returns the engine's host-list entry.
     pub const fn info(&self) -> &EngineInfo {
         &self.info
     }
 
-    /// Takes a new entry of the host list.
+    /// Replaces the engine's host-list entry.
     pub fn update_info(&mut self, info: EngineInfo) {
         self.info = info;
     }
 
-    /// Returns where ownership stands.
+    /// Returns the state of ownership.
     pub const fn state(&self) -> EngineState {
         self.state
     }
 
-    /// Returns the engine's life, as far as it is known; zero before the first report.
+    /// Returns the engine's incarnation; zero before the first report.
     pub const fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Returns our fence token.
+    /// Returns this host's fence token.
     pub const fn token(&self) -> FenceToken {
         self.token
     }
 
-    /// Returns the adapters known, with where each stands.
+    /// Returns the known adapters and their residencies.
     pub const fn residencies(&self) -> &BTreeMap<AdapterKey, Residency> {
         &self.residencies
     }
 
-    /// Counts the permits that are out.
+    /// Returns the number of permits in use.
     pub fn permit_count(&self) -> usize {
         self.permits.len()
     }
 
-    /// Counts the requests that wait.
+    /// Returns the number of waiting requests.
     pub const fn waiting_count(&self) -> usize {
         self.queue.len()
     }
 
-    /// Says whether the engine's reports should be asked for.
+    /// Returns whether the engine's reports should be fetched.
     pub const fn wants_reports(&self) -> bool {
         !matches!(self.state, EngineState::Foreign)
     }
 
-    /// Says whether a report is awaited that would settle a take-over or a doubt.
+    /// Returns whether the next report can complete a take-over or prove an adapter idle.
     pub fn awaits_settling_report(&self) -> bool {
         let unproven = |residency: &Residency| {
             let there = matches!(
@@ -197,9 +198,9 @@
         self.state == EngineState::Settling || self.residencies.values().any(unproven)
     }
 
-    /// Begins ownership: the view makes this host the owner.
+    /// Begins the take-over of the engine.
     ///
-    /// An engine that does not check fences is left alone until any earlier owner has stopped.
+    /// An engine that does not check fences is not used until any previous owner has stopped.
     pub fn assign(&mut self, now: ClockMillis) {
         if self.state != EngineState::Foreign {
             return;
@@ -210,7 +211,7 @@
         self.wait_until = now + wait;
     }
 
-    /// Ends ownership: every waiting request is sent to the new owner.
+    /// Ends ownership; waiting requests are refused so that they ask the new owner.
     pub fn unassign(&mut self, now: ClockMillis, out: &mut ControllerOutput) {
         if self.state == EngineState::Foreign {
             return;
@@ -219,7 +220,7 @@
         self.clear_ownership(now, out);
     }
 
-    /// Gives up what was known under the ownership that ended.
+    /// Clears all state of an ownership that ended.
     pub(super) fn clear_ownership(&mut self, now: ClockMillis, out: &mut ControllerOutput) {
         for waiting in self.queue.drain_where(|_| true) {
             self.refuse(&waiting, PermitRefusal::NotOwner, None, out);
@@ -236,9 +237,9 @@
         self.digest_dirty = true;
     }
 
-    /// Takes any sign that the engine is leaving: nothing new starts there.
+    /// Marks the engine as leaving: no new request or load starts there.
     ///
-    /// The fence is raised too, so that permits that were given and not yet used come to nothing.
+    /// The fence is raised too, which invalidates permits that were granted and not yet used.
     pub fn mark_leaving(&mut self, now: ClockMillis, out: &mut ControllerOutput) {
         if !self.step(EngineEvent::LeaveSeen) {
             return;
@@ -251,10 +252,10 @@
         for adapter in asked {
             self.release_turn(adapter, out);
         }
-        out.notes.push(String::from("leaving: takes nothing new"));
+        out.notes.push(String::from("leaving; accepts no new requests"));
     }
 
-    /// Does what is due by time alone.
+    /// Performs the periodic work.
     pub fn tick(&mut self, now: ClockMillis, out: &mut ControllerOutput) {
         if self.state == EngineState::Waiting && now >= self.wait_until {
             self.step(EngineEvent::HandoverOver);
@@ -289,14 +290,14 @@
         self.residencies.values().any(Residency::needs_raise)
     }
 
-    /// Raises the fence, which cuts off whatever was sent under a lower token.
+    /// Raises the fence, so that the engine refuses whatever was sent under a lower token.
     ///
-    /// The new token holds for new permits at once: an engine accepts the higher token from
-    /// whichever message brings it first.
+    /// New permits carry the new token at once: the engine accepts the higher token from whichever
+    /// message arrives first.
     fn raise_fence(&mut self, now: ClockMillis, out: &mut ControllerOutput) {
         let takes_over = self.state == EngineState::TakingOver;
         let raised = raised_token(self.token).filter(|_| !takes_over);
-        // An epoch that has no more raises is followed by the next one, as in a take-over.
+        // If the epoch has no raises left, the next epoch begins, as in a take-over.
         let seen = self.highest_seen_token.max(self.token);
         self.token = raised.unwrap_or_else(|| takeover_token(seen, self.host));
         self.highest_seen_token = self.highest_seen_token.max(self.token);
@@ -309,7 +310,7 @@
         out.orders.push(EngineOrder { engine: self.info.engine, token: self.token, action });
     }
 
-    /// Moves on by the chart; says whether the state changed.
+    /// Applies an event to the state chart; returns whether the state changed.
     pub(super) fn step(&mut self, event: EngineEvent) -> bool {
         let state = self.state.after(event);
         let changed = state != self.state;
@@ -320,7 +321,7 @@
         changed
     }
 
-    /// Notes that the fence is another's, or that the engine began a new life.
+    /// Ends ownership after the fence was lost or the engine restarted.
     pub(super) fn lose_ownership(
         &mut self,
         event: EngineEvent,
@@ -343,7 +344,7 @@
         self.digest_dirty = true;
     }
 
-    /// Returns the digest when it changed since it was last taken.
+    /// Returns the digest if it changed since it was last taken.
     pub fn take_digest(&mut self) -> Option<EngineDigest> {
         if !self.digest_dirty || self.token == 0 {
             return None;
@@ -364,7 +365,7 @@
         })
     }
 
-    /// Takes out every residency that says nothing any more.
+    /// Ends load back-offs that are over and removes residencies without information.
     pub(super) fn prune(&mut self, now: ClockMillis) {
         const MIN_DEMAND_WEIGHT: f64 = 1e-3;
         let half_life = self.times.half_life;
@@ -384,8 +385,7 @@
 }
 
 impl EngineController {
-    /// Takes the news that another host holds a higher token although the view makes this host
-    /// the owner.
+    /// Handles a higher token of another host while this host is the assigned owner.
     pub fn observe_higher_token(
         &mut self,
         token: FenceToken,
--- a/crates/core/src/engine/info.rs
+++ b/crates/core/src/engine/info.rs
@@ -1,8 +1,8 @@
-//! What is known of an engine from outside, and the orders it takes.
+//! Host-list entries and reports of engines, and the orders sent to them.
 
 use crate::id::{AdapterKey, EngineId, FenceToken, HallId, Incarnation};
 
-/// An engine as the platform's host list has it.
+/// An engine as given in the platform's host list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineInfo {
     /// The engine.
@@ -13,22 +13,24 @@
     pub service: String,
     /// Its address for requests and orders, as `ip:port`.
     pub address: String,
-    /// How many adapters it can hold.
+    /// The number of adapters that it can hold.
     pub slots: u32,
-    /// How many requests it can run at once.
+    /// The number of requests that it can run at once.
     pub streams: u32,
-    /// Whether it refuses requests and orders whose token is lower than one it has accepted.
+    /// Whether it refuses requests and orders with a token lower than one it has accepted.
     pub checks_fence: bool,
-    /// Its life, as the host list has it.
+    /// Its incarnation according to the host list.
     pub incarnation: Incarnation,
 }
 
-/// What an engine says of itself; it comes with a lag, so its sequence counts, not its arrival.
+/// An engine's report on its own state.
+///
+/// Reports arrive late and out of order; they are ordered by their sequence.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineReport {
-    /// Its life; a restart raises it.
+    /// Its incarnation; a restart raises it.
     pub incarnation: Incarnation,
-    /// Counts the engine's changes of state; the report shows the state right after this one.
+    /// The number of the engine's last change of state that the report reflects.
     pub sequence: u64,
     /// The highest token it has accepted.
     pub token: FenceToken,
@@ -38,7 +40,7 @@
     pub adapters: Vec<ReportedAdapter>,
     /// The adapters that it is loading.
     pub loading: Vec<AdapterKey>,
-    /// Names that it holds and that the settings tree does not know (any more).
+    /// The adapters it holds that are not, or no longer, in the settings tree.
     pub unknown_adapters: Vec<ReportedUnknownAdapter>,
 }
 
@@ -47,29 +49,29 @@
 pub struct ReportedAdapter {
     /// The adapter.
     pub adapter: AdapterKey,
-    /// How many requests run on it.
+    /// The number of requests running on it.
     pub running: u32,
 }
 
-/// An adapter that an engine holds and that the settings tree does not know.
+/// An adapter that an engine holds and that is not in the settings tree.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReportedUnknownAdapter {
     /// Its name at the engine.
     pub name: String,
-    /// How many requests run on it.
+    /// The number of requests running on it.
     pub running: u32,
 }
 
-/// What an order does.
+/// The action of an order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OrderAction {
-    /// Raises the fence to the order's token and does nothing else.
+    /// Raises the fence to the order's token.
     RaiseFence,
     /// Loads an adapter into a free slot.
     Load(AdapterKey),
-    /// Frees an adapter's slot.
+    /// Unloads an adapter.
     Unload(AdapterKey),
-    /// Frees the slot of an adapter that the settings tree does not know.
+    /// Unloads an adapter that is not in the settings tree, by its name at the engine.
     UnloadUnknown(String),
 }
 
@@ -80,18 +82,18 @@
     pub engine: EngineId,
     /// The owner's token.
     pub token: FenceToken,
-    /// What to do.
+    /// The action.
     pub action: OrderAction,
 }
 
-/// How an order ended.
+/// The result of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderResult {
-    /// Done; the engine's sequence right after it.
+    /// The order was carried out.
     Done {
-        /// The engine's life.
+        /// The engine's incarnation.
         incarnation: Incarnation,
-        /// Counts the engine's changes of state in this life.
+        /// The engine's sequence right after the order.
         sequence: u64,
     },
     /// The engine has accepted a higher token than the order's.
@@ -99,10 +101,10 @@
         /// That token.
         token: FenceToken,
     },
-    /// The engine says that it did not work.
+    /// The engine reported that the order failed.
     Failed,
-    /// No answer came; it may have taken effect, or do so later.
+    /// No answer arrived; the order may have taken effect or may still do so.
     NoAnswer,
-    /// It never left: the connection was refused.
+    /// The order was not sent: no connection was established.
     NotSent,
 }
--- a/crates/core/src/engine/orders.rs
+++ b/crates/core/src/engine/orders.rs
@@ -1,4 +1,4 @@
-//! What the engine's answers to orders mean.
+//! Handling of the results of engine orders.
 
 use crate::{
     chart::{EngineEvent, EngineState, ResidencyState},
@@ -8,7 +8,7 @@
 };
 
 impl EngineController {
-    /// Takes the end of an order.
+    /// Handles the result of an order.
     pub fn handle_order_ended(
         &mut self,
         order: &EngineOrder,
@@ -22,7 +22,7 @@
         }
         if let OrderResult::Done { incarnation, sequence } = result {
             if incarnation != self.incarnation && self.incarnation != 0 {
-                // The engine was restarted in between; its next report tells the rest.
+                // The engine restarted meanwhile; its next report shows the new state.
                 self.raise_started_at = None;
                 return;
             }
@@ -37,8 +37,9 @@
         }
     }
 
-    /// An order was refused for its token. When the higher token is our own, a raise overtook the
-    /// order, which is simply repeated.
+    /// Handles an order that was refused for its token.
+    ///
+    /// If the higher token is this host's own, a raise overtook the order, which is then repeated.
     fn handle_fenced(
         &mut self,
         order: &EngineOrder,
@@ -77,7 +78,7 @@
         let OrderResult::Done { sequence, .. } = result else { return };
         self.authoritative_from = sequence;
         for residency in self.residencies.values_mut() {
-            // Whatever was in doubt was sent under a lower token, which the engine now refuses.
+            // The uncounted requests were sent under a lower token, which the engine now refuses.
             if residency.needs_raise() && token > residency.uncertain_token {
                 residency.provable_from = sequence;
             }
@@ -102,7 +103,7 @@
         match result {
             OrderResult::Done { sequence, .. } => self.finish_load(adapter, sequence, now, out),
             OrderResult::Failed | OrderResult::NotSent => self.fail_load(adapter, now, out),
-            // It may have taken effect: the next raise and the report after it will tell.
+            // The load may have taken effect; a raise and a report after it resolve this.
             _ => {
                 residency.order_unconfirmed = true;
                 residency.mark_uncertain(self.token);
@@ -123,8 +124,8 @@
         }
         match result {
             OrderResult::Done { .. } => self.handle_slot_freed(adapter, now, out),
-            // It may still take effect later, when the adapter is back and serves: the fence is
-            // raised above it before anything else happens to the slot.
+            // The unload may still take effect later, after the adapter was loaded again: the fence
+            // is raised above its token before the slot is used.
             _ => self.mark_unload_unconfirmed(adapter, now),
         }
     }
@@ -138,7 +139,7 @@
         self.restart_quiet_period(now);
     }
 
-    /// Repeats unload orders whose answer was lost, once they can not take effect any more.
+    /// Repeats unload orders without an answer once the original can no longer take effect.
     pub(super) fn retry_unconfirmed_unloads(&mut self, out: &mut ControllerOutput) {
         let due: Vec<AdapterKey> = self
             .residencies
--- a/crates/core/src/engine/permits.rs
+++ b/crates/core/src/engine/permits.rs
@@ -1,4 +1,4 @@
-//! Permits: which requests may go to the engine, in which order.
+//! Granting, queueing and refusing of permits.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -15,17 +15,19 @@
     request::{PermitRequest, RefusalKind},
 };
 
-/// Permits older than this are asked after, in case the word of their end was lost.
+/// The interval at which holders are asked whether a permit is still in use, in case its return
+/// was lost.
 const PERMIT_CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
-/// The part of its patience that a request may have to spend in a queue. A queue that stands at the
-/// whole patience serves no more and lets those at its end miss their deadlines.
+/// The fraction of its remaining time that a request may be expected to spend in the queue.
+///
+/// A longer queue serves no more requests; those at its end miss their deadlines.
 const MAX_QUEUED_FRACTION: f64 = 0.5;
 
-/// How much one measured service time moves the average.
+/// The weight of a new sample in the moving average of service times.
 const SERVICE_TIME_SMOOTHING: f64 = 0.05;
 
-/// A permit that is out.
+/// A permit in use.
 #[derive(Debug, Clone)]
 pub(super) struct GrantedPermit {
     pub(super) holder: HostId,
@@ -58,7 +60,7 @@
 }
 
 impl EngineController {
-    /// Takes an ask for a permit; one that comes twice is answered as before.
+    /// Handles a permit ask; a duplicate gets the same answer again.
     pub fn handle_ask(
         &mut self,
         from: HostId,
@@ -119,8 +121,8 @@
         waits
     }
 
-    /// A later ask of a request ends its earlier ones. Whether its earlier permit was used is not
-    /// known here, as the word of that may be lost.
+    /// Ends earlier asks of a request. Its earlier permit may have been used, so its end is not
+    /// clean.
     fn supersede_earlier_asks(&mut self, request: RequestId, now: ClockMillis) {
         self.queue.drain_where(|waiting| waiting.request.request == request);
         self.end_permit(request, false, now);
@@ -134,7 +136,7 @@
         match self.state {
             EngineState::Foreign => return Some((PermitRefusal::NotOwner, None)),
             EngineState::Leaving => return Some((PermitRefusal::Leaving, None)),
-            // The take-over takes two round trips: the request waits for it.
+            // A take-over lasts two round trips; the request waits for its end.
             EngineState::Waiting | EngineState::TakingOver | EngineState::Settling => return None,
             EngineState::Owned => {}
         }
@@ -159,7 +161,7 @@
         }
     }
 
-    /// Refuses at once what the queue before it will not let through in time.
+    /// Returns a refusal if the queue is too long to serve the request in time.
     fn overload_refusal(
         &self,
         waiting: &WaitingPermit,
@@ -174,7 +176,7 @@
         late.then_some((PermitRefusal::Final(RefusalKind::Overloaded), Some(wait)))
     }
 
-    /// Estimates how long the requests that wait now take to get their permits.
+    /// Estimates how long it takes until all waiting requests have their permits.
     fn estimated_queue_wait(&self) -> Duration {
         let streams = f64::from(self.info.streams.max(1));
         Duration::from_secs_f64(self.queue.len() as f64 * self.mean_service_seconds / streams)
@@ -188,7 +190,8 @@
         residency.demand.add(worth, now, half_life);
     }
 
-    /// Gives permits as long as the engine has room and somebody is due.
+    /// Grants permits while the engine has free streams and a waiting request's adapter is
+    /// resident.
     pub(super) fn grant_ready_permits(&mut self, now: ClockMillis, out: &mut ControllerOutput) {
         if self.state != EngineState::Owned {
             return;
@@ -251,7 +254,7 @@
         out.send(waiting.holder, PeerMessage::PermitRefused(refused));
     }
 
-    /// Takes the word that a request ended, or is not waited for any more.
+    /// Handles the return of a permit or the withdrawal of an ask.
     pub fn handle_done(&mut self, done: PermitDone, now: ClockMillis, out: &mut ControllerOutput) {
         let gone = |waiting: &WaitingPermit| {
             waiting.request.request == done.request && waiting.attempt <= done.attempt
@@ -281,14 +284,14 @@
         }
     }
 
-    /// An engine without fence lets in whatever was already sent, so time must pass first.
+    /// Restarts the quiet period of an engine without a fence, which accepts whatever is in flight.
     pub(super) fn restart_quiet_period(&mut self, now: ClockMillis) {
         if !self.info.checks_fence {
             self.quiet_until = now + self.times.quiet;
         }
     }
 
-    /// Sends on the requests that came for a resident adapter which is not there after all.
+    /// Refuses the waiting requests that need a resident adapter which is absent.
     pub(super) fn refuse_not_resident(&mut self, out: &mut ControllerOutput) {
         let residencies = &self.residencies;
         let misrouted = |waiting: &WaitingPermit| {
@@ -301,11 +304,11 @@
         }
     }
 
-    /// Takes the news that a holder of permits is gone.
+    /// Ends the permits and asks of a holder that is gone.
     ///
-    /// Behind a fence its permits can be cut off, so a belief is enough. Without one the permits
-    /// stay until it is `confirmed` that the process can send nothing more. Permits of the life
-    /// `except_incarnation`, which has begun since, are left alone.
+    /// A fence can cut off its permits, so a suspected failure is enough. Without a fence they stay
+    /// until it is `confirmed` that the process can send nothing more. Permits of
+    /// `except_incarnation`, which replaced the process, are kept.
     pub fn holder_gone(
         &mut self,
         holder: HostId,
@@ -329,7 +332,7 @@
         }
     }
 
-    /// Refuses what can not get its permit in time any more.
+    /// Refuses waiting requests whose deadline has passed.
     pub(super) fn refuse_expired(&mut self, now: ClockMillis, out: &mut ControllerOutput) {
         let late = self.queue.drain_where(|waiting| waiting.request.deadline <= now);
         for waiting in &late {
@@ -341,7 +344,7 @@
         }
     }
 
-    /// Asks holders after permits that have been out for long.
+    /// Asks holders whether permits that have been in use for long still are.
     pub(super) fn check_permits(&mut self, now: ClockMillis, out: &mut ControllerOutput) {
         let engine = self.info.engine;
         let mut checks: BTreeMap<HostId, Vec<PermitQueued>> = BTreeMap::new();
--- a/crates/core/src/engine/policy.rs
+++ b/crates/core/src/engine/policy.rs
@@ -1,55 +1,56 @@
-//! What a load is worth and what an adapter's stay is worth.
+//! Policies that value loads and the retention of resident adapters.
 
 use std::time::Duration;
 
-/// What is known of an adapter that is wanted and not there.
+/// The demand for an adapter that is not resident.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LoadDemand {
-    /// Worth of the requests that wait for it, each times its stall weight.
+    /// The worth of the requests that wait for it, each multiplied by its stall weight.
     pub waiting_worth: f64,
-    /// How long the first of them has waited.
+    /// The longest wait among them.
     pub oldest_wait: Duration,
-    /// Worth asked for per second lately, decayed.
+    /// The decayed rate of requested worth, per second.
     pub worth_per_second: f64,
 }
 
-/// What is known of an adapter that is there and idle.
+/// The recent use of an adapter that is resident.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AdapterUsage {
-    /// Worth asked for per second lately, decayed.
+    /// The decayed rate of requested worth, per second.
     pub worth_per_second: f64,
-    /// How long nothing has run on it.
+    /// The time since it was last used.
     pub idle: Duration,
 }
 
-/// Decides which load goes first and which adapter gives up its slot.
+/// Ranks loads, and the adapters that are evicted for them.
 pub trait ResidencyPolicy: Send + Sync {
-    /// Returns what a load is worth; the highest goes first.
+    /// Returns the value of a load; the highest goes first.
     fn load_value(&self, demand: &LoadDemand) -> f64;
 
-    /// Returns what keeping an idle adapter is worth; the lowest goes first, and only for a load
-    /// that is worth more.
+    /// Returns the value of keeping a resident adapter. The lowest is evicted first, and only for a
+    /// load of higher value.
     fn retention_value(&self, usage: &AdapterUsage) -> f64;
 
-    /// Says whether a request whose load can not come in time is refused at once.
+    /// Returns whether a request is refused at once if it cannot be served before its deadline.
     fn refuses_early(&self) -> bool;
 }
 
-/// How far ahead, in seconds, recent demand is taken to go on.
+/// How long, in seconds, recent demand is assumed to continue.
 const DEMAND_HORIZON_SECONDS: f64 = 10.0;
 
-/// How much of its value a load loses as its first caller waits on.
+/// The fraction of its value that a load loses as its oldest request waits.
 const AGE_DISCOUNT: f64 = 0.2;
 
-/// Values loads by the worth that waits and the worth to be expected. The default.
+/// The default: values loads by the worth of waiting and expected requests.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ValuePolicy;
 
 impl ResidencyPolicy for ValuePolicy {
     fn load_value(&self, demand: &LoadDemand) -> f64 {
         let worth = demand.waiting_worth + DEMAND_HORIZON_SECONDS * demand.worth_per_second;
-        // Among loads of like worth the latest goes first: it has most of its patience left. When
-        // the store can not keep up, oldest first has every load arrive as its callers give up.
+        // Among loads of similar worth, the newest goes first since its callers have the most time
+        // left. Oldest first would complete every load at its deadline when the store is
+        // overloaded.
         let age = demand.oldest_wait.as_secs_f64() / DEMAND_HORIZON_SECONDS;
         worth * (1.0 - AGE_DISCOUNT * age.min(1.0))
     }
@@ -63,7 +64,7 @@
     }
 }
 
-/// First come, first loaded; least recently used, first unloaded. The baseline for measurements.
+/// The baseline for benchmarks: loads in order of arrival, evicts the least recently used.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct FifoLruPolicy;
 
--- a/crates/core/src/engine/reports.rs
+++ b/crates/core/src/engine/reports.rs
@@ -1,4 +1,4 @@
-//! What the engine's own reports prove.
+//! Reconciliation with the engine's reports.
 
 use std::collections::BTreeSet;
 
@@ -10,7 +10,7 @@
 };
 
 impl EngineController {
-    /// Takes a report. Reports lag and overtake one another, so only their sequence counts.
+    /// Handles a report. Reports arrive late and out of order; only their sequence counts.
     pub fn handle_report(
         &mut self,
         report: &EngineReport,
@@ -42,7 +42,7 @@
             self.reconcile(report, now, out);
             if self.step(EngineEvent::Settled) {
                 let held = report.adapters.len();
-                out.notes.push(format!("owned, {held} adapters resident"));
+                out.notes.push(format!("take-over complete, {held} adapters resident"));
                 self.refuse_not_resident(out);
             }
         }
@@ -60,12 +60,12 @@
         self.incarnation = report.incarnation;
         self.sequence = 0;
         if known {
-            // The new life knows no token, so ours starts from what the report shows.
+            // The restarted engine has forgotten the fence, so it must be taken over again.
             self.lose_ownership(EngineEvent::Restarted, now, out);
         }
     }
 
-    /// Brings the owner's picture in line with a report written after our fence was raised.
+    /// Updates the residencies from a report that was written after the fence was raised.
     fn reconcile(&mut self, report: &EngineReport, now: ClockMillis, out: &mut ControllerOutput) {
         let settling = self.state == EngineState::Settling;
         for reported in &report.adapters {
@@ -76,7 +76,7 @@
                 residency.mark_uncertain(self.token);
             }
             if settling {
-                // Whatever runs was sent under an earlier token; none of it can still arrive.
+                // Running requests were sent under an earlier token; no more can arrive under it.
                 residency.proven_idle = false;
                 residency.provable_from = self.authoritative_from;
             }
@@ -108,7 +108,7 @@
         self.start_cleared_load(now, out);
     }
 
-    /// Draws the conclusions from what a report does not show.
+    /// Updates the residencies of adapters that a report does not list.
     fn reconcile_missing(
         &mut self,
         report: &EngineReport,
@@ -137,8 +137,9 @@
         }
     }
 
-    /// A load whose answer was lost, that is neither there nor under way, did not take place: the
-    /// fence was raised since, so it can not take effect later either.
+    /// Fails a load without an answer whose adapter is neither resident nor loading.
+    ///
+    /// The fence was raised since the order was sent, so the load cannot take effect later.
     fn resolve_unconfirmed_load(
         &mut self,
         adapter: AdapterKey,
--- a/crates/core/src/engine/residency.rs
+++ b/crates/core/src/engine/residency.rs
@@ -1,4 +1,4 @@
-//! One adapter version's stay on one engine.
+//! The residency of an adapter version on an engine.
 
 use std::time::Duration;
 
@@ -10,35 +10,36 @@
     popularity::DecayedRate,
 };
 
-/// No report proves anything before the fence has been raised again.
+/// The `provable_from` of a residency that no report can prove idle before the next raise.
 pub(super) const NOT_PROVABLE: u64 = u64::MAX;
 
-/// One adapter version as the owner of an engine sees it.
+/// The residency of an adapter version, as seen by the engine's owner.
 #[derive(Debug, Clone)]
 pub struct Residency {
-    /// Where its life stands.
+    /// Its state.
     pub state: ResidencyState,
-    /// Permits that are out.
+    /// The number of permits in use.
     pub permits_in_use: u32,
-    /// Whether nothing can run there but under those permits.
+    /// Whether no request can run on it except under those permits.
     pub proven_idle: bool,
-    /// The token of the latest doubt: only a raise above it settles the doubt.
+    /// The highest token under which uncounted requests may have been sent; only a raise above it
+    /// cuts them off.
     pub(super) uncertain_token: FenceToken,
-    /// The first engine sequence whose report can prove that.
+    /// The first engine sequence whose report can prove it idle.
     pub(super) provable_from: u64,
-    /// The first engine sequence whose report must show it, once resident.
+    /// The first engine sequence whose report must list it, once resident.
     pub(super) reported_from: u64,
-    /// Whether the answer to its load order was lost.
+    /// Whether no answer arrived to its last load or unload order.
     pub(super) order_unconfirmed: bool,
-    /// Loads that failed in a row.
+    /// The number of consecutive failed loads.
     pub(super) failures: u32,
     /// When its state was entered.
     pub(super) entered_at: ClockMillis,
-    /// When something last ran on it.
+    /// When a permit for it was last granted or returned, or it was loaded.
     pub(super) last_used: ClockMillis,
-    /// Not to be asked for before.
+    /// No load is requested before this time.
     pub(super) retry_at: ClockMillis,
-    /// Worth asked for lately.
+    /// The decayed rate of requested worth.
     pub(super) demand: DecayedRate,
 }
 
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Moves on by the chart; says whether the state changed.
+    /// Applies an event to the state chart; returns whether the state changed.
     pub(super) fn step(&mut self, event: ResidencyEvent, now: ClockMillis) -> bool {
         let state = self.state.after(event);
         if state == self.state {
@@ -71,21 +72,21 @@
         true
     }
 
-    /// Notes that something not counted here may run on it or still arrive.
+    /// Marks that uncounted requests or orders may run on it or still arrive.
     ///
-    /// `token` is the highest token under which it can have been sent.
+    /// `token` is the highest token under which they may have been sent.
     pub(super) const fn mark_uncertain(&mut self, token: FenceToken) {
         self.proven_idle = false;
         self.uncertain_token = token;
         self.provable_from = NOT_PROVABLE;
     }
 
-    /// Says whether a raise is needed before a report can prove anything about it.
+    /// Returns whether the fence must be raised before a report can prove it idle.
     pub(super) const fn needs_raise(&self) -> bool {
         !self.proven_idle && self.provable_from == NOT_PROVABLE
     }
 
-    /// Says whether it takes up a slot, or soon will.
+    /// Returns whether it occupies a slot.
     pub(super) const fn holds_slot(&self) -> bool {
         matches!(
             self.state,
@@ -96,13 +97,13 @@
         )
     }
 
-    /// Says whether it needs a slot and has none yet.
+    /// Returns whether a load turn may be requested for it now.
     pub(super) fn needs_turn(&self, now: ClockMillis) -> bool {
         let waits = matches!(self.state, ResidencyState::Absent | ResidencyState::Queued);
         waits && now >= self.retry_at && !self.needs_raise()
     }
 
-    /// Says whether its slot may be taken now.
+    /// Returns whether it may be unloaded now.
     pub(super) fn is_evictable(&self) -> bool {
         let there = matches!(self.state, ResidencyState::Resident | ResidencyState::Draining);
         there && self.permits_in_use == 0 && self.proven_idle
@@ -117,7 +118,7 @@
 }
 
 impl Residency {
-    /// Says whether the adapter is on the engine or on its way there.
+    /// Returns whether the adapter is on the engine or a load is queued or running.
     pub fn is_present_or_pending(&self) -> bool {
         !matches!(self.state, ResidencyState::Absent | ResidencyState::Failed)
     }
--- a/crates/core/src/engine/slots.rs
+++ b/crates/core/src/engine/slots.rs
@@ -1,4 +1,4 @@
-//! Slots: which adapter is loaded next and which gives way.
+//! Adapter slots: loads, evictions and the turns they need at the weight store.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -14,19 +14,19 @@
     request::RefusalKind,
 };
 
-/// How often wishes for turns are repeated, with their present value.
+/// The interval at which turn asks are repeated with their current value.
 const TURN_RENEWAL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How many turns one engine asks for at once; the rest wait for the next round.
+/// The maximum number of turns that an engine asks for at once.
 const MAX_TURN_REQUESTS: usize = 8;
 
-/// How long a wish is put off for which no slot could be cleared.
+/// The retry delay of a load for which no slot could be freed.
 const NO_SLOT_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// The back-off after the first failed load; it doubles with each further one.
+/// The back-off after the first failed load; it doubles with each consecutive failure.
 const INITIAL_LOAD_BACKOFF: Duration = Duration::from_millis(500);
 
-/// Doublings of the back-off at most: 32 s.
+/// The maximum number of doublings, which limits the back-off to 32 s.
 const MAX_BACKOFF_DOUBLINGS: u32 = 6;
 
 impl EngineController {
@@ -35,7 +35,7 @@
         residency.is_some_and(|residency| residency.state == ResidencyState::Resident)
     }
 
-    /// Lists the adapters that hold or ask for a turn at the store.
+    /// Returns the adapters that hold or ask for a load turn.
     pub(super) fn adapters_using_turns(&self) -> impl Iterator<Item = AdapterKey> + '_ {
         self.residencies
             .iter()
@@ -43,13 +43,13 @@
             .map(|(key, _)| *key)
     }
 
-    /// Gives a turn, or the wish for one, back.
+    /// Gives a turn back, or withdraws the ask for it.
     pub(super) fn release_turn(&self, adapter: AdapterKey, out: &mut ControllerOutput) {
         out.turn_requests
             .push(TurnRequest::Release(LoadTurn { engine: self.info.engine, adapter }));
     }
 
-    /// Gathers what waits for each adapter that is not resident.
+    /// Returns the demand for each adapter that requests wait for and that is not resident.
     fn load_demands(&self, now: ClockMillis) -> BTreeMap<AdapterKey, LoadDemand> {
         let mut demands: BTreeMap<AdapterKey, LoadDemand> = BTreeMap::new();
         for waiting in self.queue.iter().filter(|waiting| waiting.may_load) {
@@ -74,7 +74,7 @@
         demands
     }
 
-    /// Asks for turns for the most valuable loads for which a slot can be had.
+    /// Asks for turns for the most valuable loads whose value exceeds the cost of a slot.
     pub(super) fn request_loads(&mut self, now: ClockMillis, out: &mut ControllerOutput) {
         if self.state != EngineState::Owned {
             return;
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Lists the wishes worth most, dearest first.
+    /// Returns the most valuable loads, highest value first.
     fn ranked_demands(&self, now: ClockMillis) -> Vec<(AdapterKey, f64)> {
         let mut demands: Vec<(AdapterKey, f64)> = self
             .load_demands(now)
@@ -118,8 +118,8 @@
         demands
     }
 
-    /// Closes as many busy adapters as the wishes need slots beyond those that are idle, and opens
-    /// those again that are needed no longer.
+    /// Drains as many busy adapters as the loads need slots beyond free and evictable ones, and
+    /// reopens draining adapters that are no longer needed.
     fn drain_busy_adapters(&mut self, demands: &[(AdapterKey, f64)], now: ClockMillis) {
         let asking: Vec<f64> = demands
             .iter()
@@ -144,8 +144,8 @@
         }
     }
 
-    /// Makes the busy adapter worth least give way to a load worth `value`: it gets no new permits
-    /// and ends what runs.
+    /// Starts to drain the least valuable busy adapter if it is worth less than `value`: it gets no
+    /// new permits, and its running requests finish.
     fn drain_cheapest_below(&mut self, value: f64, now: ClockMillis) {
         let half_life = self.times.half_life;
         let keep =
@@ -185,7 +185,7 @@
         (self.info.slots as usize).saturating_sub(held)
     }
 
-    /// Lists what each slot that could be had costs, dearest first.
+    /// Returns the retention values that the available slots cost, highest first.
     fn slot_costs(&self, now: ClockMillis) -> Vec<f64> {
         let cost = |residency: &Residency| match residency.state {
             ResidencyState::Draining => f64::NEG_INFINITY,
@@ -198,7 +198,7 @@
         costs
     }
 
-    /// Repeats the wishes, so that the host that gives the turns knows they still stand.
+    /// Repeats the turn asks, so that the host that grants the turns keeps them.
     pub(super) fn renew_turn_requests(&mut self, now: ClockMillis, out: &mut ControllerOutput) {
         if now.since(self.last_turn_renewal) < TURN_RENEWAL_INTERVAL {
             return;
@@ -210,7 +210,7 @@
         self.renew_unwanted_running_loads(now, out);
     }
 
-    /// A load that runs keeps its turn even when nobody waits for it any more.
+    /// Renews the turns of running loads that no request waits for any more.
     fn renew_unwanted_running_loads(&self, now: ClockMillis, out: &mut ControllerOutput) {
         let wanted = self.load_demands(now);
         for (adapter, residency) in &self.residencies {
@@ -224,7 +224,7 @@
         }
     }
 
-    /// Gives back the wishes for adapters that nobody waits for any more.
+    /// Withdraws the turn asks for adapters that no request waits for any more.
     pub(super) fn withdraw_unwanted_loads(&mut self, now: ClockMillis, out: &mut ControllerOutput) {
         let wanted = self.load_demands(now);
         let engine = self.info.engine;
@@ -238,7 +238,7 @@
         }
     }
 
-    /// Takes word of how many loads go before, and refuses at once what will come too late.
+    /// Handles the queue position of a load: refuses the requests for which it will be too late.
     pub fn handle_load_place(
         &mut self,
         place: LoadPlace,
@@ -262,7 +262,7 @@
         self.withdraw_unwanted_loads(now, out);
     }
 
-    /// Takes a turn: clears a slot where none is free, then loads.
+    /// Handles a granted turn: frees a slot if necessary, then starts the load.
     pub fn handle_turn(
         &mut self,
         adapter: AdapterKey,
@@ -280,7 +280,7 @@
                 residency.step(ResidencyEvent::TurnCame, now);
                 self.free_slot_for(adapter, now, out);
             }
-            // The word of the turn came twice.
+            // A duplicate of the grant.
             ResidencyState::Clearing | ResidencyState::Loading => {}
             _ => self.release_turn(adapter, out),
         }
@@ -308,7 +308,7 @@
         }
     }
 
-    /// Unloads an adapter on which nothing runs.
+    /// Orders the unload of an idle adapter.
     fn evict(&mut self, victim: AdapterKey, now: ClockMillis, out: &mut ControllerOutput) {
         let Some(residency) = self.residencies.get_mut(&victim) else { return };
         residency.step(ResidencyEvent::Evicted, now);
@@ -332,7 +332,7 @@
         }
     }
 
-    /// Notes that a slot became free and gives it to a load whose turn came.
+    /// Handles the end of a residency: gives its slot to a load that has its turn.
     pub(super) fn handle_slot_freed(
         &mut self,
         adapter: AdapterKey,
@@ -346,7 +346,7 @@
         self.start_cleared_load(now, out);
     }
 
-    /// Starts a load whose turn came, when a slot is free for it.
+    /// Starts a load that has its turn if a slot is free.
     pub(super) fn start_cleared_load(&mut self, now: ClockMillis, out: &mut ControllerOutput) {
         let clearing = |(key, residency): (&AdapterKey, &Residency)| {
             (residency.state == ResidencyState::Clearing).then_some(*key)
@@ -357,7 +357,7 @@
         }
     }
 
-    /// Notes that an adapter is there; its waiting requests may go.
+    /// Handles a completed load and grants permits to the requests that waited for it.
     pub(super) fn finish_load(
         &mut self,
         adapter: AdapterKey,
@@ -378,7 +378,7 @@
         self.grant_ready_permits(now, out);
     }
 
-    /// Notes that a load failed: it is put off, and who can not wait that long is told at once.
+    /// Handles a failed load: schedules its retry and refuses the requests that cannot wait for it.
     pub(super) fn fail_load(
         &mut self,
         adapter: AdapterKey,
--- a/crates/core/src/node/backends.rs
+++ b/crates/core/src/node/backends.rs
@@ -170,7 +170,8 @@
         }
     }
 
-    /// Removes an engine from an adapter's holders, after its owner reported that it is not resident.
+    /// Removes an engine from an adapter's holders, after its owner reported that it is not
+    /// resident.
     pub(super) fn remove_holder(&mut self, engine: EngineId, adapter: AdapterKey) {
         if let Some(holders) = self.holders.get_mut(&adapter) {
             holders.retain(|holder| *holder != engine);
--- a/crates/core/src/node/event.rs
+++ b/crates/core/src/node/event.rs
@@ -17,7 +17,8 @@
 pub struct ClockReading {
     /// The monotonic clock, which all decisions use.
     pub now: ClockMillis,
-    /// The wall clock, in milliseconds since the Unix epoch; used for the timeline and the age of keys.
+    /// The wall clock, in milliseconds since the Unix epoch; used for the timeline and the age of
+    /// keys.
     pub wall_millis: u64,
 }
 
@@ -233,7 +234,8 @@
     pub max_tokens: u32,
     /// The remaining time for the first byte of the answer.
     pub patience: Duration,
-    /// When the attempt was issued. It must not be sent later than [`MAX_DISPATCH_DELAY`] after this.
+    /// When the attempt was issued. It must not be sent later than [`MAX_DISPATCH_DELAY`] after
+    /// this.
     pub issued_at: ClockMillis,
 }
 
--- a/crates/core/src/node/log.rs
+++ b/crates/core/src/node/log.rs
@@ -22,7 +22,8 @@
 const CLAIM_RECOVERY_DELAY: Duration = Duration::from_secs(4);
 
 impl NodeCore {
-    /// Enters the era of a read if it is newer; returns whether the read belongs to the present era.
+    /// Enters the era of a read if it is newer; returns whether the read belongs to the present
+    /// era.
     pub(super) fn enter_era(&mut self, era: StoreEra) -> bool {
         if self.settings.enter(era) {
             self.handle_new_era(era);
@@ -72,7 +73,8 @@
         };
         let gap = records.first().is_some_and(|record| record.offset > next);
         if gap && first <= next && stream != LogStream::Snapshots {
-            // Reads arrived out of order: the missing records are still retained, so read them again.
+            // Reads arrived out of order: the missing records are still retained, so read them
+            // again.
             self.actions.push(NodeAction::Follow { stream, from: next });
             return;
         }
@@ -99,7 +101,8 @@
 
     /// Marks the settings as caught up and stops following the snapshots.
     ///
-    /// A snapshot of a large site takes several megabytes; a host that reads the records needs none.
+    /// A snapshot of a large site takes several megabytes; a host that reads the records needs
+    /// none.
     pub(super) fn confirm_settings(&mut self) {
         if !self.progress.settings_caught_up {
             self.progress.settings_caught_up = true;
--- a/crates/core/src/node/permits.rs
+++ b/crates/core/src/node/permits.rs
@@ -29,7 +29,8 @@
 pub(super) const MAX_ATTEMPTS: u32 = 24;
 
 impl NodeCore {
-    /// Routes a request that is not at a backend server, or ends it if it is out of time or attempts.
+    /// Routes a request that is not at a backend server, or ends it if it is out of time or
+    /// attempts.
     pub(super) fn route_request(&mut self, id: RequestId) {
         let now = self.now();
         let Some(entry) = self.open_requests.get(&id) else { return };
@@ -97,7 +98,8 @@
         }
     }
 
-    /// Repeats the outstanding ask. The attempt number is unchanged, so the owner repeats its answer.
+    /// Repeats the outstanding ask. The attempt number is unchanged, so the owner repeats its
+    /// answer.
     pub(super) fn repeat_permit_ask(&mut self, id: RequestId) {
         let now = self.now();
         let Some(entry) = self.open_requests.get(&id) else { return };
--- a/crates/core/src/node/state.rs
+++ b/crates/core/src/node/state.rs
@@ -36,7 +36,8 @@
     pub(super) claims_caught_up: bool,
     /// The claims stream cannot be read at present.
     pub(super) claims_unavailable: bool,
-    /// No key can be claimed before this time: hosts are rewriting claims that the log may have lost.
+    /// No key can be claimed before this time: hosts are rewriting claims that the log may have
+    /// lost.
     pub(super) claims_blocked_until: ClockMillis,
     /// The offset up to which the newest snapshot in the log covers the settings stream.
     pub(super) newest_snapshot_offset: u64,
--- a/crates/core/src/node/store_turns.rs
+++ b/crates/core/src/node/store_turns.rs
@@ -13,7 +13,8 @@
 impl NodeCore {
     pub(super) fn handle_load_ask(&mut self, from: HostId, ask: &LoadAsk) {
         if self.turns_host != self.config.host {
-            // The hosts' member tables differ; the owner repeats its ask, which then reaches the turns host.
+            // The hosts' member tables differ; the owner repeats its ask, which then reaches the
+            // turns host.
             return;
         }
         let now = self.now();
@@ -54,7 +55,8 @@
         }
     }
 
-    /// Returns the store's limits, less the share of unreachable halls, which grant their own turns.
+    /// Returns the store's limits, less the share of unreachable halls, which grant their own
+    /// turns.
     fn store_limits(&self) -> StoreLimits {
         let mut halls: Vec<_> = self.backends.engines.values().map(|view| view.info.hall).collect();
         halls.sort_unstable();
--- a/crates/core/src/node/timers.rs
+++ b/crates/core/src/node/timers.rs
@@ -104,7 +104,8 @@
             PermitAskState::Backoff => self.route_request(id),
             PermitAskState::Queued => self.repeat_permit_ask(id),
             PermitAskState::Sent => {
-                // No answer: the message was lost or the owner is gone, so the request is routed again.
+                // No answer: the message was lost or the owner is gone, so the request is routed
+                // again.
                 self.counters.asks_repeated += 1;
                 self.route_request(id);
             }
