--- a/crates/core/src/chart.rs
+++ b/crates/core/src/chart.rs
@@ -80,8 +80,8 @@
     initial: StateIndex,
     states: Vec<String>,
     events: Vec<String>,
-    /// `next[state][event]`, where an ignored event leads back to the state itself.
-    next: Vec<Vec<StateIndex>>,
+    /// `transitions[state][event]`, where an ignored event leads back to the state itself.
+    transitions: Vec<Vec<StateIndex>>,
 }
 
 impl StateChart {
@@ -108,9 +108,9 @@
     /// Panics when the chart has no such event: the events are fixed by the code that calls it, and
     /// a test walks every state with every event.
     pub fn step(&self, state: StateIndex, event: &str) -> StateIndex {
-        let column = self.events.iter().position(|known| known == event);
-        let column = column.unwrap_or_else(|| panic!("chart has no event `{event}`"));
-        self.next[usize::from(state)][column]
+        let event_index = self.events.iter().position(|known| known == event);
+        let event_index = event_index.unwrap_or_else(|| panic!("chart has no event `{event}`"));
+        self.transitions[usize::from(state)][event_index]
     }
 
     /// Returns the name of a state.
@@ -166,11 +166,11 @@
 
 fn check_reachability(file: &ChartSpec) -> Result<(), ChartError> {
     let mut reached = BTreeSet::from([file.initial.as_str()]);
-    let mut open = vec![file.initial.as_str()];
-    while let Some(name) = open.pop() {
+    let mut unvisited = vec![file.initial.as_str()];
+    while let Some(name) = unvisited.pop() {
         for target in file.state[name].on.values() {
             if reached.insert(target) {
-                open.push(target);
+                unvisited.push(target);
             }
         }
     }
@@ -190,10 +190,10 @@
     let states: Vec<String> = file.state.keys().cloned().collect();
     let events: Vec<String> = file.events.iter().cloned().collect();
     let index = |name: &str| -> StateIndex {
-        let place = states.iter().position(|known| known == name).unwrap_or_default();
-        StateIndex::try_from(place).unwrap_or(StateIndex::MAX)
+        let state_position = states.iter().position(|known| known == name).unwrap_or_default();
+        StateIndex::try_from(state_position).unwrap_or(StateIndex::MAX)
     };
-    let next = file
+    let transitions = file
         .state
         .iter()
         .map(|(name, state)| {
@@ -201,7 +201,7 @@
             events.iter().map(target).collect()
         })
         .collect();
-    StateChart { initial: index(&file.initial), next, states, events }
+    StateChart { initial: index(&file.initial), transitions, states, events }
 }
 
 /// Declares a life cycle: an enum of states whose moves a shipped chart decides.
--- a/crates/core/src/claim/table.rs
+++ b/crates/core/src/claim/table.rs
@@ -72,7 +72,7 @@
 #[derive(Debug, Default)]
 pub struct ClaimTable {
     next_offset: LogOffset,
-    first: HashMap<KeyHash, FirstClaim>,
+    first_claims: HashMap<KeyHash, FirstClaim>,
     keys_by_age: VecDeque<(u64, KeyHash)>,
     /// Requests that gave their claim up; an append that comes late or twice must not revive it.
     released: HashSet<RequestId>,
@@ -105,17 +105,17 @@
 
     /// Returns the requests that hold keys, with these.
     pub fn holders(&self) -> impl Iterator<Item = (KeyHash, RequestId)> {
-        self.first.iter().map(|(key, first)| (*key, first.request))
+        self.first_claims.iter().map(|(key, first)| (*key, first.request))
     }
 
     /// Counts the keys remembered.
     pub fn len(&self) -> usize {
-        self.first.len()
+        self.first_claims.len()
     }
 
     /// Says whether no key is remembered.
     pub fn is_empty(&self) -> bool {
-        self.first.is_empty()
+        self.first_claims.is_empty()
     }
 
     /// Folds one record and returns the claims it decided.
@@ -140,13 +140,13 @@
 
     fn claim(&mut self, key: KeyHash, request: RequestId, written_millis: u64) -> DecidedClaim {
         if self.released.contains(&request) {
-            let holder = self.first.get(&key).map_or(request, |first| first.request);
+            let holder = self.first_claims.get(&key).map_or(request, |first| first.request);
             return DecidedClaim { key, request, holder, written_millis };
         }
         // A claim that loses keeps the key remembered too. Without that, a host that began to read
         // after the first claim had expired could let a third one win beside the second.
         self.keys_by_age.push_back((written_millis, key));
-        let first = self.first.entry(key).or_insert(FirstClaim { request, written_millis });
+        let first = self.first_claims.entry(key).or_insert(FirstClaim { request, written_millis });
         first.written_millis = written_millis;
         DecidedClaim { key, request, holder: first.request, written_millis }
     }
@@ -155,8 +155,8 @@
         if self.released.insert(request) {
             self.released_by_age.push_back((written_millis, request));
         }
-        if self.first.get(&key).is_some_and(|first| first.request == request) {
-            self.first.remove(&key);
+        if self.first_claims.get(&key).is_some_and(|first| first.request == request) {
+            self.first_claims.remove(&key);
         }
     }
 
@@ -174,8 +174,12 @@
             }
             self.keys_by_age.pop_front();
             // A key that was claimed again since has a later entry of its own.
-            if self.first.get(&key).is_some_and(|first| first.written_millis == written_millis) {
-                self.first.remove(&key);
+            if self
+                .first_claims
+                .get(&key)
+                .is_some_and(|first| first.written_millis == written_millis)
+            {
+                self.first_claims.remove(&key);
             }
         }
     }
--- a/crates/core/src/claim/tracker.rs
+++ b/crates/core/src/claim/tracker.rs
@@ -41,7 +41,7 @@
 pub struct ClaimTracker {
     claims: BTreeMap<RequestId, TrackedClaim>,
     /// Claims that the log has lost and is told again.
-    renewals: Vec<ClaimItem>,
+    lost_claims: Vec<ClaimItem>,
     releases: Vec<ClaimItem>,
     sent_releases: Vec<ClaimItem>,
     last_ticket: u64,
@@ -55,7 +55,7 @@
     pub fn new(interval: Duration) -> Self {
         Self {
             claims: BTreeMap::new(),
-            renewals: Vec::new(),
+            lost_claims: Vec::new(),
             releases: Vec::new(),
             sent_releases: Vec::new(),
             last_ticket: 0,
@@ -95,8 +95,8 @@
             claim.ticket = ticket;
             items.push(ClaimItem::new(claim.key, *request));
         }
-        let room = CLAIMS_PER_APPEND.saturating_sub(items.len()).min(self.renewals.len());
-        items.extend(self.renewals.drain(..room));
+        let room = CLAIMS_PER_APPEND.saturating_sub(items.len()).min(self.lost_claims.len());
+        items.extend(self.lost_claims.drain(..room));
         if items.is_empty() && self.releases.is_empty() {
             return None;
         }
@@ -108,8 +108,8 @@
     }
 
     /// Takes that the log came back from an older copy and may have lost these claims.
-    pub fn renew(&mut self, holders: impl Iterator<Item = (KeyHash, RequestId)>) {
-        self.renewals = holders.map(|(key, request)| ClaimItem::new(key, request)).collect();
+    pub fn rewrite_lost(&mut self, holders: impl Iterator<Item = (KeyHash, RequestId)>) {
+        self.lost_claims = holders.map(|(key, request)| ClaimItem::new(key, request)).collect();
     }
 
     /// Takes the platform's answer; `refused` says that it truly wrote nothing.
--- a/crates/core/src/engine/controller.rs
+++ b/crates/core/src/engine/controller.rs
@@ -189,11 +189,11 @@
     /// Returns whether the next report can complete a take-over or prove an adapter idle.
     pub fn awaits_settling_report(&self) -> bool {
         let unproven = |residency: &Residency| {
-            let there = matches!(
+            let on_engine = matches!(
                 residency.state,
                 ResidencyState::Resident | ResidencyState::Draining | ResidencyState::Loading
             );
-            there && !residency.proven_idle && !residency.needs_raise()
+            on_engine && !residency.proven_idle && !residency.needs_raise()
         };
         self.state == EngineState::Settling || self.residencies.values().any(unproven)
     }
@@ -248,8 +248,8 @@
         for waiting in self.queue.drain_where(|_| true) {
             self.refuse(&waiting, PermitRefusal::Leaving, None, out);
         }
-        let asked: Vec<AdapterKey> = self.adapters_using_turns().collect();
-        for adapter in asked {
+        let adapters: Vec<AdapterKey> = self.adapters_using_turns().collect();
+        for adapter in adapters {
             self.release_turn(adapter, out);
         }
         out.notes.push(String::from("leaving; accepts no new requests"));
--- a/crates/core/src/engine/permits.rs
+++ b/crates/core/src/engine/permits.rs
@@ -87,8 +87,8 @@
         let queued = PermitQueued { request: waiting.request.request, attempt };
         if let Err((waiting, _)) = self.queue.push(waiting, limit) {
             let reason = PermitRefusal::Final(RefusalKind::Overloaded);
-            let back = self.estimated_queue_wait();
-            self.refuse(&waiting, reason, Some(back), out);
+            let queue_wait = self.estimated_queue_wait();
+            self.refuse(&waiting, reason, Some(queue_wait), out);
             return;
         }
         self.grant_ready_permits(now, out);
@@ -273,8 +273,9 @@
 
     fn end_permit(&mut self, request: RequestId, clean: bool, now: ClockMillis) {
         let Some(permit) = self.permits.remove(&request) else { return };
-        let took = now.since(permit.granted_at).as_secs_f64();
-        self.mean_service_seconds += SERVICE_TIME_SMOOTHING * (took - self.mean_service_seconds);
+        let duration = now.since(permit.granted_at).as_secs_f64();
+        self.mean_service_seconds +=
+            SERVICE_TIME_SMOOTHING * (duration - self.mean_service_seconds);
         let Some(residency) = self.residencies.get_mut(&permit.adapter) else { return };
         residency.permits_in_use = residency.permits_in_use.saturating_sub(1);
         residency.last_used = now;
--- a/crates/core/src/engine/residency.rs
+++ b/crates/core/src/engine/residency.rs
@@ -105,8 +105,8 @@
 
     /// Returns whether it may be unloaded now.
     pub(super) fn is_evictable(&self) -> bool {
-        let there = matches!(self.state, ResidencyState::Resident | ResidencyState::Draining);
-        there && self.permits_in_use == 0 && self.proven_idle
+        let on_engine = matches!(self.state, ResidencyState::Resident | ResidencyState::Draining);
+        on_engine && self.permits_in_use == 0 && self.proven_idle
     }
 
     pub(super) fn usage(&self, now: ClockMillis, half_life: Duration) -> AdapterUsage {
--- a/crates/core/src/engine/slots.rs
+++ b/crates/core/src/engine/slots.rs
@@ -54,10 +54,10 @@
         let mut demands: BTreeMap<AdapterKey, LoadDemand> = BTreeMap::new();
         for waiting in self.queue.iter().filter(|waiting| waiting.may_load) {
             let adapter = waiting.request.adapter;
-            let there = |residency: &Residency| {
+            let on_engine = |residency: &Residency| {
                 matches!(residency.state, ResidencyState::Resident | ResidencyState::Draining)
             };
-            if self.residencies.get(&adapter).is_some_and(there) {
+            if self.residencies.get(&adapter).is_some_and(on_engine) {
                 continue;
             }
             let half_life = self.times.half_life;
@@ -121,7 +121,7 @@
     /// Drains as many busy adapters as the loads need slots beyond free and evictable ones, and
     /// reopens draining adapters that are no longer needed.
     fn drain_busy_adapters(&mut self, demands: &[(AdapterKey, f64)], now: ClockMillis) {
-        let asking: Vec<f64> = demands
+        let load_values: Vec<f64> = demands
             .iter()
             .filter(|(adapter, _)| {
                 let residency = self.residencies.get(adapter);
@@ -133,13 +133,15 @@
             residency.state == ResidencyState::Resident && residency.is_evictable()
         };
         let idle = self.residencies.values().filter(idle).count();
-        let needed = asking.len().saturating_sub(idle + self.free_slots());
+        let needed = load_values.len().saturating_sub(idle + self.free_slots());
         let draining = |residency: &&Residency| residency.state == ResidencyState::Draining;
-        let closed = self.residencies.values().filter(draining).count();
-        for value in asking.iter().skip(closed).take(needed.saturating_sub(closed)) {
+        let draining_count = self.residencies.values().filter(draining).count();
+        for value in
+            load_values.iter().skip(draining_count).take(needed.saturating_sub(draining_count))
+        {
             self.drain_cheapest_below(*value, now);
         }
-        for _ in needed..closed {
+        for _ in needed..draining_count {
             self.reopen_most_valuable(now);
         }
     }
@@ -148,7 +150,7 @@
     /// new permits, and its running requests finish.
     fn drain_cheapest_below(&mut self, value: f64, now: ClockMillis) {
         let half_life = self.times.half_life;
-        let keep =
+        let retention =
             |residency: &Residency| self.policy.retention_value(&residency.usage(now, half_life));
         let cheapest = self
             .residencies
@@ -156,7 +158,7 @@
             .filter(|(_, residency)| {
                 residency.state == ResidencyState::Resident && !residency.is_evictable()
             })
-            .map(|(adapter, residency)| (*adapter, keep(residency)))
+            .map(|(adapter, residency)| (*adapter, retention(residency)))
             .min_by(|left, right| left.1.total_cmp(&right.1));
         let Some((adapter, _)) = cheapest.filter(|(_, cost)| *cost < value) else { return };
         if let Some(residency) = self.residencies.get_mut(&adapter) {
@@ -168,13 +170,13 @@
     fn reopen_most_valuable(&mut self, now: ClockMillis) {
         let half_life = self.times.half_life;
         let policy = &self.policy;
-        let dearest = self
+        let most_valuable = self
             .residencies
             .values_mut()
             .filter(|residency| residency.state == ResidencyState::Draining)
             .map(|residency| (policy.retention_value(&residency.usage(now, half_life)), residency))
             .max_by(|left, right| left.0.total_cmp(&right.0));
-        if let Some((_, residency)) = dearest {
+        if let Some((_, residency)) = most_valuable {
             residency.step(ResidencyEvent::Reopened, now);
             self.mark_digest_dirty();
         }
@@ -292,7 +294,7 @@
             return;
         }
         let half_life = self.times.half_life;
-        let keep = |residency: &Residency| match residency.state {
+        let retention = |residency: &Residency| match residency.state {
             ResidencyState::Draining => f64::NEG_INFINITY,
             _ => self.policy.retention_value(&residency.usage(now, half_life)),
         };
@@ -300,7 +302,7 @@
             .residencies
             .iter()
             .filter(|(_, residency)| residency.is_evictable())
-            .min_by(|left, right| keep(left.1).total_cmp(&keep(right.1)))
+            .min_by(|left, right| retention(left.1).total_cmp(&retention(right.1)))
             .map(|(key, _)| *key);
         match victim {
             Some(victim) => self.evict(victim, now, out),
--- a/crates/core/src/node/dispatch.rs
+++ b/crates/core/src/node/dispatch.rs
@@ -56,8 +56,8 @@
                 && now >= view.avoid_until
         };
         let cost = |view: &&ServerView| {
-            let far = view.info.hall != self.config.hall;
-            (far, view.outstanding, view.info.server)
+            let remote = view.info.hall != self.config.hall;
+            (remote, view.outstanding, view.info.server)
         };
         let views = self.backends.servers.values();
         views.filter(usable).min_by_key(cost).map(|view| view.info.server)
@@ -143,7 +143,7 @@
                     self.backends.remove_holder(engine, adapter);
                 }
             }
-            NotRunReason::StaleToken | NotRunReason::Late => {}
+            NotRunReason::StaleToken | NotRunReason::DispatchTooLate => {}
         }
         match reason {
             NotRunReason::NoConnection | NotRunReason::Leaving => self.route_request(id),
--- a/crates/core/src/node/event.rs
+++ b/crates/core/src/node/event.rs
@@ -116,7 +116,7 @@
     /// The backend server is full.
     Full,
     /// The dispatch was older than [`MAX_DISPATCH_DELAY`], so its permit may be stale.
-    Late,
+    DispatchTooLate,
 }
 
 /// How an exchange with a backend server ended.
--- a/crates/core/src/node/log.rs
+++ b/crates/core/src/node/log.rs
@@ -53,7 +53,7 @@
         };
         let rewritten =
             self.claim_table.holders().filter(|(key, request)| writer(*key, *request) == Some(own));
-        self.claim_tracker.renew(rewritten.collect::<Vec<_>>().into_iter());
+        self.claim_tracker.rewrite_lost(rewritten.collect::<Vec<_>>().into_iter());
         for stream in LogStream::ALL {
             self.actions.push(NodeAction::Follow { stream, from: 0 });
         }
@@ -90,10 +90,10 @@
             // Retention removed records that were not yet read; only a snapshot can replace them.
             self.note("settings", "records expired before they were read; requesting a snapshot");
             self.actions.push(NodeAction::Follow { stream: LogStream::Snapshots, from: 0 });
-            self.ask_any_peer_for_settings();
+            self.pull_settings_from_random_peer();
             return;
         }
-        self.fold_records(records);
+        self.apply_settings_records(records);
         if self.settings.next_offset() >= end {
             self.confirm_settings();
         }
@@ -110,7 +110,7 @@
         }
     }
 
-    fn fold_records(&mut self, records: Vec<LogRecord>) {
+    fn apply_settings_records(&mut self, records: Vec<LogRecord>) {
         let before = self.settings.revision();
         for record in records {
             self.settings.fold(record);
@@ -123,7 +123,7 @@
         }
     }
 
-    fn ask_any_peer_for_settings(&mut self) {
+    fn pull_settings_from_random_peer(&mut self) {
         use rand::seq::IndexedRandom;
         let peers: Vec<HostId> = self.members.owners(None).collect();
         let Some(peer) = peers.choose(&mut self.rng).copied() else { return };
@@ -195,7 +195,7 @@
     /// Applies settings records from a peer; known ones are skipped.
     pub(super) fn handle_settings_records(&mut self, passed: SettingsRecords) {
         if self.enter_era(passed.era) {
-            self.fold_records(passed.records);
+            self.apply_settings_records(passed.records);
         }
     }
 
--- a/crates/core/src/node/membership.rs
+++ b/crates/core/src/node/membership.rs
@@ -136,9 +136,11 @@
         self.merge_heartbeat(from, heartbeat);
         let mut ack = self.heartbeat(heartbeat.sequence);
         // A host suspected or declared dead must learn of it, so that it can refute.
-        let believed = self.member_update(from);
-        if let Some(believed) = believed.filter(|known| known.state != heartbeat.sender.state) {
-            ack.members.push(believed);
+        let known_update = self.member_update(from);
+        if let Some(known_update) =
+            known_update.filter(|known| known.state != heartbeat.sender.state)
+        {
+            ack.members.push(known_update);
         }
         self.send(from, PeerMessage::HeartbeatAck(ack));
     }
@@ -175,7 +177,9 @@
         }
         self.member_changed(update.host);
         // A new incarnation proves that the old process has ended and sends nothing more.
-        if known_incarnation.is_some_and(|life| life != 0 && life < update.incarnation) {
+        if known_incarnation
+            .is_some_and(|incarnation| incarnation != 0 && incarnation < update.incarnation)
+        {
             self.holder_gone(update.host, true, Some(update.incarnation));
         }
     }
--- a/crates/core/src/node/ownership.rs
+++ b/crates/core/src/node/ownership.rs
@@ -79,11 +79,11 @@
         self.with_controller(order.engine, |controller, now, out| {
             controller.handle_order_ended(order, result, now, out);
         });
-        let awaits = self
+        let awaits_report = self
             .controllers
             .get(&order.engine)
             .is_some_and(EngineController::awaits_settling_report);
-        if awaits && order.action == OrderAction::RaiseFence {
+        if awaits_report && order.action == OrderAction::RaiseFence {
             self.next_report_at.insert(order.engine, self.now());
         }
     }
@@ -174,13 +174,13 @@
         let (host, policy) = (self.config.host, self.config.policy.clone());
         let times = self.config.times.engine(half_life);
         let info = &view.info;
-        let left = view.leaving_mark.is_set();
+        let leaving = view.leaving_mark.is_set();
         self.controllers
             .entry(engine)
             .or_insert_with(|| EngineController::new(info.clone(), host, policy, times));
         self.with_controller(engine, |controller, now, out| {
             controller.assign(now);
-            if left {
+            if leaving {
                 controller.mark_leaving(now, out);
             }
         });
--- a/crates/core/src/node/state.rs
+++ b/crates/core/src/node/state.rs
@@ -214,9 +214,9 @@
         self.timeline.note(self.reading.wall_millis, subject.into(), text.into());
     }
 
-    /// Returns a random duration between 0.5 and 1.5 times `usual`.
-    pub(super) fn jitter(&mut self, usual: Duration) -> Duration {
-        usual.mul_f64(self.rng.random_range(0.5..1.5))
+    /// Returns a random duration between 0.5 and 1.5 times `base`.
+    pub(super) fn jitter(&mut self, base: Duration) -> Duration {
+        base.mul_f64(self.rng.random_range(0.5..1.5))
     }
 
     /// Returns a fractional setting of the site.
--- a/crates/core/src/node/timers.rs
+++ b/crates/core/src/node/timers.rs
@@ -61,11 +61,11 @@
     }
 
     fn report_interval(&mut self, engine: EngineId) -> std::time::Duration {
-        let usual = self.config.times.report_every;
-        let awaits =
+        let interval = self.config.times.report_every;
+        let awaits_report =
             self.controllers.get(&engine).is_some_and(EngineController::awaits_settling_report);
         // Reports lag, so a controller that waits for one fetches them more often.
-        if awaits { usual / FAST_REPORT_FACTOR } else { self.jitter(usual) }
+        if awaits_report { interval / FAST_REPORT_FACTOR } else { self.jitter(interval) }
     }
 
     /// Sets a request's timer; `None` sets it to the deadline.
--- a/crates/core/tests/claims.rs
+++ b/crates/core/tests/claims.rs
@@ -210,14 +210,14 @@
             log.push(record);
         }
         let mut early = ClaimTable::default();
-        let all: Vec<_> = log.iter().map(|record| early.apply(record, WINDOW)).collect();
+        let early_decisions: Vec<_> = log.iter().map(|record| early.apply(record, WINDOW)).collect();
         let cut = log.iter().position(|record| record.written_millis > WINDOW);
         let Some(cut) = cut else { return Ok(()) };
         let begin = log[cut].written_millis - WINDOW;
         let first = log.iter().position(|record| record.written_millis >= begin).unwrap_or(0);
         let mut late = ClaimTable::default();
-        let seen: Vec<_> = log[first..].iter().map(|record| late.apply(record, WINDOW)).collect();
-        for (early, late) in all[cut..].iter().flatten().zip(seen[cut - first..].iter().flatten()) {
+        let late_decisions: Vec<_> = log[first..].iter().map(|record| late.apply(record, WINDOW)).collect();
+        for (early, late) in early_decisions[cut..].iter().flatten().zip(late_decisions[cut - first..].iter().flatten()) {
             let won = |claim: &DecidedClaim| claim.holder == claim.request;
             prop_assert!(!won(late) || won(early), "{late:?} against {early:?}");
         }
--- a/crates/core/tests/fault_matrix.rs
+++ b/crates/core/tests/fault_matrix.rs
@@ -85,14 +85,14 @@
         };
         for (nth, seed) in table.nth.iter().flat_map(with_seeds) {
             for faults in fault_plans(&table, step, nth) {
-                let described = format!("{faults:?}");
+                let description = format!("{faults:?}");
                 match run_cell(seed, table.fenced, faults) {
                     None => counts.not_applicable += 1,
                     Some(broken) => {
                         counts.run += 1;
                         counts.passed += u32::from(broken.is_empty());
                         for broken in broken {
-                            writeln!(failures, "seed {seed} {described}: {broken:?}")?;
+                            writeln!(failures, "seed {seed} {description}: {broken:?}")?;
                         }
                     }
                 }
--- a/crates/fakes/src/exchange.rs
+++ b/crates/fakes/src/exchange.rs
@@ -113,7 +113,7 @@
                 id,
                 life,
                 order.request,
-                DispatchResult::NotRun(NotRunReason::Late),
+                DispatchResult::NotRun(NotRunReason::DispatchTooLate),
                 0,
             );
             return;
--- a/crates/node/src/callers/exchange.rs
+++ b/crates/node/src/callers/exchange.rs
@@ -115,7 +115,7 @@
                 TrafficOrder::Dispatch(order) => order,
             };
             if self.border.is_late(&order) {
-                self.end(DispatchResult::NotRun(NotRunReason::Late));
+                self.end(DispatchResult::NotRun(NotRunReason::DispatchTooLate));
                 continue;
             }
             match self.dispatch(stream, &order) {
--- a/crates/node/src/callers/plain.rs
+++ b/crates/node/src/callers/plain.rs
@@ -48,7 +48,7 @@
             TrafficOrder::Dispatch(order) => order,
         };
         if border.is_late(&order) {
-            let result = DispatchResult::NotRun(NotRunReason::Late);
+            let result = DispatchResult::NotRun(NotRunReason::DispatchTooLate);
             border.control.event(NodeEvent::DispatchEnded { request: id, result });
             continue;
         }
