--- a/crates/core/src/chart.rs
+++ b/crates/core/src/chart.rs
@@ -1,56 +1,56 @@
-//! State charts: life cycles written in TOML and interpreted at run time.
+//! State charts: lifecycles defined in TOML and interpreted at run time.
 //!
-//! A chart names its states, its events and, for each state, where each event leads. Reading one
-//! checks it, so that a chart with a dead end or a misspelt event is found at start and not at the
-//! moment it is needed. Every state must say what it does with every event: lead on or ignore it.
+//! A chart declares its states, its events and, for each state, either a transition or an explicit
+//! `ignore` for every event. Parsing validates it, so unknown names, dead ends and unreachable
+//! states are found at startup.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use serde::Deserialize;
 
-/// A place in a chart, as an index into its sorted states.
+/// A state of a chart, as an index into its sorted states.
 pub type StateIndex = u8;
 
-/// Why a chart file was refused.
+/// An error in a chart definition.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum ChartError {
-    /// The file is not TOML of the expected shape.
-    #[error(
-        "chart is not valid TOML: {0}; compare it with the charts shipped in crates/core/charts"
-    )]
+    /// The definition is not TOML of the expected structure.
+    #[error("chart is not valid TOML: {0}; compare it with the charts in crates/core/charts")]
     Syntax(String),
-    /// A transition or list names an event that the chart does not declare.
+    /// A transition or `ignore` list names an undeclared event.
     #[error(
-        "state `{state}` names unknown event `{event}`; add it to `events` or mend its spelling"
+        "state `{state}` refers to unknown event `{event}`; add it to `events` or fix its spelling"
     )]
     UnknownEvent {
-        /// The state that names it.
+        /// The state that refers to it.
         state: String,
-        /// The event as written.
+        /// The undeclared event.
         event: String,
     },
-    /// A transition leads to a state that the chart does not declare.
-    #[error("state `{state}` leads to unknown state `{target}`; declare it or mend its spelling")]
+    /// A transition, `initial` or `final` names an undeclared state.
+    #[error("state `{state}` refers to unknown state `{target}`; declare it or fix its spelling")]
     UnknownState {
-        /// The state that names it.
+        /// The state that refers to it.
         state: String,
-        /// The target as written.
+        /// The undeclared state.
         target: String,
     },
-    /// No path leads from the initial state to this one.
-    #[error("state `{0}` can not be reached from the initial state; remove it or lead to it")]
+    /// The state cannot be reached from the initial state.
+    #[error(
+        "state `{0}` cannot be reached from the initial state; remove it or add a transition to it"
+    )]
     Unreachable(String),
-    /// The state is not final, yet no event leads out of it.
-    #[error("state `{0}` has no way out; list it in `final` or give it a transition")]
+    /// The state is not final and no event leads out of it.
+    #[error("state `{0}` is a dead end; list it in `final` or add a transition")]
     DeadEnd(String),
-    /// A state neither leads on nor ignores an event.
+    /// A state has neither a transition for an event nor ignores it.
     #[error(
-        "state `{state}` does not say what `{event}` does; add a transition or put it in `ignore`"
+        "state `{state}` does not handle event `{event}`; add a transition or list it in `ignore`"
     )]
     Unhandled {
         /// The state.
         state: String,
-        /// The event it is silent about.
+        /// The unhandled event.
         event: String,
     },
 }
@@ -74,18 +74,18 @@
     ignore: BTreeSet<String>,
 }
 
-/// A checked state chart.
+/// A validated state chart.
 #[derive(Debug, Clone)]
 pub struct StateChart {
     initial: StateIndex,
     states: Vec<String>,
     events: Vec<String>,
-    /// `transitions[state][event]`, where an ignored event leads back to the state itself.
+    /// The target of `transitions[state][event]`; an ignored event leads back to the same state.
     transitions: Vec<Vec<StateIndex>>,
 }
 
 impl StateChart {
-    /// Reads and checks a chart.
+    /// Parses and validates a chart.
     ///
     /// # Errors
     /// Returns the first [`ChartError`] found.
@@ -97,16 +97,15 @@
         Ok(compile(&file))
     }
 
-    /// Returns the state in which a life begins.
+    /// Returns the initial state.
     pub const fn initial(&self) -> StateIndex {
         self.initial
     }
 
     /// Returns the state that `event` leads to from `state`.
     ///
-    /// # Panics
-    /// Panics when the chart has no such event: the events are fixed by the code that calls it, and
-    /// a test walks every state with every event.
+    /// # Panics Panics if the chart has no such event. Callers pass fixed event names, and a test
+    /// covers every state with every event.
     pub fn step(&self, state: StateIndex, event: &str) -> StateIndex {
         let event_index = self.events.iter().position(|known| known == event);
         let event_index = event_index.unwrap_or_else(|| panic!("chart has no event `{event}`"));
@@ -118,18 +117,18 @@
         &self.states[usize::from(state)]
     }
 
-    /// Returns the state of that name.
+    /// Returns the state with this name.
     pub fn state(&self, name: &str) -> Option<StateIndex> {
         let index = self.states.iter().position(|known| known == name)?;
         StateIndex::try_from(index).ok()
     }
 
-    /// Lists the names of all states.
+    /// Returns the names of all states.
     pub fn states(&self) -> &[String] {
         &self.states
     }
 
-    /// Lists the names of all events.
+    /// Returns the names of all events.
     pub fn events(&self) -> &[String] {
         &self.events
     }
@@ -204,10 +203,10 @@
     StateChart { initial: index(&file.initial), transitions, states, events }
 }
 
-/// Declares a life cycle: an enum of states whose moves a shipped chart decides.
+/// Declares the enums of a lifecycle's states and events, whose transitions an embedded chart
+/// defines.
 ///
-/// The enum lets the code match on states; the chart alone says which event leads where. Reading
-/// the chart checks that both name the same states.
+/// Loading the chart checks that it has the same states and events as the enums.
 macro_rules! lifecycle {
     ($(#[$doc:meta])* $name:ident, $file:literal, { $($(#[$state_doc:meta])* $state:ident = $text:literal),+ $(,)? },
      $(#[$event_doc:meta])* $event:ident { $($(#[$variant_doc:meta])* $variant:ident = $event_text:literal),+ $(,)? }) => {
@@ -220,17 +219,17 @@
         pub enum $event { $($(#[$variant_doc])* $variant),+ }
 
         impl $name {
-            /// The chart as shipped.
+            /// The embedded chart definition.
             pub const CHART: &'static str = include_str!(concat!(env!("CARGO_MANIFEST_DIR"), "/charts/", $file));
 
-            /// All states, in the order of the enum.
+            /// All states, in declaration order.
             pub const ALL: &'static [Self] = &[$(Self::$state),+];
 
-            /// Returns the checked chart, read once.
+            /// Returns the validated chart, which is parsed once.
             ///
             /// # Panics
-            /// Panics when the shipped chart is broken or names other states or events than the
-            /// code; a test reads every shipped chart.
+            /// Panics if the embedded chart is invalid or does not match the enums; a test loads
+            /// every chart.
             pub fn chart() -> &'static $crate::chart::StateChart {
                 static CHART: std::sync::OnceLock<$crate::chart::StateChart> =
                     std::sync::OnceLock::new();
@@ -243,7 +242,7 @@
                 })
             }
 
-            /// Returns the state in which a life begins.
+            /// Returns the initial state.
             pub fn initial() -> Self {
                 Self::from_chart(Self::chart().initial())
             }
@@ -257,14 +256,14 @@
             #[must_use]
             pub fn after(self, event: $event) -> Self {
                 let chart = Self::chart();
-                let state = chart.state(self.name()).expect("chart has every state of the enum");
+                let state = chart.state(self.name()).expect("chart has all states of the enum");
                 Self::from_chart(chart.step(state, event.name()))
             }
 
             fn from_chart(state: $crate::chart::StateIndex) -> Self {
                 match Self::chart().state_name(state) {
                     $($text => Self::$state,)+
-                    other => panic!("{}: state `{other}` is not known to the code", $file),
+                    other => panic!("{}: state `{other}` is not in the enum", $file),
                 }
             }
         }
--- a/crates/core/src/chart/lifecycles.rs
+++ b/crates/core/src/chart/lifecycles.rs
@@ -1,83 +1,84 @@
-//! The life cycles of the system, each with its chart.
+//! The lifecycles and their charts.
 
 super::lifecycle! {
-    /// The owner's hold on one engine.
+    /// A host's ownership of an engine.
     EngineState, "engine.toml", {
-        /// Another host owns the engine, or none is known to.
+        /// This host is not the owner.
         Foreign = "foreign",
-        /// The view makes this host the owner; an earlier owner may still act (engines without fence).
+        /// This host is the assigned owner; a previous owner of an engine without a fence may still
+        /// act.
         Waiting = "waiting",
-        /// The take-over order is under way.
+        /// The order that raises the fence is in flight.
         TakingOver = "taking_over",
-        /// The fence holds; a report from after it is awaited before anything may be unloaded.
+        /// The fence is raised; a report written after that is awaited.
         Settling = "settling",
-        /// Requests are granted and loads ordered.
+        /// Permits are granted and loads ordered.
         Owned = "owned",
-        /// The engine is leaving: what runs may end, nothing new starts.
+        /// The engine is leaving: running requests finish, none are started.
         Leaving = "leaving",
     },
-    /// What moves an engine between its states.
+    /// Events of engine ownership.
     EngineEvent {
-        /// The view makes this host the owner.
+        /// This host became the assigned owner.
         Assigned = "assigned",
-        /// The view makes another host the owner.
+        /// Another host became the assigned owner.
         Unassigned = "unassigned",
-        /// Any earlier owner's promise has run out, or the engine checks fences itself.
+        /// The wait for a previous owner is over.
         HandoverOver = "handover_over",
-        /// The engine accepted the take-over order.
+        /// The engine accepted the raise of the fence.
         FenceRaised = "fence_raised",
-        /// The engine answered with a higher token than ours.
+        /// The engine has accepted a higher token than this host's.
         FenceLost = "fence_lost",
-        /// A report came that the engine wrote after the fence was raised.
+        /// A report written after the fence was raised arrived.
         Settled = "settled",
-        /// The engine was restarted: a new incarnation, with nothing loaded.
+        /// The engine restarted: a new incarnation, with nothing loaded.
         Restarted = "restarted",
-        /// Any sign says that the engine is leaving.
+        /// The engine was found to be leaving.
         LeaveSeen = "leave_seen",
     }
 }
 
 super::lifecycle! {
-    /// One adapter version's stay on one engine.
+    /// The residency of an adapter version on an engine.
     ResidencyState, "residency.toml", {
-        /// Not there, and nobody has asked for it to be.
+        /// Not loaded, and no load is requested.
         Absent = "absent",
-        /// A turn at the weight store has been asked for.
+        /// A turn at the weight store was asked for.
         Queued = "queued",
-        /// The turn is there; another adapter is being unloaded first.
+        /// The turn was granted; a slot is being freed.
         Clearing = "clearing",
-        /// The load order is under way.
+        /// The load order is in flight.
         Loading = "loading",
-        /// Requests may run on it.
+        /// Loaded; permits are granted.
         Resident = "resident",
-        /// It is to give up its slot: what runs may end, nothing new is granted.
+        /// Its slot is needed: running requests finish, no permits are granted.
         Draining = "draining",
-        /// Nothing runs on it and the unload order is under way; no request is granted.
+        /// It is idle and the unload order is in flight; no permits are granted.
         Unloading = "unloading",
-        /// The last load failed; it is not tried again before its back-off ends.
+        /// The last load failed; it is not retried before its back-off ends.
         Failed = "failed",
     },
-    /// What moves a residency between its states.
+    /// Events of a residency.
     ResidencyEvent {
         /// The adapter is wanted on this engine.
         Wanted = "wanted",
-        /// Nobody waits for it any more.
+        /// No request waits for it any more, or its load was postponed.
         Unwanted = "unwanted",
-        /// The turn came and a slot must be cleared.
+        /// The turn was granted.
         TurnCame = "turn_came",
         /// A slot is free for it.
         SlotFree = "slot_free",
-        /// The engine says it is loaded.
+        /// The engine reported it as loaded.
         Loaded = "loaded",
         /// The load failed.
         LoadFailed = "load_failed",
-        /// Something worth more needs its slot.
+        /// A more valuable load needs its slot.
         Closed = "closed",
-        /// Nothing needs its slot any more.
+        /// Its slot is no longer needed.
         Reopened = "reopened",
-        /// It gives up its slot and nothing runs on it.
+        /// Its unload was ordered.
         Evicted = "evicted",
-        /// The engine says it is gone.
+        /// The engine reported it as unloaded.
         Gone = "gone",
         /// The back-off has ended.
         BackoffOver = "backoff_over",
@@ -85,75 +86,77 @@
 }
 
 super::lifecycle! {
-    /// One caller's request on the host that received it.
+    /// A caller's request on the host that received it.
     RequestState, "request.toml", {
         /// Its idempotency key is being claimed in the platform's log.
         Claiming = "claiming",
-        /// A permit has been asked for; no byte has left for a backend server.
+        /// A permit is being asked for; nothing was sent to a backend server.
         Asking = "asking",
         /// A backend server may have the request.
         Dispatched = "dispatched",
-        /// A try broke off and may have run; a permit for another has been asked for.
+        /// An earlier attempt was interrupted and may have run; a permit for another is being asked
+        /// for.
         AskingAgain = "asking_again",
-        /// A backend server may have the request, after an earlier try that may have run.
+        /// A backend server may have the request, after an earlier attempt that may have run.
         DispatchedAgain = "dispatched_again",
-        /// The whole answer came.
+        /// The complete answer was passed on.
         Answered = "answered",
-        /// It truly did not run.
+        /// The request did not run.
         NotRun = "not_run",
-        /// It may have run, and its answer is not whole.
+        /// The request may have run, and its answer is incomplete.
         Unknown = "unknown",
     },
-    /// What moves a request between its states.
+    /// Events of a request.
     RequestEvent {
         /// The key is claimed, or there is none.
         Claimed = "claimed",
-        /// A permit came and the request is handed to its traffic thread.
+        /// A permit was granted and the request was passed to its traffic thread.
         Permitted = "permitted",
-        /// The traffic thread or the engine says it was not run: another permit may be asked for.
+        /// The traffic thread or the engine reported that it did not run; another permit may be
+        /// asked for.
         NeverRan = "never_ran",
-        /// The whole answer was passed on.
+        /// The complete answer was passed on.
         AnswerEnded = "answer_ended",
         /// The exchange broke off after bytes may have reached the backend server.
         Broke = "broke",
-        /// A repeatable request that broke before any answer byte may be tried again.
+        /// A repeatable request that was interrupted before any answer byte is retried.
         Retried = "retried",
-        /// The request is given up: refused, past its deadline, or its caller is gone.
+        /// The request was refused, passed its deadline, or lost its caller.
         GivenUp = "given_up",
     }
 }
 
 impl RequestState {
-    /// Says whether a permit is being asked for.
+    /// Returns whether a permit is being asked for.
     pub const fn is_asking(self) -> bool {
         matches!(self, Self::Asking | Self::AskingAgain)
     }
 
-    /// Says whether a backend server may have the request.
+    /// Returns whether a backend server may have the request.
     pub const fn is_dispatched(self) -> bool {
         matches!(self, Self::Dispatched | Self::DispatchedAgain)
     }
 }
 
 super::lifecycle! {
-    /// A turn at the weight store, on the host that gives the turns.
+    /// A load turn on the host that grants the turns at the weight store.
     LoadState, "load.toml", {
-        /// Its owner asks for a turn.
+        /// The engine's owner asks for the turn.
         Waiting = "waiting",
-        /// It has the turn.
+        /// The turn is granted.
         Running = "running",
-        /// Done, failed or dropped.
+        /// The load completed or failed, or its ask was dropped.
         Ended = "ended",
     },
-    /// What moves a load between its states.
+    /// Events of a load turn.
     LoadEvent {
-        /// It is the most valuable one and the budget has room.
+        /// It is the most valuable load and the store's limits allow it.
         Granted = "granted",
-        /// Its owner says it ended.
+        /// The owner reported the end of the load.
         Finished = "finished",
-        /// Its owner no longer asks, or was not heard from.
+        /// The owner no longer renews its ask.
         Dropped = "dropped",
-        /// A turn was held longer than a load can take.
+        /// The owner no longer renews the turn.
         TimedOut = "timed_out",
     }
 }
@@ -161,130 +164,130 @@
 super::lifecycle! {
     /// One host's claim of an idempotency key.
     ClaimState, "claim.toml", {
-        /// Waits to be put into an append.
+        /// Waits for the next append.
         Pending = "pending",
-        /// The append was sent; its answer may be lost, so the log is read for the verdict.
+        /// The append was sent; the log decides, since the answer may be lost.
         Sent = "sent",
-        /// The log holds it as the first for its key.
+        /// It is the first claim of its key in the log.
         Won = "won",
-        /// The log holds another as the first.
+        /// Another claim of the key is the first in the log.
         Lost = "lost",
-        /// Given up before it was won; when it shows up it is released again.
+        /// Abandoned before it was decided; it is released if it appears in the log as the first.
         Abandoned = "abandoned",
     },
-    /// What moves a claim between its states.
+    /// Events of a claim.
     ClaimEvent {
-        /// It was put into an append.
+        /// It was added to an append.
         Appended = "appended",
-        /// The platform truly refused the append: nothing was written.
+        /// The platform refused the append; nothing was written.
         AppendRefused = "append_refused",
-        /// The log shows it first.
+        /// It was read from the log as the first claim.
         SeenFirst = "seen_first",
-        /// The log shows another first.
+        /// It was read from the log after another claim.
         SeenLater = "seen_later",
-        /// The request was given up.
+        /// The request ended without running.
         Abandoned = "abandoned",
     }
 }
 
 super::lifecycle! {
-    /// What a host believes of another one.
+    /// The membership state of a host, as seen by another one.
     MemberState, "member.toml", {
-        /// Answers, or is vouched for by others.
+        /// Answers heartbeats, or is reported alive by others.
         Alive = "alive",
-        /// Missed an answer; may refute with a higher incarnation.
+        /// Missed a heartbeat; may still refute the suspicion.
         Suspect = "suspect",
-        /// Did not refute in time.
+        /// Did not refute the suspicion in time.
         Dead = "dead",
-        /// Said that it is stopping.
+        /// Announced that it is shutting down.
         Leaving = "leaving",
     },
-    /// What moves a member between its states.
+    /// Events of a member.
     MemberEvent {
-        /// It answered, or refuted the suspicion.
+        /// It sent a message.
         Heard = "heard",
-        /// It missed an answer, or a peer says so.
+        /// It did not answer a heartbeat in time.
         Missed = "missed",
-        /// The time to refute has run out.
+        /// The time to refute is over.
         TimedOut = "timed_out",
-        /// It says that it is stopping.
+        /// It announced that it is shutting down.
         Left = "left",
-        /// It came back with a new incarnation.
+        /// It returned with a new incarnation.
         Returned = "returned",
     }
 }
 
 super::lifecycle! {
-    /// One operator's publication, as its publisher sees it.
+    /// An operator's publication of settings, as seen by its publisher.
     PublicationState, "publication.toml", {
-        /// Checked against the tree and not yet sent.
+        /// Checked against the settings tree and not yet sent.
         Checked = "checked",
         /// Sent to the log; the answer may be lost.
         Sent = "sent",
-        /// The fold accepted it.
+        /// It was read from the log and accepted.
         Accepted = "accepted",
-        /// The fold refused it, or it never reached the log.
+        /// It was read from the log and refused, or was not written.
         Refused = "refused",
     },
-    /// What moves a publication between its states.
+    /// Events of a publication.
     PublicationEvent {
         /// The append was sent.
         Appended = "appended",
-        /// The log shows it and the fold accepted it.
+        /// It was read from the log and accepted.
         SeenAccepted = "seen_accepted",
-        /// The log shows it and the fold refused it.
+        /// It was read from the log and refused.
         SeenRefused = "seen_refused",
-        /// The platform refused it before writing.
+        /// The platform refused the append; nothing was written.
         AppendRefused = "append_refused",
     }
 }
 
 super::lifecycle! {
-    /// A host's planned stop.
+    /// A host's graceful shutdown.
     DrainState, "drain.toml", {
-        /// Serves.
+        /// Serves callers.
         Serving = "serving",
-        /// Told the balancer and its peers, and hands over its engines.
+        /// Refuses new requests and hands its engines over.
         HandingOver = "handing_over",
-        /// Owns nothing; waits for its last streams to end.
+        /// Owns no engines; waits for the last requests to end.
         Finishing = "finishing",
-        /// May exit.
+        /// The process may exit.
         Stopped = "stopped",
     },
-    /// What moves a planned stop on.
+    /// Events of a graceful shutdown.
     DrainEvent {
-        /// The operator or the supervisor asked for the stop.
+        /// The shutdown was requested.
         StopAsked = "stop_asked",
-        /// No engine is owned any more.
+        /// All engines were handed over.
         HandedOver = "handed_over",
-        /// The last stream ended.
+        /// The last request ended.
         StreamsEnded = "streams_ended",
     }
 }
 
 super::lifecycle! {
-    /// A host's hold on the lease of one placement domain.
+    /// A host's tenure of the lease of a placement domain.
     TenureState, "tenure.toml", {
-        /// Another host holds the lease, or nobody does.
+        /// This host does not hold the lease.
         Absent = "absent",
-        /// This host holds it; orders of the holder before may still arrive.
+        /// This host holds the lease; orders of the previous holder may still arrive.
         Waiting = "waiting",
-        /// This host gives orders.
+        /// This host issues orders.
         Acting = "acting",
-        /// The lease was not confirmed in time; it may have passed on.
+        /// The lease was not confirmed in time; another host may hold it.
         Lapsed = "lapsed",
-        /// As `Lapsed`, before any order was given.
+        /// Like `Lapsed`, but lapsed while still waiting.
         LapsedWaiting = "lapsed_waiting",
-        /// An engine has seen a later holder's token; this tenure gives no more orders.
+        /// An engine has seen a later holder's token; this tenure issues no more orders.
         Refused = "refused",
     },
-    /// What moves a tenure between its states.
+    /// Events of a tenure.
     TenureEvent {
-        /// The lease was dealt to this host.
+        /// The lease was assigned to this host.
         Listed = "listed",
-        /// The lease is no longer this host's.
+        /// The lease is no longer assigned to this host.
         Unlisted = "unlisted",
-        /// The holder before can not act any more.
+        /// The previous holder can no longer act.
         WaitOver = "wait_over",
         /// The lease was not confirmed within its time to live.
         Lapsed = "lapsed",
@@ -292,32 +295,32 @@
         Confirmed = "confirmed",
         /// An engine refused the tenure's token.
         Refused = "refused",
-        /// The lease may have passed on and come back: a new tenure begins.
+        /// Another host may have held the lease meanwhile; a new tenure begins.
         Renewed = "renewed",
     }
 }
 
 super::lifecycle! {
-    /// Whether a host's configuration is known to be new enough to serve keys by it.
+    /// Whether a host's configuration is recent enough to authenticate API keys with it.
     FreshnessState, "freshness.toml", {
-        /// No answer has told yet that it is the newest.
+        /// It is not yet confirmed as the newest.
         Unknown = "unknown",
-        /// It was the newest a short time ago.
+        /// It was recently confirmed as the newest.
         Fresh = "fresh",
-        /// A key may have been withdrawn too long ago.
+        /// It was confirmed too long ago: keys may have been revoked since.
         Expired = "expired",
-        /// A newer one exists and can not be read.
+        /// A newer configuration exists and cannot be read.
         Superseded = "superseded",
     },
-    /// What moves the belief in a configuration between its states.
+    /// Events of a configuration's freshness.
     FreshnessEvent {
-        /// It was the newest one at a moment that is near enough.
+        /// It was confirmed as the newest.
         Confirmed = "confirmed",
-        /// The operator's bound for withdrawn keys is over.
+        /// The bound on serving revoked keys has passed.
         Aged = "aged",
-        /// A newer configuration can not be read.
+        /// A newer configuration cannot be read.
         Unreadable = "unreadable",
-        /// A newer configuration came into force.
+        /// A newer configuration took effect.
         Replaced = "replaced",
     }
 }
--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -1,7 +1,7 @@
 //! Claims of idempotency keys: the first claim of a key in the platform's log wins.
 //!
-//! A claim is never handed on. A holder that was paused and wakes is still the only one that may
-//! run its request, so nobody needs to know whether it is alive.
+//! A claim is never transferred. Only the request that holds it may run, even if its host was
+//! paused meanwhile, so claims need no failure detection.
 
 mod tracker;
 mod table;
--- a/crates/core/src/claim/table.rs
+++ b/crates/core/src/claim/table.rs
@@ -1,4 +1,4 @@
-//! The fold over the claims stream, alike on every host that has read it.
+//! The table of claims built from the claims stream, identical on every host that has read it.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 
@@ -9,10 +9,10 @@
     settings::fold::LogRecord,
 };
 
-/// The format of [`ClaimRecord`] that this program writes and understands.
+/// The format of [`ClaimRecord`] that this version writes.
 const CLAIM_FORMAT: u32 = 1;
 
-/// One key and the request it is for, in hexadecimal as JSON has no 128-bit numbers.
+/// A key and its request, in hexadecimal as JSON has no 128-bit numbers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimItem {
     /// The key's hash.
@@ -22,33 +22,33 @@
 }
 
 impl ClaimItem {
-    /// Writes down a key and a request.
+    /// Encodes a key and a request.
     pub fn new(key: KeyHash, request: RequestId) -> Self {
         Self { key: format!("{key:x}"), request: format!("{request:x}") }
     }
 
-    /// Reads them back.
+    /// Decodes the key and the request; `None` if either is malformed.
     pub fn parse(&self) -> Option<(KeyHash, RequestId)> {
         let hex = |text: &str| u128::from_str_radix(text, 16).ok();
         Some((hex(&self.key)?, hex(&self.request)?))
     }
 }
 
-/// One append: the claims and releases that one host had gathered.
+/// A record of the claims stream: the claims and releases that a host appended together.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRecord {
-    /// The format's number.
+    /// The format version.
     pub format: u32,
-    /// Keys claimed.
+    /// The claimed keys.
     #[serde(default)]
     pub claims: Vec<ClaimItem>,
-    /// Claims given up by requests that did not run and never will.
+    /// The claims released by requests that did not run and never will.
     #[serde(default)]
     pub releases: Vec<ClaimItem>,
 }
 
 impl ClaimRecord {
-    /// Makes a record of the present format.
+    /// Creates a record of the current format.
     pub const fn new(claims: Vec<ClaimItem>, releases: Vec<ClaimItem>) -> Self {
         Self { format: CLAIM_FORMAT, claims, releases }
     }
@@ -56,9 +56,9 @@
     /// Returns the record as JSON.
     ///
     /// # Panics
-    /// Never: a record holds nothing that JSON can not.
+    /// Never: every record can be encoded as JSON.
     pub fn to_json(&self) -> Vec<u8> {
-        serde_json::to_vec(self).expect("a claim record can be written as JSON")
+        serde_json::to_vec(self).expect("claim record serializes as JSON")
     }
 }
 
@@ -68,18 +68,18 @@
     written_millis: u64,
 }
 
-/// Which request holds each key that is still remembered.
+/// The request that holds each key within the claim window.
 #[derive(Debug, Default)]
 pub struct ClaimTable {
     next_offset: LogOffset,
     first_claims: HashMap<KeyHash, FirstClaim>,
     keys_by_age: VecDeque<(u64, KeyHash)>,
-    /// Requests that gave their claim up; an append that comes late or twice must not revive it.
+    /// Requests that released their claims; a late or duplicate append must not restore them.
     released: HashSet<RequestId>,
     released_by_age: VecDeque<(u64, RequestId)>,
 }
 
-/// One claim that a record decided: its key, its request, and who holds the key now.
+/// The decision on one claim of a record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DecidedClaim {
     /// The key.
@@ -93,35 +93,36 @@
 }
 
 impl ClaimTable {
-    /// Returns the offset of the first record not yet folded.
+    /// Returns the offset of the first record not yet applied.
     pub const fn next_offset(&self) -> LogOffset {
         self.next_offset
     }
 
-    /// Takes that the log came back from an older copy: it is read from the start again, and what it has lost stays remembered.
+    /// Restarts at the beginning of the log after it was restored from an older copy. Claims that
+    /// the log has lost are kept.
     pub const fn rewind(&mut self) {
         self.next_offset = 0;
     }
 
-    /// Returns the requests that hold keys, with these.
+    /// Returns the claimed keys and the requests that hold them.
     pub fn holders(&self) -> impl Iterator<Item = (KeyHash, RequestId)> {
         self.first_claims.iter().map(|(key, first)| (*key, first.request))
     }
 
-    /// Counts the keys remembered.
+    /// Returns the number of claimed keys.
     pub fn len(&self) -> usize {
         self.first_claims.len()
     }
 
-    /// Says whether no key is remembered.
+    /// Returns whether no key is claimed.
     pub fn is_empty(&self) -> bool {
         self.first_claims.is_empty()
     }
 
-    /// Folds one record and returns the claims it decided.
+    /// Applies a record and returns the decisions on its claims.
     ///
-    /// Records that the log no longer has are older than any key is remembered, so a gap at the
-    /// start is passed over; a record seen before is ignored.
+    /// Records that the log no longer retains are older than the claim window, so a gap is skipped.
+    /// A record that was applied before is ignored.
     pub fn apply(&mut self, record: &LogRecord, window_millis: u64) -> Vec<DecidedClaim> {
         if record.offset < self.next_offset {
             return Vec::new();
@@ -143,8 +144,9 @@
             let holder = self.first_claims.get(&key).map_or(request, |first| first.request);
             return DecidedClaim { key, request, holder, written_millis };
         }
-        // A claim that loses keeps the key remembered too. Without that, a host that began to read
-        // after the first claim had expired could let a third one win beside the second.
+        // A lost claim also extends the lifetime of the key. Otherwise a host that started reading
+        // after the first claim had expired would decide for the second claim, and the other hosts
+        // for a third.
         self.keys_by_age.push_back((written_millis, key));
         let first = self.first_claims.entry(key).or_insert(FirstClaim { request, written_millis });
         first.written_millis = written_millis;
@@ -173,7 +175,7 @@
                 break;
             }
             self.keys_by_age.pop_front();
-            // A key that was claimed again since has a later entry of its own.
+            // A key that was claimed again since has a later entry in the queue.
             if self
                 .first_claims
                 .get(&key)
--- a/crates/core/src/claim/tracker.rs
+++ b/crates/core/src/claim/tracker.rs
@@ -1,4 +1,4 @@
-//! One host's own claims, from the request's arrival to the log's verdict.
+//! The claims of one host's own requests, from arrival to the log's decision.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -9,38 +9,38 @@
     id::{KeyHash, RequestId},
 };
 
-/// How many claims one append carries at most.
+/// The maximum number of claims in an append.
 const CLAIMS_PER_APPEND: usize = 512;
 
-/// One claim of this host.
+/// A claim of this host.
 #[derive(Debug, Clone)]
 pub struct TrackedClaim {
     /// The key.
     pub key: KeyHash,
-    /// When the caller made the key, in milliseconds since the Unix epoch.
+    /// When the caller created the key, in milliseconds since the Unix epoch.
     pub created_millis: Option<u64>,
-    /// Where the claim stands.
+    /// The state of the claim.
     pub state: ClaimState,
-    /// The append that carries it.
+    /// The ticket of the append that carries it.
     pub ticket: u64,
 }
 
-/// What the log decided about one of this host's claims.
+/// The log's decision on a claim of this host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClaimVerdict {
     /// The request may run.
     Won(RequestId),
     /// Another request holds the key.
     Lost(RequestId),
-    /// The key was older than keys are remembered when it was claimed.
+    /// The key was already older than the claim window when the claim was written.
     Expired(RequestId),
 }
 
-/// The claims of one host.
+/// Tracks the claims of one host's own requests.
 #[derive(Debug)]
 pub struct ClaimTracker {
     claims: BTreeMap<RequestId, TrackedClaim>,
-    /// Claims that the log has lost and is told again.
+    /// Claims that the log may have lost and that are to be appended again.
     lost_claims: Vec<ClaimItem>,
     releases: Vec<ClaimItem>,
     sent_releases: Vec<ClaimItem>,
@@ -51,7 +51,7 @@
 }
 
 impl ClaimTracker {
-    /// Starts an empty book that appends at most once per `interval`.
+    /// Creates an empty tracker that appends at most once per `interval`.
     pub fn new(interval: Duration) -> Self {
         Self {
             claims: BTreeMap::new(),
@@ -65,23 +65,24 @@
         }
     }
 
-    /// Enters a request's claim.
+    /// Adds a request's claim.
     pub fn track(&mut self, request: RequestId, key: KeyHash, created_millis: Option<u64>) {
         let state = ClaimState::initial();
         self.claims.insert(request, TrackedClaim { key, created_millis, state, ticket: 0 });
     }
 
-    /// Counts the claims whose verdict is awaited or that are held.
+    /// Returns the number of claims that are pending or held.
     pub fn len(&self) -> usize {
         self.claims.len()
     }
 
-    /// Says whether the book is empty.
+    /// Returns whether there are no claims.
     pub fn is_empty(&self) -> bool {
         self.claims.is_empty()
     }
 
-    /// Gathers what waits into one append, if it is time for one; returns its ticket and record.
+    /// Batches pending claims and releases into an append if one is due; returns its ticket and
+    /// record.
     pub fn next_append(&mut self, now: ClockMillis) -> Option<(u64, ClaimRecord)> {
         if self.in_flight.is_some() || now < self.next_append {
             return None;
@@ -107,14 +108,14 @@
         Some((ticket, ClaimRecord::new(items, self.sent_releases.clone())))
     }
 
-    /// Takes that the log came back from an older copy and may have lost these claims.
+    /// Schedules claims to be appended again that a restored log may have lost.
     pub fn rewrite_lost(&mut self, holders: impl Iterator<Item = (KeyHash, RequestId)>) {
         self.lost_claims = holders.map(|(key, request)| ClaimItem::new(key, request)).collect();
     }
 
-    /// Takes the platform's answer; `refused` says that it truly wrote nothing.
+    /// Handles the end of an append; `refused` means that nothing was written.
     ///
-    /// A lost answer leaves the claims as sent: the log itself will show what became of them.
+    /// If the answer was lost, the claims remain sent: the log shows whether they were written.
     pub fn append_ended(&mut self, ticket: u64, refused: bool) {
         if self.in_flight != Some(ticket) {
             return;
@@ -124,14 +125,15 @@
         if !refused {
             return;
         }
-        // A release is worth the same once or twice, so it simply goes into the next append.
+        // Releases are idempotent, so they are added to the next append.
         self.releases.extend(sent);
         for claim in self.claims.values_mut().filter(|claim| claim.ticket == ticket) {
             claim.state = claim.state.after(ClaimEvent::AppendRefused);
         }
     }
 
-    /// Takes a claim that the log decided; returns the verdict when a request of ours waits for it.
+    /// Applies the log's decision on a claim; returns the verdict if a request of this host waits
+    /// for it.
     pub fn apply_decision(
         &mut self,
         decided: DecidedClaim,
@@ -162,10 +164,10 @@
         Some(ClaimVerdict::Won(request))
     }
 
-    /// Gives up the claim of a request that did not run and never will.
+    /// Abandons the claim of a request that did not run and never will.
     ///
-    /// What is known to stand in the log is released at once. What may still show up there is
-    /// released when it does.
+    /// A claim that the log holds is released at once; one in flight is released when it appears in
+    /// the log.
     pub fn abandon(&mut self, request: RequestId) {
         let Some(claim) = self.claims.get_mut(&request) else { return };
         match claim.state {
@@ -181,7 +183,8 @@
         }
     }
 
-    /// Forgets the claim of a request that ran or may have run; its key stays claimed in the log.
+    /// Stops tracking the claim of a request that ran or may have run; its key stays claimed in the
+    /// log.
     pub fn finish(&mut self, request: RequestId) {
         self.claims.remove(&request);
     }
--- a/crates/core/tests/charts.rs
+++ b/crates/core/tests/charts.rs
@@ -1,4 +1,4 @@
-//! State charts: every shipped one in every state with every event, and broken ones refused.
+//! State charts: all shipped charts handle every event in every state; invalid charts are rejected.
 
 use reelreel_core::chart::{
     ChartError, ClaimEvent, ClaimState, DrainState, EngineState, FreshnessState, LoadState,
@@ -25,7 +25,7 @@
 fn every_state_handles_every_event() {
     for (name, chart) in shipped_charts() {
         for state in chart.states() {
-            let from = chart.state(state).expect("a chart finds its own states");
+            let from = chart.state(state).expect("chart has the state");
             for event in chart.events() {
                 let to = chart.step(from, event);
                 assert!(chart.states().len() > usize::from(to), "{name}: {state} {event}");
@@ -47,12 +47,12 @@
     }
 }
 
-/// Walks a chart from a state and collects all that can follow.
+/// Returns the names of all states reachable from a state, including itself.
 fn reachable(chart: &StateChart, from: &str) -> Vec<String> {
     let mut found = vec![from.to_owned()];
     let mut next = 0;
     while next < found.len() {
-        let state = chart.state(&found[next]).expect("a state of the chart");
+        let state = chart.state(&found[next]).expect("chart has the state");
         for event in chart.events() {
             let name = chart.state_name(chart.step(state, event)).to_owned();
             if !found.contains(&name) {
@@ -88,7 +88,7 @@
 
 const INVALID_CHARTS: &[InvalidChartCase] = &[
     InvalidChartCase {
-        name: "no TOML",
+        name: "invalid TOML",
         text: "initial = ",
         error: |error| matches!(error, ChartError::Syntax(_)),
     },
@@ -103,7 +103,7 @@
         error: |error| matches!(error, ChartError::UnknownEvent { event, .. } if event == "og"),
     },
     InvalidChartCase {
-        name: "silent about an event",
+        name: "unhandled event",
         text: "initial = \"a\"\nfinal = [\"a\"]\nevents = [\"go\"]\n[state.a]\n",
         error: |error| matches!(error, ChartError::Unhandled { event, .. } if event == "go"),
     },
@@ -123,7 +123,7 @@
         error: |error| matches!(error, ChartError::Unreachable(state) if state == "b"),
     },
     InvalidChartCase {
-        name: "no way out",
+        name: "dead end",
         text: "initial = \"a\"\nevents = [\"go\"]\n[state.a]\nignore = [\"go\"]\n",
         error: |error| matches!(error, ChartError::DeadEnd(state) if state == "a"),
     },
@@ -134,6 +134,6 @@
     for case in INVALID_CHARTS {
         let error = StateChart::parse(case.text).expect_err(case.name);
         assert!((case.error)(&error), "{}: {error}", case.name);
-        assert!(error.to_string().contains(';'), "{}: names no remedy: {error}", case.name);
+        assert!(error.to_string().contains(';'), "{}: message names no remedy: {error}", case.name);
     }
 }
--- a/crates/core/tests/claims.rs
+++ b/crates/core/tests/claims.rs
@@ -1,4 +1,4 @@
-//! Claims of idempotency keys: the fold over the log and one host's own tracker.
+//! Claims of idempotency keys: the claim table and the tracker of a host's own claims.
 
 use std::time::Duration;
 
@@ -24,14 +24,14 @@
     LogRecord { offset, written_millis, payload }
 }
 
-/// Keys and requests.
+/// Pairs of a key and a request.
 type Pairs = &'static [(u128, u128)];
 
 struct ClaimTableCase {
     name: &'static str,
-    /// When each record was written, what it claims and what it releases.
+    /// The time, claims and releases of each record.
     records: &'static [(u64, Pairs, Pairs)],
-    /// For each claim in order: the request that claimed and the one that holds the key.
+    /// For each claim in order: the claiming request and the request that holds the key.
     decided: &'static [(u128, u128)],
 }
 
@@ -42,7 +42,7 @@
         decided: &[(1, 1), (2, 1)],
     },
     ClaimTableCase {
-        name: "a doubled append changes nothing",
+        name: "a duplicate append changes nothing",
         records: &[(0, &[(7, 1)], &[]), (1, &[(7, 1)], &[])],
         decided: &[(1, 1), (1, 1)],
     },
@@ -52,12 +52,12 @@
         decided: &[(1, 1), (2, 2)],
     },
     ClaimTableCase {
-        name: "only the holder releases",
+        name: "only the holder can release a claim",
         records: &[(0, &[(7, 1)], &[]), (1, &[], &[(7, 2)]), (2, &[(7, 3)], &[])],
         decided: &[(1, 1), (3, 1)],
     },
     ClaimTableCase {
-        name: "an append that comes after its release does not revive the claim",
+        name: "an append after its release does not restore the claim",
         records: &[
             (0, &[(7, 1)], &[]),
             (1, &[], &[(7, 1)]),
@@ -67,17 +67,17 @@
         decided: &[(1, 1), (1, 1), (2, 2)],
     },
     ClaimTableCase {
-        name: "a key is forgotten after its window",
+        name: "a key expires after the window",
         records: &[(0, &[(7, 1)], &[]), (WINDOW + 1, &[(7, 2)], &[])],
         decided: &[(1, 1), (2, 2)],
     },
     ClaimTableCase {
-        name: "a claim that loses keeps the key remembered",
+        name: "a lost claim extends the lifetime of the key",
         records: &[(0, &[(7, 1)], &[]), (WINDOW, &[(7, 2)], &[]), (WINDOW + 9, &[(7, 3)], &[])],
         decided: &[(1, 1), (2, 1), (3, 1)],
     },
     ClaimTableCase {
-        name: "a key is remembered within its window",
+        name: "a key is kept within the window",
         records: &[(0, &[(7, 1)], &[]), (WINDOW, &[(7, 2)], &[])],
         decided: &[(1, 1), (2, 1)],
     },
@@ -91,7 +91,7 @@
         for (offset, (written, claims, releases)) in (0..).zip(case.records) {
             let record = log_record(offset, *written, claims, releases);
             decided.extend(table.apply(&record, WINDOW));
-            assert!(table.apply(&record, WINDOW).is_empty(), "{}: folded twice", case.name);
+            assert!(table.apply(&record, WINDOW).is_empty(), "{}: applied twice", case.name);
         }
         let decided: Vec<(u128, u128)> =
             decided.iter().map(|claim| (claim.request, claim.holder)).collect();
@@ -103,7 +103,7 @@
     ClockMillis::from_millis(millis)
 }
 
-/// Appends what waits and folds it at once; returns the verdicts.
+/// Appends the pending claims and applies the record at once; returns the verdicts.
 fn append(tracker: &mut ClaimTracker, table: &mut ClaimTable, at: u64) -> Vec<ClaimVerdict> {
     let Some((ticket, record)) = tracker.next_append(now(at)) else { return Vec::new() };
     let payload = record.to_json();
@@ -123,7 +123,7 @@
     assert_eq!(append(&mut tracker, &mut table, 1).len(), 40);
     assert_eq!(table.next_offset(), 1);
     tracker.track(99, 5, None);
-    assert!(append(&mut tracker, &mut table, 50).is_empty(), "not before the interval ends");
+    assert!(append(&mut tracker, &mut table, 50).is_empty(), "no append before the interval ends");
     assert_eq!(append(&mut tracker, &mut table, 101), [ClaimVerdict::Won(99)]);
 }
 
@@ -132,7 +132,7 @@
     let mut tracker = ClaimTracker::new(Duration::ZERO);
     let mut table = ClaimTable::default();
     tracker.track(1, 7, None);
-    let (ticket, record) = tracker.next_append(now(1)).expect("a claim waits");
+    let (ticket, record) = tracker.next_append(now(1)).expect("a claim is pending");
     tracker.append_ended(ticket, false);
     assert!(tracker.next_append(now(500)).is_none(), "the claim is not appended again");
     let record = LogRecord { offset: 0, written_millis: 1, payload: record.to_json() };
@@ -148,9 +148,9 @@
 fn a_refused_append_is_retried() {
     let mut tracker = ClaimTracker::new(Duration::ZERO);
     tracker.track(1, 7, None);
-    let (ticket, _) = tracker.next_append(now(1)).expect("a claim waits");
+    let (ticket, _) = tracker.next_append(now(1)).expect("a claim is pending");
     tracker.append_ended(ticket, true);
-    let (again, record) = tracker.next_append(now(2)).expect("it waits again");
+    let (again, record) = tracker.next_append(now(2)).expect("the claim is pending again");
     assert!(again > ticket);
     assert_eq!(record.claims, [ClaimItem::new(7, 1)]);
 }
@@ -160,12 +160,12 @@
     let mut tracker = ClaimTracker::new(Duration::ZERO);
     let mut table = ClaimTable::default();
     tracker.track(1, 7, None);
-    let (ticket, record) = tracker.next_append(now(1)).expect("a claim waits");
+    let (ticket, record) = tracker.next_append(now(1)).expect("a claim is pending");
     tracker.append_ended(ticket, false);
     tracker.abandon(1);
     let record = LogRecord { offset: 0, written_millis: 1, payload: record.to_json() };
     for claim in table.apply(&record, WINDOW) {
-        assert_eq!(tracker.apply_decision(claim, WINDOW), None, "given up is never won");
+        assert_eq!(tracker.apply_decision(claim, WINDOW), None, "an abandoned claim is never won");
     }
     assert!(append(&mut tracker, &mut table, 2).is_empty());
     tracker.track(2, 7, None);
@@ -190,8 +190,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// A reader that begins late, and missed only what has expired, lets nobody win whom the
-    /// others refuse. It may refuse more: a claim that lost looks to it like the first.
+    /// A reader that missed only expired records never decides for a claim that lost elsewhere. It
+    /// may refuse more claims, since it takes the first claim it reads as the holder.
     #[test]
     fn a_late_reader_grants_no_claim_that_others_refuse(
         records in prop::collection::vec((0..300u64, 0..6u128, 0..2u8), 1..60),
@@ -219,7 +219,7 @@
         let late_decisions: Vec<_> = log[first..].iter().map(|record| late.apply(record, WINDOW)).collect();
         for (early, late) in early_decisions[cut..].iter().flatten().zip(late_decisions[cut - first..].iter().flatten()) {
             let won = |claim: &DecidedClaim| claim.holder == claim.request;
-            prop_assert!(!won(late) || won(early), "{late:?} against {early:?}");
+            prop_assert!(!won(late) || won(early), "late: {late:?}, early: {early:?}");
         }
     }
 }
--- a/crates/core/tests/fault_free_run.rs
+++ b/crates/core/tests/fault_free_run.rs
@@ -1,4 +1,4 @@
-//! The script of the fault matrix without any fault: all promises hold, most calls are answered.
+//! The script of the fault matrix without faults: all promises hold and most requests are answered.
 
 use reelreel_core::CallerOutcome;
 use reelreel_fakes::{FaultPlan, SiteScript, check_promises, standard_site};
@@ -17,7 +17,7 @@
             .filter(|caller| matches!(caller.told, Some((CallerOutcome::Answered, _))))
             .count();
         let all = site.evidence.callers.len();
-        assert!(answered * 10 >= all * 7, "seed {seed}: {answered} of {all}");
+        assert!(answered * 10 >= all * 7, "seed {seed}: {answered} of {all} answered");
     }
 }
 
--- a/crates/core/tests/fault_matrix.rs
+++ b/crates/core/tests/fault_matrix.rs
@@ -1,8 +1,8 @@
-//! The fault matrix: every fault at every step, and pairs of faults, from the tables in `matrix/`.
+//! The fault matrix: single faults and pairs of faults at every step, from the tables in `matrix/`.
 //!
-//! Each cell plays the script of `reelreel_fakes::standard_site` with the fault placed at one step
-//! and checks all eight promises from what the fakes saw. A cell whose step does not come in the
-//! run, or whose fault has nobody to strike there, is counted as not applicable.
+//! Each cell runs the script of `reelreel_fakes::standard_site` with a fault injected at one step
+//! and checks all eight promises. A cell whose step is not reached, or whose fault has no target
+//! there, counts as not applicable.
 
 use std::{collections::BTreeMap, fmt::Write, path::Path};
 
@@ -12,28 +12,28 @@
 };
 use serde::Deserialize;
 
-/// One table: one fault at all steps, or pairs of faults.
+/// A table of cells: a fault, or pairs of faults, at all steps.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct MatrixTable {
-    /// The fault of every cell.
+    /// The fault injected in every cell.
     fault: FaultKind,
-    /// At the how manyeth time of the step.
+    /// The occurrences of the step at which the fault is injected.
     nth: Vec<u64>,
-    /// For how long, in milliseconds.
+    /// The duration of the faults, in milliseconds.
     lasts: u64,
-    /// Seeds; each is a run of its own.
+    /// The seeds; each is a separate run.
     seeds: Vec<u64>,
-    /// A second fault, with the first at the same step; pairs the first with all of these.
+    /// Second faults; each is paired with the first at the same step.
     #[serde(default)]
     with: Vec<FaultKind>,
-    /// How much later the second fault strikes, counted in times of its step.
+    /// How many occurrences of the step after the first the second fault is injected.
     #[serde(default)]
     with_after: u64,
     /// Whether engine 2 checks fences.
     #[serde(default = "default_fenced")]
     fenced: bool,
-    /// Steps at which the fault means nothing, and why.
+    /// Steps at which the fault has no effect, with the reason.
     #[serde(default)]
     not_applicable: BTreeMap<StepKind, String>,
 }
@@ -61,7 +61,7 @@
     table.with.iter().map(second).collect()
 }
 
-/// Plays one cell; `None` when the step never came.
+/// Runs one cell; returns `None` if a fault was not injected.
 fn run_cell(seed: u64, fenced: bool, faults: Vec<PlannedFault>) -> Option<Vec<BrokenPromise>> {
     let script = SiteScript { fenced, ..SiteScript::new(seed) };
     let mut site = standard_site(script, FaultPlan::new(faults));
@@ -69,7 +69,7 @@
     site.all_struck().then(|| check_promises(&site))
 }
 
-#[expect(clippy::needless_pass_by_value, reason = "the harness hands the content over")]
+#[expect(clippy::needless_pass_by_value, reason = "signature required by the harness")]
 fn run_table(path: &Path, content: String) -> datatest_stable::Result<()> {
     let table: MatrixTable = toml::from_str(&content)?;
     let mut counts = CellCounts::default();
--- a/crates/core/tests/mutations.rs
+++ b/crates/core/tests/mutations.rs
@@ -1,6 +1,5 @@
-//! Each promise's check goes red when the mechanism behind it is broken on purpose.
-//!
-//! A check that can not fail proves nothing; this is the other half of the fault matrix.
+//! Mutation tests of the promise checks: each check fails when the mechanism behind its promise is
+//! disabled.
 
 use reelreel_fakes::{
     FaultKind, FaultPlan, PlannedFault, Promise, SiteMutation, SiteScript, StepKind,
@@ -9,7 +8,7 @@
 
 struct MutationCase {
     mutation: SiteMutation,
-    /// The faults without which the broken mechanism is not needed.
+    /// The faults that exercise the disabled mechanism.
     faults: &'static [(FaultKind, StepKind, u64)],
     promise: Promise,
 }
@@ -62,7 +61,7 @@
     },
 ];
 
-/// Seeds tried for each case; which one hits the race differs with every change of the core.
+/// The seeds run for each case; which of them trigger the violation changes with the core.
 const SEEDS: std::ops::Range<u64> = 0..48;
 
 fn violates_promise(case: &MutationCase, mutation: Option<SiteMutation>, seed: u64) -> bool {
@@ -87,15 +86,20 @@
             SEEDS.clone().filter(|seed| violates_promise(case, Some(case.mutation), *seed)).count();
         let clean_runs = SEEDS.clone().filter(|seed| !violates_promise(case, None, *seed)).count();
         println!(
-            "{:?} breaks {:?} in {violations} of {} runs",
+            "{:?} violates {:?} in {violations} of {} runs",
             case.mutation, case.promise, SEEDS.end
         );
         assert!(
             violations > 0,
-            "{:?} is not seen by the check of {:?}",
+            "{:?} is not detected by the check of {:?}",
             case.mutation,
             case.promise
         );
-        assert_eq!(clean_runs, SEEDS.clone().count(), "{:?} breaks without it", case.promise);
+        assert_eq!(
+            clean_runs,
+            SEEDS.clone().count(),
+            "{:?} is violated without the mutation",
+            case.promise
+        );
     }
 }
--- a/crates/core/tests/promises.rs
+++ b/crates/core/tests/promises.rs
@@ -1,8 +1,7 @@
 //! The eight promises under random faults at random steps.
 //!
-//! `PROPTEST_CASES=100000` makes a longer run, `PROPTEST_SEED=2` another one. The seed is fixed
-//! where none is named, so that each run gives the same verdict; a case that ever failed is kept in
-//! [`REGRESSION_CASES`].
+//! `PROPTEST_CASES` sets the number of cases and `PROPTEST_SEED` the seed, which is fixed by
+//! default so that runs are reproducible. Cases that failed once are kept in [`REGRESSION_CASES`].
 
 use proptest::{
     prelude::*,
@@ -13,10 +12,10 @@
     standard_site,
 };
 
-/// Runs in CI; a longer run names its number in `PROPTEST_CASES`.
+/// The number of cases if `PROPTEST_CASES` is not set.
 const DEFAULT_CASES: u32 = 400;
 
-/// The seed of the run in CI.
+/// The seed if `PROPTEST_SEED` is not set.
 const DEFAULT_SEED: u64 = 0x7ee1;
 
 fn env_number(name: &str) -> Option<u64> {
@@ -68,25 +67,25 @@
     }
 }
 
-/// A run that once broke a promise.
+/// A run that once violated a promise.
 struct RegressionCase {
     seed: u64,
     faults: &'static [(FaultKind, StepKind, u64, u64)],
 }
 
-/// Cases that failed once, each kept for what it found.
+/// Runs that once failed, each with the fault that it guards against.
 const REGRESSION_CASES: &[RegressionCase] = &[
-    // A host that raised its own fence overtook another that had taken the engine over meanwhile.
+    // A host raised its own fence above that of a host that had taken over the engine.
     RegressionCase {
         seed: 1,
         faults: &[(FaultKind::MessageLost, StepKind::GrantArrives, 1, 6_000)],
     },
-    // A request was tried again after its engine was restarted, then told as not run.
+    // A request was retried after a restart of its engine and then reported as not run.
     RegressionCase {
         seed: 1,
         faults: &[(FaultKind::EngineRestarted, StepKind::RequestRuns, 1, 6_000)],
     },
-    // The digest of an engine's earlier life outlived its restart and sent requests in circles.
+    // The digest of an earlier incarnation outlived the engine's restart and misrouted requests.
     RegressionCase {
         seed: 5,
         faults: &[
@@ -94,7 +93,7 @@
             (FaultKind::HostKilled, StepKind::PublicationAppends, 4, 5_000),
         ],
     },
-    // A host that stopped as planned exited before it told its last callers.
+    // A host exited from a graceful shutdown before it answered its last callers.
     RegressionCase {
         seed: 756_212,
         faults: &[
@@ -102,7 +101,7 @@
             (FaultKind::PeersCutBothWays, StepKind::RequestSends, 36, 8_457),
         ],
     },
-    // A read of the claims that came before an earlier one was taken for one after a gap.
+    // A read of the claims stream that overtook an earlier one was taken for a gap.
     RegressionCase {
         seed: 541_435,
         faults: &[(FaultKind::LogSlow, StepKind::ClaimReads, 30, 300)],
--- a/crates/core/tests/single_host.rs
+++ b/crates/core/tests/single_host.rs
@@ -1,4 +1,4 @@
-//! One host, driven event by event: asking on, signs of leaving, snapshots by time.
+//! A single host core, driven event by event: permit asks, leaving engines and snapshots.
 
 use std::time::Duration;
 
@@ -23,11 +23,11 @@
     ClockReading { now: ClockMillis::from_millis(millis), wall_millis: millis }
 }
 
-/// Makes a host in hall 9 that knows one engine and one host in hall 1.
+/// Creates a host in hall 9 that knows one engine and its owner in hall 1.
 fn new_host() -> NodeCore {
     let mut host = NodeCore::new(NodeConfig::new(1, 9, 1));
     host.start(reading(1));
-    let tree = read_tree(TREE).expect("no mistakes");
+    let tree = read_tree(TREE).expect("the tree is valid");
     let record = ChangeRecord {
         format: 1,
         change_id: String::from("first"),
@@ -119,11 +119,14 @@
         retry_after: None,
     };
     host.handle(reading(2_002), message_from_owner(PeerMessage::PermitRefused(refused)));
-    assert!(is_refused(2_003, &mut host, 2), "its owner says that it is leaving");
+    assert!(is_refused(2_003, &mut host, 2), "the owner reported the engine as leaving");
     host.handle(reading(2_004), digest(5, 2));
-    assert!(is_refused(2_005, &mut host, 3), "late news of the same life takes nothing back");
+    assert!(
+        is_refused(2_005, &mut host, 3),
+        "a later digest of the same incarnation does not clear the mark"
+    );
     host.handle(reading(2_006), digest(6, 1));
-    assert!(!is_refused(2_007, &mut host, 4), "it is back in a new life");
+    assert!(!is_refused(2_007, &mut host, 4), "the engine serves in a new incarnation");
 }
 
 #[test]
@@ -158,7 +161,7 @@
         }
         actions = host.handle(reading(millis), NodeEvent::Tick);
     }
-    let ask = last_ask.expect("it asks on");
+    let ask = last_ask.expect("the request is asked for again");
     let granted = PermitGranted {
         request,
         attempt: ask.attempt,
@@ -177,10 +180,10 @@
 fn a_superseded_permit_ask_is_withdrawn() {
     let mut host = new_host();
     let actions = host.handle(reading(3_000), arrival(1));
-    let first = find_permit_ask(&actions).expect("it asks");
-    // No answer comes: after half a second it is routed anew.
+    let first = find_permit_ask(&actions).expect("a first ask");
+    // Without an answer, the request is routed again after the ask timeout of 500 ms.
     let actions = host.handle(reading(3_600), NodeEvent::Tick);
-    let second = find_permit_ask(&actions).expect("it asks again");
+    let second = find_permit_ask(&actions).expect("a second ask");
     assert_eq!(second.attempt, first.attempt + 1);
     let withdrawn = actions.iter().any(|action| match action {
         NodeAction::SendMessage { message: PeerMessage::PermitDone(done), .. } => {
@@ -195,7 +198,7 @@
 fn snapshots_are_written_by_age_and_renewed_before_log_retention() {
     const MINUTE: u64 = 60_000;
     let mut host = new_host();
-    // The host in hall 1 is not there: after a few silent heartbeats only this one is left.
+    // The host in hall 1 answers no heartbeats, so this host soon is the only live one.
     let mut written = Vec::new();
     for minute in 0..800 {
         for second in 0..4 {
@@ -210,6 +213,6 @@
         }
     }
     assert_eq!(written.len(), 3, "{written:?}");
-    assert!((30..=31).contains(&written[0]), "half an hour after the change: {written:?}");
-    assert!((390..=392).contains(&written[1]), "six hours after that: {written:?}");
+    assert!((30..=31).contains(&written[0]), "30 minutes after the change: {written:?}");
+    assert!((390..=392).contains(&written[1]), "6 hours later: {written:?}");
 }
