--- a/crates/core/src/chart.rs
+++ b/crates/core/src/chart.rs
@@ -90,11 +90,11 @@
     /// # Errors
     /// Returns the first [`ChartError`] found.
     pub fn parse(text: &str) -> Result<Self, ChartError> {
-        let file: ChartSpec =
+        let spec: ChartSpec =
             toml::from_str(text).map_err(|error| ChartError::Syntax(error.to_string()))?;
-        check_names(&file)?;
-        check_reachability(&file)?;
-        Ok(compile(&file))
+        check_names(&spec)?;
+        check_reachability(&spec)?;
+        Ok(compile(&spec))
     }
 
     /// Returns the initial state.
@@ -134,28 +134,28 @@
     }
 }
 
-fn check_names(file: &ChartSpec) -> Result<(), ChartError> {
-    for (name, state) in &file.state {
+fn check_names(spec: &ChartSpec) -> Result<(), ChartError> {
+    for (name, state) in &spec.state {
         for event in state.on.keys().chain(&state.ignore) {
-            if !file.events.contains(event) {
+            if !spec.events.contains(event) {
                 return Err(ChartError::UnknownEvent { state: name.clone(), event: event.clone() });
             }
         }
-        for event in &file.events {
+        for event in &spec.events {
             if !state.on.contains_key(event) && !state.ignore.contains(event) {
                 return Err(ChartError::Unhandled { state: name.clone(), event: event.clone() });
             }
         }
         for target in state.on.values() {
-            if !file.state.contains_key(target) {
+            if !spec.state.contains_key(target) {
                 let (state, target) = (name.clone(), target.clone());
                 return Err(ChartError::UnknownState { state, target });
             }
         }
     }
-    let named = file.finals.iter().chain([&file.initial]);
+    let named = spec.finals.iter().chain([&spec.initial]);
     for target in named {
-        if !file.state.contains_key(target) {
+        if !spec.state.contains_key(target) {
             let state = String::from("initial or final");
             return Err(ChartError::UnknownState { state, target: target.clone() });
         }
@@ -163,36 +163,36 @@
     Ok(())
 }
 
-fn check_reachability(file: &ChartSpec) -> Result<(), ChartError> {
-    let mut reached = BTreeSet::from([file.initial.as_str()]);
-    let mut unvisited = vec![file.initial.as_str()];
+fn check_reachability(spec: &ChartSpec) -> Result<(), ChartError> {
+    let mut reached = BTreeSet::from([spec.initial.as_str()]);
+    let mut unvisited = vec![spec.initial.as_str()];
     while let Some(name) = unvisited.pop() {
-        for target in file.state[name].on.values() {
+        for target in spec.state[name].on.values() {
             if reached.insert(target) {
                 unvisited.push(target);
             }
         }
     }
-    for (name, state) in &file.state {
+    for (name, state) in &spec.state {
         if !reached.contains(name.as_str()) {
             return Err(ChartError::Unreachable(name.clone()));
         }
         let leaves = state.on.values().any(|target| target != name);
-        if !leaves && !file.finals.contains(name) {
+        if !leaves && !spec.finals.contains(name) {
             return Err(ChartError::DeadEnd(name.clone()));
         }
     }
     Ok(())
 }
 
-fn compile(file: &ChartSpec) -> StateChart {
-    let states: Vec<String> = file.state.keys().cloned().collect();
-    let events: Vec<String> = file.events.iter().cloned().collect();
+fn compile(spec: &ChartSpec) -> StateChart {
+    let states: Vec<String> = spec.state.keys().cloned().collect();
+    let events: Vec<String> = spec.events.iter().cloned().collect();
     let index = |name: &str| -> StateIndex {
         let state_position = states.iter().position(|known| known == name).unwrap_or_default();
         StateIndex::try_from(state_position).unwrap_or(StateIndex::MAX)
     };
-    let transitions = file
+    let transitions = spec
         .state
         .iter()
         .map(|(name, state)| {
@@ -200,7 +200,7 @@
             events.iter().map(target).collect()
         })
         .collect();
-    StateChart { initial: index(&file.initial), transitions, states, events }
+    StateChart { initial: index(&spec.initial), transitions, states, events }
 }
 
 /// Declares the enums of a lifecycle's states and events, whose transitions an embedded chart
--- a/crates/core/src/engine/slots.rs
+++ b/crates/core/src/engine/slots.rs
@@ -193,8 +193,8 @@
             ResidencyState::Draining => f64::NEG_INFINITY,
             _ => self.policy.retention_value(&residency.usage(now, self.times.half_life)),
         };
-        let is_evictable = self.residencies.values().filter(|residency| residency.is_evictable());
-        let mut costs: Vec<f64> = is_evictable.map(cost).collect();
+        let evictable = self.residencies.values().filter(|residency| residency.is_evictable());
+        let mut costs: Vec<f64> = evictable.map(cost).collect();
         costs.extend(std::iter::repeat_n(f64::NEG_INFINITY, self.free_slots()));
         costs.sort_by(|left, right| right.total_cmp(left));
         costs
--- a/crates/core/src/node/backends.rs
+++ b/crates/core/src/node/backends.rs
@@ -142,7 +142,7 @@
     }
 
     /// Stores a digest; returns whether it was newer than the known one.
-    pub(super) fn put_digest(&mut self, digest: &EngineDigest) -> bool {
+    pub(super) fn store_digest(&mut self, digest: &EngineDigest) -> bool {
         let Some(view) = self.engines.get_mut(&digest.engine) else { return false };
         if view.digest.as_ref().is_some_and(|known| known.version() >= digest.version()) {
             return false;
--- a/crates/core/src/node/dispatch.rs
+++ b/crates/core/src/node/dispatch.rs
@@ -32,7 +32,7 @@
         entry.attempt += 1;
         entry.server = Some(server);
         entry.state = entry.state.after(RequestEvent::Permitted);
-        let order = RequestDispatch {
+        let dispatch = RequestDispatch {
             request: id,
             address,
             adapter_name: String::new(),
@@ -44,7 +44,7 @@
             issued_at: now,
         };
         self.set_timer(id, None);
-        self.actions.push(NodeAction::Dispatch(order));
+        self.actions.push(NodeAction::Dispatch(dispatch));
     }
 
     fn choose_server(&self, id: RequestId) -> Option<ServerId> {
@@ -64,7 +64,7 @@
     }
 
     /// Handles the result of a dispatch.
-    pub(super) fn handle_dispatch_ended(&mut self, id: RequestId, result: DispatchResult) {
+    pub(super) fn finish_dispatch(&mut self, id: RequestId, result: DispatchResult) {
         let Some(entry) = self.open_requests.get(&id) else { return };
         if !entry.state.is_dispatched() {
             return;
@@ -79,7 +79,7 @@
             DispatchResult::Answered => self.end_answered(id),
             DispatchResult::NotRun(reason) => self.handle_not_run(id, reason),
             DispatchResult::Interrupted { answer_started } => {
-                self.handle_interrupted(id, answer_started)
+                self.handle_interrupted(id, answer_started);
             }
             DispatchResult::BackendError => {
                 let message = "the backend server returned an error";
@@ -154,9 +154,9 @@
     fn handle_interrupted(&mut self, id: RequestId, answer_started: bool) {
         let now = self.now();
         let Some(entry) = self.open_requests.get(&id) else { return };
-        let again = entry.repeatable && !answer_started && now < entry.deadline;
+        let retry = entry.repeatable && !answer_started && now < entry.deadline;
         let share = entry.settings.retry_share;
-        if again && self.retry_budget.take(share, now) {
+        if retry && self.retry_budget.take(share, now) {
             self.counters.retries += 1;
             if let Some(entry) = self.open_requests.get_mut(&id) {
                 entry.state = entry.state.after(RequestEvent::Retried);
--- a/crates/core/src/node/inbox.rs
+++ b/crates/core/src/node/inbox.rs
@@ -23,14 +23,14 @@
             PeerMessage::PermitRefused(refused) => self.handle_permit_refused(refused),
             PeerMessage::PermitDone(done) => {
                 self.with_controller(done.engine, |controller, now, out| {
-                    controller.handle_done(done, now, out)
+                    controller.handle_done(done, now, out);
                 });
             }
             PeerMessage::PermitCheck(check) => self.handle_permit_check(from, check),
             PeerMessage::LoadAsk(ask) => self.handle_load_ask(from, &ask),
             PeerMessage::LoadPlace(place) => {
                 self.with_controller(place.engine, |controller, now, out| {
-                    controller.handle_load_place(place, now, out)
+                    controller.handle_load_place(place, now, out);
                 });
             }
             PeerMessage::LoadGrant(turn) => self.handle_load_grant(from, turn),
@@ -72,7 +72,7 @@
             return;
         }
         self.with_controller(ask.engine, |controller, now, out| {
-            controller.handle_ask(from, ask, now, out)
+            controller.handle_ask(from, ask, now, out);
         });
     }
 
--- a/crates/core/src/node/log.rs
+++ b/crates/core/src/node/log.rs
@@ -13,7 +13,7 @@
 };
 
 /// Snapshot appends use tickets above this one; claim appends use those below.
-const FIRST_SNAPSHOT_TICKET: u64 = 1 << 62;
+const SNAPSHOT_TICKET_BASE: u64 = 1 << 62;
 
 /// How long no key can be claimed after the log was restored from an older copy.
 ///
@@ -193,16 +193,16 @@
     }
 
     /// Applies settings records from a peer; known ones are skipped.
-    pub(super) fn handle_settings_records(&mut self, passed: SettingsRecords) {
-        if self.enter_era(passed.era) {
-            self.apply_settings_records(passed.records);
+    pub(super) fn handle_settings_records(&mut self, received: SettingsRecords) {
+        if self.enter_era(received.era) {
+            self.apply_settings_records(received.records);
         }
     }
 
     /// Adopts a settings snapshot from a peer.
-    pub(super) fn handle_settings_state(&mut self, passed: &SettingsState) {
-        if self.enter_era(passed.era) {
-            self.adopt_snapshot(&passed.snapshot);
+    pub(super) fn handle_settings_state(&mut self, received: &SettingsState) {
+        if self.enter_era(received.era) {
+            self.adopt_snapshot(&received.snapshot);
         }
     }
 
@@ -269,8 +269,8 @@
             return;
         }
         self.progress.last_snapshot_at = self.now();
-        self.progress.next_ticket += 1;
-        let ticket = FIRST_SNAPSHOT_TICKET + self.progress.next_ticket;
+        self.progress.snapshot_appends += 1;
+        let ticket = SNAPSHOT_TICKET_BASE + self.progress.snapshot_appends;
         self.progress.pending_snapshot = Some(ticket);
         // Treated as written. If the append fails, a later snapshot covers these records.
         self.progress.newest_snapshot_offset = self.settings.next_offset();
--- a/crates/core/src/node/membership.rs
+++ b/crates/core/src/node/membership.rs
@@ -83,13 +83,13 @@
             self.members.others().partition(|entry| entry.update.state == MemberState::Dead);
         let live: Vec<HostId> = live.iter().map(|entry| entry.update.host).collect();
         let dead: Vec<HostId> = dead.iter().map(|entry| entry.update.host).collect();
-        let mut picked: Vec<HostId> =
+        let mut targets: Vec<HostId> =
             live.sample(&mut self.rng, self.config.times.fanout).copied().collect();
-        picked.shuffle(&mut self.rng);
+        targets.shuffle(&mut self.rng);
         if self.heartbeat_sequence.is_multiple_of(DEAD_PROBE_PERIOD) || live.is_empty() {
-            picked.extend(dead.choose(&mut self.rng));
+            targets.extend(dead.choose(&mut self.rng));
         }
-        picked
+        targets
     }
 
     fn heartbeat(&mut self, sequence: u64) -> Heartbeat {
@@ -201,7 +201,7 @@
         let engine = digest.engine;
         let owner = digest.owner;
         let (token, incarnation) = (digest.token, digest.incarnation);
-        if !self.backends.put_digest(digest) {
+        if !self.backends.store_digest(digest) {
             self.digest_gossip.heard_again(engine);
             return;
         }
--- a/crates/core/src/node/ownership.rs
+++ b/crates/core/src/node/ownership.rs
@@ -68,7 +68,7 @@
 
     pub(super) fn handle_report(&mut self, engine: EngineId, report: &EngineReport) {
         self.with_controller(engine, |controller, now, out| {
-            controller.handle_report(report, now, out)
+            controller.handle_report(report, now, out);
         });
         if report.leaving {
             self.mark_leaving(engine);
@@ -202,7 +202,7 @@
         let hosts = self.members.live_count();
         for digest in digests {
             let engine = digest.engine;
-            if self.backends.put_digest(&digest) {
+            if self.backends.store_digest(&digest) {
                 self.digest_gossip.add(engine, hosts);
             }
         }
@@ -220,7 +220,7 @@
         let engines: Vec<EngineId> = self.controllers.keys().copied().collect();
         for engine in engines {
             self.with_controller(engine, |controller, now, _| {
-                controller.holder_gone(host, confirmed, except_incarnation, now)
+                controller.holder_gone(host, confirmed, except_incarnation, now);
             });
         }
     }
--- a/crates/core/src/node/permits.rs
+++ b/crates/core/src/node/permits.rs
@@ -160,9 +160,9 @@
         };
         let choice = choose_route(adapter, &holders, &engines, self.config.hall)?;
         // The known holder was overloaded or did not hold the adapter: load it on a further engine.
-        let alone = full.is_some() || entry.misrouted;
+        let load_replica = full.is_some() || entry.misrouted;
         match choice {
-            RouteChoice::Home(engine) if alone => Some(RouteChoice::Replica(engine)),
+            RouteChoice::Home(engine) if load_replica => Some(RouteChoice::Replica(engine)),
             choice => Some(choice),
         }
     }
@@ -186,8 +186,8 @@
             .open_requests
             .get(&id)
             .map_or(1, |entry| entry.attempt.clamp(1, MAX_BACKOFF_FACTOR));
-        let pause = self.jitter(self.config.times.reroute_delay * attempts);
-        let at = self.now() + pause;
+        let delay = self.jitter(self.config.times.reroute_delay * attempts);
+        let at = self.now() + delay;
         if let Some(entry) = self.open_requests.get_mut(&id) {
             entry.ask_state = PermitAskState::Backoff;
             self.set_timer(id, Some(at));
@@ -195,8 +195,8 @@
     }
 
     pub(super) fn handle_permit_queued(&mut self, queued: PermitQueued) {
-        let again = self.config.times.queued_recheck_interval;
-        let at = self.now() + again;
+        let recheck_interval = self.config.times.queued_recheck_interval;
+        let at = self.now() + recheck_interval;
         let Some(entry) = self.open_requests.get_mut(&queued.request) else { return };
         if entry.attempt == queued.attempt && entry.ask_state == PermitAskState::Sent {
             entry.ask_state = PermitAskState::Queued;
@@ -237,7 +237,7 @@
         entry.owner = Some(from);
         entry.state = entry.state.after(RequestEvent::Permitted);
         self.counters.stalled += u64::from(granted.stalled);
-        let order = RequestDispatch {
+        let dispatch = RequestDispatch {
             request: granted.request,
             address,
             adapter_name: name.clone(),
@@ -249,7 +249,7 @@
             issued_at: now,
         };
         self.set_timer(granted.request, None);
-        self.actions.push(NodeAction::Dispatch(order));
+        self.actions.push(NodeAction::Dispatch(dispatch));
     }
 
     pub(super) fn handle_permit_refused(&mut self, refused: PermitRefused) {
--- a/crates/core/src/node/state.rs
+++ b/crates/core/src/node/state.rs
@@ -45,8 +45,8 @@
     pub(super) last_snapshot_at: ClockMillis,
     /// The ticket of the snapshot append in flight.
     pub(super) pending_snapshot: Option<u64>,
-    /// Counts the snapshot appends; their tickets are offset by `FIRST_SNAPSHOT_TICKET`.
-    pub(super) next_ticket: u64,
+    /// Counts the snapshot appends; their tickets are offset by `SNAPSHOT_TICKET_BASE`.
+    pub(super) snapshot_appends: u64,
     /// When settings were last requested from a peer.
     pub(super) last_settings_pull_at: ClockMillis,
 }
@@ -169,9 +169,7 @@
             NodeEvent::Tick => self.handle_tick(),
             NodeEvent::RequestArrived(request) => self.handle_arrival(request),
             NodeEvent::CallerGone(request) => self.handle_caller_gone(request),
-            NodeEvent::DispatchEnded { request, result } => {
-                self.handle_dispatch_ended(request, result)
-            }
+            NodeEvent::DispatchEnded { request, result } => self.finish_dispatch(request, result),
             NodeEvent::PeerMessage { from, stamp, message } => {
                 self.counters.messages_received += 1;
                 self.timeline.receive(stamp, self.reading.wall_millis);
--- a/crates/core/src/node/timers.rs
+++ b/crates/core/src/node/timers.rs
@@ -52,8 +52,8 @@
             .filter(|engine| self.next_report_at.get(engine).is_none_or(|due| now >= *due))
             .collect();
         for engine in wanted {
-            let pause = self.report_interval(engine);
-            self.next_report_at.insert(engine, now + pause);
+            let interval = self.report_interval(engine);
+            self.next_report_at.insert(engine, now + interval);
             let Some(view) = self.backends.engines.get(&engine) else { continue };
             let address = view.info.address.clone();
             self.actions.push(NodeAction::FetchReport { engine, address });
