--- a/crates/core/src/chart.rs
+++ b/crates/core/src/chart.rs
@@ -104,8 +104,9 @@
 
     /// Returns the state that `event` leads to from `state`.
     ///
-    /// # Panics Panics if the chart has no such event. Callers pass fixed event names, and a test
-    /// covers every state with every event.
+    /// # Panics
+    /// Panics if the chart has no such event. Callers pass fixed event names, and a test covers
+    /// every state with every event.
     pub fn step(&self, state: StateIndex, event: &str) -> StateIndex {
         let event_index = self.events.iter().position(|known| known == event);
         let event_index = event_index.unwrap_or_else(|| panic!("chart has no event `{event}`"));
