--- a/crates/core/src/engine.rs
+++ b/crates/core/src/engine.rs
@@ -20,7 +20,7 @@
 mod residency;
 mod slots;
 
-pub use controller::{ControllerOutput, EngineController, EngineTimes, TurnRequest};
+pub use controller::{ControllerOutput, EngineController, EngineTimes, TurnMessage};
 pub use info::{
     EngineInfo, EngineOrder, EngineReport, OrderAction, OrderResult, ReportedAdapter,
     ReportedUnknownAdapter,
--- a/crates/core/src/engine/controller.rs
+++ b/crates/core/src/engine/controller.rs
@@ -32,7 +32,7 @@
 
 /// A message about a load turn to the host that grants the turns at the weight store.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum TurnRequest {
+pub enum TurnMessage {
     /// Asks for a turn, or reports that it is still in use.
     Ask(LoadAsk),
     /// Gives a turn back, or withdraws the ask for it.
@@ -47,7 +47,7 @@
     /// Messages to hosts that hold or ask for permits.
     pub messages: Vec<Envelope>,
     /// Messages to the host that grants load turns.
-    pub turn_requests: Vec<TurnRequest>,
+    pub turn_messages: Vec<TurnMessage>,
     /// Timeline entries.
     pub notes: Vec<String>,
     /// The number of loads that ended, including failed ones.
@@ -262,7 +262,7 @@
         }
         self.raise_fence_if_due(now, out);
         self.refuse_expired(now, out);
-        self.renew_turn_requests(now, out);
+        self.renew_turn_asks(now, out);
         self.check_permits(now, out);
         self.grant_ready_permits(now, out);
     }
--- a/crates/core/src/engine/permits.rs
+++ b/crates/core/src/engine/permits.rs
@@ -94,7 +94,7 @@
         self.grant_ready_permits(now, out);
         if !self.permits.contains_key(&queued.request) {
             out.send(from, PeerMessage::PermitQueued(queued));
-            self.request_loads(now, out);
+            self.ask_for_load_turns(now, out);
         }
     }
 
@@ -267,7 +267,7 @@
         self.withdraw_unwanted_loads(now, out);
         self.grant_ready_permits(now, out);
         if !self.queue.is_empty() {
-            self.request_loads(now, out);
+            self.ask_for_load_turns(now, out);
         }
     }
 
--- a/crates/core/src/engine/reports.rs
+++ b/crates/core/src/engine/reports.rs
@@ -47,7 +47,7 @@
             }
         }
         self.grant_ready_permits(now, out);
-        self.request_loads(now, out);
+        self.ask_for_load_turns(now, out);
     }
 
     fn handle_restart(
--- a/crates/core/src/engine/slots.rs
+++ b/crates/core/src/engine/slots.rs
@@ -6,7 +6,7 @@
     chart::{EngineState, ResidencyEvent, ResidencyState},
     clock::ClockMillis,
     engine::{
-        ControllerOutput, EngineController, LoadDemand, OrderAction, Residency, TurnRequest,
+        ControllerOutput, EngineController, LoadDemand, OrderAction, Residency, TurnMessage,
         permits::WaitingPermit,
     },
     id::AdapterKey,
@@ -18,7 +18,7 @@
 const TURN_RENEWAL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The maximum number of turns that an engine asks for at once.
-const MAX_TURN_REQUESTS: usize = 8;
+const MAX_TURN_ASKS: usize = 8;
 
 /// The retry delay of a load for which no slot could be freed.
 const NO_SLOT_RETRY_DELAY: Duration = Duration::from_millis(200);
@@ -45,8 +45,8 @@
 
     /// Gives a turn back, or withdraws the ask for it.
     pub(super) fn release_turn(&self, adapter: AdapterKey, out: &mut ControllerOutput) {
-        out.turn_requests
-            .push(TurnRequest::Release(LoadTurn { engine: self.info.engine, adapter }));
+        out.turn_messages
+            .push(TurnMessage::Release(LoadTurn { engine: self.info.engine, adapter }));
     }
 
     /// Returns the demand for each adapter that requests wait for and that is not resident.
@@ -75,7 +75,7 @@
     }
 
     /// Asks for turns for the most valuable loads whose value exceeds the cost of a slot.
-    pub(super) fn request_loads(&mut self, now: ClockMillis, out: &mut ControllerOutput) {
+    pub(super) fn ask_for_load_turns(&mut self, now: ClockMillis, out: &mut ControllerOutput) {
         if self.state != EngineState::Owned {
             return;
         }
@@ -96,7 +96,7 @@
             }
             if uses_turn(residency.state) {
                 let engine = self.info.engine;
-                out.turn_requests.push(TurnRequest::Ask(LoadAsk {
+                out.turn_messages.push(TurnMessage::Ask(LoadAsk {
                     engine,
                     adapter,
                     value,
@@ -114,7 +114,7 @@
             .map(|(adapter, demand)| (adapter, self.policy.load_value(&demand)))
             .collect();
         demands.sort_by(|left, right| right.1.total_cmp(&left.1));
-        demands.truncate(MAX_TURN_REQUESTS);
+        demands.truncate(MAX_TURN_ASKS);
         demands
     }
 
@@ -201,14 +201,14 @@
     }
 
     /// Repeats the turn asks, so that the host that grants the turns keeps them.
-    pub(super) fn renew_turn_requests(&mut self, now: ClockMillis, out: &mut ControllerOutput) {
+    pub(super) fn renew_turn_asks(&mut self, now: ClockMillis, out: &mut ControllerOutput) {
         if now.since(self.last_turn_renewal) < TURN_RENEWAL_INTERVAL {
             return;
         }
         self.last_turn_renewal = now;
         self.prune(now);
         self.withdraw_unwanted_loads(now, out);
-        self.request_loads(now, out);
+        self.ask_for_load_turns(now, out);
         self.renew_unwanted_running_loads(now, out);
     }
 
@@ -221,7 +221,7 @@
             if loading && !wanted.contains_key(adapter) {
                 let (engine, adapter) = (self.info.engine, *adapter);
                 let ask = LoadAsk { engine, adapter, value: 0.0, running: true };
-                out.turn_requests.push(TurnRequest::Ask(ask));
+                out.turn_messages.push(TurnMessage::Ask(ask));
             }
         }
     }
@@ -234,8 +234,8 @@
             let queued = residency.state == ResidencyState::Queued;
             if queued && !wanted.contains_key(adapter) {
                 residency.step(ResidencyEvent::Unwanted, now);
-                out.turn_requests
-                    .push(TurnRequest::Release(LoadTurn { engine, adapter: *adapter }));
+                out.turn_messages
+                    .push(TurnMessage::Release(LoadTurn { engine, adapter: *adapter }));
             }
         }
     }
--- a/crates/core/src/node/ownership.rs
+++ b/crates/core/src/node/ownership.rs
@@ -7,7 +7,7 @@
     clock::ClockMillis,
     engine::{
         ControllerOutput, EngineController, EngineOrder, EngineReport, OrderAction, OrderResult,
-        TurnRequest,
+        TurnMessage,
     },
     id::{EngineId, HostId},
     member::MemberUpdate,
@@ -42,7 +42,7 @@
     }
 
     fn apply_controller_output(&mut self, engine: EngineId, output: ControllerOutput) {
-        let ControllerOutput { orders, messages, turn_requests, notes, .. } = output;
+        let ControllerOutput { orders, messages, turn_messages, notes, .. } = output;
         self.counters.loads_ended += u64::from(output.loads_ended);
         self.counters.loads_failed += u64::from(output.loads_failed);
         self.counters.permits_granted += u64::from(output.permits_granted);
@@ -54,10 +54,10 @@
         for envelope in messages {
             self.send(envelope.to, envelope.message);
         }
-        for request in turn_requests {
-            let message = match request {
-                TurnRequest::Ask(ask) => PeerMessage::LoadAsk(ask),
-                TurnRequest::Release(turn) => PeerMessage::LoadEnd(turn),
+        for turn_message in turn_messages {
+            let message = match turn_message {
+                TurnMessage::Ask(ask) => PeerMessage::LoadAsk(ask),
+                TurnMessage::Release(turn) => PeerMessage::LoadEnd(turn),
             };
             self.send(self.turns_host, message);
         }
