--- a/crates/core/src/node/arrivals.rs
+++ b/crates/core/src/node/arrivals.rs
@@ -16,10 +16,10 @@
     settings::{SettingKey, SettingsPath, tree::ModelError},
 };
 
-/// The retry delay told to callers of a host that is stopping or not ready.
+/// The retry delay reported to callers of a host that is stopping or not ready.
 const OTHER_HOST_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The retry delay told to callers while the platform's log is unavailable.
+/// The retry delay reported to callers while the platform's log is unavailable.
 const LOG_RETRY_AFTER: Duration = Duration::from_secs(5);
 
 impl NodeCore {
--- a/crates/core/src/node/dispatch.rs
+++ b/crates/core/src/node/dispatch.rs
@@ -187,7 +187,7 @@
 
     /// Ends a request that is not at a backend server and refuses it to the caller.
     ///
-    /// If an earlier attempt may have run, the outcome told to the caller is unknown.
+    /// If an earlier attempt may have run, the outcome reported to the caller is unknown.
     pub(super) fn end_not_run(&mut self, id: RequestId, mut refusal: RequestRefusal) {
         let Some(entry) = self.open_requests.get(&id) else { return };
         if entry.state.after(RequestEvent::GivenUp) == RequestState::Unknown {
--- a/crates/core/src/node/permits.rs
+++ b/crates/core/src/node/permits.rs
@@ -19,7 +19,7 @@
     routing::{RouteCandidate, RouteChoice, choose_route},
 };
 
-/// The retry delay told to callers when no backend server is available.
+/// The retry delay reported to callers when no backend server is available.
 const BACKEND_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// The upper bound of the factor by which the reroute delay grows with each attempt.
