--- a/crates/core/src/chart/lifecycles.rs
+++ b/crates/core/src/chart/lifecycles.rs
@@ -10,7 +10,7 @@
         Waiting = "waiting",
         /// The order that raises the fence is in flight.
         TakingOver = "taking_over",
-        /// The fence is raised; a report written after that is awaited.
+        /// The fence is raised; a report written after that is awaited before anything is unloaded.
         Settling = "settling",
         /// Permits are granted and loads ordered.
         Owned = "owned",
@@ -23,7 +23,7 @@
         Assigned = "assigned",
         /// Another host became the assigned owner.
         Unassigned = "unassigned",
-        /// The wait for a previous owner is over.
+        /// The wait for a previous owner is over; there is none for an engine that checks fences.
         HandoverOver = "handover_over",
         /// The engine accepted the raise of the fence.
         FenceRaised = "fence_raised",
--- a/crates/core/src/engine/controller.rs
+++ b/crates/core/src/engine/controller.rs
@@ -81,8 +81,8 @@
     pub(super) incarnation: Incarnation,
     /// The highest engine sequence seen.
     pub(super) sequence: u64,
-    /// The first engine sequence after the last raise of the fence. Reports from this one on
-    /// reflect only what was sent under this host's tokens.
+    /// The engine sequence at which the last raise took effect. From this one on, the engine
+    /// accepts nothing that was sent under a lower token.
     pub(super) authoritative_from: u64,
     /// When the raise in flight was ordered.
     pub(super) raise_started_at: Option<ClockMillis>,
