--- a/crates/core/src/engine/permits.rs
+++ b/crates/core/src/engine/permits.rs
@@ -68,8 +68,8 @@
         now: ClockMillis,
         out: &mut ControllerOutput,
     ) {
-        let PermitAsk { attempt, patience, mut request, may_load, .. } = ask;
-        request.deadline = now + patience;
+        let PermitAsk { attempt, max_wait, mut request, may_load, .. } = ask;
+        request.deadline = now + max_wait;
         if self.repeat_answer(from, request.request, attempt, out) {
             return;
         }
@@ -171,8 +171,8 @@
             return None;
         }
         let wait = self.estimated_queue_wait();
-        let patience = waiting.request.deadline.since(now);
-        let late = wait > patience.mul_f64(MAX_QUEUED_FRACTION);
+        let max_wait = waiting.request.deadline.since(now);
+        let late = wait > max_wait.mul_f64(MAX_QUEUED_FRACTION);
         late.then_some((PermitRefusal::Final(RefusalKind::Overloaded), Some(wait)))
     }
 
--- a/crates/core/src/member.rs
+++ b/crates/core/src/member.rs
@@ -1,8 +1,8 @@
-//! Which entry hosts there are: heartbeats to a few, suspicion before death, incarnations.
+//! Membership of the entry hosts, with failure detection by heartbeats.
 //!
-//! The scheme is SWIM's (Das et al., 2002) without its indirect probes: a host that misses an
-//! answer is suspected, the suspicion is passed on, and the host refutes it by passing on a higher
-//! count of refutations. The platform's lagging host list only seeds the table.
+//! The protocol is SWIM (Das et al., 2002) without indirect probes: a host that does not answer a
+//! heartbeat is suspected, the suspicion is gossiped, and the host refutes it by gossiping a higher
+//! refutation count. The platform's host list, which lags, is used only to seed the table.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -12,43 +12,43 @@
     id::{HallId, HostId, Incarnation},
 };
 
-/// One host as another one passes it on.
+/// The gossiped state of one host.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MemberUpdate {
     /// The host.
     pub host: HostId,
-    /// Its data hall.
+    /// The host's data hall.
     pub hall: HallId,
-    /// Its address for peers, as `ip:port`.
+    /// The host's address for peers, as `ip:port`.
     pub address: String,
-    /// Its life: when its process started.
+    /// The host's incarnation, from the start time of its process.
     pub incarnation: Incarnation,
-    /// Counts the false suspicions that it refuted in this life.
+    /// Number of suspicions that the host has refuted in this incarnation.
     pub refutations: u32,
-    /// What is believed of it.
+    /// The host's state, as seen by the sender.
     pub state: MemberState,
 }
 
 impl MemberUpdate {
-    /// Returns what orders two updates of one host: the later one has the higher version.
+    /// Returns the version, which orders the updates of one host.
     const fn version(&self) -> (Incarnation, u32, u8) {
-        (self.incarnation, self.refutations, rank(self.state))
+        (self.incarnation, self.refutations, state_precedence(self.state))
     }
 }
 
-/// What a host knows of another one.
+/// The entry of another host in the membership table.
 #[derive(Debug, Clone)]
 pub struct MemberEntry {
-    /// The state as passed on.
+    /// The latest update.
     pub update: MemberUpdate,
-    /// When the state was entered.
-    pub since: ClockMillis,
-    /// When a heartbeat went out that is not yet answered.
-    pub awaiting: Option<ClockMillis>,
+    /// Time at which the state was entered.
+    pub state_since: ClockMillis,
+    /// Time at which the oldest unanswered heartbeat was sent.
+    pub heartbeat_sent_at: Option<ClockMillis>,
 }
 
-/// How far one state of the same incarnation outdoes another.
-const fn rank(state: MemberState) -> u8 {
+/// Returns the precedence of a state among updates with the same incarnation and refutation count.
+const fn state_precedence(state: MemberState) -> u8 {
     match state {
         MemberState::Alive => 0,
         MemberState::Suspect => 1,
@@ -57,29 +57,29 @@
     }
 }
 
-/// The times that membership goes by.
+/// The timeouts of the membership protocol.
 #[derive(Debug, Clone, Copy)]
-pub struct MemberTimes {
-    /// How long an answer may take before the host is suspected.
-    pub answer_within: Duration,
-    /// How long a suspected host has to refute.
-    pub refute_within: Duration,
-    /// How long a dead host is remembered, so that old news of it is recognised.
-    pub forget_after: Duration,
+pub struct MemberTimeouts {
+    /// Time after which a host that has not answered a heartbeat is suspected.
+    pub ack_timeout: Duration,
+    /// Time after which a suspected host that has not refuted is considered dead.
+    pub suspicion_timeout: Duration,
+    /// Time for which a dead host is kept, so that stale updates about it are recognised.
+    pub dead_retention: Duration,
 }
 
-/// The table of hosts of the site.
+/// The membership table: all known hosts of the site.
 #[derive(Debug, Clone)]
 pub struct MemberTable {
     own: MemberUpdate,
     members: BTreeMap<HostId, MemberEntry>,
-    times: MemberTimes,
+    timeouts: MemberTimeouts,
 }
 
 impl MemberTable {
-    /// Starts with nobody but the host itself.
-    pub const fn new(own: MemberUpdate, times: MemberTimes) -> Self {
-        Self { own, members: BTreeMap::new(), times }
+    /// Creates a table that contains only the host itself.
+    pub const fn new(own: MemberUpdate, timeouts: MemberTimeouts) -> Self {
+        Self { own, members: BTreeMap::new(), timeouts }
     }
 
     /// Returns the host's own entry.
@@ -87,33 +87,34 @@
         &self.own
     }
 
-    /// Returns all other hosts known.
+    /// Iterates over all other known hosts.
     pub fn others(&self) -> impl Iterator<Item = &MemberEntry> {
         self.members.values()
     }
 
-    /// Finds another host.
+    /// Returns the entry of another host.
     pub fn find(&self, host: HostId) -> Option<&MemberEntry> {
         self.members.get(&host)
     }
 
-    /// Counts the hosts that are not dead, the host itself included.
+    /// Returns the number of hosts that are not dead, including this host.
     pub fn live_count(&self) -> usize {
         let live = |entry: &&MemberEntry| entry.update.state != MemberState::Dead;
         1 + self.members.values().filter(live).count()
     }
 
-    /// Lists the hosts that may own things, the host itself included: alive or only suspected.
-    pub fn owners(&self, hall: Option<HallId>) -> impl Iterator<Item = HostId> {
-        let fits = move |update: &&MemberUpdate| {
+    /// Iterates over the hosts that may own resources: those alive or suspected, including this host.
+    /// Restricted to one hall if given.
+    pub fn eligible_owners(&self, hall: Option<HallId>) -> impl Iterator<Item = HostId> {
+        let eligible = move |update: &&MemberUpdate| {
             let live = matches!(update.state, MemberState::Alive | MemberState::Suspect);
             live && hall.is_none_or(|hall| hall == update.hall)
         };
         let others = self.members.values().map(|entry| &entry.update);
-        others.chain([&self.own]).filter(fits).map(|update| update.host)
+        others.chain([&self.own]).filter(eligible).map(|update| update.host)
     }
 
-    /// Says whether a hall has a host that is not dead.
+    /// Returns whether a hall has a host that is not dead.
     pub fn hall_reachable(&self, hall: HallId) -> bool {
         let others = self.members.values().map(|entry| &entry.update);
         others
@@ -121,10 +122,11 @@
             .any(|update| update.hall == hall && update.state != MemberState::Dead)
     }
 
-    /// Takes in what a peer or the host list says of a host; says whether it changed the table.
+    /// Applies an update from a peer or the host list. Returns whether it changed the table.
     ///
-    /// A claim against the host itself is refuted: its count of refutations is raised.
-    pub fn hear(&mut self, update: &MemberUpdate, now: ClockMillis) -> bool {
+    /// An update that claims this host is suspected or dead is refuted by raising its refutation
+    /// count.
+    pub fn apply_update(&mut self, update: &MemberUpdate, now: ClockMillis) -> bool {
         if update.host == self.own.host {
             return self.refute(update);
         }
@@ -132,7 +134,8 @@
             if update.state == MemberState::Dead {
                 return false;
             }
-            let entry = MemberEntry { update: update.clone(), since: now, awaiting: None };
+            let entry =
+                MemberEntry { update: update.clone(), state_since: now, heartbeat_sent_at: None };
             self.members.insert(update.host, entry);
             return true;
         };
@@ -140,83 +143,87 @@
             return false;
         }
         if update.state != entry.update.state {
-            entry.since = now;
+            entry.state_since = now;
         }
         if update.incarnation > entry.update.incarnation {
-            entry.awaiting = None;
+            entry.heartbeat_sent_at = None;
         }
         entry.update = update.clone();
         true
     }
 
     fn refute(&mut self, update: &MemberUpdate) -> bool {
-        let this_life = update.incarnation == self.own.incarnation;
-        if !this_life || update.version() <= self.own.version() {
+        let same_incarnation = update.incarnation == self.own.incarnation;
+        if !same_incarnation || update.version() <= self.own.version() {
             return false;
         }
         self.own.refutations = update.refutations + 1;
         true
     }
 
-    /// Notes an answer or any other message straight from a host; says whether its state changed.
-    pub fn heard_from(&mut self, host: HostId, now: ClockMillis) -> bool {
+    /// Records a message received directly from a host. Returns whether the host's state changed.
+    pub fn record_contact(&mut self, host: HostId, now: ClockMillis) -> bool {
         let Some(entry) = self.members.get_mut(&host) else { return false };
-        entry.awaiting = None;
-        // A dead host is alive again only by its own word, which carries its incarnation.
+        entry.heartbeat_sent_at = None;
+        // A dead host becomes alive again only by an update from itself, which has its incarnation.
         if entry.update.state != MemberState::Suspect {
             return false;
         }
-        Self::step(entry, MemberEvent::Heard, now)
+        Self::transition(entry, MemberEvent::Heard, now)
     }
 
-    /// Notes that a heartbeat went out to a host.
-    pub fn asked(&mut self, host: HostId, now: ClockMillis) {
+    /// Records that a heartbeat was sent to a host.
+    pub fn record_heartbeat_sent(&mut self, host: HostId, now: ClockMillis) {
         if let Some(entry) = self.members.get_mut(&host) {
-            entry.awaiting.get_or_insert(now);
+            entry.heartbeat_sent_at.get_or_insert(now);
         }
     }
 
-    /// Moves suspicions on; returns the hosts whose state changed.
+    /// Applies the timeouts. Returns the hosts whose state changed.
     pub fn expire(&mut self, now: ClockMillis) -> Vec<HostId> {
-        let times = self.times;
+        let timeouts = self.timeouts;
         let mut changed = Vec::new();
         for (host, entry) in &mut self.members {
-            let missed = entry.awaiting.is_some_and(|asked| now.since(asked) > times.answer_within);
+            let missed = entry
+                .heartbeat_sent_at
+                .is_some_and(|sent_at| now.since(sent_at) > timeouts.ack_timeout);
             if missed {
-                entry.awaiting = None;
+                entry.heartbeat_sent_at = None;
             }
-            let in_state = now.since(entry.since);
+            let time_in_state = now.since(entry.state_since);
             let event = match entry.update.state {
                 MemberState::Alive if missed => MemberEvent::Missed,
-                MemberState::Suspect if in_state > times.refute_within => MemberEvent::TimedOut,
-                MemberState::Leaving if missed && in_state > times.refute_within => {
+                MemberState::Suspect if time_in_state > timeouts.suspicion_timeout => {
+                    MemberEvent::TimedOut
+                }
+                MemberState::Leaving if missed && time_in_state > timeouts.suspicion_timeout => {
                     MemberEvent::TimedOut
                 }
                 _ => continue,
             };
-            if Self::step(entry, event, now) {
+            if Self::transition(entry, event, now) {
                 changed.push(*host);
             }
         }
         self.members.retain(|_, entry| {
             let dead = entry.update.state == MemberState::Dead;
-            !dead || now.since(entry.since) <= times.forget_after
+            !dead || now.since(entry.state_since) <= timeouts.dead_retention
         });
         changed
     }
 
-    /// Says that this host is stopping.
+    /// Marks this host as leaving.
     pub fn leave(&mut self) {
         self.own.state = self.own.state.after(MemberEvent::Left);
     }
 
-    fn step(entry: &mut MemberEntry, event: MemberEvent, now: ClockMillis) -> bool {
+    fn transition(entry: &mut MemberEntry, event: MemberEvent, now: ClockMillis) -> bool {
         let state = entry.update.state.after(event);
         if state == entry.update.state {
             return false;
         }
         entry.update.state = state;
-        entry.since = now;
+        entry.state_since = now;
         true
     }
 }
--- a/crates/core/src/node/config.rs
+++ b/crates/core/src/node/config.rs
@@ -5,7 +5,7 @@
 use crate::{
     engine::{EngineTimes, ResidencyPolicy, ValuePolicy},
     id::{HallId, HostId, Incarnation},
-    member::MemberTimes,
+    member::MemberTimeouts,
 };
 
 /// Intervals and timeouts of a host. The defaults suit data halls a few milliseconds apart.
@@ -16,11 +16,11 @@
     /// The number of hosts that each heartbeat goes to.
     pub fanout: usize,
     /// How long a host may take to answer a heartbeat before it is suspected.
-    pub answer_within: Duration,
+    pub ack_timeout: Duration,
     /// How long a suspected host has to refute before it is declared dead.
-    pub refute_within: Duration,
+    pub suspicion_timeout: Duration,
     /// How long a dead host is kept in the member table.
-    pub forget_after: Duration,
+    pub dead_retention: Duration,
     /// How long an owner may take to answer a permit ask.
     pub permit_ask_timeout: Duration,
     /// The interval at which a queued permit ask is repeated to check that it is still queued.
@@ -59,9 +59,9 @@
         Self {
             heartbeat: Duration::from_secs(1),
             fanout: 3,
-            answer_within: Duration::from_millis(800),
-            refute_within: Duration::from_secs(3),
-            forget_after: Duration::from_mins(10),
+            ack_timeout: Duration::from_millis(800),
+            suspicion_timeout: Duration::from_secs(3),
+            dead_retention: Duration::from_mins(10),
             permit_ask_timeout: Duration::from_millis(500),
             queued_recheck_interval: Duration::from_secs(2),
             reroute_delay: Duration::from_millis(100),
@@ -82,11 +82,11 @@
 }
 
 impl NodeTimes {
-    pub(super) const fn member(&self) -> MemberTimes {
-        MemberTimes {
-            answer_within: self.answer_within,
-            refute_within: self.refute_within,
-            forget_after: self.forget_after,
+    pub(super) const fn member(&self) -> MemberTimeouts {
+        MemberTimeouts {
+            ack_timeout: self.ack_timeout,
+            suspicion_timeout: self.suspicion_timeout,
+            dead_retention: self.dead_retention,
         }
     }
 
--- a/crates/core/src/node/dispatch.rs
+++ b/crates/core/src/node/dispatch.rs
@@ -40,7 +40,7 @@
             token: 0,
             priority: entry.settings.priority,
             max_tokens: 0,
-            patience: entry.deadline.since(now),
+            max_wait: entry.deadline.since(now),
             issued_at: now,
         };
         self.set_timer(id, None);
--- a/crates/core/src/node/event.rs
+++ b/crates/core/src/node/event.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::{
-    clock::{ClockMillis, HybridStamp},
+    clock::{ClockMillis, HybridTimestamp},
     engine::{EngineInfo, EngineOrder, EngineReport, OrderResult},
     id::{EngineId, FenceToken, HallId, HostId, Incarnation, LogOffset, RequestId, StoreEra},
     message::PeerMessage,
@@ -169,7 +169,7 @@
         /// The sender.
         from: HostId,
         /// The sender's timestamp.
-        stamp: HybridStamp,
+        stamp: HybridTimestamp,
         /// The message.
         message: PeerMessage,
     },
@@ -233,7 +233,7 @@
     /// The token limit of the answer; zero for a plain server.
     pub max_tokens: u32,
     /// The remaining time for the first byte of the answer.
-    pub patience: Duration,
+    pub max_wait: Duration,
     /// When the attempt was issued. It must not be sent later than [`MAX_DISPATCH_DELAY`] after
     /// this.
     pub issued_at: ClockMillis,
@@ -254,7 +254,7 @@
         /// The receiver's address.
         address: String,
         /// The sender's timestamp.
-        stamp: HybridStamp,
+        stamp: HybridTimestamp,
         /// The message.
         message: PeerMessage,
     },
--- a/crates/core/src/node/log.rs
+++ b/crates/core/src/node/log.rs
@@ -25,7 +25,7 @@
     /// Enters the era of a read if it is newer; returns whether the read belongs to the present
     /// era.
     pub(super) fn enter_era(&mut self, era: StoreEra) -> bool {
-        if self.settings.enter(era) {
+        if self.settings.enter_era(era) {
             self.handle_new_era(era);
         }
         era == self.settings.era()
@@ -41,14 +41,14 @@
         self.claim_table.rewind();
         self.refuse_claiming_requests();
         let own = self.config.host;
-        let members: Vec<HostId> = self.members.owners(None).collect();
+        let members: Vec<HostId> = self.members.eligible_owners(None).collect();
         // A claim of a host that is gone is rewritten by one member, chosen by rendezvous hashing.
         let writer = |key: KeyHash, request: RequestId| {
             let host = request_host(request);
             if members.contains(&host) {
                 return Some(host);
             }
-            let role = role_key(OwnedRole::Snapshots, xxh3_64(&key.to_le_bytes()));
+            let role = role_key(OwnedRole::SnapshotWriter, xxh3_64(&key.to_le_bytes()));
             rendezvous(role, members.iter().copied())
         };
         let rewritten =
@@ -125,7 +125,7 @@
 
     fn pull_settings_from_random_peer(&mut self) {
         use rand::seq::IndexedRandom;
-        let peers: Vec<HostId> = self.members.owners(None).collect();
+        let peers: Vec<HostId> = self.members.eligible_owners(None).collect();
         let Some(peer) = peers.choose(&mut self.rng).copied() else { return };
         if peer != self.config.host {
             let pull =
@@ -149,10 +149,10 @@
                 let own = self.settings.snapshot();
                 if own.digest != snapshot.digest {
                     let revision = snapshot.revision;
-                    return Err(crate::settings::SnapshotError::WrongDigest(revision));
+                    return Err(crate::settings::SnapshotError::DigestMismatch(revision));
                 }
             }
-            self.settings.adopt(snapshot)
+            self.settings.install_snapshot(snapshot)
         });
         match adopted {
             Ok(true) => {
@@ -264,8 +264,8 @@
         if !due || self.progress.pending_snapshot.is_some() || !self.is_ready() {
             return;
         }
-        let key = role_key(OwnedRole::Snapshots, 0);
-        if rendezvous(key, self.members.owners(None)) != Some(self.config.host) {
+        let key = role_key(OwnedRole::SnapshotWriter, 0);
+        if rendezvous(key, self.members.eligible_owners(None)) != Some(self.config.host) {
             return;
         }
         self.progress.last_snapshot_at = self.now();
--- a/crates/core/src/node/membership.rs
+++ b/crates/core/src/node/membership.rs
@@ -42,7 +42,7 @@
         self.heartbeat_sequence += 1;
         self.contact_seeds();
         for host in self.choose_heartbeat_targets() {
-            self.members.asked(host, now);
+            self.members.record_heartbeat_sent(host, now);
             let heartbeat = self.heartbeat(self.heartbeat_sequence);
             self.send(host, PeerMessage::Heartbeat(heartbeat));
         }
@@ -172,7 +172,7 @@
         let now = self.now();
         let known_incarnation =
             self.members.find(update.host).map(|entry| entry.update.incarnation);
-        if !self.members.hear(update, now) {
+        if !self.members.apply_update(update, now) {
             return;
         }
         self.member_changed(update.host);
@@ -202,7 +202,7 @@
         let owner = digest.owner;
         let (token, incarnation) = (digest.token, digest.incarnation);
         if !self.backends.store_digest(digest) {
-            self.digest_gossip.heard_again(engine);
+            self.digest_gossip.record_duplicate(engine);
             return;
         }
         let hosts = self.members.live_count();
--- a/crates/core/src/node/permits.rs
+++ b/crates/core/src/node/permits.rs
@@ -175,7 +175,7 @@
 
     pub(super) fn owner_in(&self, engine: EngineId, hall: HallId) -> Option<HostId> {
         let key = role_key(OwnedRole::Engine, u64::from(engine));
-        rendezvous(key, self.members.owners(Some(hall)))
+        rendezvous(key, self.members.eligible_owners(Some(hall)))
     }
 
     /// Schedules a request to be routed again after a delay that grows with each attempt.
@@ -245,7 +245,7 @@
             token: granted.token,
             priority: entry.settings.priority,
             max_tokens: entry.max_tokens,
-            patience: entry.deadline.since(now),
+            max_wait: entry.deadline.since(now),
             issued_at: now,
         };
         self.set_timer(granted.request, None);
@@ -328,12 +328,12 @@
     engine: EngineId,
     adapter: AdapterKey,
     replica: bool,
-    patience: Duration,
+    max_wait: Duration,
 ) -> PermitAsk {
     PermitAsk {
         engine,
         attempt: entry.attempt,
-        patience,
+        max_wait,
         may_load: entry.may_load,
         replica,
         request: PermitRequest {
--- a/crates/core/src/node/state.rs
+++ b/crates/core/src/node/state.rs
@@ -16,7 +16,7 @@
     gossip::GossipQueue,
     id::{EngineId, HostId, RequestId},
     limit::RetryBudget,
-    load::StoreTurns,
+    load::LoadScheduler,
     member::{MemberTable, MemberUpdate},
     message::PeerMessage,
     node::{
@@ -24,7 +24,7 @@
         backends::BackendTable, open_request::OpenRequest,
     },
     settings::{SettingKey, SettingsFold, SettingsPath},
-    timeline::TimelineRing,
+    timeline::TimelineBuffer,
 };
 
 /// Progress in reading and appending to the log's streams.
@@ -73,14 +73,14 @@
     pub(super) backends: BackendTable,
     pub(super) controllers: BTreeMap<EngineId, EngineController>,
     pub(super) next_report_at: BTreeMap<EngineId, ClockMillis>,
-    pub(super) store_turns: StoreTurns,
+    pub(super) store_turns: LoadScheduler,
     pub(super) turns_host: HostId,
     pub(super) open_requests: BTreeMap<RequestId, OpenRequest>,
     pub(super) timers: BTreeSet<(ClockMillis, RequestId)>,
     pub(super) retry_budget: RetryBudget,
     pub(super) drain: DrainState,
     pub(super) drain_started_at: ClockMillis,
-    pub(super) timeline: TimelineRing,
+    pub(super) timeline: TimelineBuffer,
     pub(super) counters: NodeCounters,
     pub(super) heartbeat_sequence: u64,
     pub(super) next_heartbeat_at: ClockMillis,
@@ -119,14 +119,14 @@
             backends: BackendTable::default(),
             controllers: BTreeMap::new(),
             next_report_at: BTreeMap::new(),
-            store_turns: StoreTurns::default(),
+            store_turns: LoadScheduler::default(),
             turns_host: config.host,
             open_requests: BTreeMap::new(),
             timers: BTreeSet::new(),
             retry_budget: RetryBudget::default(),
             drain: DrainState::initial(),
             drain_started_at: zero,
-            timeline: TimelineRing::new(config.host),
+            timeline: TimelineBuffer::new(config.host),
             counters: NodeCounters::default(),
             heartbeat_sequence: 0,
             next_heartbeat_at: zero,
@@ -209,7 +209,7 @@
 
     /// Records a timeline event.
     pub(super) fn note(&mut self, subject: impl Into<String>, text: impl Into<String>) {
-        self.timeline.note(self.reading.wall_millis, subject.into(), text.into());
+        self.timeline.record(self.reading.wall_millis, subject.into(), text.into());
     }
 
     /// Returns a random duration between 0.5 and 1.5 times `base`.
@@ -219,12 +219,12 @@
 
     /// Returns a fractional setting of the site.
     pub(super) fn site_fraction(&self, key: SettingKey) -> f64 {
-        self.settings.tree().fraction(&SettingsPath::site(), key)
+        self.settings.tree().float(&SettingsPath::site(), key)
     }
 
     /// Returns an integer setting of the site.
     pub(super) fn site_number(&self, key: SettingKey) -> u64 {
-        self.settings.tree().number(&SettingsPath::site(), key).unsigned_abs()
+        self.settings.tree().integer(&SettingsPath::site(), key).unsigned_abs()
     }
 
     /// Returns whether the host accepts callers.
@@ -244,7 +244,7 @@
     }
 
     /// Returns the timeline.
-    pub const fn timeline(&self) -> &TimelineRing {
+    pub const fn timeline(&self) -> &TimelineBuffer {
         &self.timeline
     }
 
--- a/crates/core/src/node/timers.rs
+++ b/crates/core/src/node/timers.rs
@@ -151,7 +151,7 @@
     }
 
     fn has_successors(&self) -> bool {
-        self.members.owners(Some(self.config.hall)).next().is_some()
+        self.members.eligible_owners(Some(self.config.hall)).next().is_some()
     }
 
     /// Completes a graceful shutdown once the last request has ended.
--- a/crates/core/src/popularity.rs
+++ b/crates/core/src/popularity.rs
@@ -1,30 +1,30 @@
-//! How much an adapter is asked for, decayed over time.
+//! Adapter popularity as an exponentially decayed request rate.
 
 use std::time::Duration;
 
 use crate::clock::ClockMillis;
 
-/// A rate that halves with every half-life in which nothing comes.
+/// A sum of weights that decays exponentially, from which a rate is estimated.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct DecayedRate {
     weight: f64,
-    at: ClockMillis,
+    updated_at: ClockMillis,
 }
 
 impl DecayedRate {
-    /// Adds `weight` at `now`.
+    /// Decays the sum to `now` and adds `weight`.
     pub fn add(&mut self, weight: f64, now: ClockMillis, half_life: Duration) {
         self.weight = self.weight_at(now, half_life) + weight;
-        self.at = now;
+        self.updated_at = now;
     }
 
     /// Returns the decayed sum at `now`.
     pub fn weight_at(&self, now: ClockMillis, half_life: Duration) -> f64 {
-        let age = now.since(self.at).as_secs_f64();
+        let age = now.since(self.updated_at).as_secs_f64();
         self.weight * (-age / half_life.as_secs_f64()).exp2()
     }
 
-    /// Returns the rate per second at `now`: the decayed sum over its mean life.
+    /// Returns the rate per second at `now`: the decayed sum divided by the mean lifetime.
     pub fn per_second(&self, now: ClockMillis, half_life: Duration) -> f64 {
         let mean_life = half_life.as_secs_f64() / std::f64::consts::LN_2;
         self.weight_at(now, half_life) / mean_life
--- a/crates/core/tests/single_host.rs
+++ b/crates/core/tests/single_host.rs
@@ -4,7 +4,7 @@
 
 use reelreel_core::{
     ClockMillis, NodeAction, NodeConfig, NodeCore, NodeEvent,
-    clock::HybridStamp,
+    clock::HybridTimestamp,
     engine::EngineInfo,
     gossip::EngineDigest,
     id::request_id,
@@ -34,7 +34,7 @@
         base_revision: 0,
         author: String::new(),
         message: String::new(),
-        edits: SettingsTree::default().edits_towards(&tree),
+        edits: SettingsTree::default().diff_edits(&tree),
     };
     let payload = serde_json::to_vec(&record).expect("JSON");
     let records = vec![LogRecord { offset: 0, written_millis: 0, payload }];
@@ -71,14 +71,14 @@
 }
 
 fn message_from_owner(message: PeerMessage) -> NodeEvent {
-    NodeEvent::PeerMessage { from: OWNER, stamp: HybridStamp::default(), message }
+    NodeEvent::PeerMessage { from: OWNER, stamp: HybridTimestamp::default(), message }
 }
 
 fn arrival(counter: u32) -> NodeEvent {
     NodeEvent::RequestArrived(ArrivedRequest {
         id: request_id(1, 1, counter),
         target: RequestTarget::Model(String::from("north/brakes")),
-        patience: Some(Duration::from_secs(10)),
+        max_wait: Some(Duration::from_secs(10)),
         repeatable: None,
         key: None,
         max_tokens: None,
