--- a/crates/core/src/engine/controller.rs
+++ b/crates/core/src/engine/controller.rs
@@ -252,7 +252,7 @@
         for adapter in adapters {
             self.release_turn(adapter, out);
         }
-        out.notes.push(String::from("leaving; accepts no new requests"));
+        out.notes.push(String::from("leaving: takes nothing new"));
     }
 
     /// Performs the periodic work.
--- a/crates/core/src/node/arrivals.rs
+++ b/crates/core/src/node/arrivals.rs
@@ -56,12 +56,12 @@
 
     fn admit(&self, request: &ArrivedRequest) -> Result<OpenRequest, RequestRefusal> {
         if self.drain != DrainState::Serving {
-            let message = "this host is shutting down";
+            let message = "this host is stopping";
             return Err(RequestRefusal::not_run(RefusalKind::Stopping, message)
                 .retry_after(OTHER_HOST_RETRY_AFTER));
         }
         if !self.is_ready() {
-            let message = "this host has not loaded its configuration yet";
+            let message = "this host has no configuration yet";
             return Err(RequestRefusal::not_run(RefusalKind::NotReady, message)
                 .retry_after(OTHER_HOST_RETRY_AFTER));
         }
@@ -81,8 +81,7 @@
 
     fn check_idempotency_key(&self, request: &ArrivedRequest) -> Result<(), RequestRefusal> {
         if !self.progress.claims_open(self.now()) {
-            let message =
-                "the platform's log is unavailable, so the idempotency key cannot be claimed";
+            let message = "the platform's log is away, so the idempotency key can not be claimed";
             return Err(
                 RequestRefusal::not_run(RefusalKind::LogAway, message).retry_after(LOG_RETRY_AFTER)
             );
@@ -91,7 +90,7 @@
         let created = request.key.as_ref().and_then(|key| key.created_millis);
         let age = created.map_or(0, |created| self.reading.wall_millis.saturating_sub(created));
         if age > window {
-            let message = format!("the idempotency key has expired; keys are kept for {window} ms");
+            let message = format!("idempotency keys are remembered for {window} ms");
             return Err(RequestRefusal::unknown(RefusalKind::KeyExpired, message));
         }
         Ok(())
@@ -144,7 +143,7 @@
             .filter(|(name, _, prefix)| plain(name) && !prefix.is_empty() && below(prefix))
             .max_by_key(|(_, _, prefix)| prefix.len());
         let Some((name, node, _)) = service else {
-            let message = format!("no service is configured for path `{path}`");
+            let message = format!("no service is reached at `{path}`");
             return Err(RequestRefusal::not_run(RefusalKind::NotFound, message));
         };
         let place = SettingsPath::site().child(name);
@@ -204,12 +203,12 @@
         match verdict {
             ClaimVerdict::Won(id) => self.start_routing(id),
             ClaimVerdict::Lost(id) => {
-                let message = "the idempotency key is claimed by another request";
+                let message = "another request holds this idempotency key";
                 let refusal = RequestRefusal::unknown(RefusalKind::KeyClaimed, message);
                 self.end_not_run(id, refusal);
             }
             ClaimVerdict::Expired(id) => {
-                let message = "the idempotency key expired before it was claimed";
+                let message = "the idempotency key is older than keys are remembered";
                 let refusal = RequestRefusal::unknown(RefusalKind::KeyExpired, message);
                 self.end_not_run(id, refusal);
             }
@@ -226,8 +225,7 @@
             .map(|open_request| open_request.id)
             .collect();
         for id in ids {
-            let message =
-                "the platform's log is unavailable, so the idempotency key cannot be claimed";
+            let message = "the platform's log is away, so the idempotency key can not be claimed";
             let refusal = RequestRefusal::not_run(RefusalKind::LogAway, message);
             self.end_not_run(id, refusal.retry_after(LOG_RETRY_AFTER));
         }
--- a/crates/core/src/node/dispatch.rs
+++ b/crates/core/src/node/dispatch.rs
@@ -19,7 +19,7 @@
     /// Plain servers hold no adapters, so they have no owner and need no permit.
     pub(super) fn dispatch_plain(&mut self, id: RequestId) {
         let Some(server) = self.choose_server(id) else {
-            let message = "no live server is known for the service";
+            let message = "no server of the service is known and live";
             let refusal = RequestRefusal::not_run(RefusalKind::NoBackend, message);
             self.end_not_run(id, refusal.retry_after(std::time::Duration::from_secs(2)));
             return;
@@ -82,13 +82,12 @@
                 self.handle_interrupted(id, answer_started);
             }
             DispatchResult::BackendError => {
-                let message = "the backend server returned an error";
+                let message = "the backend server answered with an error";
                 let refusal = RequestRefusal::unknown(RefusalKind::BackendError, message);
                 self.end_dispatched(id, RequestEvent::Broke, refusal);
             }
             DispatchResult::CallerGone => {
-                let refusal =
-                    RequestRefusal::unknown(RefusalKind::CallerGone, "the caller disconnected");
+                let refusal = RequestRefusal::unknown(RefusalKind::CallerGone, "caller hung up");
                 self.end_dispatched(id, RequestEvent::GivenUp, refusal);
             }
         }
@@ -165,7 +164,7 @@
             self.reroute_later(id);
             return;
         }
-        let message = "the connection to the backend server was lost during the exchange";
+        let message = "the exchange with the backend server broke off";
         let refusal = RequestRefusal::unknown(RefusalKind::BackendBroke, message);
         self.end_dispatched(id, RequestEvent::Broke, refusal);
     }
@@ -210,8 +209,7 @@
             .get(&id)
             .is_some_and(|entry| entry.state == RequestState::Claiming || entry.state.is_asking());
         if waits {
-            let refusal =
-                RequestRefusal::not_run(RefusalKind::CallerGone, "the caller disconnected");
+            let refusal = RequestRefusal::not_run(RefusalKind::CallerGone, "caller hung up");
             self.end_not_run(id, refusal);
         }
     }
@@ -232,7 +230,7 @@
         let Some(view) = self.backends.engines.get_mut(&engine) else { return };
         let digest_incarnation = view.digest.as_ref().map_or(0, |digest| digest.incarnation);
         if view.leaving_mark.mark(view.info.incarnation, known.max(digest_incarnation)) {
-            self.note(format!("engine {engine}"), "marked as leaving");
+            self.note(format!("engine {engine}"), "seen leaving");
         }
         self.with_controller(engine, EngineController::mark_leaving);
     }
--- a/crates/core/src/node/log.rs
+++ b/crates/core/src/node/log.rs
@@ -33,7 +33,7 @@
 
     /// Rereads all streams and schedules a rewrite of the claims that the log may have lost.
     fn handle_new_era(&mut self, era: StoreEra) {
-        self.note("log", format!("restored from an older copy, era {era}; rereading all streams"));
+        self.note("log", format!("came back from an older copy, era {era}; it is read again"));
         self.progress.settings_caught_up = false;
         self.progress.newest_snapshot_offset = 0;
         self.progress.claims_caught_up = false;
@@ -88,7 +88,7 @@
     fn read_settings(&mut self, records: Vec<LogRecord>, expired: bool, end: LogOffset) {
         if expired {
             // Retention removed records that were not yet read; only a snapshot can replace them.
-            self.note("settings", "records expired before they were read; requesting a snapshot");
+            self.note("settings", "records expired before they were read");
             self.actions.push(NodeAction::Follow { stream: LogStream::Snapshots, from: 0 });
             self.pull_settings_from_random_peer();
             return;
@@ -157,7 +157,7 @@
         match adopted {
             Ok(true) => {
                 let (revision, from) = (self.settings.revision(), self.settings.next_offset());
-                self.note("settings", format!("revision {revision} adopted from a snapshot"));
+                self.note("settings", format!("revision {revision} taken from a snapshot"));
                 let stream = LogStream::Settings;
                 self.actions.push(NodeAction::Follow { stream, from });
                 self.actions.push(NodeAction::Unfollow { stream: LogStream::Snapshots });
@@ -227,7 +227,7 @@
             return;
         }
         self.progress.claims_unavailable = true;
-        self.note("log", "claims stream is unavailable");
+        self.note("log", "claims stream is away");
         self.refuse_claiming_requests();
     }
 
--- a/crates/core/src/node/membership.rs
+++ b/crates/core/src/node/membership.rs
@@ -264,7 +264,7 @@
             self.merge_member(update);
         }
         if !self.host_list_known && !reply.backends.is_empty() {
-            self.note("host list", "adopted from a peer");
+            self.note("host list", "taken from a peer");
             self.adopt_backends(reply.backends);
         }
         for digest in &reply.digests {
--- a/crates/core/src/node/ownership.rs
+++ b/crates/core/src/node/ownership.rs
@@ -229,7 +229,7 @@
     /// them by now.
     pub(super) fn handle_process_pause(&mut self, gap: Duration) {
         self.counters.pauses += 1;
-        self.note("host", format!("process was paused for {} ms", gap.as_millis()));
+        self.note("host", format!("was paused for {} ms", gap.as_millis()));
         let unfenced: Vec<EngineId> = self
             .controllers
             .iter()
@@ -252,6 +252,6 @@
             self.store_turns.clear();
         }
         self.turns_host = host;
-        self.note("store", format!("host {host} grants the load turns"));
+        self.note("store", format!("host {host} gives the turns"));
     }
 }
--- a/crates/core/src/node/permits.rs
+++ b/crates/core/src/node/permits.rs
@@ -38,7 +38,7 @@
             return;
         }
         if now >= entry.deadline {
-            let message = "the deadline passed before the request was sent";
+            let message = "the deadline passed before the request could be sent";
             let refusal = RequestRefusal::not_run(RefusalKind::DeadlinePassed, message);
             self.end_not_run(id, refusal);
             return;
@@ -60,7 +60,7 @@
 
     fn send_permit_ask(&mut self, id: RequestId, adapter: AdapterKey) {
         let Some(choice) = self.choose_engine(id, adapter) else {
-            let message = "no live engine is known for the service";
+            let message = "no engine of the service is known and live";
             let refusal = RequestRefusal::not_run(RefusalKind::NoBackend, message);
             self.end_not_run(id, refusal.retry_after(BACKEND_RETRY_AFTER));
             return;
@@ -295,13 +295,11 @@
         retry_after: Option<Duration>,
     ) {
         let message = match kind {
-            RefusalKind::LoadTooLate => "the adapter cannot be loaded before the deadline",
-            RefusalKind::LoadFailed => "the adapter failed to load",
-            RefusalKind::Overloaded => {
-                "the engine's queue is too long to serve the request in time"
-            }
+            RefusalKind::LoadTooLate => "the adapter can not be loaded before the deadline",
+            RefusalKind::LoadFailed => "the adapter's last load failed",
+            RefusalKind::Overloaded => "more waits for the engine than it can serve in time",
             RefusalKind::DeadlinePassed => "the deadline passed while the request waited",
-            _ => "the engine's owner refused the permit",
+            _ => "the engine's owner refused the request",
         };
         let mut refusal = RequestRefusal::not_run(kind, message);
         refusal.retry_after = retry_after;
--- a/crates/core/src/node/timers.rs
+++ b/crates/core/src/node/timers.rs
@@ -116,7 +116,7 @@
         let Some(entry) = self.open_requests.get(&id) else { return };
         let claiming = entry.state == RequestState::Claiming;
         if claiming {
-            let message = "the idempotency key was not claimed before the deadline";
+            let message = "the idempotency key could not be claimed before the deadline";
             let refusal = RequestRefusal::not_run(RefusalKind::LogAway, message);
             self.end_not_run(id, refusal);
         } else if entry.state.is_asking() {
