--- a/crates/core/src/engine/controller.rs
+++ b/crates/core/src/engine/controller.rs
@@ -48,8 +48,8 @@
     pub messages: Vec<Envelope>,
     /// Messages to the host that grants load turns.
     pub turn_messages: Vec<TurnMessage>,
-    /// Timeline entries.
-    pub notes: Vec<String>,
+    /// The texts of timeline events.
+    pub timeline_texts: Vec<String>,
     /// The number of loads that ended, including failed ones.
     pub loads_ended: u32,
     /// The number of loads that failed.
@@ -252,7 +252,7 @@
         for adapter in adapters {
             self.release_turn(adapter, out);
         }
-        out.notes.push(String::from("leaving: takes nothing new"));
+        out.timeline_texts.push(String::from("leaving: takes nothing new"));
     }
 
     /// Performs the periodic work.
@@ -337,7 +337,7 @@
             _ => self.times.retake_delay,
         };
         self.wait_until = now + wait;
-        out.notes.push(format!("ownership lost: {}", event.name()));
+        out.timeline_texts.push(format!("ownership lost: {}", event.name()));
     }
 
     pub(super) fn mark_digest_dirty(&mut self) {
--- a/crates/core/src/engine/orders.rs
+++ b/crates/core/src/engine/orders.rs
@@ -85,7 +85,7 @@
         }
         if self.state == EngineState::TakingOver {
             self.step(EngineEvent::FenceRaised);
-            out.notes.push(format!("fence raised to {token:x}"));
+            out.timeline_texts.push(format!("fence raised to {token:x}"));
         }
     }
 
--- a/crates/core/src/engine/reports.rs
+++ b/crates/core/src/engine/reports.rs
@@ -42,7 +42,7 @@
             self.reconcile(report, now, out);
             if self.step(EngineEvent::Settled) {
                 let held = report.adapters.len();
-                out.notes.push(format!("owned, {held} adapters resident"));
+                out.timeline_texts.push(format!("owned, {held} adapters resident"));
                 self.refuse_not_resident(out);
             }
         }
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -18,7 +18,7 @@
 mod status;
 mod backends;
 mod timers;
-mod store_turns;
+mod load_scheduler;
 
 pub use backends::ServerId;
 pub use config::{NodeConfig, NodeTimes};
--- a/crates/core/src/node/arrivals.rs
+++ b/crates/core/src/node/arrivals.rs
@@ -86,7 +86,7 @@
                 RequestRefusal::not_run(RefusalKind::LogAway, message).retry_after(LOG_RETRY_AFTER)
             );
         }
-        let window = self.site_number(SettingKey::ClaimWindowMs);
+        let window = self.site_integer(SettingKey::ClaimWindowMs);
         let created = request.key.as_ref().and_then(|key| key.created_millis);
         let age = created.map_or(0, |created| self.reading.wall_millis.saturating_sub(created));
         if age > window {
@@ -162,8 +162,9 @@
     ) -> OpenRequest {
         let settings = self.settings.tree().effective(path);
         let max_wait = request.max_wait.unwrap_or(settings.deadline);
-        let max_tokens =
-            request.max_tokens.map_or(settings.max_tokens, |asked| asked.min(settings.max_tokens));
+        let max_tokens = request
+            .max_tokens
+            .map_or(settings.max_tokens, |requested| requested.min(settings.max_tokens));
         let base_model = self.settings.tree().text(path, SettingKey::BaseModel).unwrap_or_default();
         OpenRequest {
             id: request.id,
--- a/crates/core/src/node/config.rs
+++ b/crates/core/src/node/config.rs
@@ -82,7 +82,7 @@
 }
 
 impl NodeTimes {
-    pub(super) const fn member(&self) -> MemberTimeouts {
+    pub(super) const fn member_timeouts(&self) -> MemberTimeouts {
         MemberTimeouts {
             ack_timeout: self.ack_timeout,
             suspicion_timeout: self.suspicion_timeout,
--- a/crates/core/src/node/dispatch.rs
+++ b/crates/core/src/node/dispatch.rs
@@ -230,7 +230,7 @@
         let Some(view) = self.backends.engines.get_mut(&engine) else { return };
         let digest_incarnation = view.digest.as_ref().map_or(0, |digest| digest.incarnation);
         if view.leaving_mark.mark(view.info.incarnation, known.max(digest_incarnation)) {
-            self.note(format!("engine {engine}"), "seen leaving");
+            self.record_event(format!("engine {engine}"), "seen leaving");
         }
         self.with_controller(engine, EngineController::mark_leaving);
     }
--- a/crates/core/src/node/store_turns.rs
+++ b/crates/core/src/node/load_scheduler.rs
@@ -1,6 +1,6 @@
 //! Granting of load turns at the weight store.
 //!
-//! One host of the site, the turns host, grants the turns.
+//! One host of the site, the scheduling host, grants the turns.
 
 use crate::{
     id::HostId,
@@ -12,24 +12,24 @@
 
 impl NodeCore {
     pub(super) fn handle_load_ask(&mut self, from: HostId, ask: &LoadAsk) {
-        if self.turns_host != self.config.host {
+        if self.scheduling_host != self.config.host {
             // The hosts' member tables differ; the owner repeats its ask, which then reaches the
-            // turns host.
+            // scheduling host.
             return;
         }
         let now = self.now();
-        self.store_turns.request_turn(from, ask, now);
-        if let Some(turn) = self.store_turns.lost_grant(ask) {
+        self.load_scheduler.request_turn(from, ask, now);
+        if let Some(turn) = self.load_scheduler.lost_grant(ask) {
             self.send(from, PeerMessage::LoadGrant(turn));
         }
         self.grant_turns();
-        let place = self.store_turns.queue_position(ask.engine, ask.adapter);
+        let place = self.load_scheduler.queue_position(ask.engine, ask.adapter);
         self.send(from, PeerMessage::LoadPlace(place));
     }
 
     pub(super) fn handle_load_end(&mut self, turn: LoadTurn) {
         let now = self.now();
-        self.store_turns.release_turn(turn, now);
+        self.load_scheduler.release_turn(turn, now);
         self.grant_turns();
     }
 
@@ -43,15 +43,15 @@
         self.send(from, PeerMessage::LoadEnd(turn));
     }
 
-    /// Grants the turns that are due if this host is the turns host.
+    /// Grants the turns that are due if this host is the scheduling host.
     pub(super) fn grant_turns(&mut self) {
-        if self.turns_host != self.config.host || self.store_turns.is_empty() {
+        if self.scheduling_host != self.config.host || self.load_scheduler.is_empty() {
             return;
         }
         let limits = self.store_limits();
         let now = self.now();
-        for given in self.store_turns.grant_turns(limits, now) {
-            self.send(given.owner, PeerMessage::LoadGrant(given.turn));
+        for grant in self.load_scheduler.grant_turns(limits, now) {
+            self.send(grant.owner, PeerMessage::LoadGrant(grant.turn));
         }
     }
 
@@ -63,9 +63,9 @@
         halls.dedup();
         let reached = halls.iter().filter(|hall| self.members.hall_reachable(**hall)).count();
         let fraction = reached.max(1) as f64 / halls.len().max(1) as f64;
-        let parallel_loads = self.site_number(SettingKey::StoreParallelLoads);
+        let parallel_loads = self.site_integer(SettingKey::StoreParallelLoads);
         WeightStoreLimits {
-            loads_per_second: self.site_fraction(SettingKey::StoreLoadsPerSecond),
+            loads_per_second: self.site_float(SettingKey::StoreLoadsPerSecond),
             parallel_loads: usize::try_from(parallel_loads).unwrap_or(usize::MAX),
             fraction,
         }
--- a/crates/core/src/node/log.rs
+++ b/crates/core/src/node/log.rs
@@ -33,7 +33,10 @@
 
     /// Rereads all streams and schedules a rewrite of the claims that the log may have lost.
     fn handle_new_era(&mut self, era: StoreEra) {
-        self.note("log", format!("came back from an older copy, era {era}; it is read again"));
+        self.record_event(
+            "log",
+            format!("came back from an older copy, era {era}; it is read again"),
+        );
         self.progress.settings_caught_up = false;
         self.progress.newest_snapshot_offset = 0;
         self.progress.claims_caught_up = false;
@@ -88,7 +91,7 @@
     fn read_settings(&mut self, records: Vec<LogRecord>, expired: bool, end: LogOffset) {
         if expired {
             // Retention removed records that were not yet read; only a snapshot can replace them.
-            self.note("settings", "records expired before they were read");
+            self.record_event("settings", "records expired before they were read");
             self.actions.push(NodeAction::Follow { stream: LogStream::Snapshots, from: 0 });
             self.pull_settings_from_random_peer();
             return;
@@ -117,7 +120,7 @@
         }
         let after = self.settings.revision();
         if after != before {
-            self.note("settings", format!("revision {after} in force"));
+            self.record_event("settings", format!("revision {after} in force"));
             self.ownership_dirty = true;
             self.update_ownership();
         }
@@ -136,13 +139,13 @@
 
     fn read_snapshots(&mut self, records: &[LogRecord]) {
         for record in records {
-            self.adopt_snapshot(&record.payload);
+            self.install_snapshot(&record.payload);
         }
     }
 
-    /// Checks a snapshot from the log or a peer and adopts it if it is newer.
-    pub(super) fn adopt_snapshot(&mut self, payload: &[u8]) {
-        let adopted = SettingsSnapshot::from_json(payload).and_then(|snapshot| {
+    /// Checks a snapshot from the log or a peer and installs it if it is newer.
+    pub(super) fn install_snapshot(&mut self, payload: &[u8]) {
+        let installed = SettingsSnapshot::from_json(payload).and_then(|snapshot| {
             self.progress.newest_snapshot_offset =
                 self.progress.newest_snapshot_offset.max(snapshot.next_offset);
             if snapshot.next_offset == self.settings.next_offset() {
@@ -154,10 +157,10 @@
             }
             self.settings.install_snapshot(snapshot)
         });
-        match adopted {
+        match installed {
             Ok(true) => {
                 let (revision, from) = (self.settings.revision(), self.settings.next_offset());
-                self.note("settings", format!("revision {revision} taken from a snapshot"));
+                self.record_event("settings", format!("revision {revision} taken from a snapshot"));
                 let stream = LogStream::Settings;
                 self.actions.push(NodeAction::Follow { stream, from });
                 self.actions.push(NodeAction::Unfollow { stream: LogStream::Snapshots });
@@ -167,7 +170,7 @@
             Ok(false) => {}
             Err(error) => {
                 self.counters.snapshots_refused += 1;
-                self.note("settings", format!("snapshot refused: {error}"));
+                self.record_event("settings", format!("snapshot refused: {error}"));
             }
         }
     }
@@ -202,13 +205,13 @@
     /// Adopts a settings snapshot from a peer.
     pub(super) fn handle_settings_state(&mut self, received: &SettingsState) {
         if self.enter_era(received.era) {
-            self.adopt_snapshot(&received.snapshot);
+            self.install_snapshot(&received.snapshot);
         }
     }
 
     fn read_claims(&mut self, records: &[LogRecord], end: LogOffset) {
         self.progress.claims_unavailable = false;
-        let window = self.site_number(SettingKey::ClaimWindowMs);
+        let window = self.site_integer(SettingKey::ClaimWindowMs);
         for record in records {
             for decided in self.claim_table.apply(record, window) {
                 if let Some(verdict) = self.claim_tracker.apply_decision(decided, window) {
@@ -227,7 +230,7 @@
             return;
         }
         self.progress.claims_unavailable = true;
-        self.note("log", "claims stream is away");
+        self.record_event("log", "claims stream is away");
         self.refuse_claiming_requests();
     }
 
--- a/crates/core/src/node/membership.rs
+++ b/crates/core/src/node/membership.rs
@@ -163,7 +163,7 @@
             self.confirm_settings();
         }
         if heartbeat.table_hash != self.table_hash() || !self.host_list_known {
-            self.ask_sync(from);
+            self.send_sync_ask(from);
         }
         self.update_ownership();
     }
@@ -191,7 +191,7 @@
         self.ownership_dirty = true;
         let Some(entry) = self.members.find(host) else { return };
         let state = entry.update.state;
-        self.note(format!("host {host}"), state.name());
+        self.record_event(format!("host {host}"), state.name());
         if state == MemberState::Dead {
             self.holder_gone(host, false, None);
         }
@@ -223,7 +223,7 @@
         });
     }
 
-    fn ask_sync(&mut self, from: HostId) {
+    fn send_sync_ask(&mut self, from: HostId) {
         let now = self.now();
         if now.since(self.last_sync_at) < SYNC_INTERVAL {
             return;
@@ -264,7 +264,7 @@
             self.merge_member(update);
         }
         if !self.host_list_known && !reply.backends.is_empty() {
-            self.note("host list", "taken from a peer");
+            self.record_event("host list", "taken from a peer");
             self.adopt_backends(reply.backends);
         }
         for digest in &reply.digests {
@@ -296,7 +296,7 @@
         self.drain = self.drain.after(DrainEvent::StopAsked);
         self.drain_started_at = self.now();
         self.members.leave();
-        self.note("host", "stopping");
+        self.record_event("host", "stopping");
         self.ownership_dirty = true;
         let hall = self.config.hall;
         let peers: Vec<HostId> = self
--- a/crates/core/src/node/ownership.rs
+++ b/crates/core/src/node/ownership.rs
@@ -31,7 +31,7 @@
         call(controller, now, &mut output);
         let after = controller.state();
         if before != after {
-            self.note(format!("engine {engine}"), after.name());
+            self.record_event(format!("engine {engine}"), after.name());
             if after == EngineState::TakingOver {
                 self.counters.takeovers += 1;
             }
@@ -42,7 +42,7 @@
     }
 
     fn apply_controller_output(&mut self, engine: EngineId, output: ControllerOutput) {
-        let ControllerOutput { orders, messages, turn_messages, notes, .. } = output;
+        let ControllerOutput { orders, messages, turn_messages, timeline_texts, .. } = output;
         self.counters.loads_ended += u64::from(output.loads_ended);
         self.counters.loads_failed += u64::from(output.loads_failed);
         self.counters.permits_granted += u64::from(output.permits_granted);
@@ -59,10 +59,10 @@
                 TurnMessage::Ask(ask) => PeerMessage::LoadAsk(ask),
                 TurnMessage::Release(turn) => PeerMessage::LoadEnd(turn),
             };
-            self.send(self.turns_host, message);
+            self.send(self.scheduling_host, message);
         }
-        for text in notes {
-            self.note(format!("engine {engine}"), text);
+        for text in timeline_texts {
+            self.record_event(format!("engine {engine}"), text);
         }
     }
 
@@ -150,7 +150,7 @@
         if joining || !std::mem::take(&mut self.ownership_dirty) {
             return;
         }
-        self.update_turns_host();
+        self.update_scheduling_host();
         let own_hall = self.config.hall;
         let engines: Vec<EngineId> = self
             .backends
@@ -169,7 +169,7 @@
     }
 
     fn assign_engine(&mut self, engine: EngineId) {
-        let half_life = Duration::from_millis(self.site_number(SettingKey::PopularityHalfLifeMs));
+        let half_life = Duration::from_millis(self.site_integer(SettingKey::PopularityHalfLifeMs));
         let Some(view) = self.backends.engines.get(&engine) else { return };
         let (host, policy) = (self.config.host, self.config.policy.clone());
         let times = self.config.times.engine(half_life);
@@ -229,7 +229,7 @@
     /// them by now.
     pub(super) fn handle_process_pause(&mut self, gap: Duration) {
         self.counters.pauses += 1;
-        self.note("host", format!("was paused for {} ms", gap.as_millis()));
+        self.record_event("host", format!("was paused for {} ms", gap.as_millis()));
         let unfenced: Vec<EngineId> = self
             .controllers
             .iter()
@@ -242,16 +242,16 @@
         self.ownership_dirty = true;
     }
 
-    fn update_turns_host(&mut self) {
+    fn update_scheduling_host(&mut self) {
         let key = role_key(OwnedRole::LoadScheduler, 0);
         let host = rendezvous(key, self.members.eligible_owners(None)).unwrap_or(self.config.host);
-        if host == self.turns_host {
+        if host == self.scheduling_host {
             return;
         }
-        if self.turns_host == self.config.host {
-            self.store_turns.clear();
+        if self.scheduling_host == self.config.host {
+            self.load_scheduler.clear();
         }
-        self.turns_host = host;
-        self.note("store", format!("host {host} gives the turns"));
+        self.scheduling_host = host;
+        self.record_event("store", format!("host {host} gives the turns"));
     }
 }
--- a/crates/core/src/node/permits.rs
+++ b/crates/core/src/node/permits.rs
@@ -91,8 +91,9 @@
     /// Withdraws the outstanding ask of a request, so that its owner loads nothing for it.
     pub(super) fn withdraw_permit_ask(&mut self, id: RequestId) {
         let Some(entry) = self.open_requests.get(&id) else { return };
-        let (attempt, asked) = (entry.attempt, entry.ask_state != PermitAskState::Backoff);
-        if let (true, Some(engine), Some(owner)) = (asked, entry.engine, entry.owner) {
+        let (attempt, ask_outstanding) =
+            (entry.attempt, entry.ask_state != PermitAskState::Backoff);
+        if let (true, Some(engine), Some(owner)) = (ask_outstanding, entry.engine, entry.owner) {
             let done = PermitDone { request: id, attempt, engine, clean: true };
             self.send(owner, PeerMessage::PermitDone(done));
         }
--- a/crates/core/src/node/state.rs
+++ b/crates/core/src/node/state.rs
@@ -73,8 +73,8 @@
     pub(super) backends: BackendTable,
     pub(super) controllers: BTreeMap<EngineId, EngineController>,
     pub(super) next_report_at: BTreeMap<EngineId, ClockMillis>,
-    pub(super) store_turns: LoadScheduler,
-    pub(super) turns_host: HostId,
+    pub(super) load_scheduler: LoadScheduler,
+    pub(super) scheduling_host: HostId,
     pub(super) open_requests: BTreeMap<RequestId, OpenRequest>,
     pub(super) timers: BTreeSet<(ClockMillis, RequestId)>,
     pub(super) retry_budget: RetryBudget,
@@ -113,14 +113,14 @@
             claim_table: ClaimTable::default(),
             claim_tracker: ClaimTracker::new(config.times.claim_interval),
             progress: LogProgress::default(),
-            members: MemberTable::new(own, config.times.member()),
+            members: MemberTable::new(own, config.times.member_timeouts()),
             member_gossip: GossipQueue::default(),
             digest_gossip: GossipQueue::default(),
             backends: BackendTable::default(),
             controllers: BTreeMap::new(),
             next_report_at: BTreeMap::new(),
-            store_turns: LoadScheduler::default(),
-            turns_host: config.host,
+            load_scheduler: LoadScheduler::default(),
+            scheduling_host: config.host,
             open_requests: BTreeMap::new(),
             timers: BTreeSet::new(),
             retry_budget: RetryBudget::default(),
@@ -146,7 +146,7 @@
         self.reading = reading;
         self.started_at = reading.now;
         self.progress.last_snapshot_at = reading.now;
-        self.note("host", format!("started in hall {}", self.config.hall));
+        self.record_event("host", format!("started in hall {}", self.config.hall));
         for stream in LogStream::ALL {
             self.actions.push(NodeAction::Follow { stream, from: 0 });
         }
@@ -208,7 +208,7 @@
     }
 
     /// Records a timeline event.
-    pub(super) fn note(&mut self, subject: impl Into<String>, text: impl Into<String>) {
+    pub(super) fn record_event(&mut self, subject: impl Into<String>, text: impl Into<String>) {
         self.timeline.record(self.reading.wall_millis, subject.into(), text.into());
     }
 
@@ -217,13 +217,13 @@
         base.mul_f64(self.rng.random_range(0.5..1.5))
     }
 
-    /// Returns a fractional setting of the site.
-    pub(super) fn site_fraction(&self, key: SettingKey) -> f64 {
+    /// Returns a floating-point setting of the site.
+    pub(super) fn site_float(&self, key: SettingKey) -> f64 {
         self.settings.tree().float(&SettingsPath::site(), key)
     }
 
     /// Returns an integer setting of the site.
-    pub(super) fn site_number(&self, key: SettingKey) -> u64 {
+    pub(super) fn site_integer(&self, key: SettingKey) -> u64 {
         self.settings.tree().integer(&SettingsPath::site(), key).unsigned_abs()
     }
 
--- a/crates/core/src/node/status.rs
+++ b/crates/core/src/node/status.rs
@@ -88,7 +88,7 @@
             revision: self.settings.revision(),
             next_offset: self.settings.next_offset(),
             halt: self.settings.halt().map(ToString::to_string),
-            turns_host: self.turns_host,
+            turns_host: self.scheduling_host,
             open_requests: self.open_requests.len(),
             keys: self.claim_table.len(),
             known_engines: self.backends.engines.len(),
--- a/crates/core/src/node/timers.rs
+++ b/crates/core/src/node/timers.rs
@@ -142,7 +142,7 @@
                 .any(|controller| controller.state() != EngineState::Foreign);
             if !owns || !self.has_successors() {
                 self.drain = self.drain.after(DrainEvent::HandedOver);
-                self.note("host", "engines handed over");
+                self.record_event("host", "engines handed over");
             }
         }
         if self.drain == DrainState::Finishing {
@@ -161,7 +161,7 @@
     fn finish_drain(&mut self) {
         if self.open_requests.is_empty() && self.drain == DrainState::Finishing {
             self.drain = self.drain.after(DrainEvent::StreamsEnded);
-            self.note("host", "stopped");
+            self.record_event("host", "stopped");
             self.actions.push(NodeAction::Stopped);
         }
     }
--- a/crates/core/tests/fault_free_run.rs
+++ b/crates/core/tests/fault_free_run.rs
@@ -27,9 +27,9 @@
         let script = SiteScript::new(11);
         let mut site = standard_site(script, FaultPlan::default());
         site.run_until(script.end);
-        let told: Vec<_> =
+        let outcomes: Vec<_> =
             site.evidence.callers.values().map(|caller| (caller.request, caller.told)).collect();
-        (told, site.evidence.steps, site.evidence.messages)
+        (outcomes, site.evidence.steps, site.evidence.messages)
     };
     assert_eq!(run_script(), run_script());
 }
