--- a/crates/core/src/chart.rs
+++ b/crates/core/src/chart.rs
@@ -1,162 +1,162 @@
-//! State charts: life cycles written in TOML and interpreted at run time.
+//! State charts: lifecycles defined in TOML and interpreted at run time.
 //!
-//! A chart names its states, its events and, for each state, where each event leads. Reading one
-//! checks it, so that a chart with a dead end or a misspelt event is found at start and not at the
-//! moment it is needed. Every state must say what it does with every event: lead on or ignore it.
+//! A chart declares its states, its events and, for each state, either a transition or an explicit
+//! `ignore` for every event. Parsing validates it, so unknown names, dead ends and unreachable
+//! states are found at startup.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use serde::Deserialize;
 
-/// A place in a chart, as an index into its sorted states.
-pub type ChartState = u8;
+/// A state of a chart, as an index into its sorted states.
+pub type StateIndex = u8;
 
-/// Why a chart file was refused.
+/// An error in a chart definition.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum ChartError {
-    /// The file is not TOML of the expected shape.
-    #[error(
-        "chart is not valid TOML: {0}; compare it with the charts shipped in crates/core/charts"
-    )]
+    /// The definition is not TOML of the expected structure.
+    #[error("chart is not valid TOML: {0}; compare it with the charts in crates/core/charts")]
     Syntax(String),
-    /// A transition or list names an event that the chart does not declare.
+    /// A transition or `ignore` list names an undeclared event.
     #[error(
-        "state `{state}` names unknown event `{event}`; add it to `events` or mend its spelling"
+        "state `{state}` refers to unknown event `{event}`; add it to `events` or fix its spelling"
     )]
     UnknownEvent {
-        /// The state that names it.
+        /// The state that refers to it.
         state: String,
-        /// The event as written.
+        /// The undeclared event.
         event: String,
     },
-    /// A transition leads to a state that the chart does not declare.
-    #[error("state `{state}` leads to unknown state `{target}`; declare it or mend its spelling")]
+    /// A transition, `initial` or `final` names an undeclared state.
+    #[error("state `{state}` refers to unknown state `{target}`; declare it or fix its spelling")]
     UnknownState {
-        /// The state that names it.
+        /// The state that refers to it.
         state: String,
-        /// The target as written.
+        /// The undeclared state.
         target: String,
     },
-    /// No path leads from the initial state to this one.
-    #[error("state `{0}` can not be reached from the initial state; remove it or lead to it")]
+    /// The state cannot be reached from the initial state.
+    #[error(
+        "state `{0}` cannot be reached from the initial state; remove it or add a transition to it"
+    )]
     Unreachable(String),
-    /// The state is not final, yet no event leads out of it.
-    #[error("state `{0}` has no way out; list it in `final` or give it a transition")]
-    NoWayOut(String),
-    /// A state neither leads on nor ignores an event.
+    /// The state is not final and no event leads out of it.
+    #[error("state `{0}` is a dead end; list it in `final` or add a transition")]
+    DeadEnd(String),
+    /// A state has neither a transition for an event nor ignores it.
     #[error(
-        "state `{state}` does not say what `{event}` does; add a transition or put it in `ignore`"
+        "state `{state}` does not handle event `{event}`; add a transition or list it in `ignore`"
     )]
     Unhandled {
         /// The state.
         state: String,
-        /// The event it is silent about.
+        /// The unhandled event.
         event: String,
     },
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct ChartFile {
+struct ChartSpec {
     initial: String,
     #[serde(default, rename = "final")]
     finals: BTreeSet<String>,
     events: BTreeSet<String>,
-    state: BTreeMap<String, StateFile>,
+    state: BTreeMap<String, StateSpec>,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct StateFile {
+struct StateSpec {
     #[serde(default)]
     on: BTreeMap<String, String>,
     #[serde(default)]
     ignore: BTreeSet<String>,
 }
 
-/// A checked state chart.
+/// A validated state chart.
 #[derive(Debug, Clone)]
 pub struct StateChart {
-    initial: ChartState,
+    initial: StateIndex,
     states: Vec<String>,
     events: Vec<String>,
-    /// `next[state][event]`, where an ignored event leads back to the state itself.
-    next: Vec<Vec<ChartState>>,
+    /// The target of `transitions[state][event]`; an ignored event leads back to the same state.
+    transitions: Vec<Vec<StateIndex>>,
 }
 
 impl StateChart {
-    /// Reads and checks a chart.
+    /// Parses and validates a chart.
     ///
     /// # Errors
     /// Returns the first [`ChartError`] found.
     pub fn parse(text: &str) -> Result<Self, ChartError> {
-        let file: ChartFile =
+        let spec: ChartSpec =
             toml::from_str(text).map_err(|error| ChartError::Syntax(error.to_string()))?;
-        check_names(&file)?;
-        check_ways(&file)?;
-        Ok(compile(&file))
+        check_names(&spec)?;
+        check_reachability(&spec)?;
+        Ok(compile(&spec))
     }
 
-    /// Returns the state in which a life begins.
-    pub const fn initial(&self) -> ChartState {
+    /// Returns the initial state.
+    pub const fn initial(&self) -> StateIndex {
         self.initial
     }
 
     /// Returns the state that `event` leads to from `state`.
     ///
     /// # Panics
-    /// Panics when the chart has no such event: the events are fixed by the code that calls it, and
-    /// a test walks every state with every event.
-    pub fn step(&self, state: ChartState, event: &str) -> ChartState {
-        let column = self.events.iter().position(|known| known == event);
-        let column = column.unwrap_or_else(|| panic!("chart has no event `{event}`"));
-        self.next[usize::from(state)][column]
+    /// Panics if the chart has no such event. Callers pass fixed event names, and a test covers
+    /// every state with every event.
+    pub fn step(&self, state: StateIndex, event: &str) -> StateIndex {
+        let event_index = self.events.iter().position(|known| known == event);
+        let event_index = event_index.unwrap_or_else(|| panic!("chart has no event `{event}`"));
+        self.transitions[usize::from(state)][event_index]
     }
 
     /// Returns the name of a state.
-    pub fn state_name(&self, state: ChartState) -> &str {
+    pub fn state_name(&self, state: StateIndex) -> &str {
         &self.states[usize::from(state)]
     }
 
-    /// Returns the state of that name.
-    pub fn state(&self, name: &str) -> Option<ChartState> {
+    /// Returns the state with this name.
+    pub fn state(&self, name: &str) -> Option<StateIndex> {
         let index = self.states.iter().position(|known| known == name)?;
-        ChartState::try_from(index).ok()
+        StateIndex::try_from(index).ok()
     }
 
-    /// Lists the names of all states.
+    /// Returns the names of all states.
     pub fn states(&self) -> &[String] {
         &self.states
     }
 
-    /// Lists the names of all events.
+    /// Returns the names of all events.
     pub fn events(&self) -> &[String] {
         &self.events
     }
 }
 
-fn check_names(file: &ChartFile) -> Result<(), ChartError> {
-    for (name, state) in &file.state {
+fn check_names(spec: &ChartSpec) -> Result<(), ChartError> {
+    for (name, state) in &spec.state {
         for event in state.on.keys().chain(&state.ignore) {
-            if !file.events.contains(event) {
+            if !spec.events.contains(event) {
                 return Err(ChartError::UnknownEvent { state: name.clone(), event: event.clone() });
             }
         }
-        for event in &file.events {
+        for event in &spec.events {
             if !state.on.contains_key(event) && !state.ignore.contains(event) {
                 return Err(ChartError::Unhandled { state: name.clone(), event: event.clone() });
             }
         }
         for target in state.on.values() {
-            if !file.state.contains_key(target) {
+            if !spec.state.contains_key(target) {
                 let (state, target) = (name.clone(), target.clone());
                 return Err(ChartError::UnknownState { state, target });
             }
         }
     }
-    let named = file.finals.iter().chain([&file.initial]);
+    let named = spec.finals.iter().chain([&spec.initial]);
     for target in named {
-        if !file.state.contains_key(target) {
+        if !spec.state.contains_key(target) {
             let state = String::from("initial or final");
             return Err(ChartError::UnknownState { state, target: target.clone() });
         }
@@ -164,36 +164,36 @@
     Ok(())
 }
 
-fn check_ways(file: &ChartFile) -> Result<(), ChartError> {
-    let mut reached = BTreeSet::from([file.initial.as_str()]);
-    let mut open = vec![file.initial.as_str()];
-    while let Some(name) = open.pop() {
-        for target in file.state[name].on.values() {
+fn check_reachability(spec: &ChartSpec) -> Result<(), ChartError> {
+    let mut reached = BTreeSet::from([spec.initial.as_str()]);
+    let mut unvisited = vec![spec.initial.as_str()];
+    while let Some(name) = unvisited.pop() {
+        for target in spec.state[name].on.values() {
             if reached.insert(target) {
-                open.push(target);
+                unvisited.push(target);
             }
         }
     }
-    for (name, state) in &file.state {
+    for (name, state) in &spec.state {
         if !reached.contains(name.as_str()) {
             return Err(ChartError::Unreachable(name.clone()));
         }
         let leaves = state.on.values().any(|target| target != name);
-        if !leaves && !file.finals.contains(name) {
-            return Err(ChartError::NoWayOut(name.clone()));
+        if !leaves && !spec.finals.contains(name) {
+            return Err(ChartError::DeadEnd(name.clone()));
         }
     }
     Ok(())
 }
 
-fn compile(file: &ChartFile) -> StateChart {
-    let states: Vec<String> = file.state.keys().cloned().collect();
-    let events: Vec<String> = file.events.iter().cloned().collect();
-    let index = |name: &str| -> ChartState {
-        let place = states.iter().position(|known| known == name).unwrap_or_default();
-        ChartState::try_from(place).unwrap_or(ChartState::MAX)
+fn compile(spec: &ChartSpec) -> StateChart {
+    let states: Vec<String> = spec.state.keys().cloned().collect();
+    let events: Vec<String> = spec.events.iter().cloned().collect();
+    let index = |name: &str| -> StateIndex {
+        let state_position = states.iter().position(|known| known == name).unwrap_or_default();
+        StateIndex::try_from(state_position).unwrap_or(StateIndex::MAX)
     };
-    let next = file
+    let transitions = spec
         .state
         .iter()
         .map(|(name, state)| {
@@ -201,14 +201,14 @@
             events.iter().map(target).collect()
         })
         .collect();
-    StateChart { initial: index(&file.initial), next, states, events }
+    StateChart { initial: index(&spec.initial), transitions, states, events }
 }
 
-/// Declares a life cycle: an enum of states whose moves a shipped chart decides.
+/// Declares the enums of a lifecycle's states and events, whose transitions an embedded chart
+/// defines.
 ///
-/// The enum lets the code match on states; the chart alone says which event leads where. Reading
-/// the chart checks that both name the same states.
-macro_rules! life_cycle {
+/// Loading the chart checks that it has the same states and events as the enums.
+macro_rules! lifecycle {
     ($(#[$doc:meta])* $name:ident, $file:literal, { $($(#[$state_doc:meta])* $state:ident = $text:literal),+ $(,)? },
      $(#[$event_doc:meta])* $event:ident { $($(#[$variant_doc:meta])* $variant:ident = $event_text:literal),+ $(,)? }) => {
         $(#[$doc])*
@@ -220,17 +220,17 @@
         pub enum $event { $($(#[$variant_doc])* $variant),+ }
 
         impl $name {
-            /// The chart as shipped.
+            /// The embedded chart definition.
             pub const CHART: &'static str = include_str!(concat!(env!("CARGO_MANIFEST_DIR"), "/charts/", $file));
 
-            /// All states, in the order of the enum.
+            /// All states, in declaration order.
             pub const ALL: &'static [Self] = &[$(Self::$state),+];
 
-            /// Returns the checked chart, read once.
+            /// Returns the validated chart, which is parsed once.
             ///
             /// # Panics
-            /// Panics when the shipped chart is broken or names other states or events than the
-            /// code; a test reads every shipped chart.
+            /// Panics if the embedded chart is invalid or does not match the enums; a test loads
+            /// every chart.
             pub fn chart() -> &'static $crate::chart::StateChart {
                 static CHART: std::sync::OnceLock<$crate::chart::StateChart> =
                     std::sync::OnceLock::new();
@@ -243,7 +243,7 @@
                 })
             }
 
-            /// Returns the state in which a life begins.
+            /// Returns the initial state.
             pub fn initial() -> Self {
                 Self::from_chart(Self::chart().initial())
             }
@@ -257,14 +257,14 @@
             #[must_use]
             pub fn after(self, event: $event) -> Self {
                 let chart = Self::chart();
-                let state = chart.state(self.name()).expect("chart has every state of the enum");
+                let state = chart.state(self.name()).expect("chart has all states of the enum");
                 Self::from_chart(chart.step(state, event.name()))
             }
 
-            fn from_chart(state: $crate::chart::ChartState) -> Self {
+            fn from_chart(state: $crate::chart::StateIndex) -> Self {
                 match Self::chart().state_name(state) {
                     $($text => Self::$state,)+
-                    other => panic!("{}: state `{other}` is not known to the code", $file),
+                    other => panic!("{}: state `{other}` is not in the enum", $file),
                 }
             }
         }
@@ -278,7 +278,7 @@
     };
 }
 
-pub(crate) use life_cycle;
+pub(crate) use lifecycle;
 
-mod cycles;
-pub use cycles::*;
+mod lifecycles;
+pub use lifecycles::*;
--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -1,10 +1,10 @@
 //! Claims of idempotency keys: the first claim of a key in the platform's log wins.
 //!
-//! A claim is never handed on. A holder that was paused and wakes is still the only one that may
-//! run its request, so nobody needs to know whether it is alive.
+//! A claim is never transferred. Only the request that holds it may run, even if its host was
+//! paused meanwhile, so claims need no failure detection.
 
-mod book;
-mod fold;
+mod tracker;
+mod table;
 
-pub use book::{ClaimBook, ClaimVerdict, OwnClaim};
-pub use fold::{ClaimFold, ClaimItem, ClaimRecord, DecidedClaim};
+pub use table::{ClaimItem, ClaimRecord, ClaimTable, DecidedClaim};
+pub use tracker::{ClaimTracker, ClaimVerdict, TrackedClaim};
--- a/crates/core/src/engine/orders.rs
+++ b/crates/core/src/engine/orders.rs
@@ -1,63 +1,64 @@
-//! What the engine's answers to orders mean.
+//! Handling of the results of engine orders.
 
 use crate::{
     chart::{EngineEvent, EngineState, ResidencyState},
     clock::ClockMillis,
-    engine::{ControlOutput, EngineControl, EngineOrder, OrderAction, OrderResult},
+    engine::{ControllerOutput, EngineController, EngineOrder, OrderAction, OrderResult},
     id::{AdapterKey, FenceToken},
 };
 
-impl EngineControl {
-    /// Takes the end of an order.
-    pub fn order_ended(
+impl EngineController {
+    /// Handles the result of an order.
+    pub fn handle_order_ended(
         &mut self,
         order: &EngineOrder,
         result: OrderResult,
         now: ClockMillis,
-        out: &mut ControlOutput,
+        out: &mut ControllerOutput,
     ) {
         if let OrderResult::Fenced { token } = result {
-            self.fenced(order, token, now, out);
+            self.handle_fenced(order, token, now, out);
             return;
         }
         if let OrderResult::Done { incarnation, sequence } = result {
             if incarnation != self.incarnation && self.incarnation != 0 {
-                // The engine was restarted in between; its next report tells the rest.
-                self.raising = None;
+                // The engine restarted meanwhile; its next report shows the new state.
+                self.raise_started_at = None;
                 return;
             }
             self.incarnation = incarnation;
             self.sequence = self.sequence.max(sequence);
         }
         match &order.action {
-            OrderAction::Raise => self.raise_ended(order.token, result, out),
+            OrderAction::RaiseFence => self.raise_ended(order.token, result, out),
             OrderAction::Load(adapter) => self.load_ended(*adapter, result, now, out),
             OrderAction::Unload(adapter) => self.unload_ended(*adapter, result, now, out),
-            OrderAction::UnloadStranger(_) => {}
+            OrderAction::UnloadUnknown(_) => {}
         }
     }
 
-    /// An order was refused for its token. When the higher token is our own, a raise overtook the
-    /// order, which is simply repeated.
-    fn fenced(
+    /// Handles an order that was refused for its token.
+    ///
+    /// If the higher token is this host's own, a raise overtook the order, which is then repeated.
+    fn handle_fenced(
         &mut self,
         order: &EngineOrder,
         token: FenceToken,
         now: ClockMillis,
-        out: &mut ControlOutput,
+        out: &mut ControllerOutput,
     ) {
-        self.seen_token = self.seen_token.max(token);
+        self.highest_seen_token = self.highest_seen_token.max(token);
         if token > self.token {
-            self.raising = None;
-            self.lose(EngineEvent::FenceLost, now, out);
+            self.raise_started_at = None;
+            self.lose_ownership(EngineEvent::FenceLost, now, out);
             return;
         }
         if order.token == self.token {
-            self.raising = None;
+            self.raise_started_at = None;
         }
         let repeated = match &order.action {
-            OrderAction::Load(adapter) => self.is_in(*adapter, ResidencyState::Loading),
-            OrderAction::Unload(adapter) => self.is_in(*adapter, ResidencyState::Unloading),
+            OrderAction::Load(adapter) => self.is_in_state(*adapter, ResidencyState::Loading),
+            OrderAction::Unload(adapter) => self.is_in_state(*adapter, ResidencyState::Unloading),
             _ => false,
         };
         if repeated {
@@ -65,26 +66,26 @@
         }
     }
 
-    fn is_in(&self, adapter: AdapterKey, state: ResidencyState) -> bool {
-        self.residencies.get(&adapter).is_some_and(|stay| stay.state == state)
+    fn is_in_state(&self, adapter: AdapterKey, state: ResidencyState) -> bool {
+        self.residencies.get(&adapter).is_some_and(|residency| residency.state == state)
     }
 
-    fn raise_ended(&mut self, token: FenceToken, result: OrderResult, out: &mut ControlOutput) {
+    fn raise_ended(&mut self, token: FenceToken, result: OrderResult, out: &mut ControllerOutput) {
         if token != self.token {
             return;
         }
-        self.raising = None;
+        self.raise_started_at = None;
         let OrderResult::Done { sequence, .. } = result else { return };
-        self.truth_from = sequence;
-        for stay in self.residencies.values_mut() {
-            // Whatever was in doubt was sent under a lower token, which the engine now refuses.
-            if stay.awaits_raise() && token > stay.doubt_token {
-                stay.proof_from = sequence;
+        self.authoritative_from = sequence;
+        for residency in self.residencies.values_mut() {
+            // The uncounted requests were sent under a lower token, which the engine now refuses.
+            if residency.needs_raise() && token > residency.uncertain_token {
+                residency.provable_from = sequence;
             }
         }
         if self.state == EngineState::TakingOver {
             self.step(EngineEvent::FenceRaised);
-            out.notes.push(format!("fence raised to {token:x}"));
+            out.timeline_texts.push(format!("fence raised to {token:x}"));
         }
     }
 
@@ -93,19 +94,19 @@
         adapter: AdapterKey,
         result: OrderResult,
         now: ClockMillis,
-        out: &mut ControlOutput,
+        out: &mut ControllerOutput,
     ) {
-        let Some(stay) = self.residencies.get_mut(&adapter) else { return };
-        if stay.state != ResidencyState::Loading {
+        let Some(residency) = self.residencies.get_mut(&adapter) else { return };
+        if residency.state != ResidencyState::Loading {
             return;
         }
         match result {
-            OrderResult::Done { sequence, .. } => self.load_done(adapter, sequence, now, out),
-            OrderResult::Failed | OrderResult::NeverSent => self.load_failed(adapter, now, out),
-            // It may have taken effect: the next raise and the report after it will tell.
+            OrderResult::Done { sequence, .. } => self.finish_load(adapter, sequence, now, out),
+            OrderResult::Failed | OrderResult::NotSent => self.fail_load(adapter, now, out),
+            // The load may have taken effect; a raise and a report after it resolve this.
             _ => {
-                stay.doubtful = true;
-                stay.doubt(self.token);
+                residency.order_unconfirmed = true;
+                residency.mark_uncertain(self.token);
             }
         }
     }
@@ -115,41 +116,41 @@
         adapter: AdapterKey,
         result: OrderResult,
         now: ClockMillis,
-        out: &mut ControlOutput,
+        out: &mut ControllerOutput,
     ) {
-        let Some(stay) = self.residencies.get(&adapter) else { return };
-        if stay.state != ResidencyState::Unloading {
+        let Some(residency) = self.residencies.get(&adapter) else { return };
+        if residency.state != ResidencyState::Unloading {
             return;
         }
         match result {
-            OrderResult::Done { .. } => self.slot_freed(adapter, now, out),
-            // It may still take effect later, when the adapter is back and serves: the fence is
-            // raised above it before anything else happens to the slot.
-            _ => self.doubt_unload(adapter, now),
+            OrderResult::Done { .. } => self.handle_slot_freed(adapter, now, out),
+            // The unload may still take effect later, after the adapter was loaded again: the fence
+            // is raised above its token before the slot is used.
+            _ => self.mark_unload_unconfirmed(adapter, now),
         }
     }
 
-    fn doubt_unload(&mut self, adapter: AdapterKey, now: ClockMillis) {
+    fn mark_unload_unconfirmed(&mut self, adapter: AdapterKey, now: ClockMillis) {
         let token = self.token;
-        if let Some(stay) = self.residencies.get_mut(&adapter) {
-            stay.doubtful = true;
-            stay.doubt(token);
+        if let Some(residency) = self.residencies.get_mut(&adapter) {
+            residency.order_unconfirmed = true;
+            residency.mark_uncertain(token);
         }
-        self.quiet_from(now);
+        self.restart_quiet_period(now);
     }
 
-    /// Repeats unload orders whose answer was lost, once they can not take effect any more.
-    pub(super) fn repeat_unloads(&mut self, out: &mut ControlOutput) {
+    /// Repeats unload orders without an answer once the original can no longer take effect.
+    pub(super) fn retry_unconfirmed_unloads(&mut self, out: &mut ControllerOutput) {
         let due: Vec<AdapterKey> = self
             .residencies
             .iter()
-            .filter(|(_, stay)| stay.state == ResidencyState::Unloading)
-            .filter(|(_, stay)| stay.doubtful && !stay.awaits_raise())
+            .filter(|(_, residency)| residency.state == ResidencyState::Unloading)
+            .filter(|(_, residency)| residency.order_unconfirmed && !residency.needs_raise())
             .map(|(adapter, _)| *adapter)
             .collect();
         for adapter in due {
-            if let Some(stay) = self.residencies.get_mut(&adapter) {
-                stay.doubtful = false;
+            if let Some(residency) = self.residencies.get_mut(&adapter) {
+                residency.order_unconfirmed = false;
             }
             self.order(OrderAction::Unload(adapter), out);
         }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! The crate opens no sockets, starts no threads and reads no clock on its own. A [`NodeCore`]
 //! handles one [`NodeEvent`] at a time, together with the clock reading at which it happened, and
-//! returns the resulting [`NodeOrder`]s. All invariants are enforced here, so that a test can
+//! returns the resulting [`NodeAction`]s. All invariants are enforced here, so that a test can
 //! inject any fault between any two events.
 //!
 //! Start reading with [`request`] (requests and their outcomes), then [`settings`] (what operators
@@ -32,6 +32,6 @@
 pub mod timeline;
 
 pub use clock::{ClockMillis, ClockSource, ManualClock, MonotonicClock};
-pub use node::{NodeConfig, NodeCore, NodeEvent, NodeOrder};
+pub use node::{NodeAction, NodeConfig, NodeCore, NodeEvent};
 pub use position::StorePosition;
 pub use request::{CallerOutcome, RefusalKind, RequestRefusal};
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -1,7 +1,7 @@
-//! One entry host: its decision core, from events to orders.
+//! The decision core of one entry host: turns events into actions.
 //!
-//! [`NodeCore::handle`] is the only way in. A border hands it an event and the time, and carries
-//! out the orders it gets back. The core never waits; what it waits for comes as an event.
+//! The I/O layer passes each event and the current time to [`NodeCore::handle`] and carries out the
+//! actions it returns. The core performs no I/O and never blocks; results arrive as later events.
 
 mod arrivals;
 mod config;
@@ -10,22 +10,22 @@
 mod event;
 mod inbox;
 mod log;
-mod open;
-mod owning;
-mod peers;
+mod open_request;
+mod ownership;
+mod membership;
 mod permits;
 mod state;
 mod status;
-mod table;
+mod backends;
 mod timers;
-mod turns;
+mod load_scheduler;
 
+pub use backends::ServerId;
 pub use config::{NodeConfig, NodeTimes};
 pub use counters::NodeCounters;
 pub use event::{
-    AppendResult, DispatchEnding, DispatchOrder, HostChange, HostEntry, HostKind, LogStream,
-    NodeEvent, NodeOrder, NodeReading, NotRunReason, SEND_WITHIN, ServerFacts,
+    AppendResult, ClockReading, DispatchResult, HostEntry, HostKind, HostListChange, LogStream,
+    MAX_DISPATCH_DELAY, NodeAction, NodeEvent, NotRunReason, RequestDispatch, ServerInfo,
 };
 pub use state::NodeCore;
 pub use status::{EngineStatus, MemberStatus, NodeStatus};
-pub use table::ServerId;
--- a/crates/core/src/node/config.rs
+++ b/crates/core/src/node/config.rs
@@ -1,4 +1,4 @@
-//! What a host learns from its own settings, and the times it goes by.
+//! Configuration of a host core, with its intervals and timeouts.
 
 use std::{sync::Arc, time::Duration};
 
@@ -8,50 +8,50 @@
     member::MemberTimeouts,
 };
 
-/// The times a host goes by. The defaults suit halls a few milliseconds apart.
+/// Intervals and timeouts of a host. The defaults suit data halls a few milliseconds apart.
 #[derive(Debug, Clone, Copy)]
 pub struct NodeTimes {
-    /// How often heartbeats go out.
+    /// The interval between heartbeats.
     pub heartbeat: Duration,
-    /// To how many hosts each time.
+    /// The number of hosts that each heartbeat goes to.
     pub fanout: usize,
-    /// How long the answer to a heartbeat may take.
+    /// How long a host may take to answer a heartbeat before it is suspected.
     pub ack_timeout: Duration,
-    /// How long a suspected host has to refute.
+    /// How long a suspected host has to refute before it is declared dead.
     pub suspicion_timeout: Duration,
-    /// How long a dead host is remembered.
+    /// How long a dead host is kept in the member table.
     pub dead_retention: Duration,
-    /// How long an owner may take to answer an ask for a permit.
-    pub ask_within: Duration,
-    /// How often a request that waits at an owner makes sure that it still does.
-    pub ask_again: Duration,
-    /// How long to wait before asking again after an owner said that it is none.
-    pub reroute_after: Duration,
-    /// The least time between two appends of claims.
+    /// How long an owner may take to answer a permit ask.
+    pub permit_ask_timeout: Duration,
+    /// The interval at which a queued permit ask is repeated to check that it is still queued.
+    pub queued_recheck_interval: Duration,
+    /// The delay before a request is routed again; it grows with each attempt.
+    pub reroute_delay: Duration,
+    /// The minimum time between two appends of claims.
     pub claim_interval: Duration,
-    /// How long a backend server that refused a connection is not tried again.
-    pub avoid_for: Duration,
-    /// How often an owned engine is asked for its report.
+    /// How long a backend server that was full or refused a connection is avoided.
+    pub avoid_duration: Duration,
+    /// The interval at which an owned engine's report is fetched.
     pub report_every: Duration,
-    /// A gap between two ticks above this means that the process was paused.
-    pub pause_limit: Duration,
-    /// How long a stopping host keeps engines that no other host has taken over.
-    pub handover_limit: Duration,
-    /// How long a host that has just started listens before it owns anything, so that hosts that
-    /// start together do not each take over what belongs to others.
-    pub join_wait: Duration,
-    /// How many log records a snapshot may lie behind.
-    pub snapshot_every: u64,
-    /// How long a snapshot may lie behind at all.
-    pub snapshot_after: Duration,
-    /// How long before a snapshot is written anew although nothing changed: the log forgets it too.
-    pub snapshot_renew: Duration,
-    /// How long a new owner of an engine without fence waits for the earlier one to stop.
+    /// The gap between two ticks above which the process counts as paused.
+    pub pause_threshold: Duration,
+    /// How long a stopping host waits for other hosts to take over its engines.
+    pub handover_timeout: Duration,
+    /// How long a host listens after its start before it owns engines, so that hosts that start
+    /// together learn of each other first.
+    pub join_delay: Duration,
+    /// The number of records after which a new snapshot is written.
+    pub snapshot_record_limit: u64,
+    /// The age after which a snapshot that lacks any record is replaced.
+    pub snapshot_max_lag: Duration,
+    /// The age after which a snapshot is rewritten unchanged, before the log's retention drops it.
+    pub snapshot_renewal_interval: Duration,
+    /// How long a new owner of an engine without a fence waits for the previous owner to stop.
     pub handover_wait: Duration,
-    /// How long bytes already sent may take to reach an engine without fence.
+    /// How long bytes already sent may take to reach an engine without a fence.
     pub quiet: Duration,
-    /// How long to wait after a fence was lost before taking it again.
-    pub retake_wait: Duration,
+    /// The delay before a lost fence is taken again.
+    pub retake_delay: Duration,
 }
 
 impl Default for NodeTimes {
@@ -62,27 +62,27 @@
             ack_timeout: Duration::from_millis(800),
             suspicion_timeout: Duration::from_secs(3),
             dead_retention: Duration::from_mins(10),
-            ask_within: Duration::from_millis(500),
-            ask_again: Duration::from_secs(2),
-            reroute_after: Duration::from_millis(100),
+            permit_ask_timeout: Duration::from_millis(500),
+            queued_recheck_interval: Duration::from_secs(2),
+            reroute_delay: Duration::from_millis(100),
             claim_interval: Duration::from_millis(100),
-            avoid_for: Duration::from_secs(2),
+            avoid_duration: Duration::from_secs(2),
             report_every: Duration::from_secs(2),
-            pause_limit: Duration::from_secs(2),
-            handover_limit: Duration::from_secs(8),
-            join_wait: Duration::from_millis(1_500),
-            snapshot_every: 64,
-            snapshot_after: Duration::from_mins(30),
-            snapshot_renew: Duration::from_hours(6),
+            pause_threshold: Duration::from_secs(2),
+            handover_timeout: Duration::from_secs(8),
+            join_delay: Duration::from_millis(1_500),
+            snapshot_record_limit: 64,
+            snapshot_max_lag: Duration::from_mins(30),
+            snapshot_renewal_interval: Duration::from_hours(6),
             handover_wait: Duration::from_secs(10),
             quiet: Duration::from_secs(10),
-            retake_wait: Duration::from_secs(2),
+            retake_delay: Duration::from_secs(2),
         }
     }
 }
 
 impl NodeTimes {
-    pub(super) const fn member(&self) -> MemberTimeouts {
+    pub(super) const fn member_timeouts(&self) -> MemberTimeouts {
         MemberTimeouts {
             ack_timeout: self.ack_timeout,
             suspicion_timeout: self.suspicion_timeout,
@@ -94,36 +94,36 @@
         EngineTimes {
             handover_wait: self.handover_wait,
             quiet: self.quiet,
-            retake_wait: self.retake_wait,
+            retake_delay: self.retake_delay,
             half_life,
-            usual_load: Duration::from_millis(340),
+            initial_load_duration: Duration::from_millis(340),
         }
     }
 }
 
-/// What a host is told at its start.
+/// The configuration of a host.
 #[derive(Clone)]
 pub struct NodeConfig {
-    /// The host.
+    /// The host's ID.
     pub host: HostId,
-    /// Its life: when it started, in milliseconds since the Unix epoch.
+    /// The process's incarnation: its start time in milliseconds since the Unix epoch.
     pub incarnation: Incarnation,
     /// Its data hall.
     pub hall: HallId,
-    /// Where peers reach it, as `ip:port`.
+    /// Its address for peers, as `ip:port`.
     pub peer_address: String,
-    /// Where some peers are reached, for a start while the platform is away.
+    /// Addresses of some peers, used while the platform's host list is unavailable at startup.
     pub seeds: Vec<String>,
-    /// Seeds the choice of peers and the jitter of pauses.
+    /// The seed of the host's random choices.
     pub seed: u64,
-    /// The times it goes by.
+    /// Its intervals and timeouts.
     pub times: NodeTimes,
-    /// How loads and stays are valued.
+    /// The policy that ranks loads and evictions.
     pub policy: Arc<dyn ResidencyPolicy>,
 }
 
 impl NodeConfig {
-    /// Makes the settings of a host with the usual times and policy.
+    /// Creates a configuration with the default times and policy.
     pub fn new(host: HostId, hall: HallId, incarnation: Incarnation) -> Self {
         Self {
             host,
@@ -137,35 +137,35 @@
         }
     }
 
-    /// Sets where peers reach the host.
+    /// Sets the host's address for peers.
     #[must_use]
     pub fn peer_address(mut self, address: impl Into<String>) -> Self {
         self.peer_address = address.into();
         self
     }
 
-    /// Names where some peers are reached.
+    /// Sets the seed addresses.
     #[must_use]
     pub fn seeds(mut self, seeds: Vec<String>) -> Self {
         self.seeds = seeds;
         self
     }
 
-    /// Sets the times it goes by.
+    /// Sets the intervals and timeouts.
     #[must_use]
     pub const fn times(mut self, times: NodeTimes) -> Self {
         self.times = times;
         self
     }
 
-    /// Sets how loads and stays are valued.
+    /// Sets the policy that ranks loads and evictions.
     #[must_use]
     pub fn policy(mut self, policy: Arc<dyn ResidencyPolicy>) -> Self {
         self.policy = policy;
         self
     }
 
-    /// Seeds the host's random choices.
+    /// Sets the seed of the host's random choices.
     #[must_use]
     pub const fn seed(mut self, seed: u64) -> Self {
         self.seed = seed;
--- a/crates/core/src/node/dispatch.rs
+++ b/crates/core/src/node/dispatch.rs
@@ -1,21 +1,22 @@
-//! A request at a backend server, and the end of a request.
+//! Dispatch of requests to backend servers, and the end of requests.
 
 use crate::{
     chart::{RequestEvent, RequestState},
-    engine::EngineControl,
+    engine::EngineController,
     id::{EngineId, RequestId},
     message::{PeerMessage, PermitDone},
     node::{
-        DispatchEnding, DispatchOrder, NodeCore, NodeOrder, NotRunReason, ServerId,
-        open::{AskState, OpenRequest},
-        table::ServerView,
+        DispatchResult, NodeAction, NodeCore, NotRunReason, RequestDispatch, ServerId,
+        backends::ServerView,
+        open_request::{OpenRequest, PermitAskState},
     },
     request::{CallerOutcome, RefusalKind, RequestRefusal},
 };
 
 impl NodeCore {
-    /// Sends a request to a plain server. No owner is asked: the host that a caller came to is the
-    /// request's only dispatcher, and plain servers have no adapters to guard.
+    /// Dispatches a request to a plain server.
+    ///
+    /// Plain servers hold no adapters, so they have no owner and need no permit.
     pub(super) fn dispatch_plain(&mut self, id: RequestId) {
         let Some(server) = self.choose_server(id) else {
             let message = "no server of the service is known and live";
@@ -26,80 +27,82 @@
         let now = self.now();
         let Some(view) = self.backends.servers.get_mut(&server) else { return };
         view.outstanding += 1;
-        let address = view.facts.address.clone();
-        let Some(open) = self.open.get_mut(&id) else { return };
-        open.attempt += 1;
-        open.server = Some(server);
-        open.state = open.state.after(RequestEvent::Permitted);
-        let order = DispatchOrder {
+        let address = view.info.address.clone();
+        let Some(entry) = self.open_requests.get_mut(&id) else { return };
+        entry.attempt += 1;
+        entry.server = Some(server);
+        entry.state = entry.state.after(RequestEvent::Permitted);
+        let dispatch = RequestDispatch {
             request: id,
             address,
             adapter_name: String::new(),
             base_model: String::new(),
             token: 0,
-            priority: open.settings.priority,
+            priority: entry.settings.priority,
             max_tokens: 0,
-            max_wait: open.deadline.since(now),
-            issued: now,
+            max_wait: entry.deadline.since(now),
+            issued_at: now,
         };
         self.set_timer(id, None);
-        self.orders.push(NodeOrder::Dispatch(order));
+        self.actions.push(NodeAction::Dispatch(dispatch));
     }
 
     fn choose_server(&self, id: RequestId) -> Option<ServerId> {
         let now = self.now();
-        let open = self.open.get(&id)?;
+        let entry = self.open_requests.get(&id)?;
         let usable = |view: &&ServerView| {
-            view.facts.service == open.service_name
-                && !view.leave.holds()
+            view.info.service == entry.service_name
+                && !view.leaving_mark.is_set()
                 && now >= view.avoid_until
         };
         let cost = |view: &&ServerView| {
-            let far = view.facts.hall != self.config.hall;
-            (far, view.outstanding, view.facts.server)
+            let remote = view.info.hall != self.config.hall;
+            (remote, view.outstanding, view.info.server)
         };
         let views = self.backends.servers.values();
-        views.filter(usable).min_by_key(cost).map(|view| view.facts.server)
+        views.filter(usable).min_by_key(cost).map(|view| view.info.server)
     }
 
-    /// Takes the end of an exchange with a backend server.
-    pub(super) fn dispatch_ended(&mut self, id: RequestId, ending: DispatchEnding) {
-        let Some(open) = self.open.get(&id) else { return };
-        if !open.state.is_dispatched() {
+    /// Handles the result of a dispatch.
+    pub(super) fn finish_dispatch(&mut self, id: RequestId, result: DispatchResult) {
+        let Some(entry) = self.open_requests.get(&id) else { return };
+        if !entry.state.is_dispatched() {
             return;
         }
-        // The exchange is known to be over there only if the backend server itself ended it.
+        // Only an exchange that the backend server itself ended is known to be over there.
         let clean = matches!(
-            ending,
-            DispatchEnding::Answered | DispatchEnding::NotRun(_) | DispatchEnding::Errored
+            result,
+            DispatchResult::Answered | DispatchResult::NotRun(_) | DispatchResult::BackendError
         );
         self.return_permit(id, clean);
-        match ending {
-            DispatchEnding::Answered => self.end_answered(id),
-            DispatchEnding::NotRun(reason) => self.not_run_there(id, reason),
-            DispatchEnding::Broke { answer_begun } => self.broke(id, answer_begun),
-            DispatchEnding::Errored => {
+        match result {
+            DispatchResult::Answered => self.end_answered(id),
+            DispatchResult::NotRun(reason) => self.handle_not_run(id, reason),
+            DispatchResult::Interrupted { answer_started } => {
+                self.handle_interrupted(id, answer_started);
+            }
+            DispatchResult::BackendError => {
                 let message = "the backend server answered with an error";
                 let refusal = RequestRefusal::unknown(RefusalKind::BackendError, message);
                 self.end_dispatched(id, RequestEvent::Broke, refusal);
             }
-            DispatchEnding::CallerGone => {
+            DispatchResult::CallerGone => {
                 let refusal = RequestRefusal::unknown(RefusalKind::CallerGone, "caller hung up");
                 self.end_dispatched(id, RequestEvent::GivenUp, refusal);
             }
         }
     }
 
-    /// Tells the owner that a permit is not used any more.
+    /// Returns a permit to the engine's owner.
     fn return_permit(&mut self, id: RequestId, clean: bool) {
-        let Some(open) = self.open.get(&id) else { return };
-        let (attempt, owner) = (open.attempt, open.owner);
-        if let Some(server) = open.server
+        let Some(entry) = self.open_requests.get(&id) else { return };
+        let (attempt, owner) = (entry.attempt, entry.owner);
+        if let Some(server) = entry.server
             && let Some(view) = self.backends.servers.get_mut(&server)
         {
             view.outstanding = view.outstanding.saturating_sub(1);
         }
-        let Some(engine) = open.engine else { return };
+        let Some(engine) = entry.engine else { return };
         if let Some(view) = self.backends.engines.get_mut(&engine) {
             view.outstanding = view.outstanding.saturating_sub(1);
         }
@@ -109,12 +112,12 @@
         }
     }
 
-    fn not_run_there(&mut self, id: RequestId, reason: NotRunReason) {
-        let avoid_until = self.now() + self.config.times.avoid_for;
-        let Some(open) = self.open.get_mut(&id) else { return };
-        open.state = open.state.after(RequestEvent::NeverRan);
-        open.ask = AskState::Paused;
-        let (engine, server, adapter) = (open.engine, open.server, open.adapter());
+    fn handle_not_run(&mut self, id: RequestId, reason: NotRunReason) {
+        let avoid_until = self.now() + self.config.times.avoid_duration;
+        let Some(entry) = self.open_requests.get_mut(&id) else { return };
+        entry.state = entry.state.after(RequestEvent::NeverRan);
+        entry.ask_state = PermitAskState::Backoff;
+        let (engine, server, adapter) = (entry.engine, entry.server, entry.adapter());
         match reason {
             NotRunReason::NoConnection | NotRunReason::Full => {
                 let engine = engine.and_then(|engine| self.backends.engines.get_mut(&engine));
@@ -136,29 +139,29 @@
             }
             NotRunReason::NotResident => {
                 if let (Some(engine), Some(adapter)) = (engine, adapter) {
-                    self.backends.forget_resident(engine, adapter);
+                    self.backends.remove_holder(engine, adapter);
                 }
             }
-            NotRunReason::StaleToken | NotRunReason::Late => {}
+            NotRunReason::StaleToken | NotRunReason::DispatchTooLate => {}
         }
         match reason {
-            NotRunReason::NoConnection | NotRunReason::Leaving => self.send_on(id),
-            _ => self.pause(id),
+            NotRunReason::NoConnection | NotRunReason::Leaving => self.route_request(id),
+            _ => self.reroute_later(id),
         }
     }
 
-    fn broke(&mut self, id: RequestId, answer_begun: bool) {
+    fn handle_interrupted(&mut self, id: RequestId, answer_started: bool) {
         let now = self.now();
-        let Some(open) = self.open.get(&id) else { return };
-        let again = open.repeatable && !answer_begun && now < open.deadline;
-        let share = open.settings.retry_share;
-        if again && self.retries.take(share, now) {
+        let Some(entry) = self.open_requests.get(&id) else { return };
+        let retry = entry.repeatable && !answer_started && now < entry.deadline;
+        let share = entry.settings.retry_share;
+        if retry && self.retry_budget.take(share, now) {
             self.counters.retries += 1;
-            if let Some(open) = self.open.get_mut(&id) {
-                open.state = open.state.after(RequestEvent::Retried);
-                open.ask = AskState::Paused;
+            if let Some(entry) = self.open_requests.get_mut(&id) {
+                entry.state = entry.state.after(RequestEvent::Retried);
+                entry.ask_state = PermitAskState::Backoff;
             }
-            self.pause(id);
+            self.reroute_later(id);
             return;
         }
         let message = "the exchange with the backend server broke off";
@@ -168,69 +171,73 @@
 
     fn end_answered(&mut self, id: RequestId) {
         self.counters.answered += 1;
-        self.book.keep_claimed(id);
-        self.close(id, RequestEvent::AnswerEnded);
+        self.claim_tracker.finish(id);
+        self.close_request(id, RequestEvent::AnswerEnded);
     }
 
     /// Ends a request that may have run.
     fn end_dispatched(&mut self, id: RequestId, event: RequestEvent, refusal: RequestRefusal) {
-        self.book.keep_claimed(id);
+        self.claim_tracker.finish(id);
         self.counters.unknown += 1;
         *self.counters.refused.entry(refusal.kind).or_default() += 1;
-        self.close(id, event);
-        self.orders.push(NodeOrder::Refuse { request: id, refusal });
+        self.close_request(id, event);
+        self.actions.push(NodeAction::Refuse { request: id, refusal });
     }
 
-    /// Ends a request that no backend server has, and says so at once.
+    /// Ends a request that is not at a backend server and refuses it to the caller.
     ///
-    /// When an earlier try may have run, the chart leads to unknown and the caller is told that.
+    /// If an earlier attempt may have run, the outcome reported to the caller is unknown.
     pub(super) fn end_not_run(&mut self, id: RequestId, mut refusal: RequestRefusal) {
-        let Some(open) = self.open.get(&id) else { return };
-        if open.state.after(RequestEvent::GivenUp) == RequestState::Unknown {
+        let Some(entry) = self.open_requests.get(&id) else { return };
+        if entry.state.after(RequestEvent::GivenUp) == RequestState::Unknown {
             refusal.outcome = CallerOutcome::Unknown;
         }
-        self.withdraw_ask(id);
-        self.book.give_up(id);
+        self.withdraw_permit_ask(id);
+        self.claim_tracker.abandon(id);
         *self.counters.refused.entry(refusal.kind).or_default() += 1;
         if refusal.outcome == CallerOutcome::Unknown {
             self.counters.unknown += 1;
         }
-        self.close(id, RequestEvent::GivenUp);
-        self.orders.push(NodeOrder::Refuse { request: id, refusal });
+        self.close_request(id, RequestEvent::GivenUp);
+        self.actions.push(NodeAction::Refuse { request: id, refusal });
     }
 
-    /// A caller hung up while its request waited; no backend server has it.
-    pub(super) fn caller_gone(&mut self, id: RequestId) {
+    /// Ends a request whose caller disconnected before it was dispatched.
+    pub(super) fn handle_caller_gone(&mut self, id: RequestId) {
         let waits = self
-            .open
+            .open_requests
             .get(&id)
-            .is_some_and(|open| open.state == RequestState::Claiming || open.state.is_asking());
+            .is_some_and(|entry| entry.state == RequestState::Claiming || entry.state.is_asking());
         if waits {
             let refusal = RequestRefusal::not_run(RefusalKind::CallerGone, "caller hung up");
             self.end_not_run(id, refusal);
         }
     }
 
-    fn close(&mut self, id: RequestId, event: RequestEvent) {
-        let Some(open) = self.open.remove(&id) else { return };
-        self.timers.remove(&(open.timer, id));
-        debug_assert!(open.state.after(event) != open.state, "{event:?} ends {:?}", open.state);
+    fn close_request(&mut self, id: RequestId, event: RequestEvent) {
+        let Some(entry) = self.open_requests.remove(&id) else { return };
+        self.timers.remove(&(entry.timer_at, id));
+        debug_assert!(
+            entry.state.after(event) != entry.state,
+            "{event:?} does not end a request in state {:?}",
+            entry.state
+        );
     }
 
-    /// Takes any sign that an engine is leaving. It sticks until a later life of the engine.
+    /// Marks an engine as leaving until a later incarnation of it serves.
     pub(super) fn mark_leaving(&mut self, engine: EngineId) {
-        let known = self.controls.get(&engine).map_or(0, EngineControl::incarnation);
+        let known = self.controllers.get(&engine).map_or(0, EngineController::incarnation);
         let Some(view) = self.backends.engines.get_mut(&engine) else { return };
-        let passed_on = view.digest.as_ref().map_or(0, |digest| digest.incarnation);
-        if view.leave.mark(view.facts.incarnation, known.max(passed_on)) {
-            self.note(format!("engine {engine}"), "seen leaving");
+        let digest_incarnation = view.digest.as_ref().map_or(0, |digest| digest.incarnation);
+        if view.leaving_mark.mark(view.info.incarnation, known.max(digest_incarnation)) {
+            self.record_event(format!("engine {engine}"), "seen leaving");
         }
-        self.control(engine, EngineControl::leave_seen);
+        self.with_controller(engine, EngineController::mark_leaving);
     }
 
     fn mark_server_leaving(&mut self, server: ServerId) {
         if let Some(view) = self.backends.servers.get_mut(&server) {
-            view.leave.mark(view.facts.incarnation, 0);
+            view.leaving_mark.mark(view.info.incarnation, 0);
         }
     }
 }
@@ -238,8 +245,8 @@
 impl OpenRequest {
     pub(super) const fn adapter(&self) -> Option<crate::id::AdapterKey> {
         match &self.route {
-            super::open::RequestRoute::Adapter { adapter, .. } => Some(*adapter),
-            super::open::RequestRoute::Plain => None,
+            super::open_request::RequestRoute::Adapter { adapter, .. } => Some(*adapter),
+            super::open_request::RequestRoute::Plain => None,
         }
     }
 }
--- a/crates/core/src/node/peers.rs
+++ b/crates/core/src/node/membership.rs
@@ -1,4 +1,4 @@
-//! Signs of life and the tables that hosts keep in step.
+//! Heartbeats and gossip that keep the hosts' tables in sync.
 
 use std::time::Duration;
 
@@ -12,44 +12,44 @@
     id::{EngineId, HostId},
     member::{MemberEntry, MemberUpdate},
     message::{Heartbeat, PeerMessage, SettingsPull, SyncAsk, SyncReply},
-    node::{NodeCore, NodeOrder},
+    node::{NodeAction, NodeCore},
 };
 
-/// Member changes in one heartbeat at most; about 40 bytes each.
+/// The maximum number of member updates in a heartbeat, about 40 bytes each.
 const MEMBERS_PER_HEARTBEAT: usize = 8;
 
-/// Engine digests in one heartbeat at most; about 100 bytes each.
+/// The maximum number of engine digests in a heartbeat, about 100 bytes each.
 const DIGESTS_PER_HEARTBEAT: usize = 16;
 
-/// The least time between two full exchanges that one host asks for.
-const SYNC_PAUSE: Duration = Duration::from_secs(5);
+/// The minimum time between two full synchronisations that this host requests.
+const SYNC_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Stands for the host at an address of which nothing else is known.
+/// The receiver's ID in messages to seed addresses, whose hosts are not known.
 const UNKNOWN_HOST: HostId = 0;
 
-/// One heartbeat in this many also goes to a host believed dead, to find healed cuts.
-const TRY_DEAD_EVERY: u64 = 4;
+/// Every this many heartbeats, one also goes to a dead host, to detect healed network partitions.
+const DEAD_PROBE_PERIOD: u64 = 4;
 
 impl NodeCore {
-    /// Sends heartbeats when they are due.
+    /// Sends heartbeats if they are due.
     pub(super) fn send_heartbeats(&mut self) {
         let now = self.now();
-        if now < self.next_heartbeat {
+        if now < self.next_heartbeat_at {
             return;
         }
-        // Jitter keeps hosts that started together from beating together.
-        self.next_heartbeat = now + self.config.times.heartbeat.mul_f64(self.beat_factor());
+        // Jitter spreads the heartbeats of hosts that started at the same time.
+        self.next_heartbeat_at = now + self.config.times.heartbeat.mul_f64(self.heartbeat_jitter());
         self.heartbeat_sequence += 1;
-        self.greet_seeds();
-        for host in self.pick_peers() {
+        self.contact_seeds();
+        for host in self.choose_heartbeat_targets() {
             self.members.record_heartbeat_sent(host, now);
             let heartbeat = self.heartbeat(self.heartbeat_sequence);
             self.send(host, PeerMessage::Heartbeat(heartbeat));
         }
     }
 
-    /// Greets the hosts named in the settings, as long as nobody else is known.
-    fn greet_seeds(&mut self) {
+    /// Sends heartbeats to the configured seed addresses while no other host is known.
+    fn contact_seeds(&mut self) {
         if self.members.others().next().is_some() {
             return;
         }
@@ -57,34 +57,39 @@
             let heartbeat = self.heartbeat(self.heartbeat_sequence);
             let stamp = self.timeline.tick(self.reading.wall_millis);
             let message = PeerMessage::Heartbeat(heartbeat);
-            self.orders.push(NodeOrder::Send { to: UNKNOWN_HOST, address, stamp, message });
+            self.actions.push(NodeAction::SendMessage {
+                to: UNKNOWN_HOST,
+                address,
+                stamp,
+                message,
+            });
         }
     }
 
-    /// Exchanges tables with one host out of turn.
-    fn greet(&mut self, host: HostId) {
+    /// Sends a host a heartbeat outside the regular schedule.
+    fn send_heartbeat(&mut self, host: HostId) {
         self.heartbeat_sequence += 1;
         let heartbeat = self.heartbeat(self.heartbeat_sequence);
         self.send(host, PeerMessage::Heartbeat(heartbeat));
     }
 
-    fn beat_factor(&mut self) -> f64 {
+    fn heartbeat_jitter(&mut self) -> f64 {
         use rand::RngExt;
         self.rng.random_range(0.9..1.1)
     }
 
-    fn pick_peers(&mut self) -> Vec<HostId> {
+    fn choose_heartbeat_targets(&mut self) -> Vec<HostId> {
         let (dead, live): (Vec<&MemberEntry>, Vec<&MemberEntry>) =
             self.members.others().partition(|entry| entry.update.state == MemberState::Dead);
         let live: Vec<HostId> = live.iter().map(|entry| entry.update.host).collect();
         let dead: Vec<HostId> = dead.iter().map(|entry| entry.update.host).collect();
-        let mut picked: Vec<HostId> =
+        let mut targets: Vec<HostId> =
             live.sample(&mut self.rng, self.config.times.fanout).copied().collect();
-        picked.shuffle(&mut self.rng);
-        if self.heartbeat_sequence.is_multiple_of(TRY_DEAD_EVERY) || live.is_empty() {
-            picked.extend(dead.choose(&mut self.rng));
+        targets.shuffle(&mut self.rng);
+        if self.heartbeat_sequence.is_multiple_of(DEAD_PROBE_PERIOD) || live.is_empty() {
+            targets.extend(dead.choose(&mut self.rng));
         }
-        picked
+        targets
     }
 
     fn heartbeat(&mut self, sequence: u64) -> Heartbeat {
@@ -95,9 +100,9 @@
         Heartbeat {
             sequence,
             sender: self.members.own().clone(),
-            revision: self.fold.revision(),
-            era: self.fold.era(),
-            next_offset: self.fold.next_offset(),
+            revision: self.settings.revision(),
+            era: self.settings.era(),
+            next_offset: self.settings.next_offset(),
             table_hash: self.table_hash(),
             members,
             digests,
@@ -115,7 +120,7 @@
         self.backends.engines.get(&engine)?.digest.clone()
     }
 
-    /// Hashes the tables that hosts keep in step.
+    /// Hashes the engine digests, which all hosts keep in sync.
     fn table_hash(&self) -> u64 {
         let mut hasher = Xxh3Default::new();
         for digest in self.backends.engines.values().filter_map(|view| view.digest.as_ref()) {
@@ -127,70 +132,76 @@
         hasher.digest()
     }
 
-    pub(super) fn take_heartbeat(&mut self, from: HostId, heartbeat: &Heartbeat) {
-        self.absorb(from, heartbeat);
+    pub(super) fn handle_heartbeat(&mut self, from: HostId, heartbeat: &Heartbeat) {
+        self.merge_heartbeat(from, heartbeat);
         let mut ack = self.heartbeat(heartbeat.sequence);
-        // A host that is believed to be gone must hear of it, so that it can refute.
-        let believed = self.member_update(from);
-        if let Some(believed) = believed.filter(|known| known.state != heartbeat.sender.state) {
-            ack.members.push(believed);
+        // A host suspected or declared dead must learn of it, so that it can refute.
+        let known_update = self.member_update(from);
+        if let Some(known_update) =
+            known_update.filter(|known| known.state != heartbeat.sender.state)
+        {
+            ack.members.push(known_update);
         }
         self.send(from, PeerMessage::HeartbeatAck(ack));
     }
 
-    /// Takes in what a heartbeat, or its answer, passes on.
-    pub(super) fn absorb(&mut self, from: HostId, heartbeat: &Heartbeat) {
-        self.hear_member(&heartbeat.sender);
+    /// Merges the contents of a heartbeat or a heartbeat ack.
+    pub(super) fn merge_heartbeat(&mut self, from: HostId, heartbeat: &Heartbeat) {
+        self.merge_member(&heartbeat.sender);
         for update in &heartbeat.members {
-            self.hear_member(update);
+            self.merge_member(update);
         }
         for digest in &heartbeat.digests {
-            self.hear_digest(digest);
+            self.merge_digest(digest);
         }
-        let told = StorePosition { era: heartbeat.era, offset: heartbeat.next_offset };
-        let own = StorePosition { era: self.fold.era(), offset: self.fold.next_offset() };
-        if told > own {
+        let peer_position = StorePosition { era: heartbeat.era, offset: heartbeat.next_offset };
+        let own_position =
+            StorePosition { era: self.settings.era(), offset: self.settings.next_offset() };
+        if peer_position > own_position {
             self.pull_settings(from);
-        } else if self.fold.revision() > 0 {
+        } else if self.settings.revision() > 0 {
             self.confirm_settings();
         }
-        if heartbeat.table_hash != self.table_hash() || !self.hosts_known {
-            self.ask_sync(from);
+        if heartbeat.table_hash != self.table_hash() || !self.host_list_known {
+            self.send_sync_ask(from);
         }
-        self.settle_ownership();
+        self.update_ownership();
     }
 
-    pub(super) fn hear_member(&mut self, update: &MemberUpdate) {
+    pub(super) fn merge_member(&mut self, update: &MemberUpdate) {
         let now = self.now();
-        let known_life = self.members.find(update.host).map(|entry| entry.update.incarnation);
+        let known_incarnation =
+            self.members.find(update.host).map(|entry| entry.update.incarnation);
         if !self.members.apply_update(update, now) {
             return;
         }
         self.member_changed(update.host);
-        // A new life says that the old process is gone, and all it could still send.
-        if known_life.is_some_and(|life| life != 0 && life < update.incarnation) {
+        // A new incarnation proves that the old process has ended and sends nothing more.
+        if known_incarnation
+            .is_some_and(|incarnation| incarnation != 0 && incarnation < update.incarnation)
+        {
             self.holder_gone(update.host, true, Some(update.incarnation));
         }
     }
 
-    /// Passes on that a host's state changed and acts on it.
+    /// Gossips a member's change of state and reacts to it.
     pub(super) fn member_changed(&mut self, host: HostId) {
         let hosts = self.members.live_count();
         self.member_gossip.add(host, hosts);
-        self.view_dirty = true;
+        self.ownership_dirty = true;
         let Some(entry) = self.members.find(host) else { return };
         let state = entry.update.state;
-        self.note(format!("host {host}"), state.name());
+        self.record_event(format!("host {host}"), state.name());
         if state == MemberState::Dead {
             self.holder_gone(host, false, None);
         }
     }
 
-    fn hear_digest(&mut self, digest: &EngineDigest) {
+    fn merge_digest(&mut self, digest: &EngineDigest) {
         let engine = digest.engine;
         let owner = digest.owner;
         let (token, incarnation) = (digest.token, digest.incarnation);
-        if !self.backends.put_digest(digest) {
+        if !self.backends.store_digest(digest) {
             self.digest_gossip.record_duplicate(engine);
             return;
         }
@@ -200,29 +211,29 @@
             return;
         }
         let still_owner = self.owner_of(engine) == Some(self.config.host);
-        self.control(engine, |control, now, out| {
-            if (incarnation, token) <= (control.incarnation(), control.token()) {
+        self.with_controller(engine, |controller, now, out| {
+            if (incarnation, token) <= (controller.incarnation(), controller.token()) {
                 return;
             }
             if still_owner {
-                control.overtaken(token, now, out);
+                controller.observe_higher_token(token, now, out);
             } else {
-                control.unassign(now, out);
+                controller.unassign(now, out);
             }
         });
     }
 
-    fn ask_sync(&mut self, from: HostId) {
+    fn send_sync_ask(&mut self, from: HostId) {
         let now = self.now();
-        if now.since(self.last_sync) < SYNC_PAUSE {
+        if now.since(self.last_sync_at) < SYNC_INTERVAL {
             return;
         }
-        self.last_sync = now;
+        self.last_sync_at = now;
         let known = self.backends.engines.values().filter_map(|view| view.digest.as_ref());
         let ask = SyncAsk {
             digests: known.map(EngineDigest::version).collect(),
             members: self.all_members(),
-            wants_backends: !self.hosts_known,
+            wants_backends: !self.host_list_known,
         };
         self.send(from, PeerMessage::SyncAsk(ask));
     }
@@ -232,9 +243,9 @@
         others.chain([self.members.own().clone()]).collect()
     }
 
-    pub(super) fn take_sync_ask(&mut self, from: HostId, ask: &SyncAsk) {
+    pub(super) fn handle_sync_ask(&mut self, from: HostId, ask: &SyncAsk) {
         for update in &ask.members {
-            self.hear_member(update);
+            self.merge_member(update);
         }
         let known = |engine: EngineId| ask.digests.iter().find(|known| known.engine == engine);
         let newer = |digest: &&EngineDigest| {
@@ -245,46 +256,48 @@
         let backends = if ask.wants_backends { self.backends.host_entries() } else { Vec::new() };
         let reply = SyncReply { digests, members: self.all_members(), backends };
         self.send(from, PeerMessage::SyncReply(reply));
-        self.settle_ownership();
+        self.update_ownership();
     }
 
-    pub(super) fn take_sync_reply(&mut self, reply: SyncReply) {
+    pub(super) fn handle_sync_reply(&mut self, reply: SyncReply) {
         for update in &reply.members {
-            self.hear_member(update);
+            self.merge_member(update);
         }
-        if !self.hosts_known && !reply.backends.is_empty() {
-            self.note("host list", "taken from a peer");
-            self.take_backends(reply.backends);
+        if !self.host_list_known && !reply.backends.is_empty() {
+            self.record_event("host list", "taken from a peer");
+            self.adopt_backends(reply.backends);
         }
         for digest in &reply.digests {
-            self.hear_digest(digest);
+            self.merge_digest(digest);
         }
-        self.settle_ownership();
+        self.update_ownership();
     }
 
-    /// Asks a host for the settings records that are missing here.
+    /// Requests the settings records that this host lacks from a peer.
     fn pull_settings(&mut self, from: HostId) {
-        const PULL_PAUSE: Duration = Duration::from_millis(300);
+        const PULL_INTERVAL: Duration = Duration::from_millis(300);
         let now = self.now();
-        if now.since(self.progress.pulled_at) < PULL_PAUSE {
+        if now.since(self.progress.last_settings_pull_at) < PULL_INTERVAL {
             return;
         }
-        self.progress.pulled_at = now;
-        let pull = SettingsPull { era: self.fold.era(), next_offset: self.fold.next_offset() };
+        self.progress.last_settings_pull_at = now;
+        let pull =
+            SettingsPull { era: self.settings.era(), next_offset: self.settings.next_offset() };
         self.send(from, PeerMessage::SettingsPull(pull));
     }
 
-    /// Begins the planned stop: peers are told at once, so that they take the engines over.
-    pub(super) fn stop_asked(&mut self) {
+    /// Begins a graceful shutdown and tells peers of the hall at once, so that they take over the
+    /// engines.
+    pub(super) fn begin_drain(&mut self) {
         use crate::chart::DrainEvent;
         if self.drain != DrainState::Serving {
             return;
         }
         self.drain = self.drain.after(DrainEvent::StopAsked);
-        self.drain_since = self.now();
+        self.drain_started_at = self.now();
         self.members.leave();
-        self.note("host", "stopping");
-        self.view_dirty = true;
+        self.record_event("host", "stopping");
+        self.ownership_dirty = true;
         let hall = self.config.hall;
         let peers: Vec<HostId> = self
             .members
@@ -293,9 +306,9 @@
             .map(|entry| entry.update.host)
             .collect();
         for host in peers {
-            self.greet(host);
+            self.send_heartbeat(host);
         }
-        self.settle_ownership();
-        self.go_on_draining();
+        self.update_ownership();
+        self.advance_drain();
     }
 }
--- a/crates/core/src/node/status.rs
+++ b/crates/core/src/node/status.rs
@@ -1,79 +1,79 @@
-//! What operators see of a host.
+//! The status of a host for operators.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{
     chart::ResidencyState,
-    engine::EngineControl,
+    engine::EngineController,
     id::{EngineId, HallId, HostId, LogOffset, Revision},
     node::NodeCore,
 };
 
-/// A host's state, as `reelreel status` shows it.
+/// A host's status, as shown by `reelreel status`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeStatus {
     /// The host.
     pub host: HostId,
     /// Its data hall.
     pub hall: HallId,
-    /// Whether callers may be sent to it.
+    /// Whether it accepts callers.
     pub ready: bool,
-    /// Where its planned stop stands.
+    /// The state of its graceful shutdown.
     pub drain: String,
     /// The settings revision in force.
     pub revision: Revision,
     /// The next offset of the settings stream.
     pub next_offset: LogOffset,
-    /// Why it stopped reading settings, if it did.
+    /// Why it stopped applying settings, if it did.
     pub halt: Option<String>,
-    /// The host that gives turns at the weight store, as this host sees it.
+    /// The host that grants load turns at the weight store, according to this host.
     pub turns_host: HostId,
-    /// Open requests.
+    /// The number of open requests.
     pub open_requests: usize,
-    /// Idempotency keys remembered.
+    /// The number of idempotency keys remembered.
     pub keys: usize,
-    /// Engines of the site that it knows.
+    /// The number of known engines.
     pub known_engines: usize,
-    /// Plain servers of the site that it knows.
+    /// The number of known plain servers.
     pub known_servers: usize,
-    /// Whether keys can be claimed: the claims stream was read to its end and is not away.
+    /// Whether idempotency keys can be claimed.
     pub claims_open: bool,
     /// The other hosts.
     pub members: Vec<MemberStatus>,
-    /// The engines it owns or may come to own.
+    /// The engines that it owns or may own.
     pub engines: Vec<EngineStatus>,
 }
 
-/// Another host, as this one sees it.
+/// Another host as seen by this one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberStatus {
     /// The host.
     pub host: HostId,
     /// Its data hall.
     pub hall: HallId,
-    /// What is believed of it.
+    /// Its membership state.
     pub state: String,
 }
 
-/// An engine, as its owner sees it.
+/// An engine as seen by its owner.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineStatus {
     /// The engine.
     pub engine: EngineId,
-    /// Where ownership stands.
+    /// The state of its ownership.
     pub state: String,
     /// The fence token, in hexadecimal.
     pub token: String,
-    /// Permits that are out.
+    /// The number of permits in use.
     pub permits: usize,
-    /// Requests that wait.
+    /// The number of waiting requests.
     pub waiting: usize,
-    /// The adapters that are resident.
+    /// The names of the resident adapters.
     pub residents: Vec<String>,
 }
 
 impl NodeCore {
-    /// Returns what operators see of the host.
+    /// Returns the host's status.
     pub fn status(&self) -> NodeStatus {
         let member = |entry: &crate::member::MemberEntry| MemberStatus {
             host: entry.update.host,
@@ -85,33 +85,37 @@
             hall: self.config.hall,
             ready: self.is_ready(),
             drain: self.drain.name().to_owned(),
-            revision: self.fold.revision(),
-            next_offset: self.fold.next_offset(),
-            halt: self.fold.halt().map(ToString::to_string),
-            turns_host: self.turns_host,
-            open_requests: self.open.len(),
-            keys: self.claims.len(),
+            revision: self.settings.revision(),
+            next_offset: self.settings.next_offset(),
+            halt: self.settings.halt().map(ToString::to_string),
+            turns_host: self.scheduling_host,
+            open_requests: self.open_requests.len(),
+            keys: self.claim_table.len(),
             known_engines: self.backends.engines.len(),
             known_servers: self.backends.servers.len(),
             claims_open: self.progress.claims_open(self.now()),
             members: self.members.others().map(member).collect(),
-            engines: self.controls.values().map(|control| self.engine_status(control)).collect(),
+            engines: self
+                .controllers
+                .values()
+                .map(|controller| self.controller_status(controller))
+                .collect(),
         }
     }
 
-    fn engine_status(&self, control: &EngineControl) -> EngineStatus {
-        let residents = control
+    fn controller_status(&self, controller: &EngineController) -> EngineStatus {
+        let residents = controller
             .residencies()
             .iter()
-            .filter(|(_, stay)| stay.state == ResidencyState::Resident)
-            .filter_map(|(adapter, _)| self.fold.tree().adapter_name(*adapter))
+            .filter(|(_, residency)| residency.state == ResidencyState::Resident)
+            .filter_map(|(adapter, _)| self.settings.tree().adapter_name(*adapter))
             .collect();
         EngineStatus {
-            engine: control.facts().engine,
-            state: control.state().name().to_owned(),
-            token: format!("{:x}", control.token()),
-            permits: control.permit_count(),
-            waiting: control.waiting_count(),
+            engine: controller.info().engine,
+            state: controller.state().name().to_owned(),
+            token: format!("{:x}", controller.token()),
+            permits: controller.permit_count(),
+            waiting: controller.waiting_count(),
             residents,
         }
     }
--- a/crates/core/tests/one_day.rs
+++ b/crates/core/tests/fault_free_run.rs
@@ -1,10 +1,10 @@
-//! The script of the fault matrix without any fault: all promises hold, most calls are answered.
+//! The script of the fault matrix without faults: all promises hold and most requests are answered.
 
 use reelreel_core::CallerOutcome;
 use reelreel_fakes::{FaultPlan, SiteScript, check_promises, standard_site};
 
 #[test]
-fn a_day_without_faults_answers_nearly_everything() {
+fn a_fault_free_run_answers_most_requests() {
     for seed in 1..=8 {
         let script = SiteScript::new(seed);
         let mut site = standard_site(script, FaultPlan::default());
@@ -17,19 +17,19 @@
             .filter(|caller| matches!(caller.told, Some((CallerOutcome::Answered, _))))
             .count();
         let all = site.evidence.callers.len();
-        assert!(answered * 10 >= all * 7, "seed {seed}: {answered} of {all}");
+        assert!(answered * 10 >= all * 7, "seed {seed}: {answered} of {all} answered");
     }
 }
 
 #[test]
-fn the_same_seed_gives_the_same_day() {
-    let play = || {
+fn runs_with_the_same_seed_are_identical() {
+    let run_script = || {
         let script = SiteScript::new(11);
         let mut site = standard_site(script, FaultPlan::default());
         site.run_until(script.end);
-        let told: Vec<_> =
+        let outcomes: Vec<_> =
             site.evidence.callers.values().map(|caller| (caller.request, caller.told)).collect();
-        (told, site.evidence.steps, site.evidence.messages)
+        (outcomes, site.evidence.steps, site.evidence.messages)
     };
-    assert_eq!(play(), play());
+    assert_eq!(run_script(), run_script());
 }
--- a/crates/core/tests/fault_matrix.rs
+++ b/crates/core/tests/fault_matrix.rs
@@ -1,8 +1,8 @@
-//! The fault matrix: every fault at every step, and pairs of faults, from the tables in `matrix/`.
+//! The fault matrix: single faults and pairs of faults at every step, from the tables in `matrix/`.
 //!
-//! Each cell plays the script of `reelreel_fakes::standard_site` with the fault placed at one step
-//! and checks all eight promises from what the fakes saw. A cell whose step does not come in the
-//! run, or whose fault has nobody to strike there, is counted as not applicable.
+//! Each cell runs the script of `reelreel_fakes::standard_site` with a fault injected at one step
+//! and checks all eight promises. A cell whose step is not reached, or whose fault has no target
+//! there, counts as not applicable.
 
 use std::{collections::BTreeMap, fmt::Write, path::Path};
 
@@ -12,33 +12,33 @@
 };
 use serde::Deserialize;
 
-/// One table: one fault at all steps, or pairs of faults.
+/// A table of cells: a fault, or pairs of faults, at all steps.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct MatrixTable {
-    /// The fault of every cell.
+    /// The fault injected in every cell.
     fault: FaultKind,
-    /// At the how manyeth time of the step.
+    /// The occurrences of the step at which the fault is injected.
     nth: Vec<u64>,
-    /// For how long, in milliseconds.
+    /// The duration of the faults, in milliseconds.
     lasts: u64,
-    /// Seeds; each is a run of its own.
+    /// The seeds; each is a separate run.
     seeds: Vec<u64>,
-    /// A second fault, with the first at the same step; pairs the first with all of these.
+    /// Second faults; each is paired with the first at the same step.
     #[serde(default)]
     with: Vec<FaultKind>,
-    /// How much later the second fault strikes, counted in times of its step.
+    /// How many occurrences of the step after the first the second fault is injected.
     #[serde(default)]
     with_after: u64,
     /// Whether engine 2 checks fences.
-    #[serde(default = "yes")]
+    #[serde(default = "default_fenced")]
     fenced: bool,
-    /// Steps at which the fault means nothing, and why.
+    /// Steps at which the fault has no effect, with the reason.
     #[serde(default)]
     not_applicable: BTreeMap<StepKind, String>,
 }
 
-const fn yes() -> bool {
+const fn default_fenced() -> bool {
     true
 }
 
@@ -49,7 +49,7 @@
     not_applicable: u32,
 }
 
-fn plans(table: &MatrixTable, step: StepKind, nth: u64) -> Vec<Vec<PlannedFault>> {
+fn fault_plans(table: &MatrixTable, step: StepKind, nth: u64) -> Vec<Vec<PlannedFault>> {
     let first = PlannedFault { fault: table.fault, step, nth, lasts: table.lasts };
     if table.with.is_empty() {
         return vec![vec![first]];
@@ -61,15 +61,15 @@
     table.with.iter().map(second).collect()
 }
 
-/// Plays one cell; `None` when the step never came.
-fn play(seed: u64, fenced: bool, faults: Vec<PlannedFault>) -> Option<Vec<BrokenPromise>> {
+/// Runs one cell; returns `None` if a fault was not injected.
+fn run_cell(seed: u64, fenced: bool, faults: Vec<PlannedFault>) -> Option<Vec<BrokenPromise>> {
     let script = SiteScript { fenced, ..SiteScript::new(seed) };
     let mut site = standard_site(script, FaultPlan::new(faults));
     site.run_until(script.end);
     site.all_struck().then(|| check_promises(&site))
 }
 
-#[expect(clippy::needless_pass_by_value, reason = "the harness hands the content over")]
+#[expect(clippy::needless_pass_by_value, reason = "signature required by the harness")]
 fn run_table(path: &Path, content: String) -> datatest_stable::Result<()> {
     let table: MatrixTable = toml::from_str(&content)?;
     let mut counts = CellCounts::default();
@@ -84,15 +84,15 @@
             table.seeds.iter().map(move |seed| (nth, *seed))
         };
         for (nth, seed) in table.nth.iter().flat_map(with_seeds) {
-            for faults in plans(&table, step, nth) {
-                let described = format!("{faults:?}");
-                match play(seed, table.fenced, faults) {
+            for faults in fault_plans(&table, step, nth) {
+                let description = format!("{faults:?}");
+                match run_cell(seed, table.fenced, faults) {
                     None => counts.not_applicable += 1,
                     Some(broken) => {
                         counts.run += 1;
                         counts.passed += u32::from(broken.is_empty());
                         for broken in broken {
-                            writeln!(failures, "seed {seed} {described}: {broken:?}")?;
+                            writeln!(failures, "seed {seed} {description}: {broken:?}")?;
                         }
                     }
                 }
--- a/crates/core/tests/log_eras.rs
+++ b/crates/core/tests/log_eras.rs
@@ -4,10 +4,10 @@
 
 use proptest::{prelude::*, test_runner::RngSeed};
 use reelreel_core::{
-    ClockMillis, NodeConfig, NodeCore, NodeEvent, NodeOrder,
+    ClockMillis, NodeAction, NodeConfig, NodeCore, NodeEvent,
     claim::{ClaimItem, ClaimRecord},
     id::{KeyHash, LogOffset, RequestId, StoreEra, request_id},
-    node::{LogStream, NodeReading},
+    node::{ClockReading, LogStream},
     settings::{
         ChangeRecord, EditAction, SettingKey, SettingValue, SettingsEdit, SettingsFold,
         SettingsPath, fold::LogRecord,
@@ -128,8 +128,8 @@
 
 const KEY: KeyHash = 77;
 
-fn reading(millis: u64) -> NodeReading {
-    NodeReading { now: ClockMillis::from_millis(millis), wall_millis: millis }
+fn reading(millis: u64) -> ClockReading {
+    ClockReading { now: ClockMillis::from_millis(millis), wall_millis: millis }
 }
 
 fn claims_read_event(era: StoreEra, records: Vec<LogRecord>) -> NodeEvent {
@@ -138,14 +138,14 @@
 }
 
 /// Returns the claims that a host appended.
-fn appended_claims(orders: &[NodeOrder]) -> Vec<(KeyHash, RequestId)> {
+fn appended_claims(orders: &[NodeAction]) -> Vec<(KeyHash, RequestId)> {
     let payloads = orders.iter().filter_map(|order| match order {
-        NodeOrder::Append { stream: LogStream::Claims, payload, .. } => Some(payload),
+        NodeAction::Append { stream: LogStream::Claims, payload, .. } => Some(payload),
         _ => None,
     });
     let records = payloads
         .map(|payload| serde_json::from_slice::<ClaimRecord>(payload).expect("a record of claims"));
-    records.flat_map(|record| record.claims).filter_map(|item| item.read()).collect()
+    records.flat_map(|record| record.claims).filter_map(|item| item.parse()).collect()
 }
 
 /// Guards against a request that runs twice: a host that starts after the log has lost a claim could
@@ -162,7 +162,7 @@
     let mut orders = core.handle(reading(5000), claims_read_event(1, Vec::new()));
     let followed = |stream: LogStream| {
         orders.iter().any(
-            |order| matches!(order, NodeOrder::Follow { stream: other, from: 0 } if *other == stream),
+            |order| matches!(order, NodeAction::Follow { stream: other, from: 0 } if *other == stream),
         )
     };
     assert!(LogStream::ALL.into_iter().all(followed), "{orders:?}");
