--- a/crates/core/src/placement/load_target.rs
+++ b/crates/core/src/placement/load_target.rs
@@ -148,8 +148,8 @@
         if adapter_name(key).is_none() || inventory.held.contains_key(key) {
             return true;
         }
-        let max_adapters = usize::try_from(self.hosting.adapter_limit).unwrap_or(usize::MAX);
-        inventory.reserved_adapter_count() < max_adapters
+        let adapter_limit = usize::try_from(self.hosting.adapter_limit).unwrap_or(usize::MAX);
+        inventory.reserved_adapter_count() < adapter_limit
             && self.has_weight_memory_for(inventory, key)
     }
 
