--- a/crates/cli/src/daemon.rs
+++ b/crates/cli/src/daemon.rs
@@ -52,7 +52,7 @@
     let path = settings.display();
     let text = fs::read_to_string(settings)
         .wrap_err_with(|| format!("{path} can not be read; name the host's settings file"))?;
-    let settings = match NodeSettings::read(&text) {
+    let settings = match NodeSettings::parse(&text) {
         Ok(settings) => settings,
         Err(mistakes) => {
             for mistake in mistakes {
@@ -83,7 +83,7 @@
             std::process::exit(1);
         }
     });
-    if !host.wait_stopped(LONGEST_STOP) {
+    if !host.wait_until_stopped(LONGEST_STOP) {
         log::warn!("streams still ran after {} s", LONGEST_STOP.as_secs());
     }
     Ok(ExitCode::SUCCESS)
--- a/crates/cli/src/dev/site.rs
+++ b/crates/cli/src/dev/site.rs
@@ -117,7 +117,7 @@
          peers = \"127.0.0.1:0\"\noperators = \"127.0.0.1:0\"\nplatform = \"{platform}\"\n\
          [log]\nlevel = \"warn\"\n[times]\nhosts_every_ms = 500\n"
     );
-    NodeSettings::read(&text).map_err(|mistakes| eyre!("built-in settings: {}", mistakes[0]))
+    NodeSettings::parse(&text).map_err(|mistakes| eyre!("built-in settings: {}", mistakes[0]))
 }
 
 /// Publishes a whole tree.
--- a/crates/cli/src/platform_log.rs
+++ b/crates/cli/src/platform_log.rs
@@ -8,7 +8,7 @@
     node::{AppendResult, LogStream},
     settings::{ChangeRecord, ChangeVerdict, SettingsFold, SettingsSnapshot},
 };
-use reelreel_node::border::{LogBorder, PlatformHttp};
+use reelreel_node::clients::{LogClient, PlatformHttpClient};
 
 use crate::{options::LogSource, watch};
 
@@ -20,7 +20,7 @@
 
 /// The settings stream of one platform.
 pub(crate) struct PlatformLog {
-    border: PlatformHttp,
+    border: PlatformHttpClient,
     /// A host that is asked where the log has forgotten the beginning.
     host: Option<String>,
 }
@@ -28,7 +28,7 @@
 impl PlatformLog {
     /// Names the platform, and a host where the operator did.
     pub(crate) fn new(source: &LogSource) -> Self {
-        Self { border: PlatformHttp::new(&source.platform), host: source.host.clone() }
+        Self { border: PlatformHttpClient::new(&source.platform), host: source.host.clone() }
     }
 
     /// Folds the settings stream up to its end, from a snapshot where the start has expired.
--- a/crates/cli/src/settings/show.rs
+++ b/crates/cli/src/settings/show.rs
@@ -64,7 +64,7 @@
             key: format!("{}{dot}{}", field.table, field.name),
             kind: describe(field.kind),
             default: field.default,
-            meaning: field.meaning,
+            meaning: field.description,
         }
     };
     let rows: Vec<FieldRow> = FIELDS.iter().map(row).collect();
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -58,7 +58,7 @@
         patience: Duration,
     ) -> Result<CallAnswer, CallError> {
         let mut stream = match self.kept.take() {
-            Some(stream) if stream.is_quiet() => stream,
+            Some(stream) if stream.is_idle() => stream,
             _ => HttpStream::connect(self.address, CONNECT_PATIENCE.min(patience))
                 .await
                 .map_err(CallError::NotSent)?,
@@ -68,7 +68,7 @@
             Ok(answer) => answer.map_err(CallError::NoAnswer)?,
             Err(_) => return Err(CallError::TimedOut),
         };
-        if answer.head.keeps_connection() && !stream.has_unused_bytes() {
+        if answer.head.keeps_connection() && !stream.has_buffered_bytes() {
             stream.release_buffer();
             self.kept = Some(stream);
         }
@@ -93,6 +93,6 @@
     let head = stream.read_response_head(HEAD_LIMIT).await?;
     let framing = BodyFraming::of_response(&head, &request.head.method)?;
     let mut decoder = BodyDecoder::new(framing);
-    let body = stream.read_whole_body(&mut decoder, BODY_LIMIT).await?.unwrap_or_default();
+    let body = stream.read_full_body(&mut decoder, BODY_LIMIT).await?.unwrap_or_default();
     Ok(CallAnswer { head, body })
 }
--- a/crates/gateway/src/engines/pool.rs
+++ b/crates/gateway/src/engines/pool.rs
@@ -143,7 +143,7 @@
     ) {
         self.engines.retain(|engine, state| {
             let kept = takes_requests(engine);
-            state.idle.retain(|idle| kept && now < idle.until && idle.stream.is_quiet());
+            state.idle.retain(|idle| kept && now < idle.until && idle.stream.is_idle());
             listed(engine) || state.work.open > 0 || state.touched
         });
     }
@@ -153,7 +153,7 @@
         while let Some(idle) = state.idle.pop() {
             let rested = now.since(idle.since);
             let usable = now < idle.until && (!fresh || rested < FRESH);
-            if usable && idle.stream.is_quiet() {
+            if usable && idle.stream.is_idle() {
                 return Some(idle.stream);
             }
         }
@@ -228,7 +228,7 @@
         match connected {
             Ok(stream) => {
                 pool.connected(entry, time);
-                stream.fail_when_silent(SILENCE)?;
+                stream.set_dead_peer_timeout(SILENCE)?;
                 Ok(stream)
             }
             Err(error) => {
--- a/crates/gateway/src/engines/send.rs
+++ b/crates/gateway/src/engines/send.rs
@@ -93,7 +93,7 @@
             break;
         }
         reusable = false;
-        let body = lease.stream.read_whole_body(&mut decoder, STRAY_LIMIT).await?;
+        let body = lease.stream.read_full_body(&mut decoder, STRAY_LIMIT).await?;
         if body.is_none() {
             break;
         }
@@ -107,7 +107,7 @@
     stream: &mut HttpStream,
     request: &Bytes,
 ) -> Result<(ResponseHead, bool), ReadError> {
-    let (mut reader, mut writer) = stream.halves();
+    let (mut reader, mut writer) = stream.split();
     let mut write = pin!(writer.write_all(request));
     let mut read = pin!(reader.read_response_head(HEAD_LIMIT));
     let mut ended = false;
--- a/crates/gateway/src/entry/attempt.rs
+++ b/crates/gateway/src/entry/attempt.rs
@@ -76,7 +76,7 @@
         let connected = tokio::select! {
             biased;
             connected = connecting => connected,
-            () = self.client.closed(SENT_AHEAD) => {
+            () = self.client.wait_closed(SENT_AHEAD) => {
                 return SendEnd::Over(ExchangeEnd::Reset, "client_gone");
             }
         };
@@ -109,7 +109,7 @@
         let answer = tokio::select! {
             biased;
             answer = sending => answer,
-            () = self.client.closed(SENT_AHEAD) => {
+            () = self.client.wait_closed(SENT_AHEAD) => {
                 lease.close();
                 self.may_have_run = true;
                 if self.traffic.now().since(began) > self.route.latency_target * OVERDUE_TARGETS {
--- a/crates/gateway/src/entry/connection.rs
+++ b/crates/gateway/src/entry/connection.rs
@@ -36,13 +36,13 @@
     fn from(error: ReadError) -> Self {
         match error {
             ReadError::Head(error) => Self::Answered(head_answer(error)),
-            ReadError::Body(BodyError::Chunk) => Self::Answered(OwnAnswer::new(
+            ReadError::Body(BodyError::MalformedChunk) => Self::Answered(OwnAnswer::new(
                 400,
                 "a chunk is malformed; write its size in hexadecimal and end lines with CRLF",
             )),
             ReadError::Closed
-            | ReadError::HeadCut
-            | ReadError::Body(BodyError::Cut)
+            | ReadError::TruncatedHead
+            | ReadError::Body(BodyError::Truncated)
             | ReadError::Socket(_) => Self::Silent,
         }
     }
@@ -60,8 +60,12 @@
             400,
             "the body's length is ambiguous; send one Content-Length or chunked coding",
         ),
-        HeadError::Host => OwnAnswer::new(400, "a request must carry exactly one Host field"),
-        HeadError::Coding => OwnAnswer::new(400, "only the chunked transfer coding is known"),
+        HeadError::InvalidHost => {
+            OwnAnswer::new(400, "a request must carry exactly one Host field")
+        }
+        HeadError::UnsupportedCoding => {
+            OwnAnswer::new(400, "only the chunked transfer coding is known")
+        }
     }
 }
 
@@ -124,7 +128,7 @@
             Err(RequestFailure::Answered(answer)) => {
                 let bytes = answer.write(&*traffic.shared.dialects.exchange, None, true);
                 if client.write(&bytes).await.is_ok() {
-                    client.finish(LINGER).await;
+                    client.close_gracefully(LINGER).await;
                 }
                 return;
             }
@@ -133,7 +137,7 @@
         drop(hold);
         match end {
             ExchangeEnd::Keep => client.release_buffer(),
-            ExchangeEnd::Close => return client.finish(LINGER).await,
+            ExchangeEnd::Close => return client.close_gracefully(LINGER).await,
             ExchangeEnd::Reset => return client.reset(),
         }
     }
@@ -149,7 +153,7 @@
     client: &mut HttpStream,
     limits: &ClientLimits,
 ) -> bool {
-    if client.has_unused_bytes() {
+    if client.has_buffered_bytes() {
         return true;
     }
     let mut stopping = traffic.shared.stopping.subscribe();
@@ -199,11 +203,11 @@
         return Err(RequestFailure::Answered(too_long));
     }
     let mut hold = hold_body(traffic, announced)?;
-    if framing != BodyFraming::Empty && head.fields.lists("expect", "100-continue") {
+    if framing != BodyFraming::Empty && head.fields.has_token("expect", "100-continue") {
         client.write(b"HTTP/1.1 100 Continue\r\n\r\n").await.map_err(ReadError::from)?;
     }
     let mut decoder = BodyDecoder::new(framing);
-    let reading = client.read_whole_body(&mut decoder, limits.body_bytes);
+    let reading = client.read_full_body(&mut decoder, limits.body_bytes);
     let Ok(body) = tokio::time::timeout(limits.idle_timeout, reading).await else {
         let text = "the body took too long; send it without pauses";
         return Err(RequestFailure::Answered(OwnAnswer::new(408, text)));
--- a/crates/gateway/src/entry/forward.rs
+++ b/crates/gateway/src/entry/forward.rs
@@ -29,7 +29,7 @@
     let head = RequestHead {
         method: request.head.method.clone(),
         target: request.head.target.clone(),
-        modern: true,
+        is_http11: true,
         fields,
     };
     let mut bytes = BytesMut::with_capacity(USUAL_HEAD + request.body.len());
--- a/crates/gateway/src/entry/pass.rs
+++ b/crates/gateway/src/entry/pass.rs
@@ -66,14 +66,14 @@
         lease: &mut EngineLease,
         answer: &mut EngineAnswer,
     ) -> Result<Bytes, SendEnd> {
-        let reading = lease.stream.read_whole_body(&mut answer.decoder, WHOLE_LIMIT);
+        let reading = lease.stream.read_full_body(&mut answer.decoder, WHOLE_LIMIT);
         tokio::select! {
             biased;
             body = reading => match body {
                 Ok(Some(body)) => Ok(body),
                 Ok(None) | Err(_) => Err(SendEnd::Failed),
             },
-            () = self.client.closed(SENT_AHEAD) => {
+            () = self.client.wait_closed(SENT_AHEAD) => {
                 Err(SendEnd::Over(ExchangeEnd::Reset, "client_gone"))
             }
             () = self.deadline.clone().over(STREAM_SLACK) => Err(SendEnd::TimeOver),
@@ -82,7 +82,7 @@
 
     /// Keeps the engine's connection if it may serve another request.
     pub fn keep_or_close(&self, lease: EngineLease, answer: &EngineAnswer) {
-        let clean = !lease.stream.has_unused_bytes() && answer.decoder.is_done();
+        let clean = !lease.stream.has_buffered_bytes() && answer.decoder.is_done();
         let (engine, born) = (&lease.entry.name, lease.entry.incarnation);
         let departing = self.traffic.shared.departures().is_departing(engine, born);
         if answer.reusable && clean && !departing {
@@ -94,7 +94,7 @@
 
     /// Reads the rest of an answer that nobody needs, to keep its connection.
     pub async fn drain_and_keep(&self, mut lease: EngineLease, mut answer: EngineAnswer) {
-        let reading = lease.stream.read_whole_body(&mut answer.decoder, WHOLE_LIMIT);
+        let reading = lease.stream.read_full_body(&mut answer.decoder, WHOLE_LIMIT);
         match tokio::time::timeout(DRAIN_PATIENCE, reading).await {
             Ok(Ok(Some(_))) => self.keep_or_close(lease, &answer),
             _ => lease.close(),
@@ -146,7 +146,7 @@
         answer: EngineAnswer,
         began: ClockMillis,
     ) -> SendEnd {
-        let chunked = self.request.head.modern;
+        let chunked = self.request.head.is_http11;
         let keep = self.keeps_client() && chunked;
         let mut progress = StreamProgress {
             head: Some(stream_head(&answer.head, chunked, keep)),
@@ -212,7 +212,7 @@
             let part = tokio::select! {
                 biased;
                 part = lease.stream.read_body(decoder) => part,
-                () = self.client.closed(SENT_AHEAD) => return PartEnd::ClientGone,
+                () = self.client.wait_closed(SENT_AHEAD) => return PartEnd::ClientGone,
                 () = self.deadline.clone().over(STREAM_SLACK) => return PartEnd::TimeOver,
             };
             let data = match part {
@@ -315,7 +315,7 @@
         let answer = tokio::select! {
             biased;
             answer = sending => Some(answer),
-            () = self.client.closed(SENT_AHEAD) => None,
+            () = self.client.wait_closed(SENT_AHEAD) => None,
             () = self.deadline.clone().over(Duration::ZERO) => None,
         };
         if let Some(Ok(answer)) = &answer {
@@ -354,7 +354,7 @@
 fn client_head(head: &ResponseHead) -> ResponseHead {
     let mut fields = head.fields.end_to_end();
     fields.remove_all(&["Content-Length"]);
-    ResponseHead { status: head.status, reason: head.reason.clone(), modern: true, fields }
+    ResponseHead { status: head.status, reason: head.reason.clone(), is_http11: true, fields }
 }
 
 fn stream_head(head: &ResponseHead, chunked: bool, keep: bool) -> ResponseHead {
--- a/crates/gateway/src/entry/wait.rs
+++ b/crates/gateway/src/entry/wait.rs
@@ -146,7 +146,7 @@
                     }
                 }
                 _ = permits.changed() => {}
-                () = self.client.closed(SENT_AHEAD) => break WaitEnd::ClientGone,
+                () = self.client.wait_closed(SENT_AHEAD) => break WaitEnd::ClientGone,
                 () = tokio::time::sleep(wait.min(LOOK_INTERVAL)) => {}
             }
             if !self.still_waits() {
--- a/crates/gateway/tests/host/dialect.rs
+++ b/crates/gateway/tests/host/dialect.rs
@@ -126,7 +126,7 @@
     let head = RequestHead {
         method: method.to_owned(),
         target,
-        modern: true,
+        is_http11: true,
         fields: HeaderFields::default(),
     };
     let body = if body.is_null() { Vec::new() } else { body.to_string().into_bytes() };
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -31,10 +31,10 @@
 pub enum BodyError {
     /// A chunk is not written as RFC 9112 says.
     #[error("a chunk is malformed; write its size in hexadecimal and end lines with CRLF")]
-    Chunk,
+    MalformedChunk,
     /// The connection ended before the body did.
     #[error("the connection ended within the body")]
-    Cut,
+    Truncated,
 }
 
 /// What a decoder found at the front of the buffer.
@@ -43,7 +43,7 @@
     /// Some bytes of the body.
     Data(Bytes),
     /// More bytes must be read first.
-    More,
+    Incomplete,
     /// The body is whole.
     End,
 }
@@ -58,7 +58,7 @@
         let length = content_length(&head.fields)?;
         match (coded, length) {
             (true, Some(_)) => Err(HeadError::AmbiguousLength),
-            (true, None) if !head.modern => Err(HeadError::Coding),
+            (true, None) if !head.is_http11 => Err(HeadError::UnsupportedCoding),
             (true, None) => Ok(Self::Chunked),
             (false, Some(0) | None) => Ok(Self::Empty),
             (false, Some(length)) => Ok(Self::Length(length)),
@@ -92,7 +92,7 @@
         return Ok(false);
     };
     if codings.next().is_some() || !coding.eq_ignore_ascii_case(b"chunked") {
-        return Err(HeadError::Coding);
+        return Err(HeadError::UnsupportedCoding);
     }
     Ok(true)
 }
@@ -160,10 +160,10 @@
         loop {
             match self.place {
                 DecoderPlace::Done => return Ok(BodyPart::End),
-                DecoderPlace::UntilClose if buffer.is_empty() => return Ok(BodyPart::More),
+                DecoderPlace::UntilClose if buffer.is_empty() => return Ok(BodyPart::Incomplete),
                 DecoderPlace::UntilClose => return Ok(BodyPart::Data(buffer.split().freeze())),
                 DecoderPlace::Length(_) | DecoderPlace::Chunk(_) if buffer.is_empty() => {
-                    return Ok(BodyPart::More);
+                    return Ok(BodyPart::Incomplete);
                 }
                 DecoderPlace::Length(left) => {
                     let (data, left) = split_data(buffer, left);
@@ -178,21 +178,21 @@
                     return Ok(BodyPart::Data(data));
                 }
                 DecoderPlace::ChunkLine => match take_line(buffer, LONGEST_CHUNK_LINE)? {
-                    None => return Ok(BodyPart::More),
+                    None => return Ok(BodyPart::Incomplete),
                     Some(line) => self.place = after_chunk_line(&line)?,
                 },
                 DecoderPlace::ChunkEnd => {
                     if buffer.len() < 2 {
-                        return Ok(BodyPart::More);
+                        return Ok(BodyPart::Incomplete);
                     }
                     if !buffer.starts_with(b"\r\n") {
-                        return Err(BodyError::Chunk);
+                        return Err(BodyError::MalformedChunk);
                     }
                     buffer.advance(2);
                     self.place = DecoderPlace::ChunkLine;
                 }
                 DecoderPlace::Trailer => match take_line(buffer, LONGEST_TRAILER)? {
-                    None => return Ok(BodyPart::More),
+                    None => return Ok(BodyPart::Incomplete),
                     Some(line) if line.is_empty() => self.place = DecoderPlace::Done,
                     Some(_) => {}
                 },
@@ -204,14 +204,14 @@
     ///
     /// # Errors
     /// Returns that the body was cut short.
-    pub fn connection_ended(&mut self) -> Result<(), BodyError> {
+    pub fn handle_eof(&mut self) -> Result<(), BodyError> {
         match self.place {
             DecoderPlace::Done => Ok(()),
             DecoderPlace::UntilClose => {
                 self.place = DecoderPlace::Done;
                 Ok(())
             }
-            _ => Err(BodyError::Cut),
+            _ => Err(BodyError::Truncated),
         }
     }
 }
@@ -225,10 +225,10 @@
 
 fn take_line(buffer: &mut BytesMut, limit: usize) -> Result<Option<Bytes>, BodyError> {
     let Some(end) = buffer.iter().position(|byte| *byte == b'\n') else {
-        return if buffer.len() > limit { Err(BodyError::Chunk) } else { Ok(None) };
+        return if buffer.len() > limit { Err(BodyError::MalformedChunk) } else { Ok(None) };
     };
     if end == 0 || end > limit || buffer[end - 1] != b'\r' {
-        return Err(BodyError::Chunk);
+        return Err(BodyError::MalformedChunk);
     }
     let mut line = buffer.split_to(end + 1).freeze();
     line.truncate(end - 1);
@@ -240,10 +240,10 @@
     let digits =
         (1..=MOST_SIZE_DIGITS).contains(&size.len()) && size.iter().all(u8::is_ascii_hexdigit);
     if !digits || line.contains(&b'\r') {
-        return Err(BodyError::Chunk);
+        return Err(BodyError::MalformedChunk);
     }
-    let text = std::str::from_utf8(size).map_err(|_| BodyError::Chunk)?;
-    match u64::from_str_radix(text, 16).map_err(|_| BodyError::Chunk)? {
+    let text = std::str::from_utf8(size).map_err(|_| BodyError::MalformedChunk)?;
+    match u64::from_str_radix(text, 16).map_err(|_| BodyError::MalformedChunk)? {
         0 => Ok(DecoderPlace::Trailer),
         size => Ok(DecoderPlace::Chunk(size)),
     }
--- a/crates/http/src/connection.rs
+++ b/crates/http/src/connection.rs
@@ -28,7 +28,7 @@
     Closed,
     /// The peer closed the connection within a head.
     #[error("the connection was closed within a head")]
-    HeadCut,
+    TruncatedHead,
     /// The head can not be accepted.
     #[error(transparent)]
     Head(#[from] HeadError),
@@ -71,7 +71,7 @@
     ///
     /// # Errors
     /// Returns the socket's error.
-    pub fn fail_when_silent(&self, patience: Duration) -> io::Result<()> {
+    pub fn set_dead_peer_timeout(&self, patience: Duration) -> io::Result<()> {
         let socket = SockRef::from(&self.socket);
         let pause = (patience / (KEEPALIVE_PROBES + 1)).max(Duration::from_secs(1));
         let keepalive = TcpKeepalive::new()
@@ -83,17 +83,17 @@
     }
 
     /// Returns whether bytes were read that nothing has used.
-    pub fn has_unused_bytes(&self) -> bool {
+    pub fn has_buffered_bytes(&self) -> bool {
         !self.buffer.is_empty()
     }
 
     /// Returns how many bytes were read that nothing has used.
-    pub fn unused_bytes(&self) -> usize {
+    pub fn buffered_bytes(&self) -> usize {
         self.buffer.len()
     }
 
     /// Returns whether a kept connection is still quiet: neither closed nor holding stray bytes.
-    pub fn is_quiet(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         let mut byte = [0; 1];
         let waiting = self.socket.try_read(&mut byte);
         let would_block =
@@ -121,7 +121,7 @@
     ///
     /// Bytes that arrive meanwhile are kept, at most `limit` of them; beyond that the peer is held
     /// up and its close is noticed only later.
-    pub async fn closed(&mut self, limit: usize) {
+    pub async fn wait_closed(&mut self, limit: usize) {
         while self.buffer.len() < limit {
             match self.fill().await {
                 Ok(0) | Err(_) => return,
@@ -137,7 +137,7 @@
     /// Returns why there is none.
     pub async fn read_request_head(&mut self, limit: usize) -> Result<RequestHead, ReadError> {
         loop {
-            if let Some(head) = RequestHead::take(&mut self.buffer, limit)? {
+            if let Some(head) = RequestHead::parse(&mut self.buffer, limit)? {
                 return Ok(head);
             }
             self.fill_head().await?;
@@ -150,7 +150,7 @@
     /// Returns why there is none.
     pub async fn read_response_head(&mut self, limit: usize) -> Result<ResponseHead, ReadError> {
         loop {
-            if let Some(head) = ResponseHead::take(&mut self.buffer, limit)? {
+            if let Some(head) = ResponseHead::parse(&mut self.buffer, limit)? {
                 return Ok(head);
             }
             self.fill_head().await?;
@@ -160,7 +160,7 @@
     async fn fill_head(&mut self) -> Result<(), ReadError> {
         let begun = !self.buffer.is_empty();
         match self.fill().await? {
-            0 if begun => Err(ReadError::HeadCut),
+            0 if begun => Err(ReadError::TruncatedHead),
             0 => Err(ReadError::Closed),
             _ => Ok(()),
         }
@@ -178,10 +178,10 @@
             match decoder.next_part(&mut self.buffer)? {
                 BodyPart::Data(data) => return Ok(Some(data)),
                 BodyPart::End => return Ok(None),
-                BodyPart::More => {}
+                BodyPart::Incomplete => {}
             }
             if self.fill().await? == 0 {
-                decoder.connection_ended()?;
+                decoder.handle_eof()?;
             }
         }
     }
@@ -190,7 +190,7 @@
     ///
     /// # Errors
     /// Returns that the body is malformed or was cut short.
-    pub async fn read_whole_body(
+    pub async fn read_full_body(
         &mut self,
         decoder: &mut BodyDecoder,
         limit: usize,
@@ -220,7 +220,7 @@
     }
 
     /// Splits the stream, so that a long request can be written while its answer is read.
-    pub fn halves(&mut self) -> (HttpReader<'_>, tokio::net::tcp::WriteHalf<'_>) {
+    pub fn split(&mut self) -> (HttpReader<'_>, tokio::net::tcp::WriteHalf<'_>) {
         let (socket, writer) = self.socket.split();
         (HttpReader { socket, buffer: &mut self.buffer }, writer)
     }
@@ -232,7 +232,7 @@
     }
 
     /// Closes the write side and reads what the peer still sends, so that the close is no reset.
-    pub async fn finish(mut self, patience: Duration) {
+    pub async fn close_gracefully(mut self, patience: Duration) {
         if self.socket.shutdown().await.is_err() {
             return;
         }
@@ -259,13 +259,13 @@
     /// Returns why there is none.
     pub async fn read_response_head(&mut self, limit: usize) -> Result<ResponseHead, ReadError> {
         loop {
-            if let Some(head) = ResponseHead::take(self.buffer, limit)? {
+            if let Some(head) = ResponseHead::parse(self.buffer, limit)? {
                 return Ok(head);
             }
             let begun = !self.buffer.is_empty();
             self.buffer.reserve(READ_ROOM);
             match self.socket.read_buf(self.buffer).await? {
-                0 if begun => return Err(ReadError::HeadCut),
+                0 if begun => return Err(ReadError::TruncatedHead),
                 0 => return Err(ReadError::Closed),
                 _ => {}
             }
--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -36,10 +36,10 @@
     AmbiguousLength,
     /// The request lacks its one `Host` field.
     #[error("a request must carry exactly one Host field")]
-    Host,
+    InvalidHost,
     /// A transfer coding other than chunked.
     #[error("only the chunked transfer coding is known")]
-    Coding,
+    UnsupportedCoding,
 }
 
 /// One header field.
@@ -80,7 +80,7 @@
     }
 
     /// Returns whether a comma-separated list called `name` contains `token`.
-    pub fn lists(&self, name: &str, token: &str) -> bool {
+    pub fn has_token(&self, name: &str, token: &str) -> bool {
         self.values(name).any(|value| {
             String::from_utf8_lossy(value)
                 .split(',')
@@ -96,7 +96,7 @@
     pub fn end_to_end(&self) -> Self {
         let kept = self.0.iter().filter(|field| {
             let plain = !CONNECTION_FIELDS.iter().any(|name| field.name.eq_ignore_ascii_case(name));
-            plain && !self.lists("connection", &field.name)
+            plain && !self.has_token("connection", &field.name)
         });
         Self(kept.cloned().collect())
     }
@@ -130,7 +130,7 @@
     /// The path and query, beginning with a slash.
     pub target: String,
     /// Whether the peer speaks HTTP/1.1; HTTP/1.0 otherwise.
-    pub modern: bool,
+    pub is_http11: bool,
     /// The header fields.
     pub fields: HeaderFields,
 }
@@ -143,7 +143,7 @@
     /// The reason phrase.
     pub reason: String,
     /// Whether the peer speaks HTTP/1.1; HTTP/1.0 otherwise.
-    pub modern: bool,
+    pub is_http11: bool,
     /// The header fields.
     pub fields: HeaderFields,
 }
@@ -153,7 +153,7 @@
     ///
     /// # Errors
     /// Returns why the head can not be accepted; the connection must then be closed.
-    pub fn take(buffer: &mut BytesMut, limit: usize) -> Result<Option<Self>, HeadError> {
+    pub fn parse(buffer: &mut BytesMut, limit: usize) -> Result<Option<Self>, HeadError> {
         skip_blank_lines(buffer);
         let mut fields = [httparse::EMPTY_HEADER; MOST_FIELDS];
         let mut request = httparse::Request::new(&mut fields);
@@ -164,14 +164,14 @@
         let head = Self {
             method: request.method.ok_or(HeadError::Malformed)?.to_owned(),
             target: request.path.ok_or(HeadError::Malformed)?.to_owned(),
-            modern: request.version == Some(1),
+            is_http11: request.version == Some(1),
             fields: copied(request.headers),
         };
         if !head.target.starts_with('/') {
             return Err(HeadError::Malformed);
         }
         if head.fields.values("host").count() != 1 {
-            return Err(HeadError::Host);
+            return Err(HeadError::InvalidHost);
         }
         buffer.advance(length);
         Ok(Some(head))
@@ -189,7 +189,7 @@
 
     /// Returns whether the peer wants to keep the connection.
     pub fn keeps_connection(&self) -> bool {
-        keeps_connection(&self.fields, self.modern)
+        keeps_connection(&self.fields, self.is_http11)
     }
 }
 
@@ -197,14 +197,14 @@
     /// Returns a head without header fields.
     pub fn new(status: u16) -> Self {
         let reason = reason_phrase(status).to_owned();
-        Self { status, reason, modern: true, fields: HeaderFields::default() }
+        Self { status, reason, is_http11: true, fields: HeaderFields::default() }
     }
 
     /// Takes a response's head from the front of `buffer`; `None` when more bytes are needed.
     ///
     /// # Errors
     /// Returns why the head can not be accepted; the connection must then be closed.
-    pub fn take(buffer: &mut BytesMut, limit: usize) -> Result<Option<Self>, HeadError> {
+    pub fn parse(buffer: &mut BytesMut, limit: usize) -> Result<Option<Self>, HeadError> {
         let mut fields = [httparse::EMPTY_HEADER; MOST_FIELDS];
         let mut response = httparse::Response::new(&mut fields);
         let Some(length) = parsed(response.parse(buffer), buffer, limit)? else {
@@ -214,7 +214,7 @@
         let head = Self {
             status: response.code.ok_or(HeadError::Malformed)?,
             reason: response.reason.unwrap_or_default().to_owned(),
-            modern: response.version == Some(1),
+            is_http11: response.version == Some(1),
             fields: copied(response.headers),
         };
         buffer.advance(length);
@@ -232,7 +232,7 @@
 
     /// Returns whether the peer keeps the connection after this answer.
     pub fn keeps_connection(&self) -> bool {
-        keeps_connection(&self.fields, self.modern)
+        keeps_connection(&self.fields, self.is_http11)
     }
 }
 
@@ -257,11 +257,11 @@
     }
 }
 
-fn keeps_connection(fields: &HeaderFields, modern: bool) -> bool {
-    if fields.lists("connection", "close") {
+fn keeps_connection(fields: &HeaderFields, is_http11: bool) -> bool {
+    if fields.has_token("connection", "close") {
         return false;
     }
-    modern || fields.lists("connection", "keep-alive")
+    is_http11 || fields.has_token("connection", "keep-alive")
 }
 
 fn parsed(
--- a/crates/node/src/callers.rs
+++ b/crates/node/src/callers.rs
@@ -5,11 +5,11 @@
 //! `httparse` on plain sockets here (docs/DESIGN.md, "HTTP towards callers"). Operators' pages,
 //! where neither matters, are served by `rouille`.
 
-mod answer;
 mod connection;
 mod events;
 mod exchange;
 mod plain;
+mod refusal;
 mod request;
 mod route;
 
@@ -40,7 +40,7 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// What all connections share.
-pub struct CallerBorder {
+pub struct CallerServer {
     host: HostId,
     incarnation: Incarnation,
     counter: AtomicU32,
@@ -53,7 +53,7 @@
     backends: ureq::Agent,
 }
 
-impl CallerBorder {
+impl CallerServer {
     /// Makes the border of a host.
     pub fn new(
         host: HostId,
@@ -111,7 +111,7 @@
 }
 
 /// Counts a connection as long as it lives.
-struct OpenGuard(Arc<CallerBorder>);
+struct OpenGuard(Arc<CallerServer>);
 
 impl Drop for OpenGuard {
     fn drop(&mut self) {
@@ -124,7 +124,7 @@
 /// # Errors
 /// Returns why the listener has no address.
 pub fn start_callers(
-    border: Arc<CallerBorder>,
+    border: Arc<CallerServer>,
     listener: TcpListener,
     stop: Arc<AtomicBool>,
 ) -> std::io::Result<SocketAddr> {
--- a/crates/node/src/callers/connection.rs
+++ b/crates/node/src/callers/connection.rs
@@ -10,7 +10,7 @@
 
 use reelreel_core::request::{RefusalKind, RequestRefusal};
 
-use super::{CallerBorder, answer, route};
+use super::{CallerServer, refusal, route};
 
 /// Headers of one request at most.
 const MOST_HEADERS: usize = 64;
@@ -68,7 +68,7 @@
 }
 
 /// Serves one connection until it ends.
-pub(super) fn serve(border: &CallerBorder, mut stream: TcpStream) {
+pub(super) fn serve(border: &CallerServer, mut stream: TcpStream) {
     drop(stream.set_nodelay(true));
     drop(stream.set_write_timeout(Some(border.limits.silence)));
     let mut buffer = Vec::new();
@@ -86,7 +86,7 @@
             Err(ReadFailure::Closed) => break,
             Err(ReadFailure::Bad(status, message)) => {
                 let refusal = RequestRefusal::not_run(RefusalKind::BadRequest, message);
-                drop(answer::refuse_with_status(&mut stream, &refusal, status, false));
+                drop(refusal::refuse_with_status(&mut stream, &refusal, status, false));
                 linger(&mut stream);
                 break;
             }
@@ -101,7 +101,7 @@
     let refusal = RequestRefusal::not_run(RefusalKind::Overloaded, message)
         .retry_after(Duration::from_secs(1));
     drop(stream.set_write_timeout(Some(Duration::from_millis(200))));
-    drop(answer::refuse_with_status(&mut stream, &refusal, 503, false));
+    drop(refusal::refuse_with_status(&mut stream, &refusal, 503, false));
 }
 
 /// Lets the caller read the answer before the unread rest of its request resets the connection.
@@ -142,7 +142,7 @@
 }
 
 fn read_request(
-    border: &CallerBorder,
+    border: &CallerServer,
     stream: &mut TcpStream,
     buffer: &mut Vec<u8>,
 ) -> Result<HttpRequest, ReadFailure> {
@@ -169,7 +169,7 @@
 }
 
 fn read_head(
-    border: &CallerBorder,
+    border: &CallerServer,
     stream: &mut TcpStream,
     buffer: &mut Vec<u8>,
 ) -> Result<(HttpHead, usize), ReadFailure> {
@@ -224,7 +224,7 @@
     Ok(Some((head, length)))
 }
 
-fn body_length(border: &CallerBorder, head: &HttpHead) -> Result<usize, ReadFailure> {
+fn body_length(border: &CallerServer, head: &HttpHead) -> Result<usize, ReadFailure> {
     if head.has("transfer-encoding") {
         return Err(ReadFailure::Bad(411, "send the body with a Content-Length"));
     }
--- a/crates/node/src/callers/exchange.rs
+++ b/crates/node/src/callers/exchange.rs
@@ -18,13 +18,14 @@
 use serde_json::Value;
 
 use super::{
-    CallerBorder, answer,
+    CallerServer,
     connection::{HttpRequest, PieceWriter, caller_gone, write_whole},
     events::EventReader,
+    refusal,
     request::{CompletionCall, read_completion},
 };
 use crate::{
-    border::never_connected,
+    clients::never_connected,
     control::{ControlInput, TrafficOrder},
 };
 
@@ -44,7 +45,7 @@
 
 /// Serves one completion.
 pub(super) fn complete(
-    border: &CallerBorder,
+    border: &CallerServer,
     stream: &mut TcpStream,
     request: &HttpRequest,
     chat: bool,
@@ -53,7 +54,7 @@
     let id = border.next_request();
     let call = match read_completion(id, request) {
         Ok(call) => call,
-        Err(refusal) => return answer::refuse(stream, &refusal, keep_alive),
+        Err(refusal) => return refusal::refuse(stream, &refusal, keep_alive),
     };
     let (sender, orders) = mpsc::channel();
     border.control.input(ControlInput::Arrived(call.arrived.clone(), sender));
@@ -63,7 +64,7 @@
 
 /// Waits for the control thread's word, and tells it when the caller hangs up meanwhile.
 pub(super) fn next_order(
-    border: &CallerBorder,
+    border: &CallerServer,
     stream: &TcpStream,
     id: RequestId,
     orders: &Receiver<TrafficOrder>,
@@ -90,7 +91,7 @@
 }
 
 struct Exchange<'a> {
-    border: &'a CallerBorder,
+    border: &'a CallerServer,
     call: CompletionCall,
     chat: bool,
     keep_alive: bool,
@@ -110,7 +111,7 @@
         loop {
             let order = match next_order(self.border, stream, self.id, orders) {
                 TrafficOrder::Refuse(refusal) => {
-                    return answer::refuse(stream, &refusal, self.keep_alive);
+                    return refusal::refuse(stream, &refusal, self.keep_alive);
                 }
                 TrafficOrder::Dispatch(order) => order,
             };
@@ -143,7 +144,7 @@
     fn break_off(stream: &mut TcpStream, orders: &Receiver<TrafficOrder>) -> io::Result<()> {
         if let Ok(TrafficOrder::Refuse(refusal)) = orders.recv_timeout(Duration::from_secs(2)) {
             let mut event = b"event: error\ndata: ".to_vec();
-            event.extend_from_slice(&answer::error_body(&refusal));
+            event.extend_from_slice(&refusal::error_body(&refusal));
             event.extend_from_slice(b"\n\n");
             let mut framed = format!("{:x}\r\n", event.len()).into_bytes();
             framed.extend_from_slice(&event);
--- a/crates/node/src/callers/plain.rs
+++ b/crates/node/src/callers/plain.rs
@@ -9,13 +9,14 @@
 };
 
 use super::{
-    CallerBorder, answer,
+    CallerServer,
     connection::{HttpRequest, write_whole},
     exchange::next_order,
+    refusal,
     request::read_headers,
 };
 use crate::{
-    border::never_connected,
+    clients::never_connected,
     control::{ControlInput, TrafficOrder},
 };
 
@@ -29,7 +30,7 @@
 
 /// Passes a call on to the service below whose prefix the path lies.
 pub(super) fn forward(
-    border: &CallerBorder,
+    border: &CallerServer,
     stream: &mut TcpStream,
     request: &HttpRequest,
 ) -> io::Result<()> {
@@ -38,13 +39,13 @@
     let target = RequestTarget::Path(request.head.path().to_owned());
     let arrived = match read_headers(id, &request.head, target) {
         Ok(arrived) => arrived,
-        Err(refusal) => return answer::refuse(stream, &refusal, keep_alive),
+        Err(refusal) => return refusal::refuse(stream, &refusal, keep_alive),
     };
     let (sender, orders) = mpsc::channel();
     border.control.input(ControlInput::Arrived(arrived, sender));
     loop {
         let order = match next_order(border, stream, id, &orders) {
-            TrafficOrder::Refuse(refusal) => return answer::refuse(stream, &refusal, keep_alive),
+            TrafficOrder::Refuse(refusal) => return refusal::refuse(stream, &refusal, keep_alive),
             TrafficOrder::Dispatch(order) => order,
         };
         if border.is_late(&order) {
@@ -77,7 +78,7 @@
 }
 
 fn call(
-    border: &CallerBorder,
+    border: &CallerServer,
     order: &RequestDispatch,
     request: &HttpRequest,
 ) -> Result<ServerAnswer, ureq::Error> {
--- a/crates/node/src/callers/route.rs
+++ b/crates/node/src/callers/route.rs
@@ -6,15 +6,15 @@
 use serde_json::json;
 
 use super::{
-    CallerBorder, answer,
+    CallerServer,
     connection::{HttpRequest, write_whole},
-    exchange, plain,
+    exchange, plain, refusal,
 };
 use crate::control::ControlQuery;
 
 /// Answers one request. An error means that the connection can not be used any further.
 pub(super) fn answer(
-    border: &CallerBorder,
+    border: &CallerServer,
     stream: &mut TcpStream,
     request: &HttpRequest,
 ) -> io::Result<()> {
@@ -26,20 +26,20 @@
         (_, "/v1/completions" | "/v1/chat/completions" | "/v1/models") => {
             let message = "this path does not take that method";
             let refusal = RequestRefusal::not_run(RefusalKind::BadRequest, message);
-            answer::refuse_with_status(stream, &refusal, 405, head.keep_alive)
+            refusal::refuse_with_status(stream, &refusal, 405, head.keep_alive)
         }
         _ => plain::forward(border, stream, request),
     }
 }
 
 fn list_models(
-    border: &CallerBorder,
+    border: &CallerServer,
     stream: &mut TcpStream,
     request: &HttpRequest,
 ) -> io::Result<()> {
     let Some(names) = border.control.ask(ControlQuery::Models) else {
         let refusal = RequestRefusal::not_run(RefusalKind::NotReady, "the host is busy");
-        return answer::refuse(stream, &refusal, request.head.keep_alive);
+        return refusal::refuse(stream, &refusal, request.head.keep_alive);
     };
     let model = |name: &String| {
         let owner = name.split('/').nth(1).unwrap_or_default();
--- a/crates/node/src/border.rs
+++ b/crates/node/src/clients.rs
@@ -11,16 +11,16 @@
     settings::fold::LogRecord,
 };
 
-mod engine_http;
-mod platform_http;
+mod engine;
+mod platform;
 
-pub use engine_http::EngineHttp;
-pub use platform_http::PlatformHttp;
+pub use engine::EngineHttpClient;
+pub use platform::PlatformHttpClient;
 
 /// The outside system could not be reached, or its answer not understood.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{system} at {address} gave no usable answer: {reason}; check that it runs and is reached")]
-pub struct BorderError {
+pub struct ClientError {
     /// Which system.
     pub system: &'static str,
     /// Where.
@@ -43,7 +43,7 @@
 }
 
 /// The platform's log.
-pub trait LogBorder: Send + Sync {
+pub trait LogClient: Send + Sync {
     /// Reads from an offset on, waiting a while for records to come.
     ///
     /// # Errors
@@ -53,19 +53,19 @@
         stream: LogStream,
         from: LogOffset,
         wait: Duration,
-    ) -> Result<ReadBatch, BorderError>;
+    ) -> Result<ReadBatch, ClientError>;
 
     /// Appends a record, once.
     fn append(&self, stream: LogStream, payload: &[u8]) -> AppendResult;
 }
 
 /// The platform's list of hosts.
-pub trait HostBorder: Send + Sync {
+pub trait HostListClient: Send + Sync {
     /// Returns what changed since a version, and the version to ask from next.
     ///
     /// # Errors
     /// Returns why the list gave no answer.
-    fn changes(&self, since: u64) -> Result<(HostListChange, u64), BorderError>;
+    fn changes(&self, since: u64) -> Result<(HostListChange, u64), ClientError>;
 }
 
 /// An order with the adapter's name as the engine knows it.
@@ -97,7 +97,7 @@
 }
 
 /// A model engine's orders and reports.
-pub trait EngineBorder: Send + Sync {
+pub trait EngineClient: Send + Sync {
     /// Sends an order and waits for its end.
     fn order(&self, address: &str, token: FenceToken, action: &NamedAction) -> OrderResult;
 
@@ -105,7 +105,7 @@
     ///
     /// # Errors
     /// Returns why the engine gave no answer.
-    fn report(&self, address: &str) -> Result<NamedReport, BorderError>;
+    fn report(&self, address: &str) -> Result<NamedReport, ClientError>;
 }
 
 /// Makes an HTTP client that opens a connection for each call, so that a failed call is known
--- a/crates/node/src/border/engine_http.rs
+++ b/crates/node/src/clients/engine.rs
@@ -8,7 +8,7 @@
 };
 use serde::{Deserialize, Serialize};
 
-use super::{BorderError, EngineBorder, NamedAction, NamedReport, http_agent, never_connected};
+use super::{ClientError, EngineClient, NamedAction, NamedReport, http_agent, never_connected};
 
 /// How long an engine may take to accept a connection.
 const CONNECT: Duration = Duration::from_secs(1);
@@ -21,7 +21,7 @@
 
 /// Engines over HTTP.
 #[derive(Debug, Clone)]
-pub struct EngineHttp {
+pub struct EngineHttpClient {
     loads: ureq::Agent,
     others: ureq::Agent,
 }
@@ -60,7 +60,7 @@
     running: u32,
 }
 
-impl EngineHttp {
+impl EngineHttpClient {
     /// Makes a client for all engines.
     pub fn new() -> Self {
         let loads = http_agent(CONNECT, LONGEST_LOAD);
@@ -68,13 +68,13 @@
     }
 }
 
-impl Default for EngineHttp {
+impl Default for EngineHttpClient {
     fn default() -> Self {
         Self::new()
     }
 }
 
-impl EngineBorder for EngineHttp {
+impl EngineClient for EngineHttpClient {
     fn order(&self, address: &str, token: FenceToken, action: &NamedAction) -> OrderResult {
         let (agent, name, adapter) = match action {
             NamedAction::Raise => (&self.others, "raise", ""),
@@ -90,10 +90,10 @@
         }
     }
 
-    fn report(&self, address: &str) -> Result<NamedReport, BorderError> {
+    fn report(&self, address: &str) -> Result<NamedReport, ClientError> {
         let failed = |reason: String| {
             let (system, address) = ("engine", address.to_owned());
-            BorderError { system, address, reason }
+            ClientError { system, address, reason }
         };
         let answer = self.others.get(format!("http://{address}/report")).call();
         let mut answer = answer.map_err(|error| failed(error.to_string()))?;
--- a/crates/node/src/border/platform_http.rs
+++ b/crates/node/src/clients/platform.rs
@@ -10,7 +10,7 @@
 };
 use serde::{Deserialize, de::DeserializeOwned};
 
-use super::{BorderError, HostBorder, LogBorder, ReadBatch, http_agent, never_connected};
+use super::{ClientError, HostListClient, LogClient, ReadBatch, http_agent, never_connected};
 
 /// How long the platform may take to accept a connection.
 const CONNECT: Duration = Duration::from_secs(1);
@@ -29,7 +29,7 @@
 
 /// The platform at one address.
 #[derive(Debug, Clone)]
-pub struct PlatformHttp {
+pub struct PlatformHttpClient {
     address: String,
     agent: ureq::Agent,
 }
@@ -75,19 +75,19 @@
     checks_fence: bool,
 }
 
-impl PlatformHttp {
+impl PlatformHttpClient {
     /// Makes a client of the platform at `address`.
     pub fn new(address: impl Into<String>) -> Self {
         // The longest wait of a read is added for that call.
         Self { address: address.into(), agent: http_agent(CONNECT, ANSWER) }
     }
 
-    fn error(&self, reason: &impl std::fmt::Display) -> BorderError {
+    fn error(&self, reason: &impl std::fmt::Display) -> ClientError {
         let (system, address) = ("platform", self.address.clone());
-        BorderError { system, address, reason: reason.to_string() }
+        ClientError { system, address, reason: reason.to_string() }
     }
 
-    fn fetch<T: DeserializeOwned>(&self, path: &str, whole: Duration) -> Result<T, BorderError> {
+    fn fetch<T: DeserializeOwned>(&self, path: &str, whole: Duration) -> Result<T, ClientError> {
         let url = format!("http://{}{path}", self.address);
         let call = self.agent.get(url).config().timeout_global(Some(whole)).build().call();
         let mut answer = call.map_err(|error| self.error(&error))?;
@@ -101,13 +101,13 @@
     }
 }
 
-impl LogBorder for PlatformHttp {
+impl LogClient for PlatformHttpClient {
     fn read(
         &self,
         stream: LogStream,
         from: LogOffset,
         wait: Duration,
-    ) -> Result<ReadBatch, BorderError> {
+    ) -> Result<ReadBatch, ClientError> {
         let name = stream.name();
         let path = format!("/streams/{name}/records?from={from}&wait_ms={}", wait.as_millis());
         let mut answer: ReadAnswer = self.fetch(&path, wait + ANSWER)?;
@@ -133,8 +133,8 @@
     }
 }
 
-impl HostBorder for PlatformHttp {
-    fn changes(&self, since: u64) -> Result<(HostListChange, u64), BorderError> {
+impl HostListClient for PlatformHttpClient {
+    fn changes(&self, since: u64) -> Result<(HostListChange, u64), ClientError> {
         let answer: HostsAnswer = self.fetch(&format!("/hosts?since={since}"), ANSWER)?;
         let mut change = HostListChange {
             entries: answer.entries.into_iter().map(host_entry).collect(),
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -25,7 +25,7 @@
 use tokio::sync::mpsc::UnboundedSender;
 
 use crate::{
-    border::{EngineBorder, NamedAction, NamedReport},
+    clients::{EngineClient, NamedAction, NamedReport},
     peers::OutgoingMessage,
     platform::{AppendCall, FollowCall},
 };
@@ -110,7 +110,7 @@
     /// To the threads that ask engines for reports.
     pub reports: Sender<(EngineId, String)>,
     /// Orders to engines.
-    pub engines: Arc<dyn EngineBorder>,
+    pub engines: Arc<dyn EngineClient>,
     /// Told when a planned stop is complete.
     pub stopped: Sender<()>,
 }
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -16,8 +16,8 @@
 use socket2::{Domain, Socket, Type};
 
 use crate::{
-    border::{EngineBorder, EngineHttp, HostBorder, LogBorder, PlatformHttp},
-    callers::{CallerBorder, start_callers},
+    callers::{CallerServer, start_callers},
+    clients::{EngineClient, EngineHttpClient, HostListClient, LogClient, PlatformHttpClient},
     control::{ControlOutputs, ControlSender, control_channel, start_control, wall_millis},
     operators::start_operators,
     peers::start_peers,
@@ -31,7 +31,7 @@
     peers: SocketAddr,
     operators: SocketAddr,
     control: ControlSender,
-    border: Arc<CallerBorder>,
+    border: Arc<CallerServer>,
     thread: Option<JoinHandle<()>>,
     stop: Arc<AtomicBool>,
     stopped: Receiver<()>,
@@ -48,10 +48,10 @@
         let peer_listener = bind("peers", settings.peers)?;
         let peer_address = peer_listener.local_addr()?;
         let peers = start_peers(settings.host, peer_listener, control.clone())?;
-        let platform = PlatformHttp::new(settings.platform.to_string());
-        let log: Arc<dyn LogBorder> = Arc::new(platform.clone());
-        let hosts: Arc<dyn HostBorder> = Arc::new(platform);
-        let engines: Arc<dyn EngineBorder> = Arc::new(EngineHttp::new());
+        let platform = PlatformHttpClient::new(settings.platform.to_string());
+        let log: Arc<dyn LogClient> = Arc::new(platform.clone());
+        let hosts: Arc<dyn HostListClient> = Arc::new(platform);
+        let engines: Arc<dyn EngineClient> = Arc::new(EngineHttpClient::new());
         let incarnation = wall_millis();
         let (stopped_sender, stopped) = mpsc::channel();
         let outputs = ControlOutputs {
@@ -85,7 +85,7 @@
             Arc::clone(&stop),
         )?;
         let border =
-            CallerBorder::new(settings.host, incarnation, settings.limits, control.clone(), clock);
+            CallerServer::new(settings.host, incarnation, settings.limits, control.clone(), clock);
         let listener = bind("callers", settings.callers)?;
         let border = Arc::new(border);
         let callers = start_callers(Arc::clone(&border), listener, Arc::clone(&stop))?;
@@ -123,7 +123,7 @@
     }
 
     /// Waits until the planned stop is complete and the last answer written; says whether it is.
-    pub fn wait_stopped(&self, at_most: Duration) -> bool {
+    pub fn wait_until_stopped(&self, at_most: Duration) -> bool {
         const LAST_ANSWERS: Duration = Duration::from_secs(5);
         let stopped = self.stopped.recv_timeout(at_most).is_ok();
         stopped && self.border.wait_idle(LAST_ANSWERS)
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -5,7 +5,7 @@
 //! out the orders that come back; they decide nothing. What is particular to one outside system
 //! stands in one module per border.
 
-pub mod border;
+pub mod clients;
 pub mod callers;
 pub mod control;
 pub mod entry;
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -57,7 +57,7 @@
 }
 
 /// The running border.
-pub struct PeerBorder {
+pub struct PeerTransport {
     /// The way out.
     pub sender: UnboundedSender<OutgoingMessage>,
     /// Its counts.
@@ -74,7 +74,7 @@
     host: HostId,
     listener: std::net::TcpListener,
     control: ControlSender,
-) -> std::io::Result<PeerBorder> {
+) -> std::io::Result<PeerTransport> {
     listener.set_nonblocking(true)?;
     let (sender, receiver) = mpsc::unbounded_channel();
     let counters = Arc::new(PeerCounters::default());
@@ -91,7 +91,7 @@
             send_all(host, receiver, counted).await;
         });
     })?;
-    Ok(PeerBorder { sender, counters, thread })
+    Ok(PeerTransport { sender, counters, thread })
 }
 
 async fn accept(listener: TcpListener, control: ControlSender, counters: Arc<PeerCounters>) {
--- a/crates/node/src/platform.rs
+++ b/crates/node/src/platform.rs
@@ -17,7 +17,7 @@
 };
 
 use crate::{
-    border::{EngineBorder, HostBorder, LogBorder, ReadBatch},
+    clients::{EngineClient, HostListClient, LogClient, ReadBatch},
     control::{ControlInput, ControlSender},
 };
 
@@ -54,7 +54,7 @@
 }
 
 /// Starts the threads that append; each stream has its own, so that none waits for another.
-pub fn start_appender(log: Arc<dyn LogBorder>, control: ControlSender) -> Sender<AppendCall> {
+pub fn start_appender(log: Arc<dyn LogClient>, control: ControlSender) -> Sender<AppendCall> {
     let (sender, calls) = mpsc::channel::<AppendCall>();
     thread::spawn(move || {
         let streams: Vec<(LogStream, Sender<AppendCall>)> = LogStream::ALL
@@ -71,7 +71,7 @@
     sender
 }
 
-fn start_stream_appender(log: Arc<dyn LogBorder>, control: ControlSender) -> Sender<AppendCall> {
+fn start_stream_appender(log: Arc<dyn LogClient>, control: ControlSender) -> Sender<AppendCall> {
     let (sender, calls) = mpsc::channel::<AppendCall>();
     thread::spawn(move || {
         while let Ok(AppendCall { stream, payload, ticket }) = calls.recv() {
@@ -84,7 +84,7 @@
 
 /// Starts a reader for each stream; the core says where each begins.
 pub fn start_readers(
-    log: &Arc<dyn LogBorder>,
+    log: &Arc<dyn LogClient>,
     control: &ControlSender,
     stop: &Arc<AtomicBool>,
 ) -> Sender<FollowCall> {
@@ -121,7 +121,7 @@
 }
 
 fn read_stream(
-    log: &dyn LogBorder,
+    log: &dyn LogClient,
     stream: LogStream,
     offsets: &Receiver<Option<LogOffset>>,
     control: &ControlSender,
@@ -170,7 +170,7 @@
 
 /// Starts the thread that asks for changes of the host list.
 pub fn start_host_list(
-    hosts: Arc<dyn HostBorder>,
+    hosts: Arc<dyn HostListClient>,
     every: Duration,
     control: ControlSender,
     stop: Arc<AtomicBool>,
@@ -197,7 +197,7 @@
 
 /// Starts the threads that ask engines for their reports.
 pub fn start_reports(
-    engines: &Arc<dyn EngineBorder>,
+    engines: &Arc<dyn EngineClient>,
     control: &ControlSender,
 ) -> Sender<(EngineId, String)> {
     let (sender, calls) = mpsc::channel::<(EngineId, String)>();
@@ -222,7 +222,7 @@
 }
 
 fn ask_report(
-    engines: &dyn EngineBorder,
+    engines: &dyn EngineClient,
     engine: EngineId,
     address: &str,
     control: &ControlSender,
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -73,7 +73,7 @@
     ///
     /// # Errors
     /// Returns every mistake, in the order of their places.
-    pub fn read(text: &str) -> Result<Self, Vec<SourceError>> {
+    pub fn parse(text: &str) -> Result<Self, Vec<SourceError>> {
         let (table, errors) = DeTable::parse_recoverable(text);
         let mut reader = FieldReader { text, mistakes: Vec::new() };
         for error in errors {
--- a/crates/node/src/settings/fields.rs
+++ b/crates/node/src/settings/fields.rs
@@ -4,7 +4,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FieldKind {
     /// A whole number within the limits.
-    Number(u64, u64),
+    Integer(u64, u64),
     /// An `ip:port`.
     Address,
     /// Any number of `ip:port`s, separated by commas.
@@ -25,7 +25,7 @@
     /// Its default as text; empty when it must be given.
     pub default: &'static str,
     /// What it means, with its unit.
-    pub meaning: &'static str,
+    pub description: &'static str,
 }
 
 const fn field(
@@ -33,26 +33,26 @@
     name: &'static str,
     kind: FieldKind,
     default: &'static str,
-    meaning: &'static str,
+    description: &'static str,
 ) -> FieldSpec {
-    FieldSpec { table, name, kind, default, meaning }
+    FieldSpec { table, name, kind, default, description }
 }
 
-const MILLIS: FieldKind = FieldKind::Number(1, 3_600_000);
+const MILLIS: FieldKind = FieldKind::Integer(1, 3_600_000);
 
 /// All keys, in the order of the reference.
 pub const FIELDS: &[FieldSpec] = &[
     field(
         "",
         "host",
-        FieldKind::Number(1, 16_777_215),
+        FieldKind::Integer(1, 16_777_215),
         "",
         "The host's number, unique on the site.",
     ),
     field(
         "",
         "hall",
-        FieldKind::Number(0, 65_535),
+        FieldKind::Integer(0, 65_535),
         "",
         "The data hall's number, as in the host list.",
     ),
@@ -90,21 +90,21 @@
     field(
         "limits",
         "connections",
-        FieldKind::Number(1, 100_000),
+        FieldKind::Integer(1, 100_000),
         "4096",
         "Callers' connections at once.",
     ),
     field(
         "limits",
         "head_bytes",
-        FieldKind::Number(256, 1_048_576),
+        FieldKind::Integer(256, 1_048_576),
         "16384",
         "The largest request head, in bytes.",
     ),
     field(
         "limits",
         "body_bytes",
-        FieldKind::Number(1, 1_073_741_824),
+        FieldKind::Integer(1, 1_073_741_824),
         "4194304",
         "The largest request body, in bytes.",
     ),
@@ -191,7 +191,7 @@
 /// Returns what a value of that kind must be, for messages and the reference.
 pub fn describe(kind: FieldKind) -> String {
     match kind {
-        FieldKind::Number(low, high) => format!("a whole number from {low} to {high}"),
+        FieldKind::Integer(low, high) => format!("a whole number from {low} to {high}"),
         FieldKind::Address => String::from("an IP address with port, such as \"127.0.0.1:8080\""),
         FieldKind::Addresses => String::from("IP addresses with ports, separated by commas"),
         FieldKind::Choice(choices) => format!("one of {}", choices.join(", ")),
--- a/crates/node/src/settings/reader.rs
+++ b/crates/node/src/settings/reader.rs
@@ -101,7 +101,7 @@
             _ => String::new(),
         };
         let quoted = matches!(value.get_ref(), DeValue::String(_));
-        let fits_quotes = quoted != matches!(field.kind, FieldKind::Number(..));
+        let fits_quotes = quoted != matches!(field.kind, FieldKind::Integer(..));
         if !fits_quotes || !put(field, &text, values) {
             let message = format!("`{}` must be {}", field.name, describe(field.kind));
             self.note(value.span().start, message);
@@ -135,7 +135,7 @@
 fn put(field: &FieldSpec, text: &str, values: &mut FieldValues) -> bool {
     let name = (field.table, field.name);
     match field.kind {
-        FieldKind::Number(low, high) => match text.parse::<u64>() {
+        FieldKind::Integer(low, high) => match text.parse::<u64>() {
             Ok(number) if (low..=high).contains(&number) => {
                 values.numbers.insert(name, number);
                 true
--- a/crates/node/tests/node_settings.rs
+++ b/crates/node/tests/node_settings.rs
@@ -23,7 +23,7 @@
 
 #[test]
 fn what_is_not_named_has_its_default() {
-    let settings = NodeSettings::read(WHOLE).expect("no mistakes");
+    let settings = NodeSettings::parse(WHOLE).expect("no mistakes");
     assert_eq!((settings.host, settings.hall), (3, 2));
     assert_eq!(settings.seeds, ["127.0.0.1:7001", "127.0.0.1:7002"]);
     assert_eq!(settings.log_format, LogFormat::Json);
@@ -68,7 +68,7 @@
         },
     ];
     for case in cases {
-        let found = NodeSettings::read(&case.text).expect_err(&case.text);
+        let found = NodeSettings::parse(&case.text).expect_err(&case.text);
         assert_eq!(found.len(), case.mistakes.len(), "{}\n{found:?}", case.text);
         for (found, (line, part)) in found.iter().zip(case.mistakes) {
             assert_eq!(found.line, *line, "{found}");
--- a/crates/stand-ins/src/connection.rs
+++ b/crates/stand-ins/src/connection.rs
@@ -41,7 +41,7 @@
     /// Reads a head; `None` when the peer has closed or sent none.
     pub fn next_head(&mut self) -> Option<RequestHead> {
         loop {
-            if let Some(head) = RequestHead::take(&mut self.buffer, 65_536).ok()? {
+            if let Some(head) = RequestHead::parse(&mut self.buffer, 65_536).ok()? {
                 return Some(head);
             }
             self.fill()?;
@@ -56,7 +56,7 @@
             match decoder.next_part(&mut self.buffer).ok()? {
                 BodyPart::Data(data) => body.extend_from_slice(&data),
                 BodyPart::End => return Some(body),
-                BodyPart::More => self.fill()?,
+                BodyPart::Incomplete => self.fill()?,
             }
         }
     }
