--- a/crates/gateway/src/entry/connection.rs
+++ b/crates/gateway/src/entry/connection.rs
@@ -164,7 +164,7 @@
     };
     tokio::select! {
         biased;
-        read = client.fill() => matches!(read, Ok(count) if count > 0),
+        read = client.read_more() => matches!(read, Ok(count) if count > 0),
         () = tokio::time::sleep(limits.idle_timeout) => false,
         () = stopped => false,
     }
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -5,13 +5,13 @@
 use crate::head::{HeadError, HeaderFields, RequestHead, ResponseHead};
 
 /// The longest line that introduces a chunk, its extensions included.
-const LONGEST_CHUNK_LINE: usize = 256;
+const MAX_CHUNK_LINE_BYTES: usize = 256;
 
 /// The longest trailer section.
-const LONGEST_TRAILER: usize = 4096;
+const MAX_TRAILER_LINE_BYTES: usize = 4096;
 
 /// The most hexadecimal digits of a chunk's size.
-const MOST_SIZE_DIGITS: usize = 12;
+const MAX_CHUNK_SIZE_DIGITS: usize = 12;
 
 /// How the end of a body is found.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -54,9 +54,9 @@
     /// # Errors
     /// Returns that the length is ambiguous or the coding unknown.
     pub fn of_request(head: &RequestHead) -> Result<Self, HeadError> {
-        let coded = is_chunked(&head.fields)?;
+        let chunked = is_chunked(&head.fields)?;
         let length = content_length(&head.fields)?;
-        match (coded, length) {
+        match (chunked, length) {
             (true, Some(_)) => Err(HeadError::AmbiguousLength),
             (true, None) if !head.is_http11 => Err(HeadError::UnsupportedCoding),
             (true, None) => Ok(Self::Chunked),
@@ -70,13 +70,13 @@
     /// # Errors
     /// Returns that the length is ambiguous or the coding unknown.
     pub fn of_response(head: &ResponseHead, method: &str) -> Result<Self, HeadError> {
-        let bodiless = method == "HEAD" || matches!(head.status, 100..=199 | 204 | 304);
-        if bodiless {
+        let has_no_body = method == "HEAD" || matches!(head.status, 100..=199 | 204 | 304);
+        if has_no_body {
             return Ok(Self::Empty);
         }
-        let coded = is_chunked(&head.fields)?;
+        let chunked = is_chunked(&head.fields)?;
         let length = content_length(&head.fields)?;
-        match (coded, length) {
+        match (chunked, length) {
             (true, Some(_)) => Err(HeadError::AmbiguousLength),
             (true, None) => Ok(Self::Chunked),
             (false, Some(0)) => Ok(Self::Empty),
@@ -102,8 +102,8 @@
     let Some(length) = lengths.next() else {
         return Ok(None);
     };
-    let digits = !length.is_empty() && length.iter().all(u8::is_ascii_digit);
-    if lengths.next().is_some() || !digits {
+    let is_valid = !length.is_empty() && length.iter().all(u8::is_ascii_digit);
+    if lengths.next().is_some() || !is_valid {
         return Err(HeadError::AmbiguousLength);
     }
     let text = std::str::from_utf8(length).map_err(|_| HeadError::AmbiguousLength)?;
@@ -112,7 +112,7 @@
 
 /// Where a decoder stands within its body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum DecoderPlace {
+enum DecoderState {
     /// So many bytes are due.
     Length(u64),
     /// A line with a chunk's size is due.
@@ -132,24 +132,24 @@
 /// Cuts one body out of a connection's bytes.
 #[derive(Debug, Clone)]
 pub struct BodyDecoder {
-    place: DecoderPlace,
+    state: DecoderState,
 }
 
 impl BodyDecoder {
     /// Starts at the first byte after a head.
     pub const fn new(framing: BodyFraming) -> Self {
-        let place = match framing {
-            BodyFraming::Empty | BodyFraming::Length(0) => DecoderPlace::Done,
-            BodyFraming::Length(length) => DecoderPlace::Length(length),
-            BodyFraming::Chunked => DecoderPlace::ChunkLine,
-            BodyFraming::UntilClose => DecoderPlace::UntilClose,
+        let state = match framing {
+            BodyFraming::Empty | BodyFraming::Length(0) => DecoderState::Done,
+            BodyFraming::Length(length) => DecoderState::Length(length),
+            BodyFraming::Chunked => DecoderState::ChunkLine,
+            BodyFraming::UntilClose => DecoderState::UntilClose,
         };
-        Self { place }
+        Self { state }
     }
 
     /// Returns whether the body is whole.
     pub fn is_done(&self) -> bool {
-        self.place == DecoderPlace::Done
+        self.state == DecoderState::Done
     }
 
     /// Takes the next part of the body from the front of `buffer`.
@@ -158,30 +158,36 @@
     /// Returns that a chunk is malformed.
     pub fn next_part(&mut self, buffer: &mut BytesMut) -> Result<BodyPart, BodyError> {
         loop {
-            match self.place {
-                DecoderPlace::Done => return Ok(BodyPart::End),
-                DecoderPlace::UntilClose if buffer.is_empty() => return Ok(BodyPart::Incomplete),
-                DecoderPlace::UntilClose => return Ok(BodyPart::Data(buffer.split().freeze())),
-                DecoderPlace::Length(_) | DecoderPlace::Chunk(_) if buffer.is_empty() => {
+            match self.state {
+                DecoderState::Done => return Ok(BodyPart::End),
+                DecoderState::UntilClose if buffer.is_empty() => return Ok(BodyPart::Incomplete),
+                DecoderState::UntilClose => return Ok(BodyPart::Data(buffer.split().freeze())),
+                DecoderState::Length(_) | DecoderState::Chunk(_) if buffer.is_empty() => {
                     return Ok(BodyPart::Incomplete);
                 }
-                DecoderPlace::Length(left) => {
-                    let (data, left) = split_data(buffer, left);
-                    self.place =
-                        if left == 0 { DecoderPlace::Done } else { DecoderPlace::Length(left) };
+                DecoderState::Length(remaining) => {
+                    let (data, remaining) = split_data(buffer, remaining);
+                    self.state = if remaining == 0 {
+                        DecoderState::Done
+                    } else {
+                        DecoderState::Length(remaining)
+                    };
                     return Ok(BodyPart::Data(data));
                 }
-                DecoderPlace::Chunk(left) => {
-                    let (data, left) = split_data(buffer, left);
-                    self.place =
-                        if left == 0 { DecoderPlace::ChunkEnd } else { DecoderPlace::Chunk(left) };
+                DecoderState::Chunk(remaining) => {
+                    let (data, remaining) = split_data(buffer, remaining);
+                    self.state = if remaining == 0 {
+                        DecoderState::ChunkEnd
+                    } else {
+                        DecoderState::Chunk(remaining)
+                    };
                     return Ok(BodyPart::Data(data));
                 }
-                DecoderPlace::ChunkLine => match take_line(buffer, LONGEST_CHUNK_LINE)? {
+                DecoderState::ChunkLine => match take_line(buffer, MAX_CHUNK_LINE_BYTES)? {
                     None => return Ok(BodyPart::Incomplete),
-                    Some(line) => self.place = after_chunk_line(&line)?,
+                    Some(line) => self.state = parse_chunk_line(&line)?,
                 },
-                DecoderPlace::ChunkEnd => {
+                DecoderState::ChunkEnd => {
                     if buffer.len() < 2 {
                         return Ok(BodyPart::Incomplete);
                     }
@@ -189,11 +195,11 @@
                         return Err(BodyError::MalformedChunk);
                     }
                     buffer.advance(2);
-                    self.place = DecoderPlace::ChunkLine;
+                    self.state = DecoderState::ChunkLine;
                 }
-                DecoderPlace::Trailer => match take_line(buffer, LONGEST_TRAILER)? {
+                DecoderState::Trailer => match take_line(buffer, MAX_TRAILER_LINE_BYTES)? {
                     None => return Ok(BodyPart::Incomplete),
-                    Some(line) if line.is_empty() => self.place = DecoderPlace::Done,
+                    Some(line) if line.is_empty() => self.state = DecoderState::Done,
                     Some(_) => {}
                 },
             }
@@ -205,10 +211,10 @@
     /// # Errors
     /// Returns that the body was cut short.
     pub fn handle_eof(&mut self) -> Result<(), BodyError> {
-        match self.place {
-            DecoderPlace::Done => Ok(()),
-            DecoderPlace::UntilClose => {
-                self.place = DecoderPlace::Done;
+        match self.state {
+            DecoderState::Done => Ok(()),
+            DecoderState::UntilClose => {
+                self.state = DecoderState::Done;
                 Ok(())
             }
             _ => Err(BodyError::Truncated),
@@ -216,11 +222,11 @@
     }
 }
 
-fn split_data(buffer: &mut BytesMut, left: u64) -> (Bytes, u64) {
-    let wanted = usize::try_from(left).unwrap_or(usize::MAX);
-    let data = buffer.split_to(wanted.min(buffer.len())).freeze();
-    let left = left - data.len() as u64;
-    (data, left)
+fn split_data(buffer: &mut BytesMut, remaining: u64) -> (Bytes, u64) {
+    let length = usize::try_from(remaining).unwrap_or(usize::MAX);
+    let data = buffer.split_to(length.min(buffer.len())).freeze();
+    let remaining = remaining - data.len() as u64;
+    (data, remaining)
 }
 
 fn take_line(buffer: &mut BytesMut, limit: usize) -> Result<Option<Bytes>, BodyError> {
@@ -235,17 +241,17 @@
     Ok(Some(line))
 }
 
-fn after_chunk_line(line: &[u8]) -> Result<DecoderPlace, BodyError> {
+fn parse_chunk_line(line: &[u8]) -> Result<DecoderState, BodyError> {
     let size = line.split(|byte| *byte == b';').next().unwrap_or_default();
-    let digits =
-        (1..=MOST_SIZE_DIGITS).contains(&size.len()) && size.iter().all(u8::is_ascii_hexdigit);
-    if !digits || line.contains(&b'\r') {
+    let is_valid =
+        (1..=MAX_CHUNK_SIZE_DIGITS).contains(&size.len()) && size.iter().all(u8::is_ascii_hexdigit);
+    if !is_valid || line.contains(&b'\r') {
         return Err(BodyError::MalformedChunk);
     }
     let text = std::str::from_utf8(size).map_err(|_| BodyError::MalformedChunk)?;
     match u64::from_str_radix(text, 16).map_err(|_| BodyError::MalformedChunk)? {
-        0 => Ok(DecoderPlace::Trailer),
-        size => Ok(DecoderPlace::Chunk(size)),
+        0 => Ok(DecoderState::Trailer),
+        size => Ok(DecoderState::Chunk(size)),
     }
 }
 
--- a/crates/http/src/connection.rs
+++ b/crates/http/src/connection.rs
@@ -15,7 +15,7 @@
 };
 
 /// How much room a read is given.
-const READ_ROOM: usize = 4096;
+const READ_RESERVE_BYTES: usize = 4096;
 
 /// How many keep-alive probes go unanswered before a silent peer counts as gone.
 const KEEPALIVE_PROBES: u32 = 2;
@@ -57,29 +57,29 @@
         Ok(Self { socket, buffer: BytesMut::new() })
     }
 
-    /// Connects to `address` within `patience`.
+    /// Connects to `address` within `timeout`.
     ///
     /// # Errors
     /// Returns the socket's error, or that the time was over.
-    pub async fn connect(address: SocketAddr, patience: Duration) -> io::Result<Self> {
+    pub async fn connect(address: SocketAddr, timeout: Duration) -> io::Result<Self> {
         let connecting = TcpStream::connect(address);
-        let socket = tokio::time::timeout(patience, connecting).await??;
+        let socket = tokio::time::timeout(timeout, connecting).await??;
         Self::new(socket)
     }
 
-    /// Makes the socket fail when the peer's host is silent for about `patience`.
+    /// Makes the socket fail when the peer's host is silent for about `timeout`.
     ///
     /// # Errors
     /// Returns the socket's error.
-    pub fn set_dead_peer_timeout(&self, patience: Duration) -> io::Result<()> {
+    pub fn set_dead_peer_timeout(&self, timeout: Duration) -> io::Result<()> {
         let socket = SockRef::from(&self.socket);
-        let pause = (patience / (KEEPALIVE_PROBES + 1)).max(Duration::from_secs(1));
+        let probe_interval = (timeout / (KEEPALIVE_PROBES + 1)).max(Duration::from_secs(1));
         let keepalive = TcpKeepalive::new()
-            .with_time(pause)
-            .with_interval(pause)
+            .with_time(probe_interval)
+            .with_interval(probe_interval)
             .with_retries(KEEPALIVE_PROBES);
         socket.set_tcp_keepalive(&keepalive)?;
-        socket.set_tcp_user_timeout(Some(patience))
+        socket.set_tcp_user_timeout(Some(timeout))
     }
 
     /// Returns whether bytes were read that nothing has used.
@@ -95,9 +95,9 @@
     /// Returns whether a kept connection is still quiet: neither closed nor holding stray bytes.
     pub fn is_idle(&self) -> bool {
         let mut byte = [0; 1];
-        let waiting = self.socket.try_read(&mut byte);
+        let result = self.socket.try_read(&mut byte);
         let would_block =
-            matches!(&waiting, Err(error) if error.kind() == io::ErrorKind::WouldBlock);
+            matches!(&result, Err(error) if error.kind() == io::ErrorKind::WouldBlock);
         would_block && self.buffer.is_empty()
     }
 
@@ -112,8 +112,8 @@
     ///
     /// # Errors
     /// Returns the socket's error.
-    pub async fn fill(&mut self) -> io::Result<usize> {
-        self.buffer.reserve(READ_ROOM);
+    pub async fn read_more(&mut self) -> io::Result<usize> {
+        self.buffer.reserve(READ_RESERVE_BYTES);
         self.socket.read_buf(&mut self.buffer).await
     }
 
@@ -123,7 +123,7 @@
     /// up and its close is noticed only later.
     pub async fn wait_closed(&mut self, limit: usize) {
         while self.buffer.len() < limit {
-            match self.fill().await {
+            match self.read_more().await {
                 Ok(0) | Err(_) => return,
                 Ok(_) => {}
             }
@@ -140,7 +140,7 @@
             if let Some(head) = RequestHead::parse(&mut self.buffer, limit)? {
                 return Ok(head);
             }
-            self.fill_head().await?;
+            self.read_more_of_head().await?;
         }
     }
 
@@ -153,14 +153,14 @@
             if let Some(head) = ResponseHead::parse(&mut self.buffer, limit)? {
                 return Ok(head);
             }
-            self.fill_head().await?;
+            self.read_more_of_head().await?;
         }
     }
 
-    async fn fill_head(&mut self) -> Result<(), ReadError> {
-        let begun = !self.buffer.is_empty();
-        match self.fill().await? {
-            0 if begun => Err(ReadError::TruncatedHead),
+    async fn read_more_of_head(&mut self) -> Result<(), ReadError> {
+        let started = !self.buffer.is_empty();
+        match self.read_more().await? {
+            0 if started => Err(ReadError::TruncatedHead),
             0 => Err(ReadError::Closed),
             _ => Ok(()),
         }
@@ -180,7 +180,7 @@
                 BodyPart::End => return Ok(None),
                 BodyPart::Incomplete => {}
             }
-            if self.fill().await? == 0 {
+            if self.read_more().await? == 0 {
                 decoder.handle_eof()?;
             }
         }
@@ -201,11 +201,11 @@
         if decoder.is_done() {
             return Ok((first.len() <= limit).then_some(first));
         }
-        let mut whole = BytesMut::from(first);
-        while whole.len() <= limit {
+        let mut body = BytesMut::from(first);
+        while body.len() <= limit {
             match self.read_body(decoder).await? {
-                Some(data) => whole.extend_from_slice(&data),
-                None => return Ok(Some(whole.freeze())),
+                Some(data) => body.extend_from_slice(&data),
+                None => return Ok(Some(body.freeze())),
             }
         }
         Ok(None)
@@ -232,16 +232,16 @@
     }
 
     /// Closes the write side and reads what the peer still sends, so that the close is no reset.
-    pub async fn close_gracefully(mut self, patience: Duration) {
+    pub async fn close_gracefully(mut self, timeout: Duration) {
         if self.socket.shutdown().await.is_err() {
             return;
         }
-        let drained = async {
-            while matches!(self.fill().await, Ok(count) if count > 0) {
+        let drain = async {
+            while matches!(self.read_more().await, Ok(count) if count > 0) {
                 self.buffer.clear();
             }
         };
-        let _ = tokio::time::timeout(patience, drained).await;
+        let _ = tokio::time::timeout(timeout, drain).await;
     }
 }
 
@@ -262,10 +262,10 @@
             if let Some(head) = ResponseHead::parse(self.buffer, limit)? {
                 return Ok(head);
             }
-            let begun = !self.buffer.is_empty();
-            self.buffer.reserve(READ_ROOM);
+            let started = !self.buffer.is_empty();
+            self.buffer.reserve(READ_RESERVE_BYTES);
             match self.socket.read_buf(self.buffer).await? {
-                0 if begun => return Err(ReadError::TruncatedHead),
+                0 if started => return Err(ReadError::TruncatedHead),
                 0 => return Err(ReadError::Closed),
                 _ => {}
             }
--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -5,7 +5,7 @@
 use bytes::{Buf, BytesMut};
 
 /// The most header fields that a head may have.
-const MOST_FIELDS: usize = 64;
+const MAX_HEADER_FIELDS: usize = 64;
 
 /// Header fields that concern one connection and are never passed on.
 const CONNECTION_FIELDS: &[&str] = &[
@@ -94,11 +94,12 @@
     /// framing fields, `Content-Length` stays.
     #[must_use]
     pub fn end_to_end(&self) -> Self {
-        let kept = self.0.iter().filter(|field| {
-            let plain = !CONNECTION_FIELDS.iter().any(|name| field.name.eq_ignore_ascii_case(name));
-            plain && !self.has_token("connection", &field.name)
+        let end_to_end_fields = self.0.iter().filter(|field| {
+            let end_to_end =
+                !CONNECTION_FIELDS.iter().any(|name| field.name.eq_ignore_ascii_case(name));
+            end_to_end && !self.has_token("connection", &field.name)
         });
-        Self(kept.cloned().collect())
+        Self(end_to_end_fields.cloned().collect())
     }
 
     /// Puts one field in the place of all fields called `name`.
@@ -155,9 +156,9 @@
     /// Returns why the head can not be accepted; the connection must then be closed.
     pub fn parse(buffer: &mut BytesMut, limit: usize) -> Result<Option<Self>, HeadError> {
         skip_blank_lines(buffer);
-        let mut fields = [httparse::EMPTY_HEADER; MOST_FIELDS];
+        let mut fields = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
         let mut request = httparse::Request::new(&mut fields);
-        let Some(length) = parsed(request.parse(buffer), buffer, limit)? else {
+        let Some(length) = check_head_length(request.parse(buffer), buffer, limit)? else {
             return Ok(None);
         };
         check_line_ends(&buffer[..length])?;
@@ -165,7 +166,7 @@
             method: request.method.ok_or(HeadError::Malformed)?.to_owned(),
             target: request.path.ok_or(HeadError::Malformed)?.to_owned(),
             is_http11: request.version == Some(1),
-            fields: copied(request.headers),
+            fields: to_header_fields(request.headers),
         };
         if !head.target.starts_with('/') {
             return Err(HeadError::Malformed);
@@ -205,9 +206,9 @@
     /// # Errors
     /// Returns why the head can not be accepted; the connection must then be closed.
     pub fn parse(buffer: &mut BytesMut, limit: usize) -> Result<Option<Self>, HeadError> {
-        let mut fields = [httparse::EMPTY_HEADER; MOST_FIELDS];
+        let mut fields = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
         let mut response = httparse::Response::new(&mut fields);
-        let Some(length) = parsed(response.parse(buffer), buffer, limit)? else {
+        let Some(length) = check_head_length(response.parse(buffer), buffer, limit)? else {
             return Ok(None);
         };
         check_line_ends(&buffer[..length])?;
@@ -215,7 +216,7 @@
             status: response.code.ok_or(HeadError::Malformed)?,
             reason: response.reason.unwrap_or_default().to_owned(),
             is_http11: response.version == Some(1),
-            fields: copied(response.headers),
+            fields: to_header_fields(response.headers),
         };
         buffer.advance(length);
         Ok(Some(head))
@@ -264,12 +265,12 @@
     is_http11 || fields.has_token("connection", "keep-alive")
 }
 
-fn parsed(
-    outcome: Result<httparse::Status<usize>, httparse::Error>,
+fn check_head_length(
+    result: Result<httparse::Status<usize>, httparse::Error>,
     buffer: &BytesMut,
     limit: usize,
 ) -> Result<Option<usize>, HeadError> {
-    match outcome {
+    match result {
         Ok(httparse::Status::Complete(length)) if length > limit => Err(HeadError::TooLarge),
         Ok(httparse::Status::Complete(length)) => Ok(Some(length)),
         Ok(httparse::Status::Partial) if buffer.len() >= limit => Err(HeadError::TooLarge),
@@ -281,11 +282,11 @@
 
 /// Refuses line feeds without a carriage return: two readers could split the head differently.
 fn check_line_ends(head: &[u8]) -> Result<(), HeadError> {
-    let bare = head
+    let has_bare_line_feed = head
         .iter()
         .enumerate()
-        .any(|(place, byte)| *byte == b'\n' && (place == 0 || head[place - 1] != b'\r'));
-    if bare { Err(HeadError::Malformed) } else { Ok(()) }
+        .any(|(index, byte)| *byte == b'\n' && (index == 0 || head[index - 1] != b'\r'));
+    if has_bare_line_feed { Err(HeadError::Malformed) } else { Ok(()) }
 }
 
 /// Skips empty lines before a request, as RFC 9112 section 2.2 asks a server to do.
@@ -295,7 +296,7 @@
     }
 }
 
-fn copied(fields: &[httparse::Header<'_>]) -> HeaderFields {
+fn to_header_fields(fields: &[httparse::Header<'_>]) -> HeaderFields {
     let fields = fields
         .iter()
         .map(|field| HeaderField { name: field.name.to_owned(), value: field.value.to_vec() });
--- a/crates/node/src/callers.rs
+++ b/crates/node/src/callers.rs
@@ -34,19 +34,19 @@
 use crate::{control::ControlSender, settings::CallerLimits};
 
 /// The stack of a thread that serves one connection.
-const CONNECTION_STACK: usize = 256 << 10;
+const CONNECTION_STACK_BYTES: usize = 256 << 10;
 
 /// How long an accept that failed rests.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// What all connections share.
 pub struct CallerServer {
     host: HostId,
     incarnation: Incarnation,
     counter: AtomicU32,
-    open: AtomicUsize,
+    open_connections: AtomicUsize,
     /// Requests that are being answered now.
-    busy: AtomicUsize,
+    active_requests: AtomicUsize,
     limits: CallerLimits,
     control: ControlSender,
     clock: Arc<dyn ClockSource>,
@@ -68,7 +68,7 @@
             .max_redirects(0)
             .proxy(None)
             .timeout_connect(Some(Duration::from_secs(1)))
-            .timeout_per_read(Some(limits.silence))
+            .timeout_per_read(Some(limits.read_timeout))
             .input_buffer_size(16 << 10)
             .output_buffer_size(16 << 10)
             .build()
@@ -77,8 +77,8 @@
             host,
             incarnation,
             counter: AtomicU32::new(0),
-            open: AtomicUsize::new(0),
-            busy: AtomicUsize::new(0),
+            open_connections: AtomicUsize::new(0),
+            active_requests: AtomicUsize::new(0),
             limits,
             control,
             clock,
@@ -87,35 +87,35 @@
     }
 
     /// Waits until every answer that has begun is written; says whether that came to pass.
-    pub fn wait_idle(&self, at_most: Duration) -> bool {
-        const LOOK: Duration = Duration::from_millis(10);
-        let until = Instant::now() + at_most;
-        while self.busy.load(Ordering::Relaxed) > 0 {
-            if Instant::now() > until {
+    pub fn wait_idle(&self, timeout: Duration) -> bool {
+        const POLL_INTERVAL: Duration = Duration::from_millis(10);
+        let deadline = Instant::now() + timeout;
+        while self.active_requests.load(Ordering::Relaxed) > 0 {
+            if Instant::now() > deadline {
                 return false;
             }
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
         true
     }
 
     /// Says whether an order is too old to be carried out, as after a pause of this process.
-    fn is_late(&self, order: &RequestDispatch) -> bool {
-        self.clock.now().since(order.issued_at) > MAX_DISPATCH_DELAY
+    fn is_expired(&self, dispatch: &RequestDispatch) -> bool {
+        self.clock.now().since(dispatch.issued_at) > MAX_DISPATCH_DELAY
     }
 
-    fn next_request(&self) -> RequestId {
+    fn next_request_id(&self) -> RequestId {
         let counter = self.counter.fetch_add(1, Ordering::Relaxed);
         request_id(self.host, self.incarnation, counter)
     }
 }
 
 /// Counts a connection as long as it lives.
-struct OpenGuard(Arc<CallerServer>);
+struct ConnectionGuard(Arc<CallerServer>);
 
-impl Drop for OpenGuard {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
-        self.0.open.fetch_sub(1, Ordering::Relaxed);
+        self.0.open_connections.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
@@ -124,7 +124,7 @@
 /// # Errors
 /// Returns why the listener has no address.
 pub fn start_callers(
-    border: Arc<CallerServer>,
+    server: Arc<CallerServer>,
     listener: TcpListener,
     stop: Arc<AtomicBool>,
 ) -> std::io::Result<SocketAddr> {
@@ -132,18 +132,19 @@
     thread::Builder::new().name(String::from("callers")).spawn(move || {
         while !stop.load(Ordering::Relaxed) {
             let Ok((stream, _)) = listener.accept() else {
-                thread::sleep(ACCEPT_PAUSE);
+                thread::sleep(ACCEPT_RETRY_DELAY);
                 continue;
             };
-            let open = border.open.fetch_add(1, Ordering::Relaxed);
-            let guard = OpenGuard(Arc::clone(&border));
-            if open >= border.limits.connections {
-                connection::refuse_full(stream);
+            let open_connections = server.open_connections.fetch_add(1, Ordering::Relaxed);
+            let guard = ConnectionGuard(Arc::clone(&server));
+            if open_connections >= server.limits.max_connections {
+                connection::refuse_over_limit(stream);
                 continue;
             }
-            let spawned = thread::Builder::new().stack_size(CONNECTION_STACK).spawn(move || {
-                connection::serve(&guard.0, stream);
-            });
+            let spawned =
+                thread::Builder::new().stack_size(CONNECTION_STACK_BYTES).spawn(move || {
+                    connection::serve_connection(&guard.0, stream);
+                });
             drop(spawned);
         }
     })?;
--- a/crates/node/src/callers/connection.rs
+++ b/crates/node/src/callers/connection.rs
@@ -13,10 +13,10 @@
 use super::{CallerServer, refusal, route};
 
 /// Headers of one request at most.
-const MOST_HEADERS: usize = 64;
+const MAX_HEADERS: usize = 64;
 
 /// Bytes read from the socket at a time.
-const READ_PIECE: usize = 8 << 10;
+const READ_CHUNK_BYTES: usize = 8 << 10;
 
 /// A request's head.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
@@ -34,13 +34,14 @@
 impl HttpHead {
     /// Returns a header's value if it is plain text.
     pub fn header(&self, name: &str) -> Option<&str> {
-        let found = self.headers.iter().find(|(known, _)| known.eq_ignore_ascii_case(name));
+        let found =
+            self.headers.iter().find(|(header_name, _)| header_name.eq_ignore_ascii_case(name));
         found.and_then(|(_, value)| std::str::from_utf8(value).ok())
     }
 
     /// Says whether a header is there, whatever its value.
-    pub fn has(&self, name: &str) -> bool {
-        self.headers.iter().any(|(known, _)| known.eq_ignore_ascii_case(name))
+    pub fn has_header(&self, name: &str) -> bool {
+        self.headers.iter().any(|(header_name, _)| header_name.eq_ignore_ascii_case(name))
     }
 
     /// Returns the path without the query.
@@ -60,34 +61,34 @@
 
 /// Why a request was not read whole.
 #[derive(Debug)]
-enum ReadFailure {
+enum RequestReadError {
     /// The caller closed the connection between requests.
     Closed,
     /// The caller is told what is wrong.
-    Bad(u16, &'static str),
+    Rejected(u16, &'static str),
 }
 
 /// Serves one connection until it ends.
-pub(super) fn serve(border: &CallerServer, mut stream: TcpStream) {
+pub(super) fn serve_connection(server: &CallerServer, mut stream: TcpStream) {
     drop(stream.set_nodelay(true));
-    drop(stream.set_write_timeout(Some(border.limits.silence)));
+    drop(stream.set_write_timeout(Some(server.limits.read_timeout)));
     let mut buffer = Vec::new();
     loop {
-        match read_request(border, &mut stream, &mut buffer) {
+        match read_request(server, &mut stream, &mut buffer) {
             Ok(request) => {
                 let keep_alive = request.head.keep_alive;
-                border.busy.fetch_add(1, Ordering::Relaxed);
-                let whole = route::answer(border, &mut stream, &request).is_ok();
-                border.busy.fetch_sub(1, Ordering::Relaxed);
-                if !whole || !keep_alive {
+                server.active_requests.fetch_add(1, Ordering::Relaxed);
+                let written = route::respond(server, &mut stream, &request).is_ok();
+                server.active_requests.fetch_sub(1, Ordering::Relaxed);
+                if !written || !keep_alive {
                     break;
                 }
             }
-            Err(ReadFailure::Closed) => break,
-            Err(ReadFailure::Bad(status, message)) => {
+            Err(RequestReadError::Closed) => break,
+            Err(RequestReadError::Rejected(status, message)) => {
                 let refusal = RequestRefusal::not_run(RefusalKind::BadRequest, message);
                 drop(refusal::refuse_with_status(&mut stream, &refusal, status, false));
-                linger(&mut stream);
+                drain_unread_request(&mut stream);
                 break;
             }
         }
@@ -96,7 +97,7 @@
 }
 
 /// Tells a caller that the host has no room for another connection.
-pub(super) fn refuse_full(mut stream: TcpStream) {
+pub(super) fn refuse_over_limit(mut stream: TcpStream) {
     let message = "this host has as many connections as it may";
     let refusal = RequestRefusal::not_run(RefusalKind::Overloaded, message)
         .retry_after(Duration::from_secs(1));
@@ -105,35 +106,35 @@
 }
 
 /// Lets the caller read the answer before the unread rest of its request resets the connection.
-fn linger(stream: &mut TcpStream) {
-    const LINGER: Duration = Duration::from_millis(200);
-    const MOST: usize = 64;
+fn drain_unread_request(stream: &mut TcpStream) {
+    const READ_TIMEOUT: Duration = Duration::from_millis(200);
+    const MAX_READS: usize = 64;
     drop(stream.shutdown(std::net::Shutdown::Write));
-    drop(stream.set_read_timeout(Some(LINGER)));
-    let mut piece = [0; READ_PIECE];
-    for _ in 0..MOST {
-        match stream.read(&mut piece) {
+    drop(stream.set_read_timeout(Some(READ_TIMEOUT)));
+    let mut chunk = [0; READ_CHUNK_BYTES];
+    for _ in 0..MAX_READS {
+        match stream.read(&mut chunk) {
             Ok(0) | Err(_) => return,
             Ok(_) => {}
         }
     }
 }
 
-/// Reads a piece before `until`; none means that the caller closed.
-fn read_piece(
+/// Reads a piece before `deadline`; none means that the caller closed.
+fn read_chunk(
     stream: &mut TcpStream,
     buffer: &mut Vec<u8>,
-    until: Instant,
+    deadline: Instant,
 ) -> Result<usize, ErrorKind> {
-    let left = until.saturating_duration_since(Instant::now());
-    if left.is_zero() {
+    let remaining = deadline.saturating_duration_since(Instant::now());
+    if remaining.is_zero() {
         return Err(ErrorKind::TimedOut);
     }
-    stream.set_read_timeout(Some(left)).map_err(|error| error.kind())?;
-    let mut piece = [0; READ_PIECE];
-    match stream.read(&mut piece) {
+    stream.set_read_timeout(Some(remaining)).map_err(|error| error.kind())?;
+    let mut chunk = [0; READ_CHUNK_BYTES];
+    match stream.read(&mut chunk) {
         Ok(count) => {
-            buffer.extend_from_slice(&piece[..count]);
+            buffer.extend_from_slice(&chunk[..count]);
             Ok(count)
         }
         Err(error) if error.kind() == ErrorKind::WouldBlock => Err(ErrorKind::TimedOut),
@@ -142,26 +143,26 @@
 }
 
 fn read_request(
-    border: &CallerServer,
+    server: &CallerServer,
     stream: &mut TcpStream,
     buffer: &mut Vec<u8>,
-) -> Result<HttpRequest, ReadFailure> {
-    let (head, head_bytes) = read_head(border, stream, buffer)?;
+) -> Result<HttpRequest, RequestReadError> {
+    let (head, head_bytes) = read_head(server, stream, buffer)?;
     buffer.drain(..head_bytes);
-    let length = body_length(border, &head)?;
+    let length = body_length(server, &head)?;
     if head.header("expect").is_some_and(|value| value.eq_ignore_ascii_case("100-continue")) {
-        let go_on = b"HTTP/1.1 100 Continue\r\n\r\n";
-        stream.write_all(go_on).map_err(|_| ReadFailure::Closed)?;
+        let interim_response = b"HTTP/1.1 100 Continue\r\n\r\n";
+        stream.write_all(interim_response).map_err(|_| RequestReadError::Closed)?;
     }
-    let until = Instant::now() + border.limits.body_time;
+    let deadline = Instant::now() + server.limits.body_timeout;
     while buffer.len() < length {
-        match read_piece(stream, buffer, until) {
-            Ok(0) => return Err(ReadFailure::Bad(400, "the request body ends early")),
+        match read_chunk(stream, buffer, deadline) {
+            Ok(0) => return Err(RequestReadError::Rejected(400, "the request body ends early")),
             Ok(_) => {}
             Err(ErrorKind::TimedOut) => {
-                return Err(ReadFailure::Bad(408, "the request body came too slowly"));
+                return Err(RequestReadError::Rejected(408, "the request body came too slowly"));
             }
-            Err(_) => return Err(ReadFailure::Closed),
+            Err(_) => return Err(RequestReadError::Closed),
         }
     }
     let body = buffer.drain(..length).collect();
@@ -169,41 +170,43 @@
 }
 
 fn read_head(
-    border: &CallerServer,
+    server: &CallerServer,
     stream: &mut TcpStream,
     buffer: &mut Vec<u8>,
-) -> Result<(HttpHead, usize), ReadFailure> {
-    let idle_until = Instant::now() + border.limits.idle_time;
-    let mut until = None;
+) -> Result<(HttpHead, usize), RequestReadError> {
+    let idle_deadline = Instant::now() + server.limits.idle_timeout;
+    let mut deadline = None;
     loop {
         if let Some(parsed) = parse_head(buffer)? {
             return Ok(parsed);
         }
-        if buffer.len() >= border.limits.head_bytes {
-            return Err(ReadFailure::Bad(431, "the request head is too large"));
+        if buffer.len() >= server.limits.max_head_bytes {
+            return Err(RequestReadError::Rejected(431, "the request head is too large"));
         }
-        let begun = !buffer.is_empty();
-        if begun && until.is_none() {
-            until = Some(Instant::now() + border.limits.head_time);
+        let started = !buffer.is_empty();
+        if started && deadline.is_none() {
+            deadline = Some(Instant::now() + server.limits.head_timeout);
         }
-        match read_piece(stream, buffer, until.unwrap_or(idle_until)) {
-            Ok(0) if begun => return Err(ReadFailure::Bad(400, "the request head ends early")),
-            Err(ErrorKind::TimedOut) if begun => {
-                return Err(ReadFailure::Bad(408, "the request head came too slowly"));
+        match read_chunk(stream, buffer, deadline.unwrap_or(idle_deadline)) {
+            Ok(0) if started => {
+                return Err(RequestReadError::Rejected(400, "the request head ends early"));
             }
-            Ok(0) | Err(_) => return Err(ReadFailure::Closed),
+            Err(ErrorKind::TimedOut) if started => {
+                return Err(RequestReadError::Rejected(408, "the request head came too slowly"));
+            }
+            Ok(0) | Err(_) => return Err(RequestReadError::Closed),
             Ok(_) => {}
         }
     }
 }
 
 /// Returns the head and its length, or `None` when more bytes are needed.
-fn parse_head(buffer: &[u8]) -> Result<Option<(HttpHead, usize)>, ReadFailure> {
-    let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+fn parse_head(buffer: &[u8]) -> Result<Option<(HttpHead, usize)>, RequestReadError> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
     let parsed = request.parse(buffer).map_err(|error| match error {
-        httparse::Error::TooManyHeaders => ReadFailure::Bad(431, "too many headers"),
-        _ => ReadFailure::Bad(400, "the request head is not HTTP/1.1"),
+        httparse::Error::TooManyHeaders => RequestReadError::Rejected(431, "too many headers"),
+        _ => RequestReadError::Rejected(400, "the request head is not HTTP/1.1"),
     })?;
     let httparse::Status::Complete(length) = parsed else { return Ok(None) };
     let mut head = HttpHead {
@@ -217,16 +220,16 @@
         keep_alive: request.version == Some(1),
     };
     if let Some(connection) = head.header("connection") {
-        let says =
-            |word: &str| connection.split(',').any(|part| part.trim().eq_ignore_ascii_case(word));
-        head.keep_alive = !says("close") && (head.keep_alive || says("keep-alive"));
+        let has_token =
+            |token: &str| connection.split(',').any(|part| part.trim().eq_ignore_ascii_case(token));
+        head.keep_alive = !has_token("close") && (head.keep_alive || has_token("keep-alive"));
     }
     Ok(Some((head, length)))
 }
 
-fn body_length(border: &CallerServer, head: &HttpHead) -> Result<usize, ReadFailure> {
-    if head.has("transfer-encoding") {
-        return Err(ReadFailure::Bad(411, "send the body with a Content-Length"));
+fn body_length(server: &CallerServer, head: &HttpHead) -> Result<usize, RequestReadError> {
+    if head.has_header("transfer-encoding") {
+        return Err(RequestReadError::Rejected(411, "send the body with a Content-Length"));
     }
     let lengths: Vec<&[u8]> = head
         .headers
@@ -236,23 +239,23 @@
         .collect();
     let Some(first) = lengths.first() else { return Ok(0) };
     if lengths.iter().any(|length| length != first) {
-        return Err(ReadFailure::Bad(400, "the Content-Length headers differ"));
+        return Err(RequestReadError::Rejected(400, "the Content-Length headers differ"));
     }
     let digits = std::str::from_utf8(first)
         .ok()
         .filter(|text| !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit()));
     let length = digits.and_then(|text| text.parse::<usize>().ok());
     match length {
-        None => Err(ReadFailure::Bad(400, "the Content-Length is not a number")),
-        Some(length) if length > border.limits.body_bytes => {
-            Err(ReadFailure::Bad(413, "the request body is too large"))
+        None => Err(RequestReadError::Rejected(400, "the Content-Length is not a number")),
+        Some(length) if length > server.limits.max_body_bytes => {
+            Err(RequestReadError::Rejected(413, "the request body is too large"))
         }
         Some(length) => Ok(length),
     }
 }
 
 /// Says whether the caller has closed its side, without taking bytes it may have sent.
-pub(super) fn caller_gone(stream: &TcpStream) -> bool {
+pub(super) fn is_closed_by_caller(stream: &TcpStream) -> bool {
     let mut byte = [0];
     if stream.set_nonblocking(true).is_err() {
         return true;
@@ -267,26 +270,26 @@
 }
 
 /// Writes a whole answer.
-pub(super) fn write_whole(
+pub(super) fn write_response(
     stream: &mut TcpStream,
     status: u16,
     headers: &[(&str, &str)],
     body: &[u8],
     keep_alive: bool,
 ) -> io::Result<()> {
-    let mut head = format!("HTTP/1.1 {status} {}\r\n", reason(status));
+    let mut head = format!("HTTP/1.1 {status} {}\r\n", reason_phrase(status));
     for (name, value) in headers {
         let _infallible = write!(head, "{name}: {value}\r\n");
     }
     let connection = if keep_alive { "keep-alive" } else { "close" };
     let _infallible =
         write!(head, "content-length: {}\r\nconnection: {connection}\r\n\r\n", body.len());
-    let mut whole = head.into_bytes();
-    whole.extend_from_slice(body);
-    stream.write_all(&whole)
+    let mut message = head.into_bytes();
+    message.extend_from_slice(body);
+    stream.write_all(&message)
 }
 
-const fn reason(status: u16) -> &'static str {
+const fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         201 => "Created",
@@ -308,11 +311,11 @@
 
 /// Writes an answer piece by piece; each piece leaves at once.
 #[derive(Debug)]
-pub(super) struct PieceWriter<'a> {
+pub(super) struct ChunkedWriter<'a> {
     stream: &'a mut TcpStream,
 }
 
-impl<'a> PieceWriter<'a> {
+impl<'a> ChunkedWriter<'a> {
     /// Begins the answer.
     pub(super) fn begin(
         stream: &'a mut TcpStream,
@@ -330,9 +333,9 @@
     }
 
     /// Writes one piece with its length, in one packet where it fits.
-    pub(super) fn write(&mut self, piece: &[u8]) -> io::Result<()> {
-        let mut framed = format!("{:x}\r\n", piece.len()).into_bytes();
-        framed.extend_from_slice(piece);
+    pub(super) fn write(&mut self, chunk: &[u8]) -> io::Result<()> {
+        let mut framed = format!("{:x}\r\n", chunk.len()).into_bytes();
+        framed.extend_from_slice(chunk);
         framed.extend_from_slice(b"\r\n");
         self.stream.write_all(&framed)
     }
--- a/crates/node/src/callers/events.rs
+++ b/crates/node/src/callers/events.rs
@@ -3,7 +3,7 @@
 use std::io::{self, Read};
 
 /// The largest event that is read.
-const MOST_EVENT: usize = 1 << 20;
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// What ends a stream of completions.
 const DONE: &[u8] = b"data: [DONE]";
@@ -14,7 +14,7 @@
     /// The bytes.
     pub(super) bytes: Vec<u8>,
     /// The number in its `id` field.
-    pub(super) number: Option<u64>,
+    pub(super) event_id: Option<u64>,
     /// Whether it says that the stream is complete.
     pub(super) done: bool,
 }
@@ -37,38 +37,38 @@
     /// Returns why the body could not be read, or that it ends within an event.
     pub(super) fn next_event(&mut self) -> io::Result<Option<StreamEvent>> {
         loop {
-            if let Some(end) = find_end(&self.buffer) {
+            if let Some(end) = event_end(&self.buffer) {
                 let bytes: Vec<u8> = self.buffer.drain(..end).collect();
-                return Ok(Some(parse(bytes)));
+                return Ok(Some(parse_event(bytes)));
             }
-            if self.buffer.len() > MOST_EVENT {
+            if self.buffer.len() > MAX_EVENT_BYTES {
                 return Err(io::Error::other("event is too large"));
             }
-            let mut piece = [0; 4096];
-            let count = self.source.read(&mut piece)?;
+            let mut chunk = [0; 4096];
+            let count = self.source.read(&mut chunk)?;
             if count == 0 {
                 if self.buffer.is_empty() {
                     return Ok(None);
                 }
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
-            self.buffer.extend_from_slice(&piece[..count]);
+            self.buffer.extend_from_slice(&chunk[..count]);
         }
     }
 }
 
-fn find_end(buffer: &[u8]) -> Option<usize> {
-    buffer.windows(2).position(|pair| pair == b"\n\n").map(|place| place + 2)
+fn event_end(buffer: &[u8]) -> Option<usize> {
+    buffer.windows(2).position(|pair| pair == b"\n\n").map(|position| position + 2)
 }
 
-fn parse(bytes: Vec<u8>) -> StreamEvent {
-    let mut number = None;
+fn parse_event(bytes: Vec<u8>) -> StreamEvent {
+    let mut event_id = None;
     let mut done = false;
     for line in bytes.split(|byte| *byte == b'\n') {
         if let Some(id) = line.strip_prefix(b"id: ") {
-            number = std::str::from_utf8(id).ok().and_then(|text| text.trim().parse().ok());
+            event_id = std::str::from_utf8(id).ok().and_then(|text| text.trim().parse().ok());
         }
         done |= line.starts_with(DONE);
     }
-    StreamEvent { bytes, number, done }
+    StreamEvent { bytes, event_id, done }
 }
--- a/crates/node/src/callers/exchange.rs
+++ b/crates/node/src/callers/exchange.rs
@@ -19,69 +19,69 @@
 
 use super::{
     CallerServer,
-    connection::{HttpRequest, PieceWriter, caller_gone, write_whole},
+    connection::{ChunkedWriter, HttpRequest, is_closed_by_caller, write_response},
     events::EventReader,
     refusal,
-    request::{CompletionCall, read_completion},
+    request::{CompletionRequest, parse_completion},
 };
 use crate::{
-    clients::never_connected,
-    control::{ControlInput, TrafficOrder},
+    clients::failed_before_sending,
+    control::{ControlInput, RequestDecision},
 };
 
 /// How often a waiting thread looks whether its caller is still there.
-const CALLER_LOOK: Duration = Duration::from_millis(100);
+const CALLER_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How often a broken stream is taken up again where it broke off.
-const MOST_RESUMES: u32 = 3;
+const MAX_RESUMES: u32 = 3;
 
 /// How long to wait before taking a broken stream up again.
-const RESUME_PAUSE: Duration = Duration::from_millis(50);
+const RESUME_DELAY: Duration = Duration::from_millis(50);
 
 /// The largest answer that is not streamed, in bytes.
-const MOST_WHOLE: u64 = 16 << 20;
+const MAX_RESPONSE_BYTES: u64 = 16 << 20;
 
-type EngineAnswer = ureq::http::Response<ureq::Body>;
+type EngineResponse = ureq::http::Response<ureq::Body>;
 
 /// Serves one completion.
-pub(super) fn complete(
-    border: &CallerServer,
+pub(super) fn serve_completion(
+    server: &CallerServer,
     stream: &mut TcpStream,
     request: &HttpRequest,
     chat: bool,
 ) -> io::Result<()> {
     let keep_alive = request.head.keep_alive;
-    let id = border.next_request();
-    let call = match read_completion(id, request) {
+    let id = server.next_request_id();
+    let call = match parse_completion(id, request) {
         Ok(call) => call,
         Err(refusal) => return refusal::refuse(stream, &refusal, keep_alive),
     };
-    let (sender, orders) = mpsc::channel();
-    border.control.input(ControlInput::Arrived(call.arrived.clone(), sender));
-    let mut exchange = Exchange { border, call, chat, keep_alive, id };
-    exchange.run(stream, &orders)
+    let (sender, decisions) = mpsc::channel();
+    server.control.send_input(ControlInput::RequestArrived(call.arrived.clone(), sender));
+    let mut exchange = Exchange { server, call, chat, keep_alive, id };
+    exchange.run(stream, &decisions)
 }
 
 /// Waits for the control thread's word, and tells it when the caller hangs up meanwhile.
-pub(super) fn next_order(
-    border: &CallerServer,
+pub(super) fn wait_for_decision(
+    server: &CallerServer,
     stream: &TcpStream,
     id: RequestId,
-    orders: &Receiver<TrafficOrder>,
-) -> TrafficOrder {
-    let mut gone = false;
+    decisions: &Receiver<RequestDecision>,
+) -> RequestDecision {
+    let mut reported = false;
     loop {
-        match orders.recv_timeout(CALLER_LOOK) {
-            Ok(order) => return order,
+        match decisions.recv_timeout(CALLER_POLL_INTERVAL) {
+            Ok(decision) => return decision,
             Err(RecvTimeoutError::Timeout) => {
-                if !gone && caller_gone(stream) {
-                    gone = true;
-                    border.control.event(NodeEvent::CallerGone(id));
+                if !reported && is_closed_by_caller(stream) {
+                    reported = true;
+                    server.control.send_event(NodeEvent::CallerGone(id));
                 }
             }
             Err(RecvTimeoutError::Disconnected) => {
                 let message = "this host stopped while the request waited";
-                return TrafficOrder::Refuse(RequestRefusal::not_run(
+                return RequestDecision::Refuse(RequestRefusal::not_run(
                     RefusalKind::Stopping,
                     message,
                 ));
@@ -91,15 +91,15 @@
 }
 
 struct Exchange<'a> {
-    border: &'a CallerServer,
-    call: CompletionCall,
+    server: &'a CallerServer,
+    call: CompletionRequest,
     chat: bool,
     keep_alive: bool,
     id: RequestId,
 }
 
 /// How far an exchange got.
-enum Progress {
+enum DispatchOutcome {
     /// It ended; the control thread says what follows, and whether the caller has seen any of it.
     Ended(DispatchResult),
     /// The answer, or what is known of it, was written whole.
@@ -107,29 +107,33 @@
 }
 
 impl Exchange<'_> {
-    fn run(&mut self, stream: &mut TcpStream, orders: &Receiver<TrafficOrder>) -> io::Result<()> {
+    fn run(
+        &mut self,
+        stream: &mut TcpStream,
+        decisions: &Receiver<RequestDecision>,
+    ) -> io::Result<()> {
         loop {
-            let order = match next_order(self.border, stream, self.id, orders) {
-                TrafficOrder::Refuse(refusal) => {
+            let dispatch = match wait_for_decision(self.server, stream, self.id, decisions) {
+                RequestDecision::Refuse(refusal) => {
                     return refusal::refuse(stream, &refusal, self.keep_alive);
                 }
-                TrafficOrder::Dispatch(order) => order,
+                RequestDecision::Dispatch(dispatch) => dispatch,
             };
-            if self.border.is_late(&order) {
+            if self.server.is_expired(&dispatch) {
                 self.end(DispatchResult::NotRun(NotRunReason::DispatchTooLate));
                 continue;
             }
-            match self.dispatch(stream, &order) {
-                Progress::Written(result) => {
+            match self.dispatch(stream, &dispatch) {
+                DispatchOutcome::Written(result) => {
                     self.end(DispatchResult::Answered);
                     return result;
                 }
-                Progress::Ended(result) => {
+                DispatchOutcome::Ended(result) => {
                     self.end(result);
-                    let begun =
+                    let started =
                         matches!(result, DispatchResult::Interrupted { answer_started: true });
-                    if begun || result == DispatchResult::CallerGone {
-                        return Self::break_off(stream, orders);
+                    if started || result == DispatchResult::CallerGone {
+                        return Self::abort_stream(stream, decisions);
                     }
                 }
             }
@@ -137,12 +141,16 @@
     }
 
     fn end(&self, result: DispatchResult) {
-        self.border.control.event(NodeEvent::DispatchEnded { request: self.id, result });
+        self.server.control.send_event(NodeEvent::DispatchEnded { request: self.id, result });
     }
 
     /// Ends an answer that has begun with an error event, and not as if it were whole.
-    fn break_off(stream: &mut TcpStream, orders: &Receiver<TrafficOrder>) -> io::Result<()> {
-        if let Ok(TrafficOrder::Refuse(refusal)) = orders.recv_timeout(Duration::from_secs(2)) {
+    fn abort_stream(
+        stream: &mut TcpStream,
+        decisions: &Receiver<RequestDecision>,
+    ) -> io::Result<()> {
+        if let Ok(RequestDecision::Refuse(refusal)) = decisions.recv_timeout(Duration::from_secs(2))
+        {
             let mut event = b"event: error\ndata: ".to_vec();
             event.extend_from_slice(&refusal::error_body(&refusal));
             event.extend_from_slice(b"\n\n");
@@ -154,75 +162,82 @@
         Err(io::ErrorKind::ConnectionAborted.into())
     }
 
-    fn dispatch(&self, stream: &mut TcpStream, order: &RequestDispatch) -> Progress {
-        let sent = self.send(order);
-        let mut engine_answer = match sent {
-            Ok(answer) => answer,
-            Err(error) if never_connected(&error) => {
-                return Progress::Ended(DispatchResult::NotRun(NotRunReason::NoConnection));
+    fn dispatch(&self, stream: &mut TcpStream, dispatch: &RequestDispatch) -> DispatchOutcome {
+        let sent = self.send(dispatch);
+        let mut response = match sent {
+            Ok(response) => response,
+            Err(error) if failed_before_sending(&error) => {
+                return DispatchOutcome::Ended(DispatchResult::NotRun(NotRunReason::NoConnection));
             }
             Err(_) => {
-                return Progress::Ended(DispatchResult::Interrupted { answer_started: false });
+                return DispatchOutcome::Ended(DispatchResult::Interrupted {
+                    answer_started: false,
+                });
             }
         };
-        let status = engine_answer.status().as_u16();
+        let status = response.status().as_u16();
         if status != 200 {
-            return self.not_answered(stream, &mut engine_answer);
+            return self.handle_error_status(stream, &mut response);
         }
-        if !self.echoes(&engine_answer, order) {
-            log::error!("engine at {} answered for another adapter", order.address);
-            self.cancel(order);
-            return Progress::Ended(DispatchResult::Interrupted { answer_started: false });
+        if !self.is_response_to(&response, dispatch) {
+            log::error!("engine at {} answered for another adapter", dispatch.address);
+            self.cancel(dispatch);
+            return DispatchOutcome::Ended(DispatchResult::Interrupted { answer_started: false });
         }
         if self.call.stream {
-            self.pass_stream(stream, engine_answer, order)
+            self.forward_stream(stream, response, dispatch)
         } else {
-            self.pass_whole(stream, &mut engine_answer)
+            self.forward_body(stream, &mut response)
         }
     }
 
-    fn send(&self, order: &RequestDispatch) -> Result<EngineAnswer, ureq::Error> {
+    fn send(&self, dispatch: &RequestDispatch) -> Result<EngineResponse, ureq::Error> {
         let path = if self.chat { "/v1/chat/completions" } else { "/v1/completions" };
         let mut body = self.call.body.clone();
-        body.insert(String::from("model"), Value::from(order.adapter_name.as_str()));
-        body.insert(String::from("max_tokens"), Value::from(order.max_tokens));
-        body.insert(String::from("priority"), Value::from(order.priority));
+        body.insert(String::from("model"), Value::from(dispatch.adapter_name.as_str()));
+        body.insert(String::from("max_tokens"), Value::from(dispatch.max_tokens));
+        body.insert(String::from("priority"), Value::from(dispatch.priority));
         body.remove("repeatable");
         let body = serde_json::to_vec(&body).unwrap_or_default();
-        self.border
+        self.server
             .backends
-            .post(format!("http://{}{path}", order.address))
+            .post(format!("http://{}{path}", dispatch.address))
             .header("content-type", "application/json")
             .header("connection", "close")
             .header("x-request-id", format!("{:x}", self.id))
-            .header("x-fence-token", order.token.to_string())
+            .header("x-fence-token", dispatch.token.to_string())
             .send(&body[..])
     }
 
     /// An answer is taken only if the engine says that it is by the very base model, adapter and
     /// version.
-    fn echoes(&self, answer: &EngineAnswer, order: &RequestDispatch) -> bool {
-        let header = |name: &str| answer.headers().get(name).and_then(|value| value.to_str().ok());
-        let base = order.base_model.as_str();
-        let same_base = base.is_empty() || header("x-base-model") == Some(base);
-        same_base
-            && header("x-served-model") == Some(order.adapter_name.as_str())
+    fn is_response_to(&self, response: &EngineResponse, dispatch: &RequestDispatch) -> bool {
+        let header =
+            |name: &str| response.headers().get(name).and_then(|value| value.to_str().ok());
+        let base = dispatch.base_model.as_str();
+        let base_matches = base.is_empty() || header("x-base-model") == Some(base);
+        base_matches
+            && header("x-served-model") == Some(dispatch.adapter_name.as_str())
             && header("x-request-id") == Some(format!("{:x}", self.id).as_str())
     }
 
-    fn not_answered(&self, stream: &mut TcpStream, answer: &mut EngineAnswer) -> Progress {
-        let status = answer.status().as_u16();
-        let body = answer.body_mut().with_config().limit(MOST_WHOLE).read_to_vec();
+    fn handle_error_status(
+        &self,
+        stream: &mut TcpStream,
+        response: &mut EngineResponse,
+    ) -> DispatchOutcome {
+        let status = response.status().as_u16();
+        let body = response.body_mut().with_config().limit(MAX_RESPONSE_BYTES).read_to_vec();
         let Ok(body) = body else {
-            return Progress::Ended(DispatchResult::Interrupted { answer_started: false });
+            return DispatchOutcome::Ended(DispatchResult::Interrupted { answer_started: false });
         };
         if let Some(reason) = not_run_reason(status, &body) {
-            return Progress::Ended(DispatchResult::NotRun(reason));
+            return DispatchOutcome::Ended(DispatchResult::NotRun(reason));
         }
         if (400..500).contains(&status) {
             // The engine itself refuses the request: that is the caller's answer.
             let headers = [("content-type", "application/json")];
-            return Progress::Written(write_whole(
+            return DispatchOutcome::Written(write_response(
                 stream,
                 status,
                 &headers,
@@ -230,125 +245,138 @@
                 self.keep_alive,
             ));
         }
-        Progress::Ended(DispatchResult::BackendError)
+        DispatchOutcome::Ended(DispatchResult::BackendError)
     }
 
-    fn pass_whole(&self, stream: &mut TcpStream, answer: &mut EngineAnswer) -> Progress {
-        match answer.body_mut().with_config().limit(MOST_WHOLE).read_to_vec() {
+    fn forward_body(
+        &self,
+        stream: &mut TcpStream,
+        response: &mut EngineResponse,
+    ) -> DispatchOutcome {
+        match response.body_mut().with_config().limit(MAX_RESPONSE_BYTES).read_to_vec() {
             Ok(body) => {
                 let headers = [("content-type", "application/json")];
-                Progress::Written(write_whole(stream, 200, &headers, &body, self.keep_alive))
+                DispatchOutcome::Written(write_response(
+                    stream,
+                    200,
+                    &headers,
+                    &body,
+                    self.keep_alive,
+                ))
             }
-            Err(_) => Progress::Ended(DispatchResult::Interrupted { answer_started: false }),
+            Err(_) => DispatchOutcome::Ended(DispatchResult::Interrupted { answer_started: false }),
         }
     }
 
     /// Passes a stream on, event by event, and takes it up again where it breaks off.
-    fn pass_stream(
+    fn forward_stream(
         &self,
         stream: &mut TcpStream,
-        answer: EngineAnswer,
-        order: &RequestDispatch,
-    ) -> Progress {
-        let mut writer: Option<PieceWriter<'_>> = None;
+        response: EngineResponse,
+        dispatch: &RequestDispatch,
+    ) -> DispatchOutcome {
+        let mut writer: Option<ChunkedWriter<'_>> = None;
         let mut stream = Some(stream);
         let mut expected = 0;
-        let mut source = Some(answer);
+        let mut source = Some(response);
         let mut resumes = 0;
         loop {
             let result = match source.take() {
-                Some(answer) => self.pass_events(answer, &mut stream, &mut writer, &mut expected),
-                None => StreamEnding::Broken,
+                Some(response) => {
+                    self.forward_events(response, &mut stream, &mut writer, &mut expected)
+                }
+                None => StreamResult::Interrupted,
             };
             match result {
-                StreamEnding::Complete => {
-                    let ended = writer.map_or(Ok(()), PieceWriter::end);
-                    return Progress::Written(ended);
+                StreamResult::Complete => {
+                    let ended = writer.map_or(Ok(()), ChunkedWriter::end);
+                    return DispatchOutcome::Written(ended);
                 }
-                StreamEnding::CallerGone => {
-                    self.cancel(order);
-                    return Progress::Ended(DispatchResult::CallerGone);
+                StreamResult::CallerGone => {
+                    self.cancel(dispatch);
+                    return DispatchOutcome::Ended(DispatchResult::CallerGone);
                 }
-                StreamEnding::Broken if resumes < MOST_RESUMES => {
+                StreamResult::Interrupted if resumes < MAX_RESUMES => {
                     resumes += 1;
-                    thread::sleep(RESUME_PAUSE);
-                    source = self.resume(order, expected);
+                    thread::sleep(RESUME_DELAY);
+                    source = self.resume(dispatch, expected);
                 }
-                StreamEnding::Broken => {
-                    self.cancel(order);
+                StreamResult::Interrupted => {
+                    self.cancel(dispatch);
                     let answer_started = writer.is_some();
-                    return Progress::Ended(DispatchResult::Interrupted { answer_started });
+                    return DispatchOutcome::Ended(DispatchResult::Interrupted { answer_started });
                 }
             }
         }
     }
 
-    fn pass_events<'s>(
+    fn forward_events<'s>(
         &self,
-        answer: EngineAnswer,
+        response: EngineResponse,
         stream: &mut Option<&'s mut TcpStream>,
-        writer: &mut Option<PieceWriter<'s>>,
+        writer: &mut Option<ChunkedWriter<'s>>,
         expected: &mut u64,
-    ) -> StreamEnding {
-        let mut events = EventReader::new(answer.into_body().into_reader());
+    ) -> StreamResult {
+        let mut events = EventReader::new(response.into_body().into_reader());
         loop {
-            let Ok(Some(event)) = events.next_event() else { return StreamEnding::Broken };
+            let Ok(Some(event)) = events.next_event() else { return StreamResult::Interrupted };
             // A gap or a repeated event means that the stream is not the one that was left.
-            if event.number.is_some_and(|number| number != *expected) {
-                return StreamEnding::Broken;
+            if event.event_id.is_some_and(|event_id| event_id != *expected) {
+                return StreamResult::Interrupted;
             }
             if writer.is_none() {
                 let headers =
                     [("content-type", "text/event-stream"), ("cache-control", "no-store")];
-                let Some(stream) = stream.take() else { return StreamEnding::CallerGone };
-                match PieceWriter::begin(stream, &headers, self.keep_alive) {
-                    Ok(begun) => *writer = Some(begun),
-                    Err(_) => return StreamEnding::CallerGone,
+                let Some(stream) = stream.take() else { return StreamResult::CallerGone };
+                match ChunkedWriter::begin(stream, &headers, self.keep_alive) {
+                    Ok(started) => *writer = Some(started),
+                    Err(_) => return StreamResult::CallerGone,
                 }
             }
             let written = writer.as_mut().map(|writer| writer.write(&event.bytes));
             if !matches!(written, Some(Ok(()))) {
-                return StreamEnding::CallerGone;
+                return StreamResult::CallerGone;
             }
-            *expected += u64::from(event.number.is_some());
+            *expected += u64::from(event.event_id.is_some());
             if event.done {
-                return StreamEnding::Complete;
+                return StreamResult::Complete;
             }
         }
     }
 
     /// Takes a broken stream up at the engine, from the first event that is missing.
-    fn resume(&self, order: &RequestDispatch, from: u64) -> Option<EngineAnswer> {
+    fn resume(&self, dispatch: &RequestDispatch, from: u64) -> Option<EngineResponse> {
         let url = format!(
             "http://{}/v1/streams/{:x}?from={from}&chat={}",
-            order.address, self.id, self.chat
+            dispatch.address, self.id, self.chat
         );
-        let answer = self.border.backends.get(url).header("connection", "close").call().ok()?;
-        (answer.status().as_u16() == 200 && self.echoes(&answer, order)).then_some(answer)
+        let response = self.server.backends.get(url).header("connection", "close").call().ok()?;
+        (response.status().as_u16() == 200 && self.is_response_to(&response, dispatch))
+            .then_some(response)
     }
 
     /// Tells the engine that nobody waits for the answer any more.
-    fn cancel(&self, order: &RequestDispatch) {
-        let url = format!("http://{}/v1/streams/{:x}", order.address, self.id);
-        drop(self.border.backends.delete(url).header("connection", "close").call());
+    fn cancel(&self, dispatch: &RequestDispatch) {
+        let url = format!("http://{}/v1/streams/{:x}", dispatch.address, self.id);
+        drop(self.server.backends.delete(url).header("connection", "close").call());
     }
 }
 
-enum StreamEnding {
+enum StreamResult {
     Complete,
-    Broken,
+    Interrupted,
     CallerGone,
 }
 
 #[derive(Deserialize)]
-struct EngineProblem {
+struct EngineErrorBody {
     code: String,
 }
 
 /// Returns why the engine says that it did not run a request, if it says so.
 fn not_run_reason(status: u16, body: &[u8]) -> Option<NotRunReason> {
-    let problem: EngineProblem = serde_json::from_slice(body).ok()?;
-    match (status, problem.code.as_str()) {
+    let error: EngineErrorBody = serde_json::from_slice(body).ok()?;
+    match (status, error.code.as_str()) {
         (409, "stale_token") => Some(NotRunReason::StaleToken),
         (404, "not_resident") => Some(NotRunReason::NotResident),
         (503, "leaving") => Some(NotRunReason::Leaving),
--- a/crates/node/src/callers/refusal.rs
+++ b/crates/node/src/callers/refusal.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 use serde_json::json;
 
-use super::connection::write_whole;
+use super::connection::write_response;
 
 /// The body of every error.
 #[derive(Debug, Serialize)]
@@ -62,5 +62,5 @@
     if let Some(seconds) = &seconds {
         headers.push(("retry-after", seconds));
     }
-    write_whole(stream, status, &headers, &error_body(refusal), keep_alive)
+    write_response(stream, status, &headers, &error_body(refusal), keep_alive)
 }
--- a/crates/node/src/callers/route.rs
+++ b/crates/node/src/callers/route.rs
@@ -7,37 +7,39 @@
 
 use super::{
     CallerServer,
-    connection::{HttpRequest, write_whole},
+    connection::{HttpRequest, write_response},
     exchange, plain, refusal,
 };
 use crate::control::ControlQuery;
 
 /// Answers one request. An error means that the connection can not be used any further.
-pub(super) fn answer(
-    border: &CallerServer,
+pub(super) fn respond(
+    server: &CallerServer,
     stream: &mut TcpStream,
     request: &HttpRequest,
 ) -> io::Result<()> {
     let head = &request.head;
     match (head.method.as_str(), head.path()) {
-        ("POST", "/v1/completions") => exchange::complete(border, stream, request, false),
-        ("POST", "/v1/chat/completions") => exchange::complete(border, stream, request, true),
-        ("GET", "/v1/models") => list_models(border, stream, request),
+        ("POST", "/v1/completions") => exchange::serve_completion(server, stream, request, false),
+        ("POST", "/v1/chat/completions") => {
+            exchange::serve_completion(server, stream, request, true)
+        }
+        ("GET", "/v1/models") => list_models(server, stream, request),
         (_, "/v1/completions" | "/v1/chat/completions" | "/v1/models") => {
             let message = "this path does not take that method";
             let refusal = RequestRefusal::not_run(RefusalKind::BadRequest, message);
             refusal::refuse_with_status(stream, &refusal, 405, head.keep_alive)
         }
-        _ => plain::forward(border, stream, request),
+        _ => plain::forward(server, stream, request),
     }
 }
 
 fn list_models(
-    border: &CallerServer,
+    server: &CallerServer,
     stream: &mut TcpStream,
     request: &HttpRequest,
 ) -> io::Result<()> {
-    let Some(names) = border.control.ask(ControlQuery::Models) else {
+    let Some(names) = server.control.query(ControlQuery::Models) else {
         let refusal = RequestRefusal::not_run(RefusalKind::NotReady, "the host is busy");
         return refusal::refuse(stream, &refusal, request.head.keep_alive);
     };
@@ -48,5 +50,5 @@
     let data: Vec<_> = names.iter().map(model).collect();
     let body = json!({ "object": "list", "data": data }).to_string();
     let headers = [("content-type", "application/json")];
-    write_whole(stream, 200, &headers, body.as_bytes(), request.head.keep_alive)
+    write_response(stream, 200, &headers, body.as_bytes(), request.head.keep_alive)
 }
--- a/crates/node/src/clients.rs
+++ b/crates/node/src/clients.rs
@@ -70,7 +70,7 @@
 
 /// An order with the adapter's name as the engine knows it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum NamedAction {
+pub enum NamedOrderAction {
     /// Raises the fence.
     Raise,
     /// Loads an adapter.
@@ -99,7 +99,12 @@
 /// A model engine's orders and reports.
 pub trait EngineClient: Send + Sync {
     /// Sends an order and waits for its end.
-    fn order(&self, address: &str, token: FenceToken, action: &NamedAction) -> OrderResult;
+    fn send_order(
+        &self,
+        address: &str,
+        token: FenceToken,
+        action: &NamedOrderAction,
+    ) -> OrderResult;
 
     /// Asks for the engine's report.
     ///
@@ -110,20 +115,20 @@
 
 /// Makes an HTTP client that opens a connection for each call, so that a failed call is known
 /// either to have connected or not.
-fn http_agent(connect: Duration, whole: Duration) -> ureq::Agent {
+fn new_agent(connect_timeout: Duration, total_timeout: Duration) -> ureq::Agent {
     ureq::Agent::config_builder()
         .http_status_as_error(false)
         .max_idle_connections(0)
         .max_redirects(0)
         .proxy(None)
-        .timeout_connect(Some(connect))
-        .timeout_global(Some(whole))
+        .timeout_connect(Some(connect_timeout))
+        .timeout_global(Some(total_timeout))
         .build()
         .into()
 }
 
 /// Says whether a call failed before any byte could have left.
-pub fn never_connected(error: &ureq::Error) -> bool {
+pub fn failed_before_sending(error: &ureq::Error) -> bool {
     use std::io::ErrorKind;
     match error {
         ureq::Error::HostNotFound
--- a/crates/node/src/clients/engine.rs
+++ b/crates/node/src/clients/engine.rs
@@ -8,22 +8,24 @@
 };
 use serde::{Deserialize, Serialize};
 
-use super::{ClientError, EngineClient, NamedAction, NamedReport, http_agent, never_connected};
+use super::{
+    ClientError, EngineClient, NamedOrderAction, NamedReport, failed_before_sending, new_agent,
+};
 
 /// How long an engine may take to accept a connection.
-const CONNECT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How long a load may take, with a slow store; other orders take milliseconds.
-const LONGEST_LOAD: Duration = Duration::from_mins(2);
+const LOAD_TIMEOUT: Duration = Duration::from_mins(2);
 
 /// How long a raise, an unload or a report may take.
-const LONGEST_SHORT: Duration = Duration::from_secs(3);
+const SHORT_CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Engines over HTTP.
 #[derive(Debug, Clone)]
 pub struct EngineHttpClient {
-    loads: ureq::Agent,
-    others: ureq::Agent,
+    load_agent: ureq::Agent,
+    short_call_agent: ureq::Agent,
 }
 
 #[derive(Serialize)]
@@ -34,13 +36,13 @@
 }
 
 #[derive(Deserialize)]
-struct DoneBody {
+struct OrderDoneBody {
     incarnation: Incarnation,
     sequence: u64,
 }
 
 #[derive(Deserialize)]
-struct ProblemBody {
+struct FencedBody {
     token: FenceToken,
 }
 
@@ -63,8 +65,8 @@
 impl EngineHttpClient {
     /// Makes a client for all engines.
     pub fn new() -> Self {
-        let loads = http_agent(CONNECT, LONGEST_LOAD);
-        Self { loads, others: http_agent(CONNECT, LONGEST_SHORT) }
+        let load_agent = new_agent(CONNECT_TIMEOUT, LOAD_TIMEOUT);
+        Self { load_agent, short_call_agent: new_agent(CONNECT_TIMEOUT, SHORT_CALL_TIMEOUT) }
     }
 }
 
@@ -75,31 +77,39 @@
 }
 
 impl EngineClient for EngineHttpClient {
-    fn order(&self, address: &str, token: FenceToken, action: &NamedAction) -> OrderResult {
+    fn send_order(
+        &self,
+        address: &str,
+        token: FenceToken,
+        action: &NamedOrderAction,
+    ) -> OrderResult {
         let (agent, name, adapter) = match action {
-            NamedAction::Raise => (&self.others, "raise", ""),
-            NamedAction::Load(adapter) => (&self.loads, "load", adapter.as_str()),
-            NamedAction::Unload(adapter) => (&self.others, "unload", adapter.as_str()),
+            NamedOrderAction::Raise => (&self.short_call_agent, "raise", ""),
+            NamedOrderAction::Load(adapter) => (&self.load_agent, "load", adapter.as_str()),
+            NamedOrderAction::Unload(adapter) => {
+                (&self.short_call_agent, "unload", adapter.as_str())
+            }
         };
         let body = serde_json::to_vec(&OrderBody { token, action: name, adapter });
         let body = body.unwrap_or_default();
         match agent.post(format!("http://{address}/orders")).send(&body[..]) {
-            Ok(answer) => read_answer(answer),
-            Err(error) if never_connected(&error) => OrderResult::NotSent,
+            Ok(response) => parse_order_response(response),
+            Err(error) if failed_before_sending(&error) => OrderResult::NotSent,
             Err(_) => OrderResult::NoAnswer,
         }
     }
 
     fn report(&self, address: &str) -> Result<NamedReport, ClientError> {
-        let failed = |reason: String| {
+        let client_error = |reason: String| {
             let (system, address) = ("engine", address.to_owned());
             ClientError { system, address, reason }
         };
-        let answer = self.others.get(format!("http://{address}/report")).call();
-        let mut answer = answer.map_err(|error| failed(error.to_string()))?;
-        let body = answer.body_mut().read_to_vec().map_err(|error| failed(error.to_string()))?;
+        let response = self.short_call_agent.get(format!("http://{address}/report")).call();
+        let mut response = response.map_err(|error| client_error(error.to_string()))?;
+        let body =
+            response.body_mut().read_to_vec().map_err(|error| client_error(error.to_string()))?;
         let body: ReportBody =
-            serde_json::from_slice(&body).map_err(|error| failed(error.to_string()))?;
+            serde_json::from_slice(&body).map_err(|error| client_error(error.to_string()))?;
         Ok(NamedReport {
             incarnation: body.incarnation,
             sequence: body.sequence,
@@ -115,16 +125,18 @@
     }
 }
 
-fn read_answer(mut answer: ureq::http::Response<ureq::Body>) -> OrderResult {
-    let status = answer.status().as_u16();
-    let Ok(body) = answer.body_mut().read_to_vec() else { return OrderResult::NoAnswer };
+fn parse_order_response(mut response: ureq::http::Response<ureq::Body>) -> OrderResult {
+    let status = response.status().as_u16();
+    let Ok(body) = response.body_mut().read_to_vec() else { return OrderResult::NoAnswer };
     match status {
-        200 => match serde_json::from_slice::<DoneBody>(&body) {
-            Ok(DoneBody { incarnation, sequence }) => OrderResult::Done { incarnation, sequence },
+        200 => match serde_json::from_slice::<OrderDoneBody>(&body) {
+            Ok(OrderDoneBody { incarnation, sequence }) => {
+                OrderResult::Done { incarnation, sequence }
+            }
             Err(_) => OrderResult::NoAnswer,
         },
-        409 => match serde_json::from_slice::<ProblemBody>(&body) {
-            Ok(problem) => OrderResult::Fenced { token: problem.token },
+        409 => match serde_json::from_slice::<FencedBody>(&body) {
+            Ok(fenced) => OrderResult::Fenced { token: fenced.token },
             Err(_) => OrderResult::NoAnswer,
         },
         422 => OrderResult::Failed,
--- a/crates/node/src/clients/platform.rs
+++ b/crates/node/src/clients/platform.rs
@@ -10,16 +10,16 @@
 };
 use serde::{Deserialize, de::DeserializeOwned};
 
-use super::{ClientError, HostListClient, LogClient, ReadBatch, http_agent, never_connected};
+use super::{ClientError, HostListClient, LogClient, ReadBatch, failed_before_sending, new_agent};
 
 /// How long the platform may take to accept a connection.
-const CONNECT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How long a call may take beyond the wait that was asked for.
-const ANSWER: Duration = Duration::from_secs(4);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// The largest answer that is read: a snapshot record with all adapters.
-const MOST_ANSWER: u64 = 256 << 20;
+const MAX_RESPONSE_BYTES: u64 = 256 << 20;
 
 /// The status of a read from beyond a stream's end; the answer tells the end.
 const BEYOND_END: u16 = 410;
@@ -35,30 +35,30 @@
 }
 
 #[derive(Deserialize)]
-struct ReadAnswer {
+struct RecordsResponse {
     #[serde(default)]
     era: StoreEra,
     first: LogOffset,
     end: LogOffset,
-    records: Vec<RecordAnswer>,
+    records: Vec<RecordBody>,
 }
 
 #[derive(Deserialize)]
-struct RecordAnswer {
+struct RecordBody {
     offset: LogOffset,
     written_millis: u64,
     payload: String,
 }
 
 #[derive(Deserialize)]
-struct HostsAnswer {
+struct HostListResponse {
     version: u64,
-    entries: Vec<HostAnswer>,
+    entries: Vec<HostBody>,
     removed: Vec<(String, u32)>,
 }
 
 #[derive(Deserialize)]
-struct HostAnswer {
+struct HostBody {
     role: String,
     id: u32,
     hall: u16,
@@ -79,7 +79,7 @@
     /// Makes a client of the platform at `address`.
     pub fn new(address: impl Into<String>) -> Self {
         // The longest wait of a read is added for that call.
-        Self { address: address.into(), agent: http_agent(CONNECT, ANSWER) }
+        Self { address: address.into(), agent: new_agent(CONNECT_TIMEOUT, RESPONSE_TIMEOUT) }
     }
 
     fn error(&self, reason: &impl std::fmt::Display) -> ClientError {
@@ -87,15 +87,19 @@
         ClientError { system, address, reason: reason.to_string() }
     }
 
-    fn fetch<T: DeserializeOwned>(&self, path: &str, whole: Duration) -> Result<T, ClientError> {
+    fn fetch<T: DeserializeOwned>(
+        &self,
+        path: &str,
+        total_timeout: Duration,
+    ) -> Result<T, ClientError> {
         let url = format!("http://{}{path}", self.address);
-        let call = self.agent.get(url).config().timeout_global(Some(whole)).build().call();
-        let mut answer = call.map_err(|error| self.error(&error))?;
-        let status = answer.status().as_u16();
+        let call = self.agent.get(url).config().timeout_global(Some(total_timeout)).build().call();
+        let mut response = call.map_err(|error| self.error(&error))?;
+        let status = response.status().as_u16();
         if status != 200 && status != BEYOND_END {
-            return Err(self.error(&format!("status {}", answer.status())));
+            return Err(self.error(&format!("status {}", response.status())));
         }
-        let body = answer.body_mut().with_config().limit(MOST_ANSWER).read_to_vec();
+        let body = response.body_mut().with_config().limit(MAX_RESPONSE_BYTES).read_to_vec();
         let body = body.map_err(|error| self.error(&error))?;
         serde_json::from_slice(&body).map_err(|error| self.error(&error))
     }
@@ -110,24 +114,24 @@
     ) -> Result<ReadBatch, ClientError> {
         let name = stream.name();
         let path = format!("/streams/{name}/records?from={from}&wait_ms={}", wait.as_millis());
-        let mut answer: ReadAnswer = self.fetch(&path, wait + ANSWER)?;
-        let record = |record: RecordAnswer| LogRecord {
+        let mut response: RecordsResponse = self.fetch(&path, wait + RESPONSE_TIMEOUT)?;
+        let record = |record: RecordBody| LogRecord {
             offset: record.offset,
             written_millis: record.written_millis,
             payload: record.payload.into_bytes(),
         };
-        let records = std::mem::take(&mut answer.records).into_iter().map(record).collect();
-        let ReadAnswer { era, first, end, .. } = answer;
+        let records = std::mem::take(&mut response.records).into_iter().map(record).collect();
+        let RecordsResponse { era, first, end, .. } = response;
         Ok(ReadBatch { era, first, records, end })
     }
 
     fn append(&self, stream: LogStream, payload: &[u8]) -> AppendResult {
         let url = format!("http://{}/streams/{}/records", self.address, stream.name());
         match self.agent.post(url).send(payload) {
-            Ok(answer) if answer.status().as_u16() == 201 => AppendResult::Written,
-            Ok(answer) if answer.status().as_u16() == NOT_WRITTEN => AppendResult::Refused,
+            Ok(response) if response.status().as_u16() == 201 => AppendResult::Written,
+            Ok(response) if response.status().as_u16() == NOT_WRITTEN => AppendResult::Refused,
             Ok(_) => AppendResult::NoAnswer,
-            Err(error) if never_connected(&error) => AppendResult::Refused,
+            Err(error) if failed_before_sending(&error) => AppendResult::Refused,
             Err(_) => AppendResult::NoAnswer,
         }
     }
@@ -135,24 +139,25 @@
 
 impl HostListClient for PlatformHttpClient {
     fn changes(&self, since: u64) -> Result<(HostListChange, u64), ClientError> {
-        let answer: HostsAnswer = self.fetch(&format!("/hosts?since={since}"), ANSWER)?;
+        let response: HostListResponse =
+            self.fetch(&format!("/hosts?since={since}"), RESPONSE_TIMEOUT)?;
         let mut change = HostListChange {
-            entries: answer.entries.into_iter().map(host_entry).collect(),
+            entries: response.entries.into_iter().map(host_entry).collect(),
             ..HostListChange::default()
         };
-        for (role, id) in answer.removed {
+        for (role, id) in response.removed {
             match role.as_str() {
                 "entry" => change.removed_hosts.push(id),
                 "engine" => change.removed_engines.push(id),
                 _ => change.removed_servers.push(id),
             }
         }
-        Ok((change, answer.version))
+        Ok((change, response.version))
     }
 }
 
-fn host_entry(host: HostAnswer) -> HostEntry {
-    let HostAnswer { role, id, hall, address, state, incarnation, service, .. } = host;
+fn host_entry(host: HostBody) -> HostEntry {
+    let HostBody { role, id, hall, address, state, incarnation, service, .. } = host;
     let kind = match role.as_str() {
         "entry" => HostKind::Entry { host: id, hall, address },
         "engine" => HostKind::Engine(EngineInfo {
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -25,20 +25,20 @@
 use tokio::sync::mpsc::UnboundedSender;
 
 use crate::{
-    clients::{EngineClient, NamedAction, NamedReport},
+    clients::{EngineClient, NamedOrderAction, NamedReport},
     peers::OutgoingMessage,
-    platform::{AppendCall, FollowCall},
+    platform::{AppendRequest, FollowRequest},
 };
 
 /// How often the core is told that time has passed.
-const TICK: Duration = Duration::from_millis(50);
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The stack of a thread that carries one order to an engine.
-const ORDER_STACK: usize = 192 << 10;
+const ORDER_STACK_BYTES: usize = 192 << 10;
 
 /// What a traffic thread is told about its request.
 #[derive(Debug)]
-pub enum TrafficOrder {
+pub enum RequestDecision {
     /// Send it to a backend server, once.
     Dispatch(RequestDispatch),
     /// Tell the caller that it ended.
@@ -66,7 +66,7 @@
     /// Something happened.
     Event(NodeEvent),
     /// A caller's request, with the channel to its traffic thread.
-    Arrived(ArrivedRequest, Sender<TrafficOrder>),
+    RequestArrived(ArrivedRequest, Sender<RequestDecision>),
     /// An engine's report, with names.
     Report(EngineId, NamedReport),
     /// A question.
@@ -81,20 +81,20 @@
 
 impl ControlSender {
     /// Tells the control thread that something happened.
-    pub fn event(&self, event: NodeEvent) {
-        self.input(ControlInput::Event(event));
+    pub fn send_event(&self, event: NodeEvent) {
+        self.send_input(ControlInput::Event(event));
     }
 
     /// Hands the control thread anything it takes in.
-    pub fn input(&self, input: ControlInput) {
+    pub fn send_input(&self, input: ControlInput) {
         // The control thread outlives its borders but for the moment of the process's end.
         drop(self.sender.send(input));
     }
 
     /// Asks the control thread and waits for its answer.
-    pub fn ask<T>(&self, query: impl FnOnce(Sender<T>) -> ControlQuery) -> Option<T> {
+    pub fn query<T>(&self, query: impl FnOnce(Sender<T>) -> ControlQuery) -> Option<T> {
         let (sender, receiver) = mpsc::channel();
-        self.input(ControlInput::Query(query(sender)));
+        self.send_input(ControlInput::Query(query(sender)));
         receiver.recv_timeout(Duration::from_secs(2)).ok()
     }
 }
@@ -104,9 +104,9 @@
     /// To other entry hosts.
     pub peers: UnboundedSender<OutgoingMessage>,
     /// To the log's appender.
-    pub appends: Sender<AppendCall>,
+    pub appends: Sender<AppendRequest>,
     /// To the log's readers.
-    pub follows: Sender<FollowCall>,
+    pub follows: Sender<FollowRequest>,
     /// To the threads that ask engines for reports.
     pub reports: Sender<(EngineId, String)>,
     /// Orders to engines.
@@ -119,7 +119,7 @@
     core: NodeCore,
     clock: Arc<dyn ClockSource>,
     outputs: ControlOutputs,
-    traffic: HashMap<RequestId, Sender<TrafficOrder>>,
+    decisions: HashMap<RequestId, Sender<RequestDecision>>,
     sender: ControlSender,
 }
 
@@ -141,8 +141,8 @@
     sender: ControlSender,
     stop: Arc<std::sync::atomic::AtomicBool>,
 ) -> JoinHandle<()> {
-    let traffic = HashMap::new();
-    let mut control = ControlThread { core, clock, outputs, traffic, sender };
+    let decisions = HashMap::new();
+    let mut control = ControlThread { core, clock, outputs, decisions, sender };
     thread::Builder::new()
         .name(String::from("control"))
         .spawn(move || control.run(&inputs, &stop))
@@ -151,21 +151,21 @@
 
 /// Returns the wall clock in milliseconds since the Unix epoch.
 pub fn wall_millis() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    u64::try_from(since.as_millis()).unwrap_or_default()
+    let elapsed = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    u64::try_from(elapsed.as_millis()).unwrap_or_default()
 }
 
 impl ControlThread {
     fn run(&mut self, inputs: &Receiver<ControlInput>, stop: &std::sync::atomic::AtomicBool) {
-        let orders = self.core.start(self.reading());
-        self.carry_out(orders);
+        let actions = self.core.start(self.read_clock());
+        self.execute_all(actions);
         let mut next_tick = Instant::now();
         while !stop.load(std::sync::atomic::Ordering::Relaxed) {
             let wait = next_tick.saturating_duration_since(Instant::now());
             match inputs.recv_timeout(wait) {
-                Ok(input) => self.take(input),
+                Ok(input) => self.handle_input(input),
                 Err(RecvTimeoutError::Timeout) => {
-                    next_tick = Instant::now() + TICK;
+                    next_tick = Instant::now() + TICK_INTERVAL;
                     self.handle(NodeEvent::Tick);
                 }
                 Err(RecvTimeoutError::Disconnected) => return,
@@ -173,125 +173,128 @@
         }
     }
 
-    fn reading(&self) -> ClockReading {
+    fn read_clock(&self) -> ClockReading {
         ClockReading { now: self.clock.now(), wall_millis: wall_millis() }
     }
 
-    fn take(&mut self, input: ControlInput) {
+    fn handle_input(&mut self, input: ControlInput) {
         match input {
             ControlInput::Event(event) => self.handle(event),
-            ControlInput::Arrived(request, traffic) => {
-                self.traffic.insert(request.id, traffic);
+            ControlInput::RequestArrived(request, decisions) => {
+                self.decisions.insert(request.id, decisions);
                 self.handle(NodeEvent::RequestArrived(request));
             }
             ControlInput::Report(engine, report) => {
-                let report = self.read_report(report);
+                let report = self.resolve_report(report);
                 self.handle(NodeEvent::EngineReported { engine, report });
             }
-            ControlInput::Query(query) => self.answer(query),
+            ControlInput::Query(query) => self.answer_query(query),
         }
     }
 
     fn handle(&mut self, event: NodeEvent) {
-        let ended = match &event {
+        let finished = match &event {
             NodeEvent::DispatchEnded { request, .. } | NodeEvent::CallerGone(request) => {
                 Some(*request)
             }
             _ => None,
         };
-        let orders = self.core.handle(self.reading(), event);
-        self.carry_out(orders);
-        if let Some(request) = ended.filter(|request| !self.core.is_open(*request)) {
-            self.traffic.remove(&request);
+        let actions = self.core.handle(self.read_clock(), event);
+        self.execute_all(actions);
+        if let Some(request) = finished.filter(|request| !self.core.is_open(*request)) {
+            self.decisions.remove(&request);
         }
     }
 
-    fn answer(&self, query: ControlQuery) {
+    fn answer_query(&self, query: ControlQuery) {
         // An asker that has given up waiting is no error.
         match query {
-            ControlQuery::Status(to) => drop(to.send(self.core.status())),
-            ControlQuery::Timeline(to) => {
-                drop(to.send(self.core.timeline().events().cloned().collect()));
+            ControlQuery::Status(reply) => drop(reply.send(self.core.status())),
+            ControlQuery::Timeline(reply) => {
+                drop(reply.send(self.core.timeline().events().cloned().collect()));
             }
-            ControlQuery::Models(to) => {
+            ControlQuery::Models(reply) => {
                 let names = self.core.settings().tree().model_names();
-                drop(to.send(names.map(str::to_owned).collect()));
+                drop(reply.send(names.map(str::to_owned).collect()));
             }
-            ControlQuery::Counters(to) => drop(to.send(self.core.counters().clone())),
-            ControlQuery::History(to) => {
-                drop(to.send(self.core.settings().verdicts().cloned().collect()));
+            ControlQuery::Counters(reply) => drop(reply.send(self.core.counters().clone())),
+            ControlQuery::History(reply) => {
+                drop(reply.send(self.core.settings().verdicts().cloned().collect()));
             }
-            ControlQuery::Snapshot(to) => drop(to.send(self.core.settings().snapshot())),
+            ControlQuery::Snapshot(reply) => drop(reply.send(self.core.settings().snapshot())),
         }
     }
 
-    fn carry_out(&mut self, orders: Vec<NodeAction>) {
-        for order in orders {
-            self.carry_out_one(order);
+    fn execute_all(&mut self, actions: Vec<NodeAction>) {
+        for action in actions {
+            self.execute(action);
         }
     }
 
-    fn carry_out_one(&mut self, order: NodeAction) {
-        match order {
+    fn execute(&mut self, action: NodeAction) {
+        match action {
             NodeAction::SendMessage { address, stamp, message, .. } => {
                 drop(self.outputs.peers.send(OutgoingMessage { address, stamp, message }));
             }
-            NodeAction::Dispatch(order) => {
-                if let Some(traffic) = self.traffic.get(&order.request) {
-                    drop(traffic.send(TrafficOrder::Dispatch(order)));
+            NodeAction::Dispatch(dispatch) => {
+                if let Some(decisions) = self.decisions.get(&dispatch.request) {
+                    drop(decisions.send(RequestDecision::Dispatch(dispatch)));
                 }
             }
             NodeAction::Refuse { request, refusal } => {
-                if let Some(traffic) = self.traffic.remove(&request) {
-                    drop(traffic.send(TrafficOrder::Refuse(refusal)));
+                if let Some(decisions) = self.decisions.remove(&request) {
+                    drop(decisions.send(RequestDecision::Refuse(refusal)));
                 }
             }
-            NodeAction::SendOrder { address, order } => self.order(address, order),
+            NodeAction::SendOrder { address, order } => self.send_order(address, order),
             NodeAction::FetchReport { engine, address } => {
                 drop(self.outputs.reports.send((engine, address)));
             }
             NodeAction::Append { stream, payload, ticket } => {
-                drop(self.outputs.appends.send(AppendCall { stream, payload, ticket }));
+                drop(self.outputs.appends.send(AppendRequest { stream, payload, ticket }));
             }
             NodeAction::Follow { stream, from } => {
-                let _ended = self.outputs.follows.send(FollowCall { stream, from: Some(from) });
+                let _disconnected =
+                    self.outputs.follows.send(FollowRequest { stream, from: Some(from) });
             }
             NodeAction::Unfollow { stream } => {
-                let _ended = self.outputs.follows.send(FollowCall { stream, from: None });
+                let _disconnected = self.outputs.follows.send(FollowRequest { stream, from: None });
             }
             NodeAction::Stopped => drop(self.outputs.stopped.send(())),
         }
     }
 
     /// Carries an order to an engine on a thread of its own, as a load takes seconds.
-    fn order(&self, address: String, order: EngineOrder) {
+    fn send_order(&self, address: String, order: EngineOrder) {
         let tree = self.core.settings().tree();
         let action = match &order.action {
-            OrderAction::RaiseFence => Some(NamedAction::Raise),
-            OrderAction::Load(adapter) => tree.adapter_name(*adapter).map(NamedAction::Load),
-            OrderAction::Unload(adapter) => tree.adapter_name(*adapter).map(NamedAction::Unload),
-            OrderAction::UnloadUnknown(name) => Some(NamedAction::Unload(name.clone())),
+            OrderAction::RaiseFence => Some(NamedOrderAction::Raise),
+            OrderAction::Load(adapter) => tree.adapter_name(*adapter).map(NamedOrderAction::Load),
+            OrderAction::Unload(adapter) => {
+                tree.adapter_name(*adapter).map(NamedOrderAction::Unload)
+            }
+            OrderAction::UnloadUnknown(name) => Some(NamedOrderAction::Unload(name.clone())),
         };
         let sender = self.sender.clone();
         let Some(action) = action else {
             // The adapter was removed from the settings since.
             let result = OrderResult::Failed;
-            sender.event(NodeEvent::OrderEnded { order, result });
+            sender.send_event(NodeEvent::OrderEnded { order, result });
             return;
         };
         let engines = Arc::clone(&self.outputs.engines);
         let unsent = order.clone();
-        let spawned = thread::Builder::new().stack_size(ORDER_STACK).spawn(move || {
-            let result = engines.order(&address, order.token, &action);
-            sender.event(NodeEvent::OrderEnded { order, result });
+        let spawned = thread::Builder::new().stack_size(ORDER_STACK_BYTES).spawn(move || {
+            let result = engines.send_order(&address, order.token, &action);
+            sender.send_event(NodeEvent::OrderEnded { order, result });
         });
         if spawned.is_err() {
             let result = OrderResult::NotSent;
-            self.sender.event(NodeEvent::OrderEnded { order: unsent, result });
+            self.sender.send_event(NodeEvent::OrderEnded { order: unsent, result });
         }
     }
 
-    fn read_report(&self, report: NamedReport) -> EngineReport {
+    fn resolve_report(&self, report: NamedReport) -> EngineReport {
         let tree = self.core.settings().tree();
         let mut adapters = Vec::new();
         let mut unknown_adapters = Vec::new();
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -21,7 +21,7 @@
     control::{ControlOutputs, ControlSender, control_channel, start_control, wall_millis},
     operators::start_operators,
     peers::start_peers,
-    platform::{start_appender, start_host_list, start_readers, start_reports},
+    platform::{start_appenders, start_host_list_poller, start_readers, start_report_fetchers},
     settings::NodeSettings,
 };
 
@@ -31,7 +31,7 @@
     peers: SocketAddr,
     operators: SocketAddr,
     control: ControlSender,
-    border: Arc<CallerServer>,
+    server: Arc<CallerServer>,
     thread: Option<JoinHandle<()>>,
     stop: Arc<AtomicBool>,
     stopped: Receiver<()>,
@@ -56,9 +56,9 @@
         let (stopped_sender, stopped) = mpsc::channel();
         let outputs = ControlOutputs {
             peers: peers.sender,
-            appends: start_appender(Arc::clone(&log), control.clone()),
+            appends: start_appenders(Arc::clone(&log), control.clone()),
             follows: start_readers(&log, &control, &stop),
-            reports: start_reports(&engines, &control),
+            reports: start_report_fetchers(&engines, &control),
             engines,
             stopped: stopped_sender,
         };
@@ -77,25 +77,30 @@
             control.clone(),
             Arc::clone(&stop),
         );
-        start_host_list(hosts, settings.hosts_every, control.clone(), Arc::clone(&stop));
+        start_host_list_poller(
+            hosts,
+            settings.host_list_interval,
+            control.clone(),
+            Arc::clone(&stop),
+        );
         let operators = start_operators(
             settings.operators,
             control.clone(),
             peers.counters,
             Arc::clone(&stop),
         )?;
-        let border =
+        let server =
             CallerServer::new(settings.host, incarnation, settings.limits, control.clone(), clock);
         let listener = bind("callers", settings.callers)?;
-        let border = Arc::new(border);
-        let callers = start_callers(Arc::clone(&border), listener, Arc::clone(&stop))?;
+        let server = Arc::new(server);
+        let callers = start_callers(Arc::clone(&server), listener, Arc::clone(&stop))?;
         log::info!("host {} serves callers at {callers}", settings.host);
         Ok(Self {
             callers,
             peers: peer_address,
             operators,
             control,
-            border,
+            server,
             thread: Some(thread),
             stop,
             stopped,
@@ -119,14 +124,14 @@
 
     /// Begins the planned stop.
     pub fn drain(&self) {
-        self.control.event(NodeEvent::StopRequested);
+        self.control.send_event(NodeEvent::StopRequested);
     }
 
     /// Waits until the planned stop is complete and the last answer written; says whether it is.
-    pub fn wait_until_stopped(&self, at_most: Duration) -> bool {
-        const LAST_ANSWERS: Duration = Duration::from_secs(5);
-        let stopped = self.stopped.recv_timeout(at_most).is_ok();
-        stopped && self.border.wait_idle(LAST_ANSWERS)
+    pub fn wait_until_stopped(&self, timeout: Duration) -> bool {
+        const RESPONSES_TIMEOUT: Duration = Duration::from_secs(5);
+        let stopped = self.stopped.recv_timeout(timeout).is_ok();
+        stopped && self.server.wait_idle(RESPONSES_TIMEOUT)
     }
 }
 
@@ -141,18 +146,18 @@
     }
 }
 
-fn bind(what: &str, address: SocketAddr) -> eyre::Result<TcpListener> {
+fn bind(purpose: &str, address: SocketAddr) -> eyre::Result<TcpListener> {
     listen(address)
-        .wrap_err_with(|| format!("{what} address {address} can not be used; pick a free one"))
+        .wrap_err_with(|| format!("{purpose} address {address} can not be used; pick a free one"))
 }
 
 /// Listens with room for a burst: the standard library's 128 waiting connections are not enough
 /// for 256 callers at once, the rest of whom wait a second for their next try.
 fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
-    const WAITING: i32 = 4096;
+    const BACKLOG: i32 = 4096;
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
     socket.bind(&address.into())?;
-    socket.listen(WAITING)?;
+    socket.listen(BACKLOG)?;
     Ok(socket.into())
 }
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -14,13 +14,13 @@
     kind: String,
 }
 
-fn counter(registry: &mut Registry, name: &str, help: &str, value: u64) {
+fn register_counter(registry: &mut Registry, name: &str, help: &str, value: u64) {
     let counter: Counter = Counter::default();
     counter.inc_by(value);
     registry.register(name, help, counter);
 }
 
-fn gauge(registry: &mut Registry, name: &str, help: &str, value: usize) {
+fn register_gauge(registry: &mut Registry, name: &str, help: &str, value: usize) {
     let gauge: Gauge = Gauge::default();
     gauge.set(i64::try_from(value).unwrap_or(i64::MAX));
     registry.register(name, help, gauge);
@@ -35,8 +35,8 @@
 pub fn metrics_text(counters: &NodeCounters, status: &NodeStatus, peers: &PeerCounters) -> String {
     use std::sync::atomic::Ordering::Relaxed;
     let mut registry = Registry::with_prefix("reelreel");
-    let registry_ref = &mut registry;
-    let counts: [(&str, &str, u64); 16] = [
+    let registry_mut = &mut registry;
+    let counter_values: [(&str, &str, u64); 16] = [
         ("requests_arrived", "Requests that arrived well formed", counters.arrived),
         ("requests_answered", "Requests answered whole", counters.answered),
         ("requests_unknown", "Requests whose outcome is unknown", counters.unknown),
@@ -54,8 +54,8 @@
         ("log_appends", "Appends to the platform's log", counters.appends),
         ("snapshots_refused", "Settings snapshots refused", counters.snapshots_refused),
     ];
-    for (name, help, value) in counts {
-        counter(registry_ref, name, help, value);
+    for (name, help, value) in counter_values {
+        register_counter(registry_mut, name, help, value);
     }
     let refusals = Family::<RefusalLabel, Counter>::default();
     for (kind, count) in &counters.refused {
@@ -63,13 +63,23 @@
         let kind = kind.and_then(|kind| kind.as_str().map(str::to_owned)).unwrap_or_default();
         refusals.get_or_create(&RefusalLabel { kind }).inc_by(*count);
     }
-    registry_ref.register("requests_refused", "Requests not answered, by kind", refusals);
+    registry_mut.register("requests_refused", "Requests not answered, by kind", refusals);
     let revision = usize::try_from(status.revision).unwrap_or(usize::MAX);
-    gauge(registry_ref, "settings_revision", "Settings revision in force", revision);
-    gauge(registry_ref, "requests_open", "Requests open now", status.open_requests);
-    gauge(registry_ref, "engines_owned", "Engines owned by this host", status.engines.len());
-    gauge(registry_ref, "keys_remembered", "Idempotency keys remembered", status.keys);
-    gauge(registry_ref, "ready", "Whether callers may be sent here", usize::from(status.ready));
+    register_gauge(registry_mut, "settings_revision", "Settings revision in force", revision);
+    register_gauge(registry_mut, "requests_open", "Requests open now", status.open_requests);
+    register_gauge(
+        registry_mut,
+        "engines_owned",
+        "Engines owned by this host",
+        status.engines.len(),
+    );
+    register_gauge(registry_mut, "keys_remembered", "Idempotency keys remembered", status.keys);
+    register_gauge(
+        registry_mut,
+        "ready",
+        "Whether callers may be sent here",
+        usize::from(status.ready),
+    );
     let mut text = String::new();
     encode(&mut text, &registry).expect("writing to a string does not fail");
     text
--- a/crates/node/src/operators.rs
+++ b/crates/node/src/operators.rs
@@ -20,10 +20,10 @@
 };
 
 /// Threads that serve operators.
-const THREADS: usize = 4;
+const SERVER_THREADS: usize = 4;
 
 /// How often the server looks whether it is to stop.
-const POLL: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Starts the operators' server.
 ///
@@ -35,50 +35,50 @@
     peers: Arc<PeerCounters>,
     stop: Arc<AtomicBool>,
 ) -> eyre::Result<SocketAddr> {
-    let server = Server::new(address, move |request| answer(request, &control, &peers))
+    let server = Server::new(address, move |request| respond(request, &control, &peers))
         .map_err(|error| eyre::eyre!("operators' address {address}: {error}; use a free one"))?
-        .pool_size(THREADS);
+        .pool_size(SERVER_THREADS);
     let bound = server.server_addr();
     thread::Builder::new().name(String::from("operators")).spawn(move || {
         while !stop.load(Ordering::Relaxed) {
-            server.poll_timeout(POLL);
+            server.poll_timeout(POLL_INTERVAL);
         }
     })?;
     Ok(bound)
 }
 
-fn answer(request: &Request, control: &ControlSender, peers: &PeerCounters) -> Response {
+fn respond(request: &Request, control: &ControlSender, peers: &PeerCounters) -> Response {
     match request.url().as_str() {
-        "/healthz" => match control.ask(ControlQuery::Status) {
+        "/healthz" => match control.query(ControlQuery::Status) {
             Some(_) => Response::text("ok\n"),
             None => Response::text("the control thread does not answer\n").with_status_code(503),
         },
-        "/readyz" => match control.ask(ControlQuery::Status) {
+        "/readyz" => match control.query(ControlQuery::Status) {
             Some(status) if status.ready => Response::text("ready\n"),
             _ => Response::text("not ready\n").with_status_code(503),
         },
         "/metrics" => {
-            let counters = control.ask(ControlQuery::Counters);
-            let status = control.ask(ControlQuery::Status);
+            let counters = control.query(ControlQuery::Counters);
+            let status = control.query(ControlQuery::Status);
             match (counters, status) {
                 (Some(counters), Some(status)) => {
                     Response::text(metrics_text(&counters, &status, peers))
                 }
-                _ => busy(),
+                _ => control_unavailable(),
             }
         }
-        "/status" => json(control.ask(ControlQuery::Status)),
-        "/timeline" => json(control.ask(ControlQuery::Timeline)),
-        "/history" => json(control.ask(ControlQuery::History)),
-        "/settings" => json(control.ask(ControlQuery::Snapshot)),
+        "/status" => json(control.query(ControlQuery::Status)),
+        "/timeline" => json(control.query(ControlQuery::Timeline)),
+        "/history" => json(control.query(ControlQuery::History)),
+        "/settings" => json(control.query(ControlQuery::Snapshot)),
         _ => Response::text("no such page\n").with_status_code(404),
     }
 }
 
 fn json(value: Option<impl Serialize>) -> Response {
-    value.map_or_else(busy, |value| Response::json(&value))
+    value.map_or_else(control_unavailable, |value| Response::json(&value))
 }
 
-fn busy() -> Response {
+fn control_unavailable() -> Response {
     Response::text("the control thread does not answer\n").with_status_code(503)
 }
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -28,13 +28,13 @@
 use crate::control::ControlSender;
 
 /// Messages that wait for one host at most.
-const QUEUE: usize = 1024;
+const QUEUE_CAPACITY: usize = 1024;
 
 /// How long another host may take to accept a connection.
-const CONNECT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How long to leave a host alone after it could not be reached.
-const RECONNECT_PAUSE: Duration = Duration::from_millis(200);
+const RECONNECT_DELAY: Duration = Duration::from_millis(200);
 
 /// A message on its way out.
 #[derive(Debug)]
@@ -78,34 +78,39 @@
     listener.set_nonblocking(true)?;
     let (sender, receiver) = mpsc::unbounded_channel();
     let counters = Arc::new(PeerCounters::default());
-    let counted = Arc::clone(&counters);
+    let thread_counters = Arc::clone(&counters);
     let runtime = Builder::new_current_thread().enable_all().build()?;
     let thread = thread::Builder::new().name(String::from("peers")).spawn(move || {
         runtime.block_on(async move {
             match TcpListener::from_std(listener) {
                 Ok(listener) => {
-                    tokio::spawn(accept(listener, control, Arc::clone(&counted)));
+                    tokio::spawn(accept_peers(listener, control, Arc::clone(&thread_counters)));
                 }
                 Err(error) => log::error!("peers can not be listened to: {error}"),
             }
-            send_all(host, receiver, counted).await;
+            route_messages(host, receiver, thread_counters).await;
         });
     })?;
     Ok(PeerTransport { sender, counters, thread })
 }
 
-async fn accept(listener: TcpListener, control: ControlSender, counters: Arc<PeerCounters>) {
+async fn accept_peers(listener: TcpListener, control: ControlSender, counters: Arc<PeerCounters>) {
     loop {
         match listener.accept().await {
             Ok((stream, address)) => {
-                tokio::spawn(receive(stream, address, control.clone(), Arc::clone(&counters)));
+                tokio::spawn(receive_frames(
+                    stream,
+                    address,
+                    control.clone(),
+                    Arc::clone(&counters),
+                ));
             }
-            Err(_) => tokio::time::sleep(RECONNECT_PAUSE).await,
+            Err(_) => tokio::time::sleep(RECONNECT_DELAY).await,
         }
     }
 }
 
-async fn receive(
+async fn receive_frames(
     stream: TcpStream,
     address: SocketAddr,
     control: ControlSender,
@@ -115,7 +120,7 @@
     while let Some(frame) = frames.next().await {
         match frame {
             Ok(PeerFrame { from, stamp, message }) => {
-                control.event(NodeEvent::PeerMessage { from, stamp, message });
+                control.send_event(NodeEvent::PeerMessage { from, stamp, message });
             }
             Err(error) => {
                 counters.unreadable.fetch_add(1, Ordering::Relaxed);
@@ -126,7 +131,7 @@
     }
 }
 
-async fn send_all(
+async fn route_messages(
     host: HostId,
     mut messages: UnboundedReceiver<OutgoingMessage>,
     counters: Arc<PeerCounters>,
@@ -135,8 +140,8 @@
     while let Some(OutgoingMessage { address, stamp, message }) = messages.recv().await {
         let frame = PeerFrame { from: host, stamp, message };
         let queue = queues.entry(address.clone()).or_insert_with(|| {
-            let (sender, receiver) = mpsc::channel(QUEUE);
-            tokio::spawn(send_to(address, receiver, Arc::clone(&counters)));
+            let (sender, receiver) = mpsc::channel(QUEUE_CAPACITY);
+            tokio::spawn(send_frames(address, receiver, Arc::clone(&counters)));
             sender
         });
         if queue.try_send(frame).is_err() {
@@ -145,7 +150,11 @@
     }
 }
 
-async fn send_to(address: String, mut frames: Receiver<PeerFrame>, counters: Arc<PeerCounters>) {
+async fn send_frames(
+    address: String,
+    mut frames: Receiver<PeerFrame>,
+    counters: Arc<PeerCounters>,
+) {
     let mut connection: Option<Framed<TcpStream, FrameCodec>> = None;
     while let Some(frame) = frames.recv().await {
         if connection.is_none() {
@@ -158,13 +167,13 @@
         if !sent {
             counters.dropped.fetch_add(1, Ordering::Relaxed);
             connection = None;
-            tokio::time::sleep(RECONNECT_PAUSE).await;
+            tokio::time::sleep(RECONNECT_DELAY).await;
         }
     }
 }
 
 async fn connect(address: &str) -> Option<Framed<TcpStream, FrameCodec>> {
-    let stream = timeout(CONNECT, TcpStream::connect(address)).await.ok()?.ok()?;
+    let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await.ok()?.ok()?;
     stream.set_nodelay(true).ok()?;
     Some(Framed::new(stream, FrameCodec::default()))
 }
--- a/crates/node/src/platform.rs
+++ b/crates/node/src/platform.rs
@@ -28,14 +28,14 @@
 const PAST_END: LogOffset = LogOffset::MAX;
 
 /// How long to wait after a failed read.
-const READ_PAUSE: Duration = Duration::from_millis(500);
+const READ_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Threads that ask engines for reports; one that is stuck with a silent engine blocks no other.
 const REPORT_THREADS: usize = 6;
 
 /// An append to carry out.
 #[derive(Debug)]
-pub struct AppendCall {
+pub struct AppendRequest {
     /// The stream.
     pub stream: LogStream,
     /// The record.
@@ -46,7 +46,7 @@
 
 /// A change of where a stream is read from.
 #[derive(Debug, Clone, Copy)]
-pub struct FollowCall {
+pub struct FollowRequest {
     /// The stream.
     pub stream: LogStream,
     /// The first offset wanted; none to read no further.
@@ -54,29 +54,29 @@
 }
 
 /// Starts the threads that append; each stream has its own, so that none waits for another.
-pub fn start_appender(log: Arc<dyn LogClient>, control: ControlSender) -> Sender<AppendCall> {
-    let (sender, calls) = mpsc::channel::<AppendCall>();
+pub fn start_appenders(log: Arc<dyn LogClient>, control: ControlSender) -> Sender<AppendRequest> {
+    let (sender, requests) = mpsc::channel::<AppendRequest>();
     thread::spawn(move || {
-        let streams: Vec<(LogStream, Sender<AppendCall>)> = LogStream::ALL
+        let streams: Vec<(LogStream, Sender<AppendRequest>)> = LogStream::ALL
             .iter()
             .map(|stream| (*stream, start_stream_appender(Arc::clone(&log), control.clone())))
             .collect();
-        while let Ok(call) = calls.recv() {
-            let stream = streams.iter().find(|(stream, _)| *stream == call.stream);
+        while let Ok(request) = requests.recv() {
+            let stream = streams.iter().find(|(stream, _)| *stream == request.stream);
             if let Some((_, appender)) = stream {
-                drop(appender.send(call));
+                drop(appender.send(request));
             }
         }
     });
     sender
 }
 
-fn start_stream_appender(log: Arc<dyn LogClient>, control: ControlSender) -> Sender<AppendCall> {
-    let (sender, calls) = mpsc::channel::<AppendCall>();
+fn start_stream_appender(log: Arc<dyn LogClient>, control: ControlSender) -> Sender<AppendRequest> {
+    let (sender, requests) = mpsc::channel::<AppendRequest>();
     thread::spawn(move || {
-        while let Ok(AppendCall { stream, payload, ticket }) = calls.recv() {
+        while let Ok(AppendRequest { stream, payload, ticket }) = requests.recv() {
             let result = log.append(stream, &payload);
-            control.event(NodeEvent::AppendEnded { ticket, result });
+            control.send_event(NodeEvent::AppendEnded { ticket, result });
         }
     });
     sender
@@ -87,8 +87,8 @@
     log: &Arc<dyn LogClient>,
     control: &ControlSender,
     stop: &Arc<AtomicBool>,
-) -> Sender<FollowCall> {
-    let (sender, calls) = mpsc::channel::<FollowCall>();
+) -> Sender<FollowRequest> {
+    let (sender, requests) = mpsc::channel::<FollowRequest>();
     let (log, control, stop) = (Arc::clone(log), control.clone(), Arc::clone(stop));
     thread::spawn(move || {
         let readers: Vec<(LogStream, Sender<Option<LogOffset>>)> = LogStream::ALL
@@ -101,10 +101,10 @@
                 (stream, sender)
             })
             .collect();
-        while let Ok(FollowCall { stream, from }) = calls.recv() {
-            let reader = readers.iter().find(|(known, _)| *known == stream);
+        while let Ok(FollowRequest { stream, from }) = requests.recv() {
+            let reader = readers.iter().find(|(reader_stream, _)| *reader_stream == stream);
             if let Some((_, reader)) = reader {
-                let _ended = reader.send(from);
+                let _disconnected = reader.send(from);
             }
         }
     });
@@ -112,7 +112,7 @@
 }
 
 /// Waits until the stream is wanted; returns from where, or `None` at the process's end.
-fn next_offset(offsets: &Receiver<Option<LogOffset>>) -> Option<LogOffset> {
+fn wait_for_offset(offsets: &Receiver<Option<LogOffset>>) -> Option<LogOffset> {
     loop {
         if let Some(offset) = offsets.recv().ok()? {
             return Some(offset);
@@ -127,7 +127,7 @@
     control: &ControlSender,
     stop: &AtomicBool,
 ) {
-    let Some(mut from) = next_offset(offsets) else { return };
+    let Some(mut from) = wait_for_offset(offsets) else { return };
     // What is there already is read at once; only at the end is there anything to wait for.
     let mut wait = Duration::ZERO;
     while !stop.load(Ordering::Relaxed) {
@@ -136,7 +136,7 @@
                 from = offset;
                 wait = Duration::ZERO;
             }
-            Ok(None) => match next_offset(offsets) {
+            Ok(None) => match wait_for_offset(offsets) {
                 Some(offset) => {
                     from = offset;
                     wait = Duration::ZERO;
@@ -156,62 +156,63 @@
                 from = batch.records.last().map_or(from, |record| record.offset + 1);
                 wait = if from >= batch.end { READ_WAIT } else { Duration::ZERO };
                 let ReadBatch { era, first, records, end } = batch;
-                control.event(NodeEvent::LogRead { stream, era, first, records, end });
+                control.send_event(NodeEvent::LogRead { stream, era, first, records, end });
             }
             Err(error) => {
                 log::debug!("{} stream: {error}", stream.name());
-                control.event(NodeEvent::LogUnavailable(stream));
+                control.send_event(NodeEvent::LogUnavailable(stream));
                 wait = Duration::ZERO;
-                thread::sleep(READ_PAUSE);
+                thread::sleep(READ_RETRY_DELAY);
             }
         }
     }
 }
 
 /// Starts the thread that asks for changes of the host list.
-pub fn start_host_list(
+pub fn start_host_list_poller(
     hosts: Arc<dyn HostListClient>,
-    every: Duration,
+    interval: Duration,
     control: ControlSender,
     stop: Arc<AtomicBool>,
 ) {
     thread::spawn(move || {
         let mut version = 0;
-        let mut seen = false;
+        let mut received = false;
         while !stop.load(Ordering::Relaxed) {
             match hosts.changes(version) {
                 Ok((change, newer)) => {
-                    if newer != version || !seen {
-                        seen = true;
-                        control.event(NodeEvent::HostListChanged(change));
+                    if newer != version || !received {
+                        received = true;
+                        control.send_event(NodeEvent::HostListChanged(change));
                     }
                     version = newer;
                 }
                 Err(error) => log::debug!("host list: {error}"),
             }
             // A host that has seen nothing yet asks more often, so that it serves sooner.
-            thread::sleep(if version == 0 { every / 8 } else { every });
+            thread::sleep(if version == 0 { interval / 8 } else { interval });
         }
     });
 }
 
 /// Starts the threads that ask engines for their reports.
-pub fn start_reports(
+pub fn start_report_fetchers(
     engines: &Arc<dyn EngineClient>,
     control: &ControlSender,
 ) -> Sender<(EngineId, String)> {
-    let (sender, calls) = mpsc::channel::<(EngineId, String)>();
-    let calls = Arc::new(std::sync::Mutex::new(calls));
+    let (sender, requests) = mpsc::channel::<(EngineId, String)>();
+    let requests = Arc::new(std::sync::Mutex::new(requests));
     for _ in 0..REPORT_THREADS {
-        let (calls, engines, control) = (Arc::clone(&calls), Arc::clone(engines), control.clone());
+        let (requests, engines, control) =
+            (Arc::clone(&requests), Arc::clone(engines), control.clone());
         thread::spawn(move || {
             loop {
-                let call = match calls.lock() {
-                    Ok(calls) => calls.recv_timeout(Duration::from_secs(1)),
+                let request = match requests.lock() {
+                    Ok(requests) => requests.recv_timeout(Duration::from_secs(1)),
                     Err(_) => return,
                 };
-                match call {
-                    Ok((engine, address)) => ask_report(&*engines, engine, &address, &control),
+                match request {
+                    Ok((engine, address)) => fetch_report(&*engines, engine, &address, &control),
                     Err(RecvTimeoutError::Timeout) => {}
                     Err(RecvTimeoutError::Disconnected) => return,
                 }
@@ -221,14 +222,14 @@
     sender
 }
 
-fn ask_report(
+fn fetch_report(
     engines: &dyn EngineClient,
     engine: EngineId,
     address: &str,
     control: &ControlSender,
 ) {
     match engines.report(address) {
-        Ok(report) => control.input(ControlInput::Report(engine, report)),
+        Ok(report) => control.send_input(ControlInput::Report(engine, report)),
         Err(error) => log::debug!("report of engine {engine}: {error}"),
     }
 }
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -24,19 +24,19 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerLimits {
     /// Connections at once.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Bytes of a request head.
-    pub head_bytes: usize,
+    pub max_head_bytes: usize,
     /// Bytes of a request body.
-    pub body_bytes: usize,
+    pub max_body_bytes: usize,
     /// Time to send a request head.
-    pub head_time: Duration,
+    pub head_timeout: Duration,
     /// Time to send a request body.
-    pub body_time: Duration,
+    pub body_timeout: Duration,
     /// Time an idle connection is kept.
-    pub idle_time: Duration,
+    pub idle_timeout: Duration,
     /// Time a backend server may be silent within an answer.
-    pub silence: Duration,
+    pub read_timeout: Duration,
 }
 
 /// A host's own settings.
@@ -65,7 +65,7 @@
     /// The times it goes by.
     pub times: NodeTimes,
     /// How often the host list is asked for changes.
-    pub hosts_every: Duration,
+    pub host_list_interval: Duration,
 }
 
 impl NodeSettings {
@@ -75,21 +75,21 @@
     /// Returns every mistake, in the order of their places.
     pub fn parse(text: &str) -> Result<Self, Vec<SourceError>> {
         let (table, errors) = DeTable::parse_recoverable(text);
-        let mut reader = FieldReader { text, mistakes: Vec::new() };
+        let mut reader = FieldReader { text, errors: Vec::new() };
         for error in errors {
             let offset = error.span().map_or(0, |span| span.start);
-            reader.note(offset, format!("not valid TOML: {}", error.message()));
+            reader.record(offset, format!("not valid TOML: {}", error.message()));
         }
-        let mut values = FieldValues { numbers: BTreeMap::new(), texts: BTreeMap::new() };
-        if reader.mistakes.is_empty() {
+        let mut values = FieldValues { integers: BTreeMap::new(), texts: BTreeMap::new() };
+        if reader.errors.is_empty() {
             reader.read_table("", table.get_ref(), &mut values);
             reader.fill_defaults(&mut values);
         }
-        if reader.mistakes.is_empty() {
+        if reader.errors.is_empty() {
             return Ok(Self::build(&values));
         }
-        reader.mistakes.sort_by_key(|mistake| (mistake.line, mistake.column));
-        Err(reader.mistakes)
+        reader.errors.sort_by_key(|error| (error.line, error.column));
+        Err(reader.errors)
     }
 
     fn build(values: &FieldValues) -> Self {
@@ -104,18 +104,18 @@
             ..NodeTimes::default()
         };
         let limits = CallerLimits {
-            connections: values.size("limits", "connections"),
-            head_bytes: values.size("limits", "head_bytes"),
-            body_bytes: values.size("limits", "body_bytes"),
-            head_time: values.millis("limits", "head_ms"),
-            body_time: values.millis("limits", "body_ms"),
-            idle_time: values.millis("limits", "idle_ms"),
-            silence: values.millis("limits", "silence_ms"),
+            max_connections: values.count("limits", "connections"),
+            max_head_bytes: values.count("limits", "head_bytes"),
+            max_body_bytes: values.count("limits", "body_bytes"),
+            head_timeout: values.millis("limits", "head_ms"),
+            body_timeout: values.millis("limits", "body_ms"),
+            idle_timeout: values.millis("limits", "idle_ms"),
+            read_timeout: values.millis("limits", "silence_ms"),
         };
         let json = values.text("log", "format") == "json";
         Self {
-            host: u32::try_from(values.number("", "host")).unwrap_or_default(),
-            hall: u16::try_from(values.number("", "hall")).unwrap_or_default(),
+            host: u32::try_from(values.integer("", "host")).unwrap_or_default(),
+            hall: u16::try_from(values.integer("", "hall")).unwrap_or_default(),
             callers: values.address("callers"),
             peers: values.address("peers"),
             operators: values.address("operators"),
@@ -125,7 +125,7 @@
             log_level: values.text("log", "level").parse().unwrap_or(log::LevelFilter::Info),
             limits,
             times,
-            hosts_every: values.millis("times", "hosts_every_ms"),
+            host_list_interval: values.millis("times", "hosts_every_ms"),
         }
     }
 }
--- a/crates/node/src/settings/fields.rs
+++ b/crates/node/src/settings/fields.rs
@@ -38,7 +38,7 @@
     FieldSpec { table, name, kind, default, description }
 }
 
-const MILLIS: FieldKind = FieldKind::Integer(1, 3_600_000);
+const MILLIS_RANGE: FieldKind = FieldKind::Integer(1, 3_600_000);
 
 /// All keys, in the order of the reference.
 pub const FIELDS: &[FieldSpec] = &[
@@ -111,78 +111,84 @@
     field(
         "limits",
         "head_ms",
-        MILLIS,
+        MILLIS_RANGE,
         "5000",
         "How long a caller may take to send a request head, in milliseconds.",
     ),
     field(
         "limits",
         "body_ms",
-        MILLIS,
+        MILLIS_RANGE,
         "10000",
         "How long a caller may take to send a request body, in milliseconds.",
     ),
     field(
         "limits",
         "idle_ms",
-        MILLIS,
+        MILLIS_RANGE,
         "60000",
         "How long an idle connection is kept, in milliseconds.",
     ),
     field(
         "limits",
         "silence_ms",
-        MILLIS,
+        MILLIS_RANGE,
         "10000",
         "How long a backend server may be silent within an answer, in milliseconds.",
     ),
-    field("times", "heartbeat_ms", MILLIS, "1000", "How often heartbeats go out, in milliseconds."),
+    field(
+        "times",
+        "heartbeat_ms",
+        MILLIS_RANGE,
+        "1000",
+        "How often heartbeats go out, in milliseconds.",
+    ),
     field(
         "times",
         "answer_within_ms",
-        MILLIS,
+        MILLIS_RANGE,
         "800",
         "How long the answer to a heartbeat may take, in milliseconds.",
     ),
     field(
         "times",
         "refute_within_ms",
-        MILLIS,
+        MILLIS_RANGE,
         "3000",
         "How long a suspected host has to refute, in milliseconds.",
     ),
     field(
         "times",
         "handover_wait_ms",
-        MILLIS,
+        MILLIS_RANGE,
         "10000",
         "How long a new owner of an engine without fence waits, in milliseconds.",
     ),
     field(
         "times",
         "quiet_ms",
-        MILLIS,
+        MILLIS_RANGE,
         "10000",
         "How long sent bytes may take to reach an engine without fence, in milliseconds.",
     ),
     field(
         "times",
         "claim_interval_ms",
-        MILLIS,
+        MILLIS_RANGE,
         "100",
         "The least time between two appends of claims, in milliseconds.",
     ),
     field(
         "times",
         "report_every_ms",
-        MILLIS,
+        MILLIS_RANGE,
         "2000",
         "How often an owned engine is asked for its report, in milliseconds.",
     ),
     field(
         "times",
         "hosts_every_ms",
-        MILLIS,
+        MILLIS_RANGE,
         "2000",
         "How often the host list is asked for changes, in milliseconds.",
     ),
--- a/crates/node/src/settings/reader.rs
+++ b/crates/node/src/settings/reader.rs
@@ -14,21 +14,21 @@
 
 /// The checked values by name; each fits its [`FieldKind`].
 pub(super) struct FieldValues {
-    pub(super) numbers: BTreeMap<FieldName, u64>,
+    pub(super) integers: BTreeMap<FieldName, u64>,
     pub(super) texts: BTreeMap<FieldName, String>,
 }
 
 impl FieldValues {
-    pub(super) fn number(&self, table: &'static str, name: &'static str) -> u64 {
-        self.numbers.get(&(table, name)).copied().unwrap_or_default()
+    pub(super) fn integer(&self, table: &'static str, name: &'static str) -> u64 {
+        self.integers.get(&(table, name)).copied().unwrap_or_default()
     }
 
-    pub(super) fn size(&self, table: &'static str, name: &'static str) -> usize {
-        usize::try_from(self.number(table, name)).unwrap_or(usize::MAX)
+    pub(super) fn count(&self, table: &'static str, name: &'static str) -> usize {
+        usize::try_from(self.integer(table, name)).unwrap_or(usize::MAX)
     }
 
     pub(super) fn millis(&self, table: &'static str, name: &'static str) -> Duration {
-        Duration::from_millis(self.number(table, name))
+        Duration::from_millis(self.integer(table, name))
     }
 
     pub(super) fn address(&self, name: &'static str) -> SocketAddr {
@@ -43,13 +43,13 @@
 
 pub(super) struct FieldReader<'a> {
     pub(super) text: &'a str,
-    pub(super) mistakes: Vec<SourceError>,
+    pub(super) errors: Vec<SourceError>,
 }
 
 impl FieldReader<'_> {
-    pub(super) fn note(&mut self, offset: usize, message: String) {
+    pub(super) fn record(&mut self, offset: usize, message: String) {
         let (line, column) = line_and_column(self.text, offset);
-        self.mistakes.push(SourceError { line, column, message });
+        self.errors.push(SourceError { line, column, message });
     }
 
     pub(super) fn read_table(
@@ -71,12 +71,12 @@
             let known = FIELDS.iter().find(|field| field.table == table && field.name == name);
             match known {
                 Some(field) => self.read_value(field, value, values),
-                None => self.unknown(offset, table, name),
+                None => self.record_unknown_key(offset, table, name),
             }
         }
     }
 
-    pub(super) fn unknown(&mut self, offset: usize, table: &str, name: &str) {
+    pub(super) fn record_unknown_key(&mut self, offset: usize, table: &str, name: &str) {
         let in_table = FIELDS.iter().filter(|field| field.table == table);
         let tables = FIELDS.iter().map(|field| field.table).filter(|_| table.is_empty());
         let known = in_table.map(|field| field.name).chain(tables);
@@ -86,7 +86,7 @@
                 format!("unknown key `{name}`; `reelreel settings keys` lists those that exist")
             }
         };
-        self.note(offset, message);
+        self.record(offset, message);
     }
 
     pub(super) fn read_value(
@@ -96,32 +96,32 @@
         values: &mut FieldValues,
     ) {
         let text = match value.get_ref() {
-            DeValue::Integer(number) => number.as_str().to_owned(),
+            DeValue::Integer(integer) => integer.as_str().to_owned(),
             DeValue::String(text) => text.to_string(),
             _ => String::new(),
         };
         let quoted = matches!(value.get_ref(), DeValue::String(_));
-        let fits_quotes = quoted != matches!(field.kind, FieldKind::Integer(..));
-        if !fits_quotes || !put(field, &text, values) {
+        let is_expected_type = quoted != matches!(field.kind, FieldKind::Integer(..));
+        if !is_expected_type || !store_value(field, &text, values) {
             let message = format!("`{}` must be {}", field.name, describe(field.kind));
-            self.note(value.span().start, message);
+            self.record(value.span().start, message);
         }
     }
 
     pub(super) fn fill_defaults(&mut self, values: &mut FieldValues) {
         for field in FIELDS {
             let name = (field.table, field.name);
-            if values.numbers.contains_key(&name) || values.texts.contains_key(&name) {
+            if values.integers.contains_key(&name) || values.texts.contains_key(&name) {
                 continue;
             }
-            let misread = self
-                .mistakes
+            let already_reported = self
+                .errors
                 .iter()
-                .any(|mistake| mistake.message.starts_with(&format!("`{}` must be", field.name)));
-            if !put(field, field.default, values) && !misread {
+                .any(|error| error.message.starts_with(&format!("`{}` must be", field.name)));
+            if !store_value(field, field.default, values) && !already_reported {
                 let message =
                     format!("`{}` is missing; it must be {}", field.name, describe(field.kind));
-                self.note(self.text.len(), message);
+                self.record(self.text.len(), message);
             }
         }
     }
@@ -132,36 +132,36 @@
 }
 
 /// Enters a value if it fits its kind; says whether it does.
-fn put(field: &FieldSpec, text: &str, values: &mut FieldValues) -> bool {
+fn store_value(field: &FieldSpec, text: &str, values: &mut FieldValues) -> bool {
     let name = (field.table, field.name);
     match field.kind {
         FieldKind::Integer(low, high) => match text.parse::<u64>() {
-            Ok(number) if (low..=high).contains(&number) => {
-                values.numbers.insert(name, number);
+            Ok(integer) if (low..=high).contains(&integer) => {
+                values.integers.insert(name, integer);
                 true
             }
             _ => false,
         },
         FieldKind::Address => {
-            let fits = text.parse::<SocketAddr>().is_ok();
-            if fits {
+            let valid = text.parse::<SocketAddr>().is_ok();
+            if valid {
                 values.texts.insert(name, text.to_owned());
             }
-            fits
+            valid
         }
         FieldKind::Addresses => {
-            let fits = addresses(text).iter().all(|part| part.parse::<SocketAddr>().is_ok());
-            if fits {
+            let valid = addresses(text).iter().all(|part| part.parse::<SocketAddr>().is_ok());
+            if valid {
                 values.texts.insert(name, text.to_owned());
             }
-            fits
+            valid
         }
         FieldKind::Choice(choices) => {
-            let fits = choices.contains(&text);
-            if fits {
+            let valid = choices.contains(&text);
+            if valid {
                 values.texts.insert(name, text.to_owned());
             }
-            fits
+            valid
         }
     }
 }
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -8,7 +8,7 @@
 use crate::{convert::DecodeError, peer};
 
 /// The largest frame: a snapshot of the settings of 94,000 adapters takes a quarter of it.
-pub const MOST_FRAME_BYTES: usize = 64 << 20;
+pub const MAX_FRAME_BYTES: usize = 64 << 20;
 
 /// One message on its way between two hosts.
 #[derive(Debug, Clone, PartialEq)]
@@ -24,7 +24,7 @@
 /// Why a frame could not be read or written.
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
-    /// The connection failed, or the frame is larger than [`MOST_FRAME_BYTES`].
+    /// The connection failed, or the frame is larger than [`MAX_FRAME_BYTES`].
     #[error("connection failed: {0}; it is opened anew with the next message")]
     Connection(#[from] std::io::Error),
     /// The frame is no protocol buffer of ours.
@@ -38,14 +38,13 @@
 /// Turns bytes into frames and back.
 #[derive(Debug)]
 pub struct FrameCodec {
-    lengths: LengthDelimitedCodec,
+    framing: LengthDelimitedCodec,
 }
 
 impl Default for FrameCodec {
     fn default() -> Self {
-        let lengths =
-            LengthDelimitedCodec::builder().max_frame_length(MOST_FRAME_BYTES).new_codec();
-        Self { lengths }
+        let framing = LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec();
+        Self { framing }
     }
 }
 
@@ -54,7 +53,7 @@
     type Error = FrameError;
 
     fn decode(&mut self, source: &mut BytesMut) -> Result<Option<PeerFrame>, FrameError> {
-        let Some(bytes) = self.lengths.decode(source)? else { return Ok(None) };
+        let Some(bytes) = self.framing.decode(source)? else { return Ok(None) };
         let frame = peer::Frame::decode(bytes)?;
         Ok(Some(PeerFrame::try_from(frame)?))
     }
@@ -65,7 +64,7 @@
 
     fn encode(&mut self, frame: PeerFrame, target: &mut BytesMut) -> Result<(), FrameError> {
         let bytes = peer::Frame::from(frame).encode_to_vec();
-        self.lengths.encode(bytes::Bytes::from(bytes), target)?;
+        self.framing.encode(bytes::Bytes::from(bytes), target)?;
         Ok(())
     }
 }
--- a/crates/wire/src/convert.rs
+++ b/crates/wire/src/convert.rs
@@ -26,7 +26,7 @@
 }
 
 /// Returns what a frame must have.
-fn need<T>(value: Option<T>, field: &'static str) -> Result<T, DecodeError> {
+fn require<T>(value: Option<T>, field: &'static str) -> Result<T, DecodeError> {
     value.ok_or(DecodeError { field })
 }
 
@@ -36,7 +36,7 @@
             from,
             stamp_wall_millis: stamp.wall_millis,
             stamp_counter: stamp.counter,
-            body: Some(body(message)),
+            body: Some(encode_body(message)),
         }
     }
 }
@@ -47,12 +47,12 @@
     fn try_from(frame: peer::Frame) -> Result<Self, DecodeError> {
         let stamp =
             HybridTimestamp { wall_millis: frame.stamp_wall_millis, counter: frame.stamp_counter };
-        let message = message(need(frame.body, "body")?)?;
+        let message = decode_body(require(frame.body, "body")?)?;
         Ok(Self { from: frame.from, stamp, message })
     }
 }
 
-fn body(message: PeerMessage) -> Body {
+fn encode_body(message: PeerMessage) -> Body {
     match message {
         PeerMessage::Heartbeat(heartbeat) => Body::Heartbeat(heartbeat.into()),
         PeerMessage::HeartbeatAck(heartbeat) => Body::HeartbeatAck(heartbeat.into()),
@@ -82,7 +82,7 @@
     }
 }
 
-fn message(body: Body) -> Result<PeerMessage, DecodeError> {
+fn decode_body(body: Body) -> Result<PeerMessage, DecodeError> {
     Ok(match body {
         Body::Heartbeat(heartbeat) => PeerMessage::Heartbeat(heartbeat.try_into()?),
         Body::HeartbeatAck(heartbeat) => PeerMessage::HeartbeatAck(heartbeat.try_into()?),
@@ -143,7 +143,7 @@
     type Error = DecodeError;
 
     fn try_from(ask: peer::LoadAsk) -> Result<Self, DecodeError> {
-        let adapter = need(ask.adapter, "adapter")?.into();
+        let adapter = require(ask.adapter, "adapter")?.into();
         Ok(Self { engine: ask.engine, adapter, value: ask.value, running: ask.running })
     }
 }
@@ -158,7 +158,7 @@
     type Error = DecodeError;
 
     fn try_from(place: peer::LoadPlace) -> Result<Self, DecodeError> {
-        let adapter = need(place.adapter, "adapter")?.into();
+        let adapter = require(place.adapter, "adapter")?.into();
         let turn = std::time::Duration::from_millis(place.turn_millis);
         Ok(Self { engine: place.engine, adapter, before: place.before, turn })
     }
@@ -174,7 +174,7 @@
     type Error = DecodeError;
 
     fn try_from(turn: peer::LoadTurn) -> Result<Self, DecodeError> {
-        Ok(Self { engine: turn.engine, adapter: need(turn.adapter, "adapter")?.into() })
+        Ok(Self { engine: turn.engine, adapter: require(turn.adapter, "adapter")?.into() })
     }
 }
 
--- a/crates/wire/src/convert/permit.rs
+++ b/crates/wire/src/convert/permit.rs
@@ -11,7 +11,7 @@
     request::{PermitRequest, RefusalKind},
 };
 
-use super::{DecodeError, need, request_id, request_name};
+use super::{DecodeError, request_id, request_name, require};
 use crate::peer::{self, RefusalReason};
 
 pub(super) fn millis(duration: Duration) -> u64 {
@@ -23,9 +23,9 @@
 }
 
 /// Returns request and attempt of a permit's name.
-fn read_name(name: Option<peer::PermitName>) -> Result<PermitQueued, DecodeError> {
-    let name = need(name, "permit")?;
-    let request = request_id(need(name.request, "request")?);
+fn parse_permit_name(name: Option<peer::PermitName>) -> Result<PermitQueued, DecodeError> {
+    let name = require(name, "permit")?;
+    let request = request_id(require(name.request, "request")?);
     Ok(PermitQueued { request, attempt: name.attempt })
 }
 
@@ -39,7 +39,7 @@
     type Error = DecodeError;
 
     fn try_from(name: peer::PermitName) -> Result<Self, DecodeError> {
-        read_name(Some(name))
+        parse_permit_name(Some(name))
     }
 }
 
@@ -67,12 +67,12 @@
     type Error = DecodeError;
 
     fn try_from(ask: peer::PermitAsk) -> Result<Self, DecodeError> {
-        let PermitQueued { request, attempt } = read_name(ask.permit)?;
+        let PermitQueued { request, attempt } = parse_permit_name(ask.permit)?;
         let request = PermitRequest {
             request,
             service: ask.service,
             organisation: ask.organisation,
-            adapter: need(ask.adapter, "adapter")?.into(),
+            adapter: require(ask.adapter, "adapter")?.into(),
             worth: ask.worth,
             share: ask.share,
             queue_limit: ask.queue_limit,
@@ -102,7 +102,7 @@
     type Error = DecodeError;
 
     fn try_from(granted: peer::PermitGranted) -> Result<Self, DecodeError> {
-        let PermitQueued { request, attempt } = read_name(granted.permit)?;
+        let PermitQueued { request, attempt } = parse_permit_name(granted.permit)?;
         let peer::PermitGranted { engine, token, fill, stalled, .. } = granted;
         Ok(Self { request, attempt, engine, token, fill, stalled })
     }
@@ -117,14 +117,14 @@
         Self {
             permit: Some(permit_name(refused.request, refused.attempt)),
             engine: refused.engine,
-            reason: reason(refused.reason).into(),
+            reason: refusal_reason(refused.reason).into(),
             elsewhere,
             retry_after_millis: refused.retry_after.map(millis),
         }
     }
 }
 
-const fn reason(refusal: PermitRefusal) -> RefusalReason {
+const fn refusal_reason(refusal: PermitRefusal) -> RefusalReason {
     match refusal {
         PermitRefusal::NotOwner => RefusalReason::NotOwner,
         PermitRefusal::Leaving => RefusalReason::Leaving,
@@ -153,7 +153,7 @@
             RefusalReason::DeadlinePassed => final_kind(RefusalKind::DeadlinePassed),
         };
         let retry_after = refused.retry_after_millis.map(Duration::from_millis);
-        let PermitQueued { request, attempt } = read_name(refused.permit)?;
+        let PermitQueued { request, attempt } = parse_permit_name(refused.permit)?;
         Ok(Self { request, attempt, engine: refused.engine, reason, retry_after })
     }
 }
@@ -168,7 +168,7 @@
     type Error = DecodeError;
 
     fn try_from(done: peer::PermitDone) -> Result<Self, DecodeError> {
-        let PermitQueued { request, attempt } = read_name(done.permit)?;
+        let PermitQueued { request, attempt } = parse_permit_name(done.permit)?;
         Ok(Self { request, attempt, engine: done.engine, clean: done.clean })
     }
 }
--- a/crates/wire/src/convert/table.rs
+++ b/crates/wire/src/convert/table.rs
@@ -10,7 +10,7 @@
     node::{HostEntry, HostKind, ServerInfo},
 };
 
-use super::{DecodeError, need};
+use super::{DecodeError, require};
 use crate::peer;
 
 impl From<MemberUpdate> for peer::Member {
@@ -45,7 +45,7 @@
         let hall = HallId::try_from(member.hall).ok();
         Ok(Self {
             host: member.host,
-            hall: need(hall, "hall")?,
+            hall: require(hall, "hall")?,
             address: member.address,
             incarnation: member.incarnation,
             refutations: member.refutations,
@@ -72,11 +72,11 @@
     }
 }
 
-fn members(updates: Vec<MemberUpdate>) -> Vec<peer::Member> {
+fn encode_members(updates: Vec<MemberUpdate>) -> Vec<peer::Member> {
     updates.into_iter().map(Into::into).collect()
 }
 
-fn read_members(members: Vec<peer::Member>) -> Result<Vec<MemberUpdate>, DecodeError> {
+fn decode_members(members: Vec<peer::Member>) -> Result<Vec<MemberUpdate>, DecodeError> {
     members.into_iter().map(MemberUpdate::try_from).collect()
 }
 
@@ -89,7 +89,7 @@
             era: heartbeat.era,
             next_offset: heartbeat.next_offset,
             table_hash: heartbeat.table_hash,
-            members: members(heartbeat.members),
+            members: encode_members(heartbeat.members),
             digests: heartbeat.digests.into_iter().map(Into::into).collect(),
         }
     }
@@ -101,12 +101,12 @@
     fn try_from(heartbeat: peer::Heartbeat) -> Result<Self, DecodeError> {
         Ok(Self {
             sequence: heartbeat.sequence,
-            sender: need(heartbeat.sender, "sender")?.try_into()?,
+            sender: require(heartbeat.sender, "sender")?.try_into()?,
             revision: heartbeat.revision,
             era: heartbeat.era,
             next_offset: heartbeat.next_offset,
             table_hash: heartbeat.table_hash,
-            members: read_members(heartbeat.members)?,
+            members: decode_members(heartbeat.members)?,
             digests: heartbeat.digests.into_iter().map(Into::into).collect(),
         })
     }
@@ -121,7 +121,7 @@
             sequence: version.sequence,
         };
         let digests = ask.digests.into_iter().map(version).collect();
-        Self { digests, members: members(ask.members), wants_backends: ask.wants_backends }
+        Self { digests, members: encode_members(ask.members), wants_backends: ask.wants_backends }
     }
 }
 
@@ -136,7 +136,7 @@
             sequence: version.sequence,
         };
         let digests = ask.digests.into_iter().map(version).collect();
-        let members = read_members(ask.members)?;
+        let members = decode_members(ask.members)?;
         Ok(Self { digests, members, wants_backends: ask.wants_backends })
     }
 }
@@ -144,8 +144,8 @@
 impl From<SyncReply> for peer::SyncReply {
     fn from(reply: SyncReply) -> Self {
         let digests = reply.digests.into_iter().map(Into::into).collect();
-        let backends = reply.backends.into_iter().filter_map(backend).collect();
-        Self { digests, members: members(reply.members), backends }
+        let backends = reply.backends.into_iter().filter_map(encode_backend).collect();
+        Self { digests, members: encode_members(reply.members), backends }
     }
 }
 
@@ -154,13 +154,13 @@
 
     fn try_from(reply: peer::SyncReply) -> Result<Self, DecodeError> {
         let digests = reply.digests.into_iter().map(Into::into).collect();
-        let backends = reply.backends.into_iter().map(read_backend).collect::<Result<_, _>>()?;
-        Ok(Self { digests, members: read_members(reply.members)?, backends })
+        let backends = reply.backends.into_iter().map(decode_backend).collect::<Result<_, _>>()?;
+        Ok(Self { digests, members: decode_members(reply.members)?, backends })
     }
 }
 
 /// Returns a backend server's frame; entry hosts are passed on as members instead.
-fn backend(HostEntry { kind, leaving }: HostEntry) -> Option<peer::Backend> {
+fn encode_backend(HostEntry { kind, leaving }: HostEntry) -> Option<peer::Backend> {
     match kind {
         HostKind::Entry { .. } => None,
         HostKind::Engine(info) => Some(peer::Backend {
@@ -187,8 +187,8 @@
     }
 }
 
-fn read_backend(backend: peer::Backend) -> Result<HostEntry, DecodeError> {
-    let hall = need(HallId::try_from(backend.hall).ok(), "hall")?;
+fn decode_backend(backend: peer::Backend) -> Result<HostEntry, DecodeError> {
+    let hall = require(HallId::try_from(backend.hall).ok(), "hall")?;
     let peer::Backend { id, service, address, incarnation, leaving, .. } = backend;
     let kind = if backend.engine {
         HostKind::Engine(EngineInfo {
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -14,5 +14,5 @@
 #[path = "generated/reelreel.peer.rs"]
 pub mod peer;
 
-pub use codec::{FrameCodec, FrameError, MOST_FRAME_BYTES, PeerFrame};
+pub use codec::{FrameCodec, FrameError, MAX_FRAME_BYTES, PeerFrame};
 pub use convert::DecodeError;
--- a/crates/wire/tests/frames.rs
+++ b/crates/wire/tests/frames.rs
@@ -103,7 +103,7 @@
     };
     let version = DigestVersion { engine, incarnation: 2, token: 3, sequence: 4 };
     let record = LogRecord { offset: 7, written_millis: 8, payload: vec![0, 255, 3] };
-    let mut all = vec![
+    let mut messages = vec![
         PeerMessage::Heartbeat(heartbeat()),
         PeerMessage::HeartbeatAck(heartbeat()),
         PeerMessage::SyncAsk(SyncAsk {
@@ -151,7 +151,7 @@
         PeerMessage::SettingsRecords(SettingsRecords { era: 2, records: vec![record] }),
         PeerMessage::SettingsState(SettingsState { era: 2, snapshot: vec![1, 2, 3] }),
     ];
-    all.extend([
+    messages.extend([
         refused(PermitRefusal::NotOwner, None),
         refused(PermitRefusal::Leaving, wait),
         refused(PermitRefusal::Elsewhere(77), None),
@@ -161,7 +161,7 @@
         refused(PermitRefusal::Final(RefusalKind::LoadFailed), wait),
         refused(PermitRefusal::Final(RefusalKind::DeadlinePassed), None),
     ]);
-    all
+    messages
 }
 
 fn frame(message: PeerMessage) -> PeerFrame {
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn every_message_comes_back_as_it_went_also_in_pieces() {
+fn every_message_round_trips_through_split_reads() {
     let mut bytes = BytesMut::new();
     let mut codec = FrameCodec::default();
     for message in messages() {
@@ -177,8 +177,8 @@
     }
     let mut received = Vec::new();
     let mut buffer = BytesMut::new();
-    for piece in bytes.chunks(7) {
-        buffer.extend_from_slice(piece);
+    for chunk in bytes.chunks(7) {
+        buffer.extend_from_slice(chunk);
         while let Some(frame) = codec.decode(&mut buffer).expect("it can be read") {
             received.push(frame);
         }
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn a_frame_without_its_body_or_too_long_is_refused() {
+fn frames_without_body_or_over_the_limit_are_rejected() {
     let mut codec = FrameCodec::default();
     let mut empty = BytesMut::from(&[0, 0, 0, 0][..]);
     assert!(matches!(codec.decode(&mut empty), Err(FrameError::Message(_))));
@@ -206,24 +206,24 @@
 
     /// Whatever bytes come, reading them ends in a frame or an error.
     #[test]
-    fn damaged_frames_are_refused_without_harm(
-        which in 0..24usize,
-        place in 4..200usize,
+    fn corrupted_frames_never_panic(
+        index in 0..24usize,
+        position in 4..200usize,
         byte in any::<u8>(),
     ) {
         let mut codec = FrameCodec::default();
         let mut bytes = BytesMut::new();
         let messages = messages();
-        let message = messages[which % messages.len()].clone();
+        let message = messages[index % messages.len()].clone();
         codec.encode(frame(message), &mut bytes).expect("it can be written");
-        let place = place.min(bytes.len() - 1);
-        bytes[place] = byte;
+        let position = position.min(bytes.len() - 1);
+        bytes[position] = byte;
         drop(codec.decode(&mut bytes));
     }
 }
 
 #[test]
-fn the_committed_code_is_what_the_generator_writes() {
+fn the_committed_code_matches_the_generator_output() {
     let package = Path::new(env!("CARGO_MANIFEST_DIR"));
     let folder = std::env::temp_dir().join(format!("reelreel-frames-{}", std::process::id()));
     fs::create_dir_all(&folder).expect("a folder");
@@ -234,9 +234,9 @@
         .compile_fds(descriptors)
         .expect("the generator runs");
     let name = "reelreel.peer.rs";
-    let fresh = fs::read_to_string(folder.join(name)).expect("it wrote a file");
+    let generated = fs::read_to_string(folder.join(name)).expect("it wrote a file");
     let committed = fs::read_to_string(package.join("src/generated").join(name));
     fs::remove_dir_all(&folder).expect("the folder goes");
     let hint = "run `cargo run -p reelreel-wire --example generate`";
-    assert!(committed.expect("it is committed") == fresh, "{hint}");
+    assert!(committed.expect("it is committed") == generated, "{hint}");
 }
