--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -1,58 +1,58 @@
-//! How a body is cut out of a connection's bytes.
+//! Body framing: `Content-Length`, chunked coding and read-until-close.
 
 use bytes::{Buf, Bytes, BytesMut};
 
 use crate::head::{HeadError, HeaderFields, RequestHead, ResponseHead};
 
-/// The longest line that introduces a chunk, its extensions included.
+/// Maximum length of a chunk-size line, including chunk extensions.
 const MAX_CHUNK_LINE_BYTES: usize = 256;
 
-/// The longest trailer section.
+/// Maximum length of one line of the trailer section.
 const MAX_TRAILER_LINE_BYTES: usize = 4096;
 
-/// The most hexadecimal digits of a chunk's size.
+/// Maximum number of hexadecimal digits in a chunk size.
 const MAX_CHUNK_SIZE_DIGITS: usize = 12;
 
-/// How the end of a body is found.
+/// How the end of a body is determined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BodyFraming {
     /// There is no body.
     Empty,
-    /// The body has so many bytes.
+    /// The body has this many bytes.
     Length(u64),
-    /// The body comes in chunks.
+    /// The body uses the chunked transfer coding.
     Chunked,
-    /// The body ends with the connection.
+    /// The body ends when the connection closes.
     UntilClose,
 }
 
-/// Why a body can not be read on.
+/// An error while reading a body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum BodyError {
-    /// A chunk is not written as RFC 9112 says.
+    /// A chunk does not conform to RFC 9112.
     #[error("a chunk is malformed; write its size in hexadecimal and end lines with CRLF")]
     MalformedChunk,
-    /// The connection ended before the body did.
+    /// The connection closed before the end of the body.
     #[error("the connection ended within the body")]
     Truncated,
 }
 
-/// What a decoder found at the front of the buffer.
+/// The result of one decoding step.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum BodyPart {
-    /// Some bytes of the body.
+    /// The next bytes of the body.
     Data(Bytes),
-    /// More bytes must be read first.
+    /// The buffer has no further part; more bytes must be read from the connection.
     Incomplete,
-    /// The body is whole.
+    /// The body is complete.
     End,
 }
 
 impl BodyFraming {
-    /// Returns how the body of a request is cut.
+    /// Returns the body framing of a request.
     ///
     /// # Errors
-    /// Returns that the length is ambiguous or the coding unknown.
+    /// Returns an error if the length is ambiguous or the transfer coding is not supported.
     pub fn of_request(head: &RequestHead) -> Result<Self, HeadError> {
         let chunked = is_chunked(&head.fields)?;
         let length = content_length(&head.fields)?;
@@ -65,10 +65,10 @@
         }
     }
 
-    /// Returns how the body of the response to a request with `method` is cut.
+    /// Returns the body framing of the response to a request with `method`.
     ///
     /// # Errors
-    /// Returns that the length is ambiguous or the coding unknown.
+    /// Returns an error if the length is ambiguous or the transfer coding is not supported.
     pub fn of_response(head: &ResponseHead, method: &str) -> Result<Self, HeadError> {
         let has_no_body = method == "HEAD" || matches!(head.status, 100..=199 | 204 | 304);
         if has_no_body {
@@ -110,33 +110,33 @@
     text.parse().map(Some).map_err(|_| HeadError::AmbiguousLength)
 }
 
-/// Where a decoder stands within its body.
+/// The state of a [`BodyDecoder`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum DecoderState {
-    /// So many bytes are due.
+    /// This many bytes of the body remain.
     Length(u64),
-    /// A line with a chunk's size is due.
+    /// Expects a chunk-size line.
     ChunkLine,
-    /// So many bytes of a chunk are due.
+    /// This many bytes of the chunk remain.
     Chunk(u64),
-    /// The line end after a chunk is due.
+    /// Expects the CRLF after the chunk data.
     ChunkEnd,
-    /// The trailer section is due.
+    /// Expects the trailer section.
     Trailer,
-    /// Whatever comes belongs to the body.
+    /// All bytes until the connection closes belong to the body.
     UntilClose,
-    /// The body is whole.
+    /// The body is complete.
     Done,
 }
 
-/// Cuts one body out of a connection's bytes.
+/// An incremental decoder for one message body.
 #[derive(Debug, Clone)]
 pub struct BodyDecoder {
     state: DecoderState,
 }
 
 impl BodyDecoder {
-    /// Starts at the first byte after a head.
+    /// Creates a decoder for the body that starts right after the head.
     pub const fn new(framing: BodyFraming) -> Self {
         let state = match framing {
             BodyFraming::Empty | BodyFraming::Length(0) => DecoderState::Done,
@@ -147,15 +147,15 @@
         Self { state }
     }
 
-    /// Returns whether the body is whole.
+    /// Returns whether the body is complete.
     pub fn is_done(&self) -> bool {
         self.state == DecoderState::Done
     }
 
-    /// Takes the next part of the body from the front of `buffer`.
+    /// Removes the next part of the body from the front of `buffer`.
     ///
     /// # Errors
-    /// Returns that a chunk is malformed.
+    /// Returns [`BodyError::MalformedChunk`] if a chunk does not conform to RFC 9112.
     pub fn next_part(&mut self, buffer: &mut BytesMut) -> Result<BodyPart, BodyError> {
         loop {
             match self.state {
@@ -206,10 +206,10 @@
         }
     }
 
-    /// Tells the decoder that the connection ended in an orderly way.
+    /// Handles an orderly close of the connection by the peer.
     ///
     /// # Errors
-    /// Returns that the body was cut short.
+    /// Returns [`BodyError::Truncated`] if the body is not complete.
     pub fn handle_eof(&mut self) -> Result<(), BodyError> {
         match self.state {
             DecoderState::Done => Ok(()),
@@ -255,7 +255,7 @@
     }
 }
 
-/// Writes `data` to `out` as one chunk.
+/// Appends `data` to `out` as one chunk; empty data would end the body and is skipped.
 pub fn write_chunk(data: &[u8], out: &mut BytesMut) {
     if data.is_empty() {
         return;
@@ -265,5 +265,5 @@
     out.extend_from_slice(b"\r\n");
 }
 
-/// Ends a chunked body.
+/// The last chunk and the empty trailer section of a chunked body.
 pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
--- a/crates/http/src/connection.rs
+++ b/crates/http/src/connection.rs
@@ -1,4 +1,4 @@
-//! One socket together with the bytes read from it but not yet used.
+//! An HTTP connection: a TCP socket with its read buffer.
 
 use std::{io, net::SocketAddr, time::Duration};
 
@@ -14,25 +14,25 @@
     head::{HeadError, RequestHead, ResponseHead},
 };
 
-/// How much room a read is given.
+/// Buffer capacity reserved before each read.
 const READ_RESERVE_BYTES: usize = 4096;
 
-/// How many keep-alive probes go unanswered before a silent peer counts as gone.
+/// Number of unanswered TCP keepalive probes after which the connection fails.
 const KEEPALIVE_PROBES: u32 = 2;
 
-/// Why nothing more can be read.
+/// An error while reading a message.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
     /// The peer closed the connection before the first byte of a message.
     #[error("the connection was closed between messages")]
     Closed,
-    /// The peer closed the connection within a head.
+    /// The peer closed the connection within a message head.
     #[error("the connection was closed within a head")]
     TruncatedHead,
-    /// The head can not be accepted.
+    /// The head was rejected.
     #[error(transparent)]
     Head(#[from] HeadError),
-    /// The body can not be read on.
+    /// The body is malformed or truncated.
     #[error(transparent)]
     Body(#[from] BodyError),
     /// The socket failed.
@@ -40,7 +40,7 @@
     Socket(#[from] io::Error),
 }
 
-/// One socket together with the bytes read from it but not yet used.
+/// A TCP socket with its read buffer.
 #[derive(Debug)]
 pub struct HttpStream {
     socket: TcpStream,
@@ -48,7 +48,7 @@
 }
 
 impl HttpStream {
-    /// Wraps a connected socket and turns off the delay of small packets.
+    /// Wraps a connected socket and sets `TCP_NODELAY`.
     ///
     /// # Errors
     /// Returns the socket's error.
@@ -60,14 +60,15 @@
     /// Connects to `address` within `timeout`.
     ///
     /// # Errors
-    /// Returns the socket's error, or that the time was over.
+    /// Returns the socket's error, or a timeout error.
     pub async fn connect(address: SocketAddr, timeout: Duration) -> io::Result<Self> {
         let connecting = TcpStream::connect(address);
         let socket = tokio::time::timeout(timeout, connecting).await??;
         Self::new(socket)
     }
 
-    /// Makes the socket fail when the peer's host is silent for about `timeout`.
+    /// Sets TCP keepalive and `TCP_USER_TIMEOUT`, so that the socket fails about `timeout` after the
+    /// peer's host stops responding.
     ///
     /// # Errors
     /// Returns the socket's error.
@@ -82,17 +83,17 @@
         socket.set_tcp_user_timeout(Some(timeout))
     }
 
-    /// Returns whether bytes were read that nothing has used.
+    /// Returns whether the read buffer has unconsumed bytes.
     pub fn has_buffered_bytes(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Returns how many bytes were read that nothing has used.
+    /// Returns the number of unconsumed bytes in the read buffer.
     pub fn buffered_bytes(&self) -> usize {
         self.buffer.len()
     }
 
-    /// Returns whether a kept connection is still quiet: neither closed nor holding stray bytes.
+    /// Returns whether a kept-alive connection can be reused: open and without unexpected bytes.
     pub fn is_idle(&self) -> bool {
         let mut byte = [0; 1];
         let result = self.socket.try_read(&mut byte);
@@ -101,14 +102,14 @@
         would_block && self.buffer.is_empty()
     }
 
-    /// Frees the read buffer of a connection that rests.
+    /// Frees the read buffer of an idle connection if it is empty.
     pub fn release_buffer(&mut self) {
         if self.buffer.is_empty() {
             self.buffer = BytesMut::new();
         }
     }
 
-    /// Reads more bytes; zero means that the peer closed its side.
+    /// Reads more bytes into the buffer; zero means that the peer closed its side.
     ///
     /// # Errors
     /// Returns the socket's error.
@@ -117,10 +118,10 @@
         self.socket.read_buf(&mut self.buffer).await
     }
 
-    /// Waits until the peer has closed its side or the socket failed.
+    /// Waits until the peer closes its side or the socket fails.
     ///
-    /// Bytes that arrive meanwhile are kept, at most `limit` of them; beyond that the peer is held
-    /// up and its close is noticed only later.
+    /// Bytes that arrive meanwhile stay in the buffer. Once it has `limit` bytes, reading stops and
+    /// the future stays pending: a close is then not detected here.
     pub async fn wait_closed(&mut self, limit: usize) {
         while self.buffer.len() < limit {
             match self.read_more().await {
@@ -131,10 +132,10 @@
         std::future::pending::<()>().await;
     }
 
-    /// Reads a request's head.
+    /// Reads a request head.
     ///
     /// # Errors
-    /// Returns why there is none.
+    /// Returns why no valid head could be read.
     pub async fn read_request_head(&mut self, limit: usize) -> Result<RequestHead, ReadError> {
         loop {
             if let Some(head) = RequestHead::parse(&mut self.buffer, limit)? {
@@ -144,10 +145,10 @@
         }
     }
 
-    /// Reads a response's head.
+    /// Reads a response head.
     ///
     /// # Errors
-    /// Returns why there is none.
+    /// Returns why no valid head could be read.
     pub async fn read_response_head(&mut self, limit: usize) -> Result<ResponseHead, ReadError> {
         loop {
             if let Some(head) = ResponseHead::parse(&mut self.buffer, limit)? {
@@ -166,10 +167,10 @@
         }
     }
 
-    /// Reads the next bytes of a body; `None` when the body is whole.
+    /// Reads the next bytes of a body; `None` when the body is complete.
     ///
     /// # Errors
-    /// Returns that the body is malformed or was cut short.
+    /// Returns an error if the body is malformed or truncated.
     pub async fn read_body(
         &mut self,
         decoder: &mut BodyDecoder,
@@ -186,10 +187,10 @@
         }
     }
 
-    /// Reads a whole body of at most `limit` bytes; `None` when it is longer.
+    /// Reads a complete body of at most `limit` bytes; `None` when it is longer.
     ///
     /// # Errors
-    /// Returns that the body is malformed or was cut short.
+    /// Returns an error if the body is malformed or truncated.
     pub async fn read_full_body(
         &mut self,
         decoder: &mut BodyDecoder,
@@ -219,19 +220,21 @@
         self.socket.write_all(bytes).await
     }
 
-    /// Splits the stream, so that a long request can be written while its answer is read.
+    /// Splits the stream, so that a response can be read while its request is still being written.
     pub fn split(&mut self) -> (HttpReader<'_>, tokio::net::tcp::WriteHalf<'_>) {
         let (socket, writer) = self.socket.split();
         (HttpReader { socket, buffer: &mut self.buffer }, writer)
     }
 
-    /// Closes the connection so that the peer sees a reset and can not take the answer for whole.
+    /// Closes the connection with a TCP reset, so that the peer does not take the response as
+    /// complete.
     pub fn reset(self) {
-        // A failure leaves an ordinary close, which the missing end of the body still tells apart.
+        // On failure the close is orderly; the peer still detects the missing end of the body.
         let _ = SockRef::from(&self.socket).set_linger(Some(Duration::ZERO));
     }
 
-    /// Closes the write side and reads what the peer still sends, so that the close is no reset.
+    /// Closes the write side and discards what the peer still sends, for at most `timeout`: unread
+    /// bytes at the close would cause a reset, and the peer could lose the response.
     pub async fn close_gracefully(mut self, timeout: Duration) {
         if self.socket.shutdown().await.is_err() {
             return;
@@ -245,7 +248,7 @@
     }
 }
 
-/// The reading half of a split stream.
+/// The read half of a split [`HttpStream`].
 #[derive(Debug)]
 pub struct HttpReader<'stream> {
     socket: tokio::net::tcp::ReadHalf<'stream>,
@@ -253,10 +256,10 @@
 }
 
 impl HttpReader<'_> {
-    /// Reads a response's head; see [`HttpStream::read_response_head`].
+    /// Reads a response head; see [`HttpStream::read_response_head`].
     ///
     /// # Errors
-    /// Returns why there is none.
+    /// Returns why no valid head could be read.
     pub async fn read_response_head(&mut self, limit: usize) -> Result<ResponseHead, ReadError> {
         loop {
             if let Some(head) = ResponseHead::parse(self.buffer, limit)? {
--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -1,13 +1,13 @@
-//! Heads of requests and responses: parsing, checks and writing.
+//! Request and response heads: parsing, validation and writing.
 
 use std::fmt::Write as _;
 
 use bytes::{Buf, BytesMut};
 
-/// The most header fields that a head may have.
+/// Maximum number of header fields in a head.
 const MAX_HEADER_FIELDS: usize = 64;
 
-/// Header fields that concern one connection and are never passed on.
+/// Hop-by-hop header fields, which are never forwarded.
 const CONNECTION_FIELDS: &[&str] = &[
     "connection",
     "keep-alive",
@@ -22,23 +22,23 @@
     "http2-settings",
 ];
 
-/// Why a head was refused.
+/// Why a head was rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum HeadError {
-    /// The head is longer than allowed.
+    /// The head exceeds the size limit or has too many header fields.
     #[error("the head is longer than the limit; send fewer or shorter header fields")]
     TooLarge,
-    /// The head is not HTTP/1.1 as RFC 9112 writes it.
+    /// The head does not conform to RFC 9112.
     #[error("the head is malformed; end lines with CRLF and use plain header fields")]
     Malformed,
-    /// The length of the body is given twice, in two ways, or not as a number.
+    /// The body length is given more than once, in two ways, or is not a number.
     #[error("the body's length is ambiguous; send one Content-Length or chunked coding")]
     AmbiguousLength,
-    /// The request lacks its one `Host` field.
+    /// The request does not have exactly one `Host` field.
     #[error("a request must carry exactly one Host field")]
     InvalidHost,
     /// A transfer coding other than chunked.
-    #[error("only the chunked transfer coding is known")]
+    #[error("only the chunked transfer coding is supported")]
     UnsupportedCoding,
 }
 
@@ -47,26 +47,26 @@
 pub struct HeaderField {
     /// The name as written.
     pub name: String,
-    /// The value, without surrounding white space.
+    /// The value, without surrounding whitespace.
     pub value: Vec<u8>,
 }
 
-/// Header fields in the order in which they were written.
+/// Header fields in the order received.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct HeaderFields(Vec<HeaderField>);
 
 impl HeaderFields {
-    /// Adds a field at the end.
+    /// Appends a field.
     pub fn push(&mut self, name: impl Into<String>, value: impl Into<Vec<u8>>) {
         self.0.push(HeaderField { name: name.into(), value: value.into() });
     }
 
-    /// Iterates over all fields.
+    /// Returns an iterator over all fields.
     pub fn iter(&self) -> impl Iterator<Item = &HeaderField> {
         self.0.iter()
     }
 
-    /// Iterates over the values of all fields called `name`.
+    /// Returns an iterator over the values of all fields named `name`.
     pub fn values<'fields>(&'fields self, name: &str) -> impl Iterator<Item = &'fields [u8]> {
         self.0
             .iter()
@@ -74,12 +74,12 @@
             .map(|field| field.value.as_slice())
     }
 
-    /// Returns the value of the first field called `name`, if it is text.
+    /// Returns the value of the first field named `name` if it is valid UTF-8.
     pub fn text(&self, name: &str) -> Option<&str> {
         self.values(name).next().and_then(|value| std::str::from_utf8(value).ok())
     }
 
-    /// Returns whether a comma-separated list called `name` contains `token`.
+    /// Returns whether a comma-separated list field named `name` contains `token`.
     pub fn has_token(&self, name: &str, token: &str) -> bool {
         self.values(name).any(|value| {
             String::from_utf8_lossy(value)
@@ -88,10 +88,10 @@
         })
     }
 
-    /// Returns the fields that concern more than this connection.
+    /// Returns the end-to-end fields, without the hop-by-hop ones.
     ///
-    /// Fields that `Connection` names are left out too, as RFC 9110 section 7.6.1 asks for. Of the
-    /// framing fields, `Content-Length` stays.
+    /// Fields listed in `Connection` are removed too, as RFC 9110 section 7.6.1 requires. Of the
+    /// framing fields, `Content-Length` is kept.
     #[must_use]
     pub fn end_to_end(&self) -> Self {
         let end_to_end_fields = self.0.iter().filter(|field| {
@@ -102,13 +102,13 @@
         Self(end_to_end_fields.cloned().collect())
     }
 
-    /// Puts one field in the place of all fields called `name`.
+    /// Replaces all fields named `name` by one field.
     pub fn replace(&mut self, name: &str, value: impl Into<Vec<u8>>) {
         self.remove_all(&[name]);
         self.push(name, value);
     }
 
-    /// Takes out every field that carries one of `names`, in whatever case.
+    /// Removes all fields with one of `names`, ignoring case.
     pub fn remove_all(&mut self, names: &[&str]) {
         self.0.retain(|field| !names.iter().any(|name| field.name.eq_ignore_ascii_case(name)));
     }
@@ -128,9 +128,9 @@
 pub struct RequestHead {
     /// The method, such as `POST`.
     pub method: String,
-    /// The path and query, beginning with a slash.
+    /// The path and query, starting with a slash.
     pub target: String,
-    /// Whether the peer speaks HTTP/1.1; HTTP/1.0 otherwise.
+    /// Whether the version is HTTP/1.1 rather than HTTP/1.0.
     pub is_http11: bool,
     /// The header fields.
     pub fields: HeaderFields,
@@ -143,17 +143,17 @@
     pub status: u16,
     /// The reason phrase.
     pub reason: String,
-    /// Whether the peer speaks HTTP/1.1; HTTP/1.0 otherwise.
+    /// Whether the version is HTTP/1.1 rather than HTTP/1.0.
     pub is_http11: bool,
     /// The header fields.
     pub fields: HeaderFields,
 }
 
 impl RequestHead {
-    /// Takes a request's head from the front of `buffer`; `None` when more bytes are needed.
+    /// Parses and removes a request head from the front of `buffer`; `None` if it is incomplete.
     ///
     /// # Errors
-    /// Returns why the head can not be accepted; the connection must then be closed.
+    /// Returns why the head was rejected; the connection must then be closed.
     pub fn parse(buffer: &mut BytesMut, limit: usize) -> Result<Option<Self>, HeadError> {
         skip_blank_lines(buffer);
         let mut fields = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
@@ -178,7 +178,7 @@
         Ok(Some(head))
     }
 
-    /// Writes the head, with its end, to `out`.
+    /// Appends the head and its terminating empty line to `out`.
     pub fn write_to(&self, out: &mut BytesMut) {
         out.extend_from_slice(self.method.as_bytes());
         out.extend_from_slice(b" ");
@@ -188,23 +188,23 @@
         out.extend_from_slice(b"\r\n");
     }
 
-    /// Returns whether the peer wants to keep the connection.
+    /// Returns whether the peer asks for the connection to stay open.
     pub fn keeps_connection(&self) -> bool {
         keeps_connection(&self.fields, self.is_http11)
     }
 }
 
 impl ResponseHead {
-    /// Returns a head without header fields.
+    /// Creates a head without header fields.
     pub fn new(status: u16) -> Self {
         let reason = reason_phrase(status).to_owned();
         Self { status, reason, is_http11: true, fields: HeaderFields::default() }
     }
 
-    /// Takes a response's head from the front of `buffer`; `None` when more bytes are needed.
+    /// Parses and removes a response head from the front of `buffer`; `None` if it is incomplete.
     ///
     /// # Errors
-    /// Returns why the head can not be accepted; the connection must then be closed.
+    /// Returns why the head was rejected; the connection must then be closed.
     pub fn parse(buffer: &mut BytesMut, limit: usize) -> Result<Option<Self>, HeadError> {
         let mut fields = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
         let mut response = httparse::Response::new(&mut fields);
@@ -222,7 +222,7 @@
         Ok(Some(head))
     }
 
-    /// Writes the head, with its end, to `out`.
+    /// Appends the head and its terminating empty line to `out`.
     pub fn write_to(&self, out: &mut BytesMut) {
         let mut line = String::with_capacity(32);
         let _ = write!(line, "HTTP/1.1 {} {}\r\n", self.status, self.reason);
@@ -231,13 +231,13 @@
         out.extend_from_slice(b"\r\n");
     }
 
-    /// Returns whether the peer keeps the connection after this answer.
+    /// Returns whether the peer keeps the connection open after this response.
     pub fn keeps_connection(&self) -> bool {
         keeps_connection(&self.fields, self.is_http11)
     }
 }
 
-/// Returns the usual reason phrase of a status.
+/// Returns the standard reason phrase of a status code.
 pub const fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
@@ -280,7 +280,7 @@
     }
 }
 
-/// Refuses line feeds without a carriage return: two readers could split the head differently.
+/// Rejects line feeds without a carriage return: two parsers could split such a head differently.
 fn check_line_ends(head: &[u8]) -> Result<(), HeadError> {
     let has_bare_line_feed = head
         .iter()
@@ -289,7 +289,7 @@
     if has_bare_line_feed { Err(HeadError::Malformed) } else { Ok(()) }
 }
 
-/// Skips empty lines before a request, as RFC 9112 section 2.2 asks a server to do.
+/// Skips empty lines before a request line, as RFC 9112 section 2.2 recommends.
 fn skip_blank_lines(buffer: &mut BytesMut) {
     while buffer.starts_with(b"\r\n") {
         buffer.advance(2);
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,10 +1,10 @@
-//! Strict HTTP/1.1 heads and bodies over TCP, for both sides of a forwarder.
+//! Strict HTTP/1.1 parsing and writing over TCP, for the client and server side of a proxy.
 //!
-//! A forwarder must frame a message exactly as its peers do, and must know in every case whether a
-//! message was whole. So this crate parses heads with `httparse`, refuses what two readers could
-//! frame differently, and hands bodies on part by part together with how they ended.
+//! A proxy must frame each message exactly as its peers do and must detect truncated messages.
+//! This crate parses heads with `httparse`, rejects messages that two parsers could frame
+//! differently (request smuggling), and returns bodies incrementally with their end state.
 //!
-//! [`head`] holds heads and header fields, [`body`] how a body is cut, and [`connection`] one
+//! [`head`] has message heads and header fields, [`body`] body framing, and [`connection`] a
 //! socket with its read buffer.
 
 pub mod body;
--- a/crates/node/src/callers.rs
+++ b/crates/node/src/callers.rs
@@ -1,9 +1,8 @@
-//! The border to callers: HTTP in, answers out, one thread for each connection.
+//! The callers' HTTP server, with one thread for each connection.
 //!
-//! The brief's `rouille` holds streamed chunks back until its buffer is full, and its nearest kin
-//! `tiny_http` gives no way to put a time limit on a slow sender, so heads are parsed by
-//! `httparse` on plain sockets here (docs/DESIGN.md, "HTTP towards callers"). Operators' pages,
-//! where neither matters, are served by `rouille`.
+//! It parses heads with `httparse` on plain sockets: `rouille` buffers streamed chunks, and
+//! `tiny_http` has no timeout for slow senders (docs/DESIGN.md, "HTTP towards callers"). The
+//! operators' endpoints need neither and use `rouille`.
 
 mod connection;
 mod events;
@@ -33,19 +32,19 @@
 
 use crate::{control::ControlSender, settings::CallerLimits};
 
-/// The stack of a thread that serves one connection.
+/// Stack size of a connection thread.
 const CONNECTION_STACK_BYTES: usize = 256 << 10;
 
-/// How long an accept that failed rests.
+/// Delay after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// What all connections share.
+/// State shared by all connections.
 pub struct CallerServer {
     host: HostId,
     incarnation: Incarnation,
     counter: AtomicU32,
     open_connections: AtomicUsize,
-    /// Requests that are being answered now.
+    /// Requests being handled now.
     active_requests: AtomicUsize,
     limits: CallerLimits,
     control: ControlSender,
@@ -54,7 +53,7 @@
 }
 
 impl CallerServer {
-    /// Makes the border of a host.
+    /// Creates the server of a host.
     pub fn new(
         host: HostId,
         incarnation: Incarnation,
@@ -86,7 +85,7 @@
         }
     }
 
-    /// Waits until every answer that has begun is written; says whether that came to pass.
+    /// Waits until no request is being handled; returns false on timeout.
     pub fn wait_idle(&self, timeout: Duration) -> bool {
         const POLL_INTERVAL: Duration = Duration::from_millis(10);
         let deadline = Instant::now() + timeout;
@@ -99,7 +98,7 @@
         true
     }
 
-    /// Says whether an order is too old to be carried out, as after a pause of this process.
+    /// Returns whether a dispatch is too old to be sent, as after a pause of this process.
     fn is_expired(&self, dispatch: &RequestDispatch) -> bool {
         self.clock.now().since(dispatch.issued_at) > MAX_DISPATCH_DELAY
     }
@@ -110,7 +109,7 @@
     }
 }
 
-/// Counts a connection as long as it lives.
+/// Decrements the number of open connections when dropped.
 struct ConnectionGuard(Arc<CallerServer>);
 
 impl Drop for ConnectionGuard {
@@ -119,10 +118,10 @@
     }
 }
 
-/// Starts to accept callers on a bound listener.
+/// Starts accepting connections on a bound listener.
 ///
 /// # Errors
-/// Returns why the listener has no address.
+/// Returns why the listener has no address or the thread could not be started.
 pub fn start_callers(
     server: Arc<CallerServer>,
     listener: TcpListener,
--- a/crates/node/src/callers/connection.rs
+++ b/crates/node/src/callers/connection.rs
@@ -1,4 +1,4 @@
-//! One caller's connection: requests are read whole, within limits of size and time.
+//! A caller's connection: reads complete requests within size and time limits.
 
 use std::{
     fmt::Write as _,
@@ -12,10 +12,10 @@
 
 use super::{CallerServer, refusal, route};
 
-/// Headers of one request at most.
+/// Maximum number of headers of a request.
 const MAX_HEADERS: usize = 64;
 
-/// Bytes read from the socket at a time.
+/// Size of one read from the socket.
 const READ_CHUNK_BYTES: usize = 8 << 10;
 
 /// A request's head.
@@ -25,21 +25,21 @@
     pub method: String,
     /// Path and query, as sent.
     pub target: String,
-    /// Names, as sent, and values.
+    /// Names, as sent, with their values.
     pub headers: Vec<(String, Vec<u8>)>,
     /// Whether the connection may be used for another request.
     pub keep_alive: bool,
 }
 
 impl HttpHead {
-    /// Returns a header's value if it is plain text.
+    /// Returns a header's value if it is valid UTF-8.
     pub fn header(&self, name: &str) -> Option<&str> {
         let found =
             self.headers.iter().find(|(header_name, _)| header_name.eq_ignore_ascii_case(name));
         found.and_then(|(_, value)| std::str::from_utf8(value).ok())
     }
 
-    /// Says whether a header is there, whatever its value.
+    /// Returns whether a header is present, whatever its value.
     pub fn has_header(&self, name: &str) -> bool {
         self.headers.iter().any(|(header_name, _)| header_name.eq_ignore_ascii_case(name))
     }
@@ -50,7 +50,7 @@
     }
 }
 
-/// A request, read whole.
+/// A complete request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct HttpRequest {
     /// The head.
@@ -59,16 +59,16 @@
     pub body: Vec<u8>,
 }
 
-/// Why a request was not read whole.
+/// Why a request could not be read.
 #[derive(Debug)]
 enum RequestReadError {
     /// The caller closed the connection between requests.
     Closed,
-    /// The caller is told what is wrong.
+    /// The request is rejected with this status and message.
     Rejected(u16, &'static str),
 }
 
-/// Serves one connection until it ends.
+/// Serves a connection until it is closed.
 pub(super) fn serve_connection(server: &CallerServer, mut stream: TcpStream) {
     drop(stream.set_nodelay(true));
     drop(stream.set_write_timeout(Some(server.limits.read_timeout)));
@@ -96,7 +96,7 @@
     drop(stream.shutdown(std::net::Shutdown::Both));
 }
 
-/// Tells a caller that the host has no room for another connection.
+/// Rejects a connection beyond the limit on open connections.
 pub(super) fn refuse_over_limit(mut stream: TcpStream) {
     let message = "this host has as many connections as it may";
     let refusal = RequestRefusal::not_run(RefusalKind::Overloaded, message)
@@ -105,7 +105,8 @@
     drop(refusal::refuse_with_status(&mut stream, &refusal, 503, false));
 }
 
-/// Lets the caller read the answer before the unread rest of its request resets the connection.
+/// Discards the unread rest of a request, which would otherwise reset the connection at the close
+/// before the caller has read the response.
 fn drain_unread_request(stream: &mut TcpStream) {
     const READ_TIMEOUT: Duration = Duration::from_millis(200);
     const MAX_READS: usize = 64;
@@ -120,7 +121,7 @@
     }
 }
 
-/// Reads a piece before `deadline`; none means that the caller closed.
+/// Reads some bytes before `deadline`; zero means that the caller closed its side.
 fn read_chunk(
     stream: &mut TcpStream,
     buffer: &mut Vec<u8>,
@@ -200,7 +201,7 @@
     }
 }
 
-/// Returns the head and its length, or `None` when more bytes are needed.
+/// Returns the head and its length, or `None` if it is incomplete.
 fn parse_head(buffer: &[u8]) -> Result<Option<(HttpHead, usize)>, RequestReadError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
@@ -254,7 +255,7 @@
     }
 }
 
-/// Says whether the caller has closed its side, without taking bytes it may have sent.
+/// Returns whether the caller has closed its side, without consuming bytes that it has sent.
 pub(super) fn is_closed_by_caller(stream: &TcpStream) -> bool {
     let mut byte = [0];
     if stream.set_nonblocking(true).is_err() {
@@ -269,7 +270,7 @@
     }
 }
 
-/// Writes a whole answer.
+/// Writes a complete response.
 pub(super) fn write_response(
     stream: &mut TcpStream,
     status: u16,
@@ -309,14 +310,14 @@
     }
 }
 
-/// Writes an answer piece by piece; each piece leaves at once.
+/// Writes a response body in chunked coding without buffering.
 #[derive(Debug)]
 pub(super) struct ChunkedWriter<'a> {
     stream: &'a mut TcpStream,
 }
 
 impl<'a> ChunkedWriter<'a> {
-    /// Begins the answer.
+    /// Writes the response head.
     pub(super) fn begin(
         stream: &'a mut TcpStream,
         headers: &[(&str, &str)],
@@ -332,7 +333,8 @@
         Ok(Self { stream })
     }
 
-    /// Writes one piece with its length, in one packet where it fits.
+    /// Writes one chunk, with its framing in the same call so that it is sent as one packet if it
+    /// fits.
     pub(super) fn write(&mut self, chunk: &[u8]) -> io::Result<()> {
         let mut framed = format!("{:x}\r\n", chunk.len()).into_bytes();
         framed.extend_from_slice(chunk);
@@ -340,7 +342,7 @@
         self.stream.write_all(&framed)
     }
 
-    /// Ends the answer cleanly. Without it the caller sees that the answer is not whole.
+    /// Writes the last chunk. Without it the caller detects that the response is incomplete.
     pub(super) fn end(self) -> io::Result<()> {
         self.stream.write_all(b"0\r\n\r\n")
     }
--- a/crates/node/src/callers/events.rs
+++ b/crates/node/src/callers/events.rs
@@ -1,40 +1,41 @@
-//! Reads server-sent events from a backend's answer, whole and in order.
+//! Reads server-sent events from a backend's response.
 
 use std::io::{self, Read};
 
-/// The largest event that is read.
+/// Maximum size of an event.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// What ends a stream of completions.
+/// The final event of a completion stream.
 const DONE: &[u8] = b"data: [DONE]";
 
-/// One event as sent, blank line included.
+/// One event.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct StreamEvent {
-    /// The bytes.
+    /// The event as sent, with its terminating blank line.
     pub(super) bytes: Vec<u8>,
     /// The number in its `id` field.
     pub(super) event_id: Option<u64>,
-    /// Whether it says that the stream is complete.
+    /// Whether it is the final event of the stream.
     pub(super) done: bool,
 }
 
-/// Cuts an answer into events.
+/// Splits a response body into events.
 pub(super) struct EventReader<R> {
     source: R,
     buffer: Vec<u8>,
 }
 
 impl<R: Read> EventReader<R> {
-    /// Reads from an answer's body.
+    /// Creates a reader of a response body.
     pub(super) const fn new(source: R) -> Self {
         Self { source, buffer: Vec::new() }
     }
 
-    /// Returns the next event, or `None` where the body ends between two.
+    /// Returns the next event, or `None` if the body ends between two events.
     ///
     /// # Errors
-    /// Returns why the body could not be read, or that it ends within an event.
+    /// Returns an error if the body can not be read, an event is too large, or the body ends within
+    /// an event.
     pub(super) fn next_event(&mut self) -> io::Result<Option<StreamEvent>> {
         loop {
             if let Some(end) = event_end(&self.buffer) {
@@ -42,7 +43,7 @@
                 return Ok(Some(parse_event(bytes)));
             }
             if self.buffer.len() > MAX_EVENT_BYTES {
-                return Err(io::Error::other("event is too large"));
+                return Err(io::Error::other("server-sent event exceeds the size limit"));
             }
             let mut chunk = [0; 4096];
             let count = self.source.read(&mut chunk)?;
--- a/crates/node/src/callers/exchange.rs
+++ b/crates/node/src/callers/exchange.rs
@@ -1,4 +1,5 @@
-//! A completion: permitted by the control thread, answered by an engine, passed on to the caller.
+//! Handles completion requests: waits for the control thread's decision, sends the request to an
+//! engine and forwards the response.
 
 use std::{
     io,
@@ -29,21 +30,21 @@
     control::{ControlInput, RequestDecision},
 };
 
-/// How often a waiting thread looks whether its caller is still there.
+/// How often a waiting connection thread checks whether its caller has disconnected.
 const CALLER_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How often a broken stream is taken up again where it broke off.
+/// Maximum number of times an interrupted stream is resumed.
 const MAX_RESUMES: u32 = 3;
 
-/// How long to wait before taking a broken stream up again.
+/// Delay before an interrupted stream is resumed.
 const RESUME_DELAY: Duration = Duration::from_millis(50);
 
-/// The largest answer that is not streamed, in bytes.
+/// Maximum size of a response that is not streamed, in bytes.
 const MAX_RESPONSE_BYTES: u64 = 16 << 20;
 
 type EngineResponse = ureq::http::Response<ureq::Body>;
 
-/// Serves one completion.
+/// Handles one completion request.
 pub(super) fn serve_completion(
     server: &CallerServer,
     stream: &mut TcpStream,
@@ -62,7 +63,7 @@
     exchange.run(stream, &decisions)
 }
 
-/// Waits for the control thread's word, and tells it when the caller hangs up meanwhile.
+/// Waits for the control thread's decision; reports to it if the caller disconnects meanwhile.
 pub(super) fn wait_for_decision(
     server: &CallerServer,
     stream: &TcpStream,
@@ -98,11 +99,11 @@
     id: RequestId,
 }
 
-/// How far an exchange got.
+/// The outcome of one dispatch to an engine.
 enum DispatchOutcome {
-    /// It ended; the control thread says what follows, and whether the caller has seen any of it.
+    /// No complete response was written; the control thread decides how to continue.
     Ended(DispatchResult),
-    /// The answer, or what is known of it, was written whole.
+    /// A complete response was written, with the result of writing it.
     Written(io::Result<()>),
 }
 
@@ -144,7 +145,8 @@
         self.server.control.send_event(NodeEvent::DispatchEnded { request: self.id, result });
     }
 
-    /// Ends an answer that has begun with an error event, and not as if it were whole.
+    /// Ends a started stream with an error event and without the last chunk, so that the caller
+    /// detects that it is incomplete.
     fn abort_stream(
         stream: &mut TcpStream,
         decisions: &Receiver<RequestDecision>,
@@ -180,7 +182,10 @@
             return self.handle_error_status(stream, &mut response);
         }
         if !self.is_response_to(&response, dispatch) {
-            log::error!("engine at {} answered for another adapter", dispatch.address);
+            log::error!(
+                "engine at {} responded for another model or request; response discarded",
+                dispatch.address
+            );
             self.cancel(dispatch);
             return DispatchOutcome::Ended(DispatchResult::Interrupted { answer_started: false });
         }
@@ -209,8 +214,8 @@
             .send(&body[..])
     }
 
-    /// An answer is taken only if the engine says that it is by the very base model, adapter and
-    /// version.
+    /// Returns whether the engine confirms that the response is to this request and by the requested
+    /// base model, adapter and version.
     fn is_response_to(&self, response: &EngineResponse, dispatch: &RequestDispatch) -> bool {
         let header =
             |name: &str| response.headers().get(name).and_then(|value| value.to_str().ok());
@@ -235,7 +240,7 @@
             return DispatchOutcome::Ended(DispatchResult::NotRun(reason));
         }
         if (400..500).contains(&status) {
-            // The engine itself refuses the request: that is the caller's answer.
+            // The engine rejected the request itself; its response is forwarded.
             let headers = [("content-type", "application/json")];
             return DispatchOutcome::Written(write_response(
                 stream,
@@ -268,7 +273,7 @@
         }
     }
 
-    /// Passes a stream on, event by event, and takes it up again where it breaks off.
+    /// Forwards a stream event by event, and resumes it if it is interrupted.
     fn forward_stream(
         &self,
         stream: &mut TcpStream,
@@ -320,7 +325,7 @@
         let mut events = EventReader::new(response.into_body().into_reader());
         loop {
             let Ok(Some(event)) = events.next_event() else { return StreamResult::Interrupted };
-            // A gap or a repeated event means that the stream is not the one that was left.
+            // A gap or a repeated event means that this is not the continuation of the stream.
             if event.event_id.is_some_and(|event_id| event_id != *expected) {
                 return StreamResult::Interrupted;
             }
@@ -344,7 +349,7 @@
         }
     }
 
-    /// Takes a broken stream up at the engine, from the first event that is missing.
+    /// Resumes an interrupted stream at the engine, from the first missing event.
     fn resume(&self, dispatch: &RequestDispatch, from: u64) -> Option<EngineResponse> {
         let url = format!(
             "http://{}/v1/streams/{:x}?from={from}&chat={}",
@@ -355,7 +360,7 @@
             .then_some(response)
     }
 
-    /// Tells the engine that nobody waits for the answer any more.
+    /// Cancels the request at the engine.
     fn cancel(&self, dispatch: &RequestDispatch) {
         let url = format!("http://{}/v1/streams/{:x}", dispatch.address, self.id);
         drop(self.server.backends.delete(url).header("connection", "close").call());
@@ -373,7 +378,7 @@
     code: String,
 }
 
-/// Returns why the engine says that it did not run a request, if it says so.
+/// Returns the reason if the engine reports that it did not run the request.
 fn not_run_reason(status: u16, body: &[u8]) -> Option<NotRunReason> {
     let error: EngineErrorBody = serde_json::from_slice(body).ok()?;
     match (status, error.code.as_str()) {
--- a/crates/node/src/callers/plain.rs
+++ b/crates/node/src/callers/plain.rs
@@ -1,4 +1,4 @@
-//! Calls to plain services, passed on as they are.
+//! Forwards requests to plain services.
 
 use std::{io, net::TcpStream, sync::mpsc};
 
@@ -20,15 +20,15 @@
     control::{ControlInput, RequestDecision},
 };
 
-/// The largest answer of a plain service, in bytes.
+/// Maximum size of a plain service's response, in bytes.
 const MAX_RESPONSE_BYTES: u64 = 16 << 20;
 
-/// Headers that are passed on; the rest concerns this connection or this layer.
+/// Request headers that are forwarded; the others are for this connection or this host.
 const FORWARDED_HEADERS: [&str; 4] = ["content-type", "accept", "authorization", "idempotency-key"];
 
 type ServerResponse = ureq::http::Response<ureq::Body>;
 
-/// Passes a call on to the service below whose prefix the path lies.
+/// Forwards a request to the service whose path prefix matches.
 pub(super) fn forward(
     server: &CallerServer,
     stream: &mut TcpStream,
@@ -99,7 +99,7 @@
     server.backends.run(call)
 }
 
-/// Writes a server's answer to the caller; `None` means that it broke off before it was whole.
+/// Writes a server's response to the caller; `None` if the response is incomplete.
 fn forward_response(
     stream: &mut TcpStream,
     mut response: ServerResponse,
--- a/crates/node/src/callers/refusal.rs
+++ b/crates/node/src/callers/refusal.rs
@@ -1,4 +1,4 @@
-//! What callers are told when there is no whole answer.
+//! Error responses to callers.
 
 use std::{io, net::TcpStream};
 
@@ -8,7 +8,7 @@
 
 use super::connection::write_response;
 
-/// The body of every error.
+/// The body of an error response.
 #[derive(Debug, Serialize)]
 struct ErrorBody<'a> {
     error: ErrorDetail<'a>,
@@ -16,7 +16,7 @@
 
 #[derive(Debug, Serialize)]
 struct ErrorDetail<'a> {
-    /// The kind, as in docs/OPERATORS.md.
+    /// The refusal kind; docs/OPERATORS.md lists them.
     #[serde(rename = "type")]
     kind: reelreel_core::RefusalKind,
     message: &'a str,
@@ -27,7 +27,7 @@
     retry_after_ms: Option<u64>,
 }
 
-/// Returns the JSON that a caller gets.
+/// Returns the JSON body of an error response.
 pub(super) fn error_body(refusal: &RequestRefusal) -> Vec<u8> {
     let error = ErrorDetail {
         kind: refusal.kind,
@@ -39,7 +39,7 @@
     serde_json::to_vec(&ErrorBody { error }).unwrap_or_else(|_| json!({}).to_string().into_bytes())
 }
 
-/// Answers with an error.
+/// Writes an error response.
 pub(super) fn refuse(
     stream: &mut TcpStream,
     refusal: &RequestRefusal,
@@ -48,14 +48,14 @@
     refuse_with_status(stream, refusal, refusal.kind.status(), keep_alive)
 }
 
-/// Answers with an error under a status of its own.
+/// Writes an error response with a status that differs from the kind's usual one.
 pub(super) fn refuse_with_status(
     stream: &mut TcpStream,
     refusal: &RequestRefusal,
     status: u16,
     keep_alive: bool,
 ) -> io::Result<()> {
-    // Retry-After has whole seconds; the exact time stands in the body.
+    // Retry-After is in whole seconds; the body has the exact delay.
     let seconds =
         refusal.retry_after.map(|after| duration_millis(after).div_ceil(1000).max(1).to_string());
     let mut headers = vec![("content-type", "application/json")];
--- a/crates/node/src/callers/request.rs
+++ b/crates/node/src/callers/request.rs
@@ -1,4 +1,4 @@
-//! What a caller's headers and body say, checked before anything else happens.
+//! Parsing and validation of request headers and completion bodies.
 
 use std::time::Duration;
 
@@ -11,20 +11,20 @@
 
 use super::connection::{HttpHead, HttpRequest};
 
-/// The longest idempotency key, in bytes.
+/// Maximum length of an idempotency key, in bytes.
 const MAX_KEY_BYTES: usize = 256;
 
-/// The longest deadline a caller may name.
+/// Maximum deadline that a caller may set, in milliseconds.
 const MAX_DEADLINE_MS: u64 = 3_600_000;
 
-/// A completion as its caller asked for it.
+/// A completion request.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct CompletionRequest {
-    /// The request as the core takes it.
+    /// The request as passed to the core.
     pub(super) arrived: ArrivedRequest,
-    /// The whole body, passed on but for what this layer decides.
+    /// The body as sent; the fields that this host sets are replaced before it is forwarded.
     pub(super) body: Map<String, Value>,
-    /// Whether the answer is streamed.
+    /// Whether the response is streamed.
     pub(super) stream: bool,
 }
 
@@ -32,7 +32,7 @@
     RequestRefusal::not_run(RefusalKind::BadRequest, message)
 }
 
-/// Reads the headers that every request may have.
+/// Parses the headers that all requests may have.
 pub(super) fn parse_headers(
     id: RequestId,
     head: &HttpHead,
@@ -89,7 +89,7 @@
     Ok(Some(IdempotencyKey { text: text.to_owned(), created_millis }))
 }
 
-/// Reads a completion.
+/// Parses a completion request.
 pub(super) fn parse_completion(
     id: RequestId,
     request: &HttpRequest,
--- a/crates/node/src/callers/route.rs
+++ b/crates/node/src/callers/route.rs
@@ -1,4 +1,4 @@
-//! Which of the host's paths a caller came to.
+//! Routes requests by method and path.
 
 use std::{io, net::TcpStream};
 
@@ -12,7 +12,7 @@
 };
 use crate::control::ControlQuery;
 
-/// Answers one request. An error means that the connection can not be used any further.
+/// Responds to one request. An error means that the connection can not be reused.
 pub(super) fn respond(
     server: &CallerServer,
     stream: &mut TcpStream,
--- a/crates/node/src/clients.rs
+++ b/crates/node/src/clients.rs
@@ -1,6 +1,6 @@
-//! The borders to outside systems as small traits, and their HTTP forms.
+//! Client traits for the platform and for engines, and their HTTP implementations.
 //!
-//! Another platform or engine is met by another implementation; nothing else changes.
+//! Another platform or engine protocol is another implementation of these traits.
 
 use std::time::Duration;
 
@@ -17,37 +17,40 @@
 pub use engine::EngineHttpClient;
 pub use platform::PlatformHttpClient;
 
-/// The outside system could not be reached, or its answer not understood.
+/// An external system could not be reached or sent an invalid response.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("{system} at {address} gave no usable answer: {reason}; check that it runs and is reached")]
+#[error(
+    "request to {system} at {address} failed: {reason}; check that it is running and reachable"
+)]
 pub struct ClientError {
-    /// Which system.
+    /// The system, such as `platform`.
     pub system: &'static str,
-    /// Where.
+    /// Its address.
     pub address: String,
-    /// What went wrong.
+    /// The cause.
     pub reason: String,
 }
 
-/// Records of a stream.
+/// A batch of records of a stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReadBatch {
-    /// How often the log has come back from an older copy of itself.
+    /// The number of times the log was restored from an older copy.
     pub era: StoreEra,
-    /// The first offset that the stream still has.
+    /// The first offset that the stream retains.
     pub first: LogOffset,
-    /// The records, in order; the first may lie beyond the offset asked for, where that expired.
+    /// The records, in order; the first is beyond the requested offset if that has expired.
     pub records: Vec<LogRecord>,
-    /// The offset after the stream's last record; below the one asked for where the log came back shorter.
+    /// The offset after the stream's last record; below the requested offset if the log was restored
+    /// from an older copy.
     pub end: LogOffset,
 }
 
-/// The platform's log.
+/// A client of the platform's log.
 pub trait LogClient: Send + Sync {
-    /// Reads from an offset on, waiting a while for records to come.
+    /// Reads records from an offset, waiting at most `wait` for new ones.
     ///
     /// # Errors
-    /// Returns why the log gave no answer.
+    /// Returns why the log could not be read.
     fn read(
         &self,
         stream: LogStream,
@@ -55,20 +58,20 @@
         wait: Duration,
     ) -> Result<ReadBatch, ClientError>;
 
-    /// Appends a record, once.
+    /// Appends a record without retrying.
     fn append(&self, stream: LogStream, payload: &[u8]) -> AppendResult;
 }
 
-/// The platform's list of hosts.
+/// A client of the platform's host list.
 pub trait HostListClient: Send + Sync {
-    /// Returns what changed since a version, and the version to ask from next.
+    /// Returns the changes since a version, and the version to continue from.
     ///
     /// # Errors
-    /// Returns why the list gave no answer.
+    /// Returns why the list could not be fetched.
     fn changes(&self, since: u64) -> Result<(HostListChange, u64), ClientError>;
 }
 
-/// An order with the adapter's name as the engine knows it.
+/// An order's action with the adapter name that the engine uses.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum NamedOrderAction {
     /// Raises the fence.
@@ -79,26 +82,26 @@
     Unload(String),
 }
 
-/// An engine's report with adapters' names as the engine knows them.
+/// An engine's report with the adapter names that the engine uses.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct NamedReport {
-    /// Its life.
+    /// The engine's incarnation.
     pub incarnation: Incarnation,
-    /// Counts its changes of state.
+    /// The sequence number of its state, incremented with each change.
     pub sequence: u64,
-    /// The highest token it has accepted.
+    /// The highest fence token it has accepted.
     pub token: FenceToken,
-    /// Whether it is leaving.
+    /// Whether the engine is leaving.
     pub leaving: bool,
-    /// The adapters it holds, with how many requests run on each.
+    /// The loaded adapters, each with its number of running requests.
     pub adapters: Vec<(String, u32)>,
-    /// The adapters it is loading.
+    /// The adapters being loaded.
     pub loading: Vec<String>,
 }
 
-/// A model engine's orders and reports.
+/// A client of model engines.
 pub trait EngineClient: Send + Sync {
-    /// Sends an order and waits for its end.
+    /// Sends an order and waits for its result.
     fn send_order(
         &self,
         address: &str,
@@ -106,15 +109,15 @@
         action: &NamedOrderAction,
     ) -> OrderResult;
 
-    /// Asks for the engine's report.
+    /// Fetches the engine's report.
     ///
     /// # Errors
-    /// Returns why the engine gave no answer.
+    /// Returns why the report could not be fetched.
     fn report(&self, address: &str) -> Result<NamedReport, ClientError>;
 }
 
-/// Makes an HTTP client that opens a connection for each call, so that a failed call is known
-/// either to have connected or not.
+/// Creates an HTTP client that opens a connection for each call: with a reused connection it would
+/// be unknown whether a failed call reached the server.
 fn new_agent(connect_timeout: Duration, total_timeout: Duration) -> ureq::Agent {
     ureq::Agent::config_builder()
         .http_status_as_error(false)
@@ -127,7 +130,7 @@
         .into()
 }
 
-/// Says whether a call failed before any byte could have left.
+/// Returns whether a call failed before any byte of the request could have been sent.
 pub fn failed_before_sending(error: &ureq::Error) -> bool {
     use std::io::ErrorKind;
     match error {
--- a/crates/node/src/clients/engine.rs
+++ b/crates/node/src/clients/engine.rs
@@ -1,4 +1,4 @@
-//! Orders to engines and their reports over HTTP: paths, field names and codes.
+//! Engine orders and reports over HTTP: paths, field names and status codes.
 
 use std::time::Duration;
 
@@ -12,16 +12,16 @@
     ClientError, EngineClient, NamedOrderAction, NamedReport, failed_before_sending, new_agent,
 };
 
-/// How long an engine may take to accept a connection.
+/// Timeout for connecting to an engine.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long a load may take, with a slow store; other orders take milliseconds.
+/// Timeout for a load order, including the download from a slow store.
 const LOAD_TIMEOUT: Duration = Duration::from_mins(2);
 
-/// How long a raise, an unload or a report may take.
+/// Timeout for raising the fence, an unload or a report.
 const SHORT_CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Engines over HTTP.
+/// The HTTP client of all engines.
 #[derive(Debug, Clone)]
 pub struct EngineHttpClient {
     load_agent: ureq::Agent,
@@ -63,7 +63,7 @@
 }
 
 impl EngineHttpClient {
-    /// Makes a client for all engines.
+    /// Creates a client for all engines.
     pub fn new() -> Self {
         let load_agent = new_agent(CONNECT_TIMEOUT, LOAD_TIMEOUT);
         Self { load_agent, short_call_agent: new_agent(CONNECT_TIMEOUT, SHORT_CALL_TIMEOUT) }
--- a/crates/node/src/clients/platform.rs
+++ b/crates/node/src/clients/platform.rs
@@ -1,4 +1,4 @@
-//! The platform over HTTP: paths, field names and codes.
+//! The platform's log and host list over HTTP: paths, field names and status codes.
 
 use std::time::Duration;
 
@@ -12,22 +12,22 @@
 
 use super::{ClientError, HostListClient, LogClient, ReadBatch, failed_before_sending, new_agent};
 
-/// How long the platform may take to accept a connection.
+/// Timeout for connecting to the platform.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long a call may take beyond the wait that was asked for.
+/// Timeout for a call, in addition to the requested wait for records.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// The largest answer that is read: a snapshot record with all adapters.
+/// Maximum response size; it must have room for a snapshot record with all adapters.
 const MAX_RESPONSE_BYTES: u64 = 256 << 20;
 
-/// The status of a read from beyond a stream's end; the answer tells the end.
+/// The status of a read beyond a stream's end; the response body still gives the end.
 const BEYOND_END: u16 = 410;
 
-/// The status with which the platform says that it truly wrote nothing.
+/// The status by which the platform confirms that nothing was written.
 const NOT_WRITTEN: u16 = 429;
 
-/// The platform at one address.
+/// The HTTP client of the platform.
 #[derive(Debug, Clone)]
 pub struct PlatformHttpClient {
     address: String,
@@ -76,9 +76,9 @@
 }
 
 impl PlatformHttpClient {
-    /// Makes a client of the platform at `address`.
+    /// Creates a client of the platform at `address`.
     pub fn new(address: impl Into<String>) -> Self {
-        // The longest wait of a read is added for that call.
+        // Reads extend this timeout by their wait.
         Self { address: address.into(), agent: new_agent(CONNECT_TIMEOUT, RESPONSE_TIMEOUT) }
     }
 
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -1,4 +1,4 @@
-//! The control thread: the only one that holds the host's state.
+//! The control thread, the only owner of the host's state.
 
 use std::{
     collections::HashMap,
@@ -30,68 +30,68 @@
     platform::{AppendRequest, FollowRequest},
 };
 
-/// How often the core is told that time has passed.
+/// Interval of [`NodeEvent::Tick`].
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The stack of a thread that carries one order to an engine.
+/// Stack size of a thread that sends one order to an engine.
 const ORDER_STACK_BYTES: usize = 192 << 10;
 
-/// What a traffic thread is told about its request.
+/// The control thread's decision on a request, sent to the request's connection thread.
 #[derive(Debug)]
 pub enum RequestDecision {
     /// Send it to a backend server, once.
     Dispatch(RequestDispatch),
-    /// Tell the caller that it ended.
+    /// Respond to the caller with an error.
     Refuse(RequestRefusal),
 }
 
-/// What the control thread is asked by others.
+/// A query to the control thread, with the channel for the reply.
 pub enum ControlQuery {
     /// The host's state.
     Status(Sender<NodeStatus>),
-    /// Its time line.
+    /// The timeline.
     Timeline(Sender<Vec<TimelineEvent>>),
     /// The names of all adapters.
     Models(Sender<Vec<String>>),
-    /// Its counts.
+    /// The counters.
     Counters(Sender<NodeCounters>),
-    /// The last verdicts on publications.
+    /// The verdicts on the last settings changes.
     History(Sender<Vec<ChangeVerdict>>),
     /// The settings in force.
     Snapshot(Sender<SettingsSnapshot>),
 }
 
-/// What the control thread takes in.
+/// An input of the control thread.
 pub enum ControlInput {
-    /// Something happened.
+    /// An event.
     Event(NodeEvent),
-    /// A caller's request, with the channel to its traffic thread.
+    /// A caller's request, with the channel to its connection thread.
     RequestArrived(ArrivedRequest, Sender<RequestDecision>),
-    /// An engine's report, with names.
+    /// An engine's report, with adapter names.
     Report(EngineId, NamedReport),
-    /// A question.
+    /// A query.
     Query(ControlQuery),
 }
 
-/// The way to the control thread. When all of them are dropped the thread ends.
+/// A sender to the control thread, which ends when all senders are dropped.
 #[derive(Clone)]
 pub struct ControlSender {
     sender: Sender<ControlInput>,
 }
 
 impl ControlSender {
-    /// Tells the control thread that something happened.
+    /// Sends an event.
     pub fn send_event(&self, event: NodeEvent) {
         self.send_input(ControlInput::Event(event));
     }
 
-    /// Hands the control thread anything it takes in.
+    /// Sends an input.
     pub fn send_input(&self, input: ControlInput) {
-        // The control thread outlives its borders but for the moment of the process's end.
+        // Fails only during shutdown: otherwise the control thread outlives all senders.
         drop(self.sender.send(input));
     }
 
-    /// Asks the control thread and waits for its answer.
+    /// Sends a query and waits for the reply; `None` if there is none in time.
     pub fn query<T>(&self, query: impl FnOnce(Sender<T>) -> ControlQuery) -> Option<T> {
         let (sender, receiver) = mpsc::channel();
         self.send_input(ControlInput::Query(query(sender)));
@@ -99,19 +99,19 @@
     }
 }
 
-/// The ways out of the control thread.
+/// The channels and clients through which the control thread executes actions.
 pub struct ControlOutputs {
-    /// To other entry hosts.
+    /// Messages to other entry hosts.
     pub peers: UnboundedSender<OutgoingMessage>,
-    /// To the log's appender.
+    /// Appends to the log.
     pub appends: Sender<AppendRequest>,
-    /// To the log's readers.
+    /// Changes of the offsets at which log streams are read.
     pub follows: Sender<FollowRequest>,
-    /// To the threads that ask engines for reports.
+    /// Requests for engine reports.
     pub reports: Sender<(EngineId, String)>,
-    /// Orders to engines.
+    /// The client that sends orders to engines.
     pub engines: Arc<dyn EngineClient>,
-    /// Told when a planned stop is complete.
+    /// Signals that a planned stop is complete.
     pub stopped: Sender<()>,
 }
 
@@ -123,7 +123,7 @@
     sender: ControlSender,
 }
 
-/// Makes the channel into the control thread.
+/// Creates the input channel of the control thread.
 pub fn control_channel() -> (ControlSender, Receiver<ControlInput>) {
     let (sender, receiver) = mpsc::channel();
     (ControlSender { sender }, receiver)
@@ -132,7 +132,7 @@
 /// Starts the control thread; it ends when `stop` is set or all senders are dropped.
 ///
 /// # Panics
-/// Panics when the process has no room for another thread.
+/// Panics if the thread can not be started.
 pub fn start_control(
     core: NodeCore,
     clock: Arc<dyn ClockSource>,
@@ -146,7 +146,7 @@
     thread::Builder::new()
         .name(String::from("control"))
         .spawn(move || control.run(&inputs, &stop))
-        .expect("a thread can be started at the start of the process")
+        .expect("control thread starts")
 }
 
 /// Returns the wall clock in milliseconds since the Unix epoch.
@@ -207,7 +207,7 @@
     }
 
     fn answer_query(&self, query: ControlQuery) {
-        // An asker that has given up waiting is no error.
+        // Sending fails if the requester has timed out, which is not an error.
         match query {
             ControlQuery::Status(reply) => drop(reply.send(self.core.status())),
             ControlQuery::Timeline(reply) => {
@@ -264,7 +264,7 @@
         }
     }
 
-    /// Carries an order to an engine on a thread of its own, as a load takes seconds.
+    /// Sends an order to an engine on a thread of its own, since a load takes seconds.
     fn send_order(&self, address: String, order: EngineOrder) {
         let tree = self.core.settings().tree();
         let action = match &order.action {
@@ -277,7 +277,7 @@
         };
         let sender = self.sender.clone();
         let Some(action) = action else {
-            // The adapter was removed from the settings since.
+            // The adapter has been removed from the settings meanwhile.
             let result = OrderResult::Failed;
             sender.send_event(NodeEvent::OrderEnded { order, result });
             return;
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -1,4 +1,4 @@
-//! Puts an entry host together: the control thread and its borders.
+//! Starts the control thread and the I/O threads of an entry host.
 
 use std::{
     net::{SocketAddr, TcpListener},
@@ -41,7 +41,7 @@
     /// Starts an entry host.
     ///
     /// # Errors
-    /// Returns which address can not be listened on, and why.
+    /// Returns which address could not be listened on and why, or that a thread could not be started.
     pub fn start(settings: &NodeSettings) -> eyre::Result<Self> {
         let stop = Arc::new(AtomicBool::new(false));
         let (control, inputs) = control_channel();
@@ -94,7 +94,7 @@
         let listener = bind("callers", settings.callers)?;
         let server = Arc::new(server);
         let callers = start_callers(Arc::clone(&server), listener, Arc::clone(&stop))?;
-        log::info!("host {} serves callers at {callers}", settings.host);
+        log::info!("host {} listens for callers on {callers}", settings.host);
         Ok(Self {
             callers,
             peers: peer_address,
@@ -107,27 +107,28 @@
         })
     }
 
-    /// Returns where callers reach the host.
+    /// Returns the address for callers.
     pub const fn callers(&self) -> SocketAddr {
         self.callers
     }
 
-    /// Returns where peers reach the host.
+    /// Returns the address for peers.
     pub const fn peers(&self) -> SocketAddr {
         self.peers
     }
 
-    /// Returns where operators reach the host.
+    /// Returns the address for operators.
     pub const fn operators(&self) -> SocketAddr {
         self.operators
     }
 
-    /// Begins the planned stop.
+    /// Starts a planned stop.
     pub fn drain(&self) {
         self.control.send_event(NodeEvent::StopRequested);
     }
 
-    /// Waits until the planned stop is complete and the last answer written; says whether it is.
+    /// Waits until the planned stop is complete and the last response is written; returns false on
+    /// timeout.
     pub fn wait_until_stopped(&self, timeout: Duration) -> bool {
         const RESPONSES_TIMEOUT: Duration = Duration::from_secs(5);
         let stopped = self.stopped.recv_timeout(timeout).is_ok();
@@ -138,7 +139,7 @@
 impl Drop for EntryHost {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
-        // The callers' thread waits in accept; a connection lets it look at the stop flag.
+        // The accept thread blocks in `accept`; a connection makes it check the stop flag.
         drop(std::net::TcpStream::connect(self.callers));
         if let Some(thread) = self.thread.take() {
             drop(thread.join());
@@ -147,12 +148,13 @@
 }
 
 fn bind(purpose: &str, address: SocketAddr) -> eyre::Result<TcpListener> {
-    listen(address)
-        .wrap_err_with(|| format!("{purpose} address {address} can not be used; pick a free one"))
+    listen(address).wrap_err_with(|| {
+        format!("can not listen for {purpose} on {address}; choose a free address")
+    })
 }
 
-/// Listens with room for a burst: the standard library's 128 waiting connections are not enough
-/// for 256 callers at once, the rest of whom wait a second for their next try.
+/// Listens with a larger backlog than the standard library's 128 connections: in a burst the
+/// connections beyond the backlog are dropped and retried by the client only after a second.
 fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
     const BACKLOG: i32 = 4096;
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,9 +1,9 @@
-//! The entry host: one control thread around the decision core, and the borders around it.
+//! The entry host process: a control thread that runs the decision core, and its I/O threads.
 //!
-//! Callers, backend servers, the platform and peers each have a border of their own threads. They
-//! hand what they see to the control thread as [`NodeEvent`](reelreel_core::NodeEvent)s and carry
-//! out the orders that come back; they decide nothing. What is particular to one outside system
-//! stands in one module per border.
+//! Callers, backend servers, the platform and peers are each served by their own threads. These
+//! send [`NodeEvent`](reelreel_core::NodeEvent)s to the control thread and execute the actions that
+//! it returns; they make no decisions. Protocol details of an external system are confined to one
+//! module.
 
 pub mod clients;
 pub mod callers;
--- a/crates/node/src/logs.rs
+++ b/crates/node/src/logs.rs
@@ -1,14 +1,14 @@
-//! Log lines, as text or JSON, to standard error.
+//! Logging to standard error, as text or JSON.
 
 use eyre::eyre;
 use logforth::{append, filter::rustlog::RustLogFilter, layout};
 
 use crate::settings::LogFormat;
 
-/// Sets the process's logger up.
+/// Installs the process's logger.
 ///
 /// # Errors
-/// Returns that a logger was set up before.
+/// Returns an error if a logger is already installed.
 pub fn start_logs(format: LogFormat, level: log::LevelFilter) -> eyre::Result<()> {
     let appender = match format {
         LogFormat::Text => {
@@ -20,7 +20,7 @@
     logforth::starter_log::builder()
         .dispatch(|dispatch| dispatch.filter(filter).append(appender))
         .try_apply()
-        .map_err(|error| eyre!("the logger could not be set up: {error}"))?;
+        .map_err(|error| eyre!("can not install the logger: {error}"))?;
     log::set_max_level(level);
     Ok(())
 }
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The host's counts in the form that monitoring reads.
+//! The host's metrics in the `OpenMetrics` text format.
 
 use prometheus_client::{
     encoding::{EncodeLabelSet, text::encode},
@@ -28,7 +28,7 @@
 
 /// Returns all metrics as `OpenMetrics` text.
 ///
-/// The counts live in the control thread; they are copied into a fresh registry at each scrape.
+/// The control thread owns the counters; each scrape copies them into a new registry.
 ///
 /// # Panics
 /// Never: writing to a string does not fail.
--- a/crates/node/src/operators.rs
+++ b/crates/node/src/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' port: health, metrics, status, time line, settings in force.
+//! The operators' HTTP endpoints: health, metrics, status, timeline and settings in force.
 
 use std::{
     net::SocketAddr,
@@ -19,16 +19,16 @@
     peers::PeerCounters,
 };
 
-/// Threads that serve operators.
+/// Number of threads that serve operators.
 const SERVER_THREADS: usize = 4;
 
-/// How often the server looks whether it is to stop.
+/// How often the stop flag is checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Starts the operators' server.
+/// Starts the operators' HTTP server.
 ///
 /// # Errors
-/// Returns why the address can not be listened on.
+/// Returns why listening on the address failed.
 pub fn start_operators(
     address: SocketAddr,
     control: ControlSender,
@@ -36,7 +36,9 @@
     stop: Arc<AtomicBool>,
 ) -> eyre::Result<SocketAddr> {
     let server = Server::new(address, move |request| respond(request, &control, &peers))
-        .map_err(|error| eyre::eyre!("operators' address {address}: {error}; use a free one"))?
+        .map_err(|error| {
+            eyre::eyre!("can not listen for operators on {address}: {error}; choose a free address")
+        })?
         .pool_size(SERVER_THREADS);
     let bound = server.server_addr();
     thread::Builder::new().name(String::from("operators")).spawn(move || {
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -1,7 +1,7 @@
-//! The border to other entry hosts: frames over TCP, one connection for each direction.
+//! Transport of peer messages over TCP, with one connection for each direction.
 //!
-//! A message that can not be sent is dropped and counted: every exchange between hosts stands the
-//! loss of a message, and a queue of old ones would only be late.
+//! A message that can not be sent is dropped and counted: all protocols between hosts tolerate
+//! message loss, and queued messages would be outdated on delivery.
 
 use std::{
     collections::HashMap,
@@ -27,49 +27,49 @@
 
 use crate::control::ControlSender;
 
-/// Messages that wait for one host at most.
+/// Maximum number of queued messages for one host.
 const QUEUE_CAPACITY: usize = 1024;
 
-/// How long another host may take to accept a connection.
+/// Timeout for connecting to a host.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long to leave a host alone after it could not be reached.
+/// Delay after a failed send or accept.
 const RECONNECT_DELAY: Duration = Duration::from_millis(200);
 
-/// A message on its way out.
+/// A message to send.
 #[derive(Debug)]
 pub struct OutgoingMessage {
-    /// Where to.
+    /// The receiver's address.
     pub address: String,
-    /// The sender's stamp.
+    /// The sender's hybrid timestamp.
     pub stamp: HybridTimestamp,
     /// The message.
     pub message: PeerMessage,
 }
 
-/// Counts of the border.
+/// Counters of the transport.
 #[derive(Debug, Default)]
 pub struct PeerCounters {
-    /// Messages dropped because their host was not reached or its queue was full.
+    /// Messages dropped because the host was unreachable or its queue was full.
     pub dropped: AtomicU64,
-    /// Bytes that could not be read as frames.
+    /// Connections closed because of an invalid frame or a read error.
     pub unreadable: AtomicU64,
 }
 
-/// The running border.
+/// The running transport.
 pub struct PeerTransport {
-    /// The way out.
+    /// Accepts messages to send.
     pub sender: UnboundedSender<OutgoingMessage>,
-    /// Its counts.
+    /// The counters.
     pub counters: Arc<PeerCounters>,
-    /// The thread; it ends when all senders are dropped.
+    /// The transport thread, which ends when all senders are dropped.
     pub thread: JoinHandle<()>,
 }
 
-/// Starts the border on a bound listener.
+/// Starts the transport on a bound listener.
 ///
 /// # Errors
-/// Returns why the listener or the thread can not be set up.
+/// Returns why the listener, the runtime or the thread could not be set up.
 pub fn start_peers(
     host: HostId,
     listener: std::net::TcpListener,
@@ -86,7 +86,7 @@
                 Ok(listener) => {
                     tokio::spawn(accept_peers(listener, control, Arc::clone(&thread_counters)));
                 }
-                Err(error) => log::error!("peers can not be listened to: {error}"),
+                Err(error) => log::error!("can not accept connections from peers: {error}"),
             }
             route_messages(host, receiver, thread_counters).await;
         });
@@ -124,7 +124,7 @@
             }
             Err(error) => {
                 counters.unreadable.fetch_add(1, Ordering::Relaxed);
-                log::debug!("connection from {address} closed: {error}");
+                log::debug!("closed peer connection from {address}: {error}");
                 return;
             }
         }
--- a/crates/node/src/platform.rs
+++ b/crates/node/src/platform.rs
@@ -1,4 +1,4 @@
-//! The threads that follow the platform's log, append to it, and ask for its host list.
+//! Threads that read the platform's log, append to it, and fetch the host list and engine reports.
 
 use std::{
     sync::{
@@ -21,39 +21,39 @@
     control::{ControlInput, ControlSender},
 };
 
-/// How long one read waits for records.
+/// How long a read at the end of a stream waits for new records.
 const READ_WAIT: Duration = Duration::from_secs(2);
 
-/// An offset that no stream reaches: a read from there tells where the stream ends.
+/// An offset beyond the end of every stream: a read from it returns the stream's end.
 const PAST_END: LogOffset = LogOffset::MAX;
 
-/// How long to wait after a failed read.
+/// Delay after a failed read.
 const READ_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Threads that ask engines for reports; one that is stuck with a silent engine blocks no other.
+/// Number of threads that fetch engine reports, so that an unresponsive engine blocks only one.
 const REPORT_THREADS: usize = 6;
 
-/// An append to carry out.
+/// A record to append.
 #[derive(Debug)]
 pub struct AppendRequest {
     /// The stream.
     pub stream: LogStream,
     /// The record.
     pub payload: Vec<u8>,
-    /// Names it in its result.
+    /// Identifies the append in its result.
     pub ticket: u64,
 }
 
-/// A change of where a stream is read from.
+/// A change of the offset at which a stream is read.
 #[derive(Debug, Clone, Copy)]
 pub struct FollowRequest {
     /// The stream.
     pub stream: LogStream,
-    /// The first offset wanted; none to read no further.
+    /// The offset to continue from; `None` stops reading.
     pub from: Option<LogOffset>,
 }
 
-/// Starts the threads that append; each stream has its own, so that none waits for another.
+/// Starts the append threads, one for each stream so that a slow stream does not delay others.
 pub fn start_appenders(log: Arc<dyn LogClient>, control: ControlSender) -> Sender<AppendRequest> {
     let (sender, requests) = mpsc::channel::<AppendRequest>();
     thread::spawn(move || {
@@ -82,7 +82,7 @@
     sender
 }
 
-/// Starts a reader for each stream; the core says where each begins.
+/// Starts a reader for each stream; the core sets where each begins.
 pub fn start_readers(
     log: &Arc<dyn LogClient>,
     control: &ControlSender,
@@ -111,7 +111,7 @@
     sender
 }
 
-/// Waits until the stream is wanted; returns from where, or `None` at the process's end.
+/// Waits until the stream is to be read; returns the offset, or `None` at shutdown.
 fn wait_for_offset(offsets: &Receiver<Option<LogOffset>>) -> Option<LogOffset> {
     loop {
         if let Some(offset) = offsets.recv().ok()? {
@@ -128,7 +128,7 @@
     stop: &AtomicBool,
 ) {
     let Some(mut from) = wait_for_offset(offsets) else { return };
-    // What is there already is read at once; only at the end is there anything to wait for.
+    // Existing records are read without waiting; only reads at the end wait for new ones.
     let mut wait = Duration::ZERO;
     while !stop.load(Ordering::Relaxed) {
         match offsets.try_recv() {
@@ -147,7 +147,7 @@
             Err(mpsc::TryRecvError::Disconnected) => return,
         }
         if stream == LogStream::Snapshots && from == 0 {
-            // Only the newest one is of any use, and each may be large.
+            // Only the newest snapshot is used, and each may be large.
             from = log.read(stream, PAST_END, Duration::ZERO).map_or(0, |batch| batch.end);
             from = from.saturating_sub(1);
         }
@@ -159,7 +159,7 @@
                 control.send_event(NodeEvent::LogRead { stream, era, first, records, end });
             }
             Err(error) => {
-                log::debug!("{} stream: {error}", stream.name());
+                log::debug!("reading stream {} failed: {error}", stream.name());
                 control.send_event(NodeEvent::LogUnavailable(stream));
                 wait = Duration::ZERO;
                 thread::sleep(READ_RETRY_DELAY);
@@ -168,7 +168,7 @@
     }
 }
 
-/// Starts the thread that asks for changes of the host list.
+/// Starts the thread that polls the host list for changes.
 pub fn start_host_list_poller(
     hosts: Arc<dyn HostListClient>,
     interval: Duration,
@@ -187,15 +187,15 @@
                     }
                     version = newer;
                 }
-                Err(error) => log::debug!("host list: {error}"),
+                Err(error) => log::debug!("fetching the host list failed: {error}"),
             }
-            // A host that has seen nothing yet asks more often, so that it serves sooner.
+            // Until the first version is known, poll more often to become ready sooner.
             thread::sleep(if version == 0 { interval / 8 } else { interval });
         }
     });
 }
 
-/// Starts the threads that ask engines for their reports.
+/// Starts the threads that fetch engine reports.
 pub fn start_report_fetchers(
     engines: &Arc<dyn EngineClient>,
     control: &ControlSender,
@@ -230,6 +230,6 @@
 ) {
     match engines.report(address) {
         Ok(report) => control.send_input(ControlInput::Report(engine, report)),
-        Err(error) => log::debug!("report of engine {engine}: {error}"),
+        Err(error) => log::debug!("fetching the report of engine {engine} failed: {error}"),
     }
 }
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -1,4 +1,4 @@
-//! A host's own settings file, checked as a whole: every mistake is named at once.
+//! The settings file of a host. All errors of a file are reported together.
 
 mod fields;
 mod reader;
@@ -11,68 +11,68 @@
 pub use fields::{FIELDS, FieldKind, FieldSpec, describe};
 use reader::{FieldReader, FieldValues, addresses};
 
-/// How log lines are written.
+/// Format of log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LogFormat {
-    /// For people.
+    /// Plain text.
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
 /// Limits on callers' connections and requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Connections at once.
+    /// Maximum number of open connections.
     pub max_connections: usize,
-    /// Bytes of a request head.
+    /// Maximum size of a request head, in bytes.
     pub max_head_bytes: usize,
-    /// Bytes of a request body.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// Time to send a request head.
+    /// Time limit for receiving a request head.
     pub head_timeout: Duration,
-    /// Time to send a request body.
+    /// Time limit for receiving a request body.
     pub body_timeout: Duration,
-    /// Time an idle connection is kept.
+    /// Time after which an idle connection is closed.
     pub idle_timeout: Duration,
-    /// Time a backend server may be silent within an answer.
+    /// Timeout for a read from a backend server and for a write to a caller.
     pub read_timeout: Duration,
 }
 
-/// A host's own settings.
+/// The settings of a host.
 #[derive(Debug, Clone)]
 pub struct NodeSettings {
-    /// The host.
+    /// The host id.
     pub host: u32,
-    /// Its data hall.
+    /// The host's data hall.
     pub hall: u16,
-    /// Where callers reach it.
+    /// The listening address for callers.
     pub callers: SocketAddr,
-    /// Where peers reach it.
+    /// The listening address for peers.
     pub peers: SocketAddr,
-    /// Where operators reach it.
+    /// The listening address for operators.
     pub operators: SocketAddr,
-    /// Where the platform is.
+    /// The platform's address.
     pub platform: SocketAddr,
-    /// Where some peers are reached.
+    /// Addresses of some peers, for a start while the platform is unavailable.
     pub seeds: Vec<String>,
-    /// How log lines are written.
+    /// Format of log lines.
     pub log_format: LogFormat,
-    /// Which log lines are written.
+    /// Minimum level of log lines.
     pub log_level: log::LevelFilter,
     /// Limits on callers.
     pub limits: CallerLimits,
-    /// The times it goes by.
+    /// Intervals and timeouts of the core.
     pub times: NodeTimes,
-    /// How often the host list is asked for changes.
+    /// How often changes of the host list are fetched.
     pub host_list_interval: Duration,
 }
 
 impl NodeSettings {
-    /// Reads a settings file.
+    /// Parses a settings file.
     ///
     /// # Errors
-    /// Returns every mistake, in the order of their places.
+    /// Returns all errors, ordered by position.
     pub fn parse(text: &str) -> Result<Self, Vec<SourceError>> {
         let (table, errors) = DeTable::parse_recoverable(text);
         let mut reader = FieldReader { text, errors: Vec::new() };
--- a/crates/node/src/settings/fields.rs
+++ b/crates/node/src/settings/fields.rs
@@ -1,30 +1,30 @@
-//! The keys of a host's own settings file.
+//! The keys of a host's settings file.
 
-/// What a key's value must be.
+/// The type and range of a value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FieldKind {
-    /// A whole number within the limits.
+    /// An integer between the two bounds, inclusive.
     Integer(u64, u64),
     /// An `ip:port`.
     Address,
-    /// Any number of `ip:port`s, separated by commas.
+    /// A comma-separated list of `ip:port`, possibly empty.
     Addresses,
-    /// One of these texts.
+    /// One of these strings.
     Choice(&'static [&'static str]),
 }
 
-/// One key of the file.
+/// A key of the settings file.
 #[derive(Debug, Clone, Copy)]
 pub struct FieldSpec {
-    /// The table it stands in; empty for the top.
+    /// The table of the key; empty at the top level.
     pub table: &'static str,
-    /// Its name.
+    /// The name of the key.
     pub name: &'static str,
-    /// What its value must be.
+    /// The type and range of the value.
     pub kind: FieldKind,
-    /// Its default as text; empty when it must be given.
+    /// The default as text; empty if the key is required or its default is empty.
     pub default: &'static str,
-    /// What it means, with its unit.
+    /// The description for operators, with the unit.
     pub description: &'static str,
 }
 
@@ -40,7 +40,7 @@
 
 const MILLIS_RANGE: FieldKind = FieldKind::Integer(1, 3_600_000);
 
-/// All keys, in the order of the reference.
+/// All keys, in the order of the reference documentation.
 pub const FIELDS: &[FieldSpec] = &[
     field(
         "",
@@ -194,7 +194,7 @@
     ),
 ];
 
-/// Returns what a value of that kind must be, for messages and the reference.
+/// Describes the accepted values, for error messages and the reference documentation.
 pub fn describe(kind: FieldKind) -> String {
     match kind {
         FieldKind::Integer(low, high) => format!("a whole number from {low} to {high}"),
--- a/crates/node/src/settings/reader.rs
+++ b/crates/node/src/settings/reader.rs
@@ -1,4 +1,4 @@
-//! Reads the file into checked values, and notes every mistake.
+//! Reads a settings file into validated values and collects all errors.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -12,7 +12,7 @@
 
 type FieldName = (&'static str, &'static str);
 
-/// The checked values by name; each fits its [`FieldKind`].
+/// The validated values by table and name; each is valid for its [`FieldKind`].
 pub(super) struct FieldValues {
     pub(super) integers: BTreeMap<FieldName, u64>,
     pub(super) texts: BTreeMap<FieldName, String>,
@@ -131,7 +131,7 @@
     text.split(',').map(str::trim).filter(|part| !part.is_empty()).map(str::to_owned).collect()
 }
 
-/// Enters a value if it fits its kind; says whether it does.
+/// Stores a value if it is valid for its kind; returns whether it is.
 fn store_value(field: &FieldSpec, text: &str, values: &mut FieldValues) -> bool {
     let name = (field.table, field.name);
     match field.kind {
--- a/crates/node/tests/node_settings.rs
+++ b/crates/node/tests/node_settings.rs
@@ -1,4 +1,4 @@
-//! A host's own settings file.
+//! Tests of the host's settings file.
 
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
 
 #[test]
 fn absent_keys_have_their_defaults() {
-    let settings = NodeSettings::parse(COMPLETE).expect("no mistakes");
+    let settings = NodeSettings::parse(COMPLETE).expect("settings are valid");
     assert_eq!((settings.host, settings.hall), (3, 2));
     assert_eq!(settings.seeds, ["127.0.0.1:7001", "127.0.0.1:7002"]);
     assert_eq!(settings.log_format, LogFormat::Json);
@@ -77,11 +77,12 @@
     }
 }
 
-/// The operators' page names every key of the host's file and of the tree, and no other.
+/// The operators' page must list each key of the host's file and of the settings tree with its
+/// default.
 #[test]
 fn the_operators_page_lists_every_key_with_its_default() {
     let page = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/OPERATORS.md");
-    let page = std::fs::read_to_string(page).expect("the page is there");
+    let page = std::fs::read_to_string(page).expect("docs/OPERATORS.md exists");
     for field in FIELDS {
         let table = if field.table.is_empty() { "" } else { &format!("{}.", field.table) };
         let row = format!("| `{table}{}` | {} |", field.name, default_cell(field.default));
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -1,4 +1,4 @@
-//! Cuts a byte stream into frames.
+//! Length-delimited framing of peer messages.
 
 use bytes::BytesMut;
 use prost::Message;
@@ -7,35 +7,35 @@
 
 use crate::{convert::DecodeError, peer};
 
-/// The largest frame: a snapshot of the settings of 94,000 adapters takes a quarter of it.
+/// Maximum frame size; it must have room for a snapshot of all settings.
 pub const MAX_FRAME_BYTES: usize = 64 << 20;
 
-/// One message on its way between two hosts.
+/// A message between two hosts.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PeerFrame {
     /// The sender.
     pub from: HostId,
-    /// The sender's stamp.
+    /// The sender's hybrid timestamp.
     pub stamp: HybridTimestamp,
     /// The message.
     pub message: PeerMessage,
 }
 
-/// Why a frame could not be read or written.
+/// An error while reading or writing a frame.
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
     /// The connection failed, or the frame is larger than [`MAX_FRAME_BYTES`].
-    #[error("connection failed: {0}; it is opened anew with the next message")]
+    #[error("connection failed: {0}; the sender reconnects with the next message")]
     Connection(#[from] std::io::Error),
-    /// The frame is no protocol buffer of ours.
-    #[error("frame can not be read: {0}; check that both hosts run a version that knows it")]
+    /// The frame is not a valid protobuf message.
+    #[error("frame could not be decoded: {0}; check that both hosts run compatible versions")]
     Encoding(#[from] prost::DecodeError),
-    /// The frame lacks something that its message needs.
+    /// A required field is missing or invalid.
     #[error(transparent)]
     Message(#[from] DecodeError),
 }
 
-/// Turns bytes into frames and back.
+/// Encodes and decodes [`PeerFrame`]s.
 #[derive(Debug)]
 pub struct FrameCodec {
     framing: LengthDelimitedCodec,
--- a/crates/wire/src/convert.rs
+++ b/crates/wire/src/convert.rs
@@ -1,4 +1,4 @@
-//! Between the core's messages and the generated frames.
+//! Conversions between the core's messages and the generated protobuf types.
 
 mod permit;
 mod table;
@@ -17,15 +17,17 @@
     peer::{self, frame::Body},
 };
 
-/// A frame lacks something that its message needs.
+/// A required field of a frame is missing or invalid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("frame has no valid `{field}`; check that both hosts run a version that knows it")]
+#[error(
+    "field `{field}` of the frame is missing or invalid; check that both hosts run compatible versions"
+)]
 pub struct DecodeError {
-    /// What is missing.
+    /// The name of the field.
     pub field: &'static str,
 }
 
-/// Returns what a frame must have.
+/// Returns the value of a required field.
 fn require<T>(value: Option<T>, field: &'static str) -> Result<T, DecodeError> {
     value.ok_or(DecodeError { field })
 }
--- a/crates/wire/src/convert/permit.rs
+++ b/crates/wire/src/convert/permit.rs
@@ -1,4 +1,4 @@
-//! Permits.
+//! Conversions of permit messages.
 
 use std::time::Duration;
 
@@ -22,7 +22,7 @@
     peer::PermitName { request: Some(request_name(request)), attempt }
 }
 
-/// Returns request and attempt of a permit's name.
+/// Decodes the request id and attempt that identify a permit.
 fn parse_permit_name(name: Option<peer::PermitName>) -> Result<PermitQueued, DecodeError> {
     let name = require(name, "permit")?;
     let request = request_id(require(name.request, "request")?);
@@ -77,7 +77,7 @@
             share: ask.share,
             queue_limit: ask.queue_limit,
             stall_weight: ask.stall_weight,
-            // The receiver puts the deadline on its own clock.
+            // The message has a remaining wait; the receiver derives the deadline on its own clock.
             deadline: ClockMillis::default(),
         };
         Ok(Self {
--- a/crates/wire/src/convert/table.rs
+++ b/crates/wire/src/convert/table.rs
@@ -1,4 +1,4 @@
-//! Heartbeats and the tables that hosts keep in step.
+//! Conversions of heartbeats and of the tables that hosts synchronize.
 
 use reelreel_core::{
     chart::MemberState,
@@ -159,7 +159,7 @@
     }
 }
 
-/// Returns a backend server's frame; entry hosts are passed on as members instead.
+/// Encodes a backend server; `None` for entry hosts, which are sent as members.
 fn encode_backend(HostEntry { kind, leaving }: HostEntry) -> Option<peer::Backend> {
     match kind {
         HostKind::Entry { .. } => None,
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,10 +1,10 @@
-//! The frames between reelreel's own processes.
+//! Codec for the messages between entry hosts.
 //!
-//! [`FrameCodec`] cuts a byte stream into frames by length and turns each into a
-//! [`PeerMessage`](reelreel_core::message::PeerMessage) with its sender and stamp. The frames are
-//! protocol buffers; the code for them is generated from `proto/peer.proto` by
-//! `cargo run -p reelreel-wire --example generate` and committed, so that the build needs no
-//! generator.
+//! [`FrameCodec`] decodes length-delimited protobuf frames into a
+//! [`PeerMessage`](reelreel_core::message::PeerMessage) with its sender and timestamp, and encodes
+//! them. The protobuf types are generated from `proto/peer.proto` by
+//! `cargo run -p reelreel-wire --example generate` and committed, so that the build does not need
+//! the generator.
 
 mod codec;
 mod convert;
--- a/crates/wire/tests/frames.rs
+++ b/crates/wire/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames: each message comes back as it went, damaged bytes are refused, the code is up to date.
+//! Tests of the frame codec and of the committed generated code.
 
 use std::{fs, path::Path, time::Duration};
 
@@ -98,7 +98,7 @@
         share: 0.5,
         queue_limit: 64,
         stall_weight: 3.0,
-        // The deadline does not travel; patience does.
+        // The deadline is not encoded; `max_wait` is.
         deadline: ClockMillis::default(),
     };
     let version = DigestVersion { engine, incarnation: 2, token: 3, sequence: 4 };
@@ -173,13 +173,13 @@
     let mut bytes = BytesMut::new();
     let mut codec = FrameCodec::default();
     for message in messages() {
-        codec.encode(frame(message), &mut bytes).expect("it can be written");
+        codec.encode(frame(message), &mut bytes).expect("frame encodes");
     }
     let mut received = Vec::new();
     let mut buffer = BytesMut::new();
     for chunk in bytes.chunks(7) {
         buffer.extend_from_slice(chunk);
-        while let Some(frame) = codec.decode(&mut buffer).expect("it can be read") {
+        while let Some(frame) = codec.decode(&mut buffer).expect("frame decodes") {
             received.push(frame);
         }
     }
@@ -204,7 +204,7 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever bytes come, reading them ends in a frame or an error.
+    /// Decoding a frame with one corrupted byte returns a frame or an error and never panics.
     #[test]
     fn corrupted_frames_never_panic(
         index in 0..24usize,
@@ -215,7 +215,7 @@
         let mut bytes = BytesMut::new();
         let messages = messages();
         let message = messages[index % messages.len()].clone();
-        codec.encode(frame(message), &mut bytes).expect("it can be written");
+        codec.encode(frame(message), &mut bytes).expect("frame encodes");
         let position = position.min(bytes.len() - 1);
         bytes[position] = byte;
         drop(codec.decode(&mut bytes));
@@ -225,18 +225,18 @@
 #[test]
 fn the_committed_code_matches_the_generator_output() {
     let package = Path::new(env!("CARGO_MANIFEST_DIR"));
-    let folder = std::env::temp_dir().join(format!("reelreel-frames-{}", std::process::id()));
-    fs::create_dir_all(&folder).expect("a folder");
+    let directory = std::env::temp_dir().join(format!("reelreel-frames-{}", std::process::id()));
+    fs::create_dir_all(&directory).expect("temporary directory is created");
     let descriptors =
-        protox::compile(["peer.proto"], [package.join("proto")]).expect("the file is sound");
+        protox::compile(["peer.proto"], [package.join("proto")]).expect("peer.proto compiles");
     prost_build::Config::new()
-        .out_dir(&folder)
+        .out_dir(&directory)
         .compile_fds(descriptors)
-        .expect("the generator runs");
+        .expect("code generation succeeds");
     let name = "reelreel.peer.rs";
-    let generated = fs::read_to_string(folder.join(name)).expect("it wrote a file");
+    let generated = fs::read_to_string(directory.join(name)).expect("generated file exists");
     let committed = fs::read_to_string(package.join("src/generated").join(name));
-    fs::remove_dir_all(&folder).expect("the folder goes");
+    fs::remove_dir_all(&directory).expect("temporary directory is removed");
     let hint = "run `cargo run -p reelreel-wire --example generate`";
-    assert!(committed.expect("it is committed") == generated, "{hint}");
+    assert!(committed.expect("committed file exists") == generated, "{hint}");
 }
