--- a/crates/cli/src/settings/show.rs
+++ b/crates/cli/src/settings/show.rs
@@ -6,7 +6,7 @@
 use reelreel_core::settings::{
     SettingKey, SettingOrigin, SettingsPath, SettingsTree, source::closest_match,
 };
-use reelreel_node::settings::{FIELDS, FieldSpec, describe};
+use reelreel_node::settings::{FIELDS, FieldSpec, describe_kind};
 use serde::Serialize;
 
 use super::read_file;
@@ -62,7 +62,7 @@
         let dot = if field.table.is_empty() { "" } else { "." };
         FieldRow {
             key: format!("{}{dot}{}", field.table, field.name),
-            kind: describe(field.kind),
+            kind: describe_kind(field.kind),
             default: field.default,
             meaning: field.description,
         }
--- a/crates/node/src/callers/connection.rs
+++ b/crates/node/src/callers/connection.rs
@@ -318,7 +318,7 @@
 
 impl<'a> ChunkedWriter<'a> {
     /// Writes the response head.
-    pub(super) fn begin(
+    pub(super) fn start(
         stream: &'a mut TcpStream,
         headers: &[(&str, &str)],
         keep_alive: bool,
@@ -343,7 +343,7 @@
     }
 
     /// Writes the last chunk. Without it the caller detects that the response is incomplete.
-    pub(super) fn end(self) -> io::Result<()> {
+    pub(super) fn finish(self) -> io::Result<()> {
         self.stream.write_all(b"0\r\n\r\n")
     }
 }
--- a/crates/node/src/callers/exchange.rs
+++ b/crates/node/src/callers/exchange.rs
@@ -53,13 +53,13 @@
 ) -> io::Result<()> {
     let keep_alive = request.head.keep_alive;
     let id = server.next_request_id();
-    let call = match parse_completion(id, request) {
-        Ok(call) => call,
+    let completion = match parse_completion(id, request) {
+        Ok(completion) => completion,
         Err(refusal) => return refusal::refuse(stream, &refusal, keep_alive),
     };
     let (sender, decisions) = mpsc::channel();
-    server.control.send_input(ControlInput::RequestArrived(call.arrived.clone(), sender));
-    let mut exchange = Exchange { server, call, chat, keep_alive, id };
+    server.control.send_input(ControlInput::RequestArrived(completion.arrived.clone(), sender));
+    let mut exchange = Exchange { server, completion, chat, keep_alive, id };
     exchange.run(stream, &decisions)
 }
 
@@ -93,7 +93,7 @@
 
 struct Exchange<'a> {
     server: &'a CallerServer,
-    call: CompletionRequest,
+    completion: CompletionRequest,
     chat: bool,
     keep_alive: bool,
     id: RequestId,
@@ -102,7 +102,7 @@
 /// The outcome of one dispatch to an engine.
 enum DispatchOutcome {
     /// No complete response was written; the control thread decides how to continue.
-    Ended(DispatchResult),
+    Incomplete(DispatchResult),
     /// A complete response was written, with the result of writing it.
     Written(io::Result<()>),
 }
@@ -121,16 +121,16 @@
                 RequestDecision::Dispatch(dispatch) => dispatch,
             };
             if self.server.is_expired(&dispatch) {
-                self.end(DispatchResult::NotRun(NotRunReason::DispatchTooLate));
+                self.report_result(DispatchResult::NotRun(NotRunReason::DispatchTooLate));
                 continue;
             }
             match self.dispatch(stream, &dispatch) {
                 DispatchOutcome::Written(result) => {
-                    self.end(DispatchResult::Answered);
+                    self.report_result(DispatchResult::Answered);
                     return result;
                 }
-                DispatchOutcome::Ended(result) => {
-                    self.end(result);
+                DispatchOutcome::Incomplete(result) => {
+                    self.report_result(result);
                     let started =
                         matches!(result, DispatchResult::Interrupted { answer_started: true });
                     if started || result == DispatchResult::CallerGone {
@@ -141,7 +141,7 @@
         }
     }
 
-    fn end(&self, result: DispatchResult) {
+    fn report_result(&self, result: DispatchResult) {
         self.server.control.send_event(NodeEvent::DispatchEnded { request: self.id, result });
     }
 
@@ -169,10 +169,12 @@
         let mut response = match sent {
             Ok(response) => response,
             Err(error) if failed_before_sending(&error) => {
-                return DispatchOutcome::Ended(DispatchResult::NotRun(NotRunReason::NoConnection));
+                return DispatchOutcome::Incomplete(DispatchResult::NotRun(
+                    NotRunReason::NoConnection,
+                ));
             }
             Err(_) => {
-                return DispatchOutcome::Ended(DispatchResult::Interrupted {
+                return DispatchOutcome::Incomplete(DispatchResult::Interrupted {
                     answer_started: false,
                 });
             }
@@ -187,9 +189,11 @@
                 dispatch.address
             );
             self.cancel(dispatch);
-            return DispatchOutcome::Ended(DispatchResult::Interrupted { answer_started: false });
+            return DispatchOutcome::Incomplete(DispatchResult::Interrupted {
+                answer_started: false,
+            });
         }
-        if self.call.stream {
+        if self.completion.stream {
             self.forward_stream(stream, response, dispatch)
         } else {
             self.forward_body(stream, &mut response)
@@ -198,7 +202,7 @@
 
     fn send(&self, dispatch: &RequestDispatch) -> Result<EngineResponse, ureq::Error> {
         let path = if self.chat { "/v1/chat/completions" } else { "/v1/completions" };
-        let mut body = self.call.body.clone();
+        let mut body = self.completion.body.clone();
         body.insert(String::from("model"), Value::from(dispatch.adapter_name.as_str()));
         body.insert(String::from("max_tokens"), Value::from(dispatch.max_tokens));
         body.insert(String::from("priority"), Value::from(dispatch.priority));
@@ -234,10 +238,12 @@
         let status = response.status().as_u16();
         let body = response.body_mut().with_config().limit(MAX_RESPONSE_BYTES).read_to_vec();
         let Ok(body) = body else {
-            return DispatchOutcome::Ended(DispatchResult::Interrupted { answer_started: false });
+            return DispatchOutcome::Incomplete(DispatchResult::Interrupted {
+                answer_started: false,
+            });
         };
         if let Some(reason) = not_run_reason(status, &body) {
-            return DispatchOutcome::Ended(DispatchResult::NotRun(reason));
+            return DispatchOutcome::Incomplete(DispatchResult::NotRun(reason));
         }
         if (400..500).contains(&status) {
             // The engine rejected the request itself; its response is forwarded.
@@ -250,7 +256,7 @@
                 self.keep_alive,
             ));
         }
-        DispatchOutcome::Ended(DispatchResult::BackendError)
+        DispatchOutcome::Incomplete(DispatchResult::BackendError)
     }
 
     fn forward_body(
@@ -269,7 +275,9 @@
                     self.keep_alive,
                 ))
             }
-            Err(_) => DispatchOutcome::Ended(DispatchResult::Interrupted { answer_started: false }),
+            Err(_) => {
+                DispatchOutcome::Incomplete(DispatchResult::Interrupted { answer_started: false })
+            }
         }
     }
 
@@ -294,12 +302,12 @@
             };
             match result {
                 StreamResult::Complete => {
-                    let ended = writer.map_or(Ok(()), ChunkedWriter::end);
+                    let ended = writer.map_or(Ok(()), ChunkedWriter::finish);
                     return DispatchOutcome::Written(ended);
                 }
                 StreamResult::CallerGone => {
                     self.cancel(dispatch);
-                    return DispatchOutcome::Ended(DispatchResult::CallerGone);
+                    return DispatchOutcome::Incomplete(DispatchResult::CallerGone);
                 }
                 StreamResult::Interrupted if resumes < MAX_RESUMES => {
                     resumes += 1;
@@ -309,7 +317,9 @@
                 StreamResult::Interrupted => {
                     self.cancel(dispatch);
                     let answer_started = writer.is_some();
-                    return DispatchOutcome::Ended(DispatchResult::Interrupted { answer_started });
+                    return DispatchOutcome::Incomplete(DispatchResult::Interrupted {
+                        answer_started,
+                    });
                 }
             }
         }
@@ -333,7 +343,7 @@
                 let headers =
                     [("content-type", "text/event-stream"), ("cache-control", "no-store")];
                 let Some(stream) = stream.take() else { return StreamResult::CallerGone };
-                match ChunkedWriter::begin(stream, &headers, self.keep_alive) {
+                match ChunkedWriter::start(stream, &headers, self.keep_alive) {
                     Ok(started) => *writer = Some(started),
                     Err(_) => return StreamResult::CallerGone,
                 }
--- a/crates/node/src/callers/plain.rs
+++ b/crates/node/src/callers/plain.rs
@@ -106,7 +106,7 @@
     keep_alive: bool,
 ) -> io::Result<Option<()>> {
     let status = response.status().as_u16();
-    let kind = response
+    let content_type = response
         .headers()
         .get("content-type")
         .and_then(|value| value.to_str().ok())
@@ -115,6 +115,6 @@
     let Ok(body) = response.body_mut().with_config().limit(MAX_RESPONSE_BYTES).read_to_vec() else {
         return Ok(None);
     };
-    let headers = [("content-type", kind.as_str())];
+    let headers = [("content-type", content_type.as_str())];
     write_response(stream, status, &headers, &body, keep_alive).map(Some)
 }
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -8,8 +8,8 @@
 use reelreel_core::{node::NodeTimes, settings::source::SourceError};
 use toml::de::DeTable;
 
-pub use fields::{FIELDS, FieldKind, FieldSpec, describe};
-use reader::{FieldReader, FieldValues, addresses};
+pub use fields::{FIELDS, FieldKind, FieldSpec, describe_kind};
+use reader::{FieldReader, FieldValues, split_addresses};
 
 /// Format of log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -120,7 +120,7 @@
             peers: values.address("peers"),
             operators: values.address("operators"),
             platform: values.address("platform"),
-            seeds: addresses(values.text("", "seeds")),
+            seeds: split_addresses(values.text("", "seeds")),
             log_format: if json { LogFormat::Json } else { LogFormat::Text },
             log_level: values.text("log", "level").parse().unwrap_or(log::LevelFilter::Info),
             limits,
--- a/crates/node/src/settings/fields.rs
+++ b/crates/node/src/settings/fields.rs
@@ -195,7 +195,7 @@
 ];
 
 /// Describes the accepted values, for error messages and the reference documentation.
-pub fn describe(kind: FieldKind) -> String {
+pub fn describe_kind(kind: FieldKind) -> String {
     match kind {
         FieldKind::Integer(low, high) => format!("a whole number from {low} to {high}"),
         FieldKind::Address => String::from("an IP address with port, such as \"127.0.0.1:8080\""),
--- a/crates/node/src/settings/reader.rs
+++ b/crates/node/src/settings/reader.rs
@@ -8,7 +8,7 @@
     de::{DeTable, DeValue},
 };
 
-use super::fields::{FIELDS, FieldKind, FieldSpec, describe};
+use super::fields::{FIELDS, FieldKind, FieldSpec, describe_kind};
 
 type FieldName = (&'static str, &'static str);
 
@@ -103,7 +103,7 @@
         let quoted = matches!(value.get_ref(), DeValue::String(_));
         let is_expected_type = quoted != matches!(field.kind, FieldKind::Integer(..));
         if !is_expected_type || !store_value(field, &text, values) {
-            let message = format!("`{}` must be {}", field.name, describe(field.kind));
+            let message = format!("`{}` must be {}", field.name, describe_kind(field.kind));
             self.record(value.span().start, message);
         }
     }
@@ -119,15 +119,18 @@
                 .iter()
                 .any(|error| error.message.starts_with(&format!("`{}` must be", field.name)));
             if !store_value(field, field.default, values) && !already_reported {
-                let message =
-                    format!("`{}` is missing; it must be {}", field.name, describe(field.kind));
+                let message = format!(
+                    "`{}` is missing; it must be {}",
+                    field.name,
+                    describe_kind(field.kind)
+                );
                 self.record(self.text.len(), message);
             }
         }
     }
 }
 
-pub(super) fn addresses(text: &str) -> Vec<String> {
+pub(super) fn split_addresses(text: &str) -> Vec<String> {
     text.split(',').map(str::trim).filter(|part| !part.is_empty()).map(str::to_owned).collect()
 }
 
@@ -150,7 +153,7 @@
             valid
         }
         FieldKind::Addresses => {
-            let valid = addresses(text).iter().all(|part| part.parse::<SocketAddr>().is_ok());
+            let valid = split_addresses(text).iter().all(|part| part.parse::<SocketAddr>().is_ok());
             if valid {
                 values.texts.insert(name, text.to_owned());
             }
