--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -1,82 +1,82 @@
-//! How a body is cut out of a connection's bytes.
+//! Body framing: `Content-Length`, chunked coding and read-until-close.
 
 use bytes::{Buf, Bytes, BytesMut};
 
 use crate::head::{HeadError, HeaderFields, RequestHead, ResponseHead};
 
-/// The longest line that introduces a chunk, its extensions included.
-const LONGEST_CHUNK_LINE: usize = 256;
+/// Maximum length of a chunk-size line, including chunk extensions.
+const MAX_CHUNK_LINE_BYTES: usize = 256;
 
-/// The longest trailer section.
-const LONGEST_TRAILER: usize = 4096;
+/// Maximum length of one line of the trailer section.
+const MAX_TRAILER_LINE_BYTES: usize = 4096;
 
-/// The most hexadecimal digits of a chunk's size.
-const MOST_SIZE_DIGITS: usize = 12;
+/// Maximum number of hexadecimal digits in a chunk size.
+const MAX_CHUNK_SIZE_DIGITS: usize = 12;
 
-/// How the end of a body is found.
+/// How the end of a body is determined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BodyFraming {
     /// There is no body.
     Empty,
-    /// The body has so many bytes.
+    /// The body has this many bytes.
     Length(u64),
-    /// The body comes in chunks.
+    /// The body uses the chunked transfer coding.
     Chunked,
-    /// The body ends with the connection.
+    /// The body ends when the connection closes.
     UntilClose,
 }
 
-/// Why a body can not be read on.
+/// An error while reading a body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum BodyError {
-    /// A chunk is not written as RFC 9112 says.
+    /// A chunk does not conform to RFC 9112.
     #[error("a chunk is malformed; write its size in hexadecimal and end lines with CRLF")]
-    Chunk,
-    /// The connection ended before the body did.
+    MalformedChunk,
+    /// The connection closed before the end of the body.
     #[error("the connection ended within the body")]
-    Cut,
+    Truncated,
 }
 
-/// What a decoder found at the front of the buffer.
+/// The result of one decoding step.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum BodyPart {
-    /// Some bytes of the body.
+    /// The next bytes of the body.
     Data(Bytes),
-    /// More bytes must be read first.
-    More,
-    /// The body is whole.
+    /// The buffer has no further part; more bytes must be read from the connection.
+    Incomplete,
+    /// The body is complete.
     End,
 }
 
 impl BodyFraming {
-    /// Returns how the body of a request is cut.
+    /// Returns the body framing of a request.
     ///
     /// # Errors
-    /// Returns that the length is ambiguous or the coding unknown.
+    /// Returns an error if the length is ambiguous or the transfer coding is not supported.
     pub fn of_request(head: &RequestHead) -> Result<Self, HeadError> {
-        let coded = is_chunked(&head.fields)?;
+        let chunked = is_chunked(&head.fields)?;
         let length = content_length(&head.fields)?;
-        match (coded, length) {
+        match (chunked, length) {
             (true, Some(_)) => Err(HeadError::AmbiguousLength),
-            (true, None) if !head.modern => Err(HeadError::Coding),
+            (true, None) if !head.is_http11 => Err(HeadError::UnsupportedCoding),
             (true, None) => Ok(Self::Chunked),
             (false, Some(0) | None) => Ok(Self::Empty),
             (false, Some(length)) => Ok(Self::Length(length)),
         }
     }
 
-    /// Returns how the body of the response to a request with `method` is cut.
+    /// Returns the body framing of the response to a request with `method`.
     ///
     /// # Errors
-    /// Returns that the length is ambiguous or the coding unknown.
+    /// Returns an error if the length is ambiguous or the transfer coding is not supported.
     pub fn of_response(head: &ResponseHead, method: &str) -> Result<Self, HeadError> {
-        let bodiless = method == "HEAD" || matches!(head.status, 100..=199 | 204 | 304);
-        if bodiless {
+        let has_no_body = method == "HEAD" || matches!(head.status, 100..=199 | 204 | 304);
+        if has_no_body {
             return Ok(Self::Empty);
         }
-        let coded = is_chunked(&head.fields)?;
+        let chunked = is_chunked(&head.fields)?;
         let length = content_length(&head.fields)?;
-        match (coded, length) {
+        match (chunked, length) {
             (true, Some(_)) => Err(HeadError::AmbiguousLength),
             (true, None) => Ok(Self::Chunked),
             (false, Some(0)) => Ok(Self::Empty),
@@ -92,7 +92,7 @@
         return Ok(false);
     };
     if codings.next().is_some() || !coding.eq_ignore_ascii_case(b"chunked") {
-        return Err(HeadError::Coding);
+        return Err(HeadError::UnsupportedCoding);
     }
     Ok(true)
 }
@@ -102,154 +102,160 @@
     let Some(length) = lengths.next() else {
         return Ok(None);
     };
-    let digits = !length.is_empty() && length.iter().all(u8::is_ascii_digit);
-    if lengths.next().is_some() || !digits {
+    let is_valid = !length.is_empty() && length.iter().all(u8::is_ascii_digit);
+    if lengths.next().is_some() || !is_valid {
         return Err(HeadError::AmbiguousLength);
     }
     let text = std::str::from_utf8(length).map_err(|_| HeadError::AmbiguousLength)?;
     text.parse().map(Some).map_err(|_| HeadError::AmbiguousLength)
 }
 
-/// Where a decoder stands within its body.
+/// The state of a [`BodyDecoder`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum DecoderPlace {
-    /// So many bytes are due.
+enum DecoderState {
+    /// This many bytes of the body remain.
     Length(u64),
-    /// A line with a chunk's size is due.
+    /// Expects a chunk-size line.
     ChunkLine,
-    /// So many bytes of a chunk are due.
+    /// This many bytes of the chunk remain.
     Chunk(u64),
-    /// The line end after a chunk is due.
+    /// Expects the CRLF after the chunk data.
     ChunkEnd,
-    /// The trailer section is due.
+    /// Expects the trailer section.
     Trailer,
-    /// Whatever comes belongs to the body.
+    /// All bytes until the connection closes belong to the body.
     UntilClose,
-    /// The body is whole.
+    /// The body is complete.
     Done,
 }
 
-/// Cuts one body out of a connection's bytes.
+/// An incremental decoder for one message body.
 #[derive(Debug, Clone)]
 pub struct BodyDecoder {
-    place: DecoderPlace,
+    state: DecoderState,
 }
 
 impl BodyDecoder {
-    /// Starts at the first byte after a head.
+    /// Creates a decoder for the body that starts right after the head.
     pub const fn new(framing: BodyFraming) -> Self {
-        let place = match framing {
-            BodyFraming::Empty | BodyFraming::Length(0) => DecoderPlace::Done,
-            BodyFraming::Length(length) => DecoderPlace::Length(length),
-            BodyFraming::Chunked => DecoderPlace::ChunkLine,
-            BodyFraming::UntilClose => DecoderPlace::UntilClose,
+        let state = match framing {
+            BodyFraming::Empty | BodyFraming::Length(0) => DecoderState::Done,
+            BodyFraming::Length(length) => DecoderState::Length(length),
+            BodyFraming::Chunked => DecoderState::ChunkLine,
+            BodyFraming::UntilClose => DecoderState::UntilClose,
         };
-        Self { place }
+        Self { state }
     }
 
-    /// Returns whether the body is whole.
+    /// Returns whether the body is complete.
     pub fn is_done(&self) -> bool {
-        self.place == DecoderPlace::Done
+        self.state == DecoderState::Done
     }
 
-    /// Takes the next part of the body from the front of `buffer`.
+    /// Removes the next part of the body from the front of `buffer`.
     ///
     /// # Errors
-    /// Returns that a chunk is malformed.
+    /// Returns [`BodyError::MalformedChunk`] if a chunk does not conform to RFC 9112.
     pub fn next_part(&mut self, buffer: &mut BytesMut) -> Result<BodyPart, BodyError> {
         loop {
-            match self.place {
-                DecoderPlace::Done => return Ok(BodyPart::End),
-                DecoderPlace::UntilClose if buffer.is_empty() => return Ok(BodyPart::More),
-                DecoderPlace::UntilClose => return Ok(BodyPart::Data(buffer.split().freeze())),
-                DecoderPlace::Length(_) | DecoderPlace::Chunk(_) if buffer.is_empty() => {
-                    return Ok(BodyPart::More);
+            match self.state {
+                DecoderState::Done => return Ok(BodyPart::End),
+                DecoderState::UntilClose if buffer.is_empty() => return Ok(BodyPart::Incomplete),
+                DecoderState::UntilClose => return Ok(BodyPart::Data(buffer.split().freeze())),
+                DecoderState::Length(_) | DecoderState::Chunk(_) if buffer.is_empty() => {
+                    return Ok(BodyPart::Incomplete);
                 }
-                DecoderPlace::Length(left) => {
-                    let (data, left) = split_data(buffer, left);
-                    self.place =
-                        if left == 0 { DecoderPlace::Done } else { DecoderPlace::Length(left) };
+                DecoderState::Length(remaining) => {
+                    let (data, remaining) = split_data(buffer, remaining);
+                    self.state = if remaining == 0 {
+                        DecoderState::Done
+                    } else {
+                        DecoderState::Length(remaining)
+                    };
                     return Ok(BodyPart::Data(data));
                 }
-                DecoderPlace::Chunk(left) => {
-                    let (data, left) = split_data(buffer, left);
-                    self.place =
-                        if left == 0 { DecoderPlace::ChunkEnd } else { DecoderPlace::Chunk(left) };
+                DecoderState::Chunk(remaining) => {
+                    let (data, remaining) = split_data(buffer, remaining);
+                    self.state = if remaining == 0 {
+                        DecoderState::ChunkEnd
+                    } else {
+                        DecoderState::Chunk(remaining)
+                    };
                     return Ok(BodyPart::Data(data));
                 }
-                DecoderPlace::ChunkLine => match take_line(buffer, LONGEST_CHUNK_LINE)? {
-                    None => return Ok(BodyPart::More),
-                    Some(line) => self.place = after_chunk_line(&line)?,
+                DecoderState::ChunkLine => match take_line(buffer, MAX_CHUNK_LINE_BYTES)? {
+                    None => return Ok(BodyPart::Incomplete),
+                    Some(line) => self.state = parse_chunk_line(&line)?,
                 },
-                DecoderPlace::ChunkEnd => {
+                DecoderState::ChunkEnd => {
                     if buffer.len() < 2 {
-                        return Ok(BodyPart::More);
+                        return Ok(BodyPart::Incomplete);
                     }
                     if !buffer.starts_with(b"\r\n") {
-                        return Err(BodyError::Chunk);
+                        return Err(BodyError::MalformedChunk);
                     }
                     buffer.advance(2);
-                    self.place = DecoderPlace::ChunkLine;
+                    self.state = DecoderState::ChunkLine;
                 }
-                DecoderPlace::Trailer => match take_line(buffer, LONGEST_TRAILER)? {
-                    None => return Ok(BodyPart::More),
-                    Some(line) if line.is_empty() => self.place = DecoderPlace::Done,
+                DecoderState::Trailer => match take_line(buffer, MAX_TRAILER_LINE_BYTES)? {
+                    None => return Ok(BodyPart::Incomplete),
+                    Some(line) if line.is_empty() => self.state = DecoderState::Done,
                     Some(_) => {}
                 },
             }
         }
     }
 
-    /// Tells the decoder that the connection ended in an orderly way.
+    /// Handles an orderly close of the connection by the peer.
     ///
     /// # Errors
-    /// Returns that the body was cut short.
-    pub fn connection_ended(&mut self) -> Result<(), BodyError> {
-        match self.place {
-            DecoderPlace::Done => Ok(()),
-            DecoderPlace::UntilClose => {
-                self.place = DecoderPlace::Done;
+    /// Returns [`BodyError::Truncated`] if the body is not complete.
+    pub fn handle_eof(&mut self) -> Result<(), BodyError> {
+        match self.state {
+            DecoderState::Done => Ok(()),
+            DecoderState::UntilClose => {
+                self.state = DecoderState::Done;
                 Ok(())
             }
-            _ => Err(BodyError::Cut),
+            _ => Err(BodyError::Truncated),
         }
     }
 }
 
-fn split_data(buffer: &mut BytesMut, left: u64) -> (Bytes, u64) {
-    let wanted = usize::try_from(left).unwrap_or(usize::MAX);
-    let data = buffer.split_to(wanted.min(buffer.len())).freeze();
-    let left = left - data.len() as u64;
-    (data, left)
+fn split_data(buffer: &mut BytesMut, remaining: u64) -> (Bytes, u64) {
+    let length = usize::try_from(remaining).unwrap_or(usize::MAX);
+    let data = buffer.split_to(length.min(buffer.len())).freeze();
+    let remaining = remaining - data.len() as u64;
+    (data, remaining)
 }
 
 fn take_line(buffer: &mut BytesMut, limit: usize) -> Result<Option<Bytes>, BodyError> {
     let Some(end) = buffer.iter().position(|byte| *byte == b'\n') else {
-        return if buffer.len() > limit { Err(BodyError::Chunk) } else { Ok(None) };
+        return if buffer.len() > limit { Err(BodyError::MalformedChunk) } else { Ok(None) };
     };
     if end == 0 || end > limit || buffer[end - 1] != b'\r' {
-        return Err(BodyError::Chunk);
+        return Err(BodyError::MalformedChunk);
     }
     let mut line = buffer.split_to(end + 1).freeze();
     line.truncate(end - 1);
     Ok(Some(line))
 }
 
-fn after_chunk_line(line: &[u8]) -> Result<DecoderPlace, BodyError> {
+fn parse_chunk_line(line: &[u8]) -> Result<DecoderState, BodyError> {
     let size = line.split(|byte| *byte == b';').next().unwrap_or_default();
-    let digits =
-        (1..=MOST_SIZE_DIGITS).contains(&size.len()) && size.iter().all(u8::is_ascii_hexdigit);
-    if !digits || line.contains(&b'\r') {
-        return Err(BodyError::Chunk);
+    let is_valid =
+        (1..=MAX_CHUNK_SIZE_DIGITS).contains(&size.len()) && size.iter().all(u8::is_ascii_hexdigit);
+    if !is_valid || line.contains(&b'\r') {
+        return Err(BodyError::MalformedChunk);
     }
-    let text = std::str::from_utf8(size).map_err(|_| BodyError::Chunk)?;
-    match u64::from_str_radix(text, 16).map_err(|_| BodyError::Chunk)? {
-        0 => Ok(DecoderPlace::Trailer),
-        size => Ok(DecoderPlace::Chunk(size)),
+    let text = std::str::from_utf8(size).map_err(|_| BodyError::MalformedChunk)?;
+    match u64::from_str_radix(text, 16).map_err(|_| BodyError::MalformedChunk)? {
+        0 => Ok(DecoderState::Trailer),
+        size => Ok(DecoderState::Chunk(size)),
     }
 }
 
-/// Writes `data` to `out` as one chunk.
+/// Appends `data` to `out` as one chunk; empty data would end the body and is skipped.
 pub fn write_chunk(data: &[u8], out: &mut BytesMut) {
     if data.is_empty() {
         return;
@@ -259,5 +265,5 @@
     out.extend_from_slice(b"\r\n");
 }
 
-/// Ends a chunked body.
+/// The last chunk and the empty trailer section of a chunked body.
 pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
--- a/crates/node/src/callers.rs
+++ b/crates/node/src/callers.rs
@@ -1,15 +1,14 @@
-//! The border to callers: HTTP in, answers out, one thread for each connection.
+//! The callers' HTTP server, with one thread for each connection.
 //!
-//! The brief's `rouille` holds streamed chunks back until its buffer is full, and its nearest kin
-//! `tiny_http` gives no way to put a time limit on a slow sender, so heads are parsed by
-//! `httparse` on plain sockets here (docs/DESIGN.md, "HTTP towards callers"). Operators' pages,
-//! where neither matters, are served by `rouille`.
+//! It parses heads with `httparse` on plain sockets: `rouille` buffers streamed chunks, and
+//! `tiny_http` has no timeout for slow senders (docs/DESIGN.md, "HTTP towards callers"). The
+//! operators' endpoints need neither and use `rouille`.
 
-mod answer;
 mod connection;
 mod events;
 mod exchange;
 mod plain;
+mod refusal;
 mod request;
 mod route;
 
@@ -33,28 +32,28 @@
 
 use crate::{control::ControlSender, settings::CallerLimits};
 
-/// The stack of a thread that serves one connection.
-const CONNECTION_STACK: usize = 256 << 10;
+/// Stack size of a connection thread.
+const CONNECTION_STACK_BYTES: usize = 256 << 10;
 
-/// How long an accept that failed rests.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// What all connections share.
-pub struct CallerBorder {
+/// State shared by all connections.
+pub struct CallerServer {
     host: HostId,
     incarnation: Incarnation,
     counter: AtomicU32,
-    open: AtomicUsize,
-    /// Requests that are being answered now.
-    busy: AtomicUsize,
+    open_connections: AtomicUsize,
+    /// Requests being handled now.
+    active_requests: AtomicUsize,
     limits: CallerLimits,
     control: ControlSender,
     clock: Arc<dyn ClockSource>,
     backends: ureq::Agent,
 }
 
-impl CallerBorder {
-    /// Makes the border of a host.
+impl CallerServer {
+    /// Creates the server of a host.
     pub fn new(
         host: HostId,
         incarnation: Incarnation,
@@ -68,7 +67,7 @@
             .max_redirects(0)
             .proxy(None)
             .timeout_connect(Some(Duration::from_secs(1)))
-            .timeout_per_read(Some(limits.silence))
+            .timeout_per_read(Some(limits.read_timeout))
             .input_buffer_size(16 << 10)
             .output_buffer_size(16 << 10)
             .build()
@@ -77,8 +76,8 @@
             host,
             incarnation,
             counter: AtomicU32::new(0),
-            open: AtomicUsize::new(0),
-            busy: AtomicUsize::new(0),
+            open_connections: AtomicUsize::new(0),
+            active_requests: AtomicUsize::new(0),
             limits,
             control,
             clock,
@@ -86,45 +85,45 @@
         }
     }
 
-    /// Waits until every answer that has begun is written; says whether that came to pass.
-    pub fn wait_idle(&self, at_most: Duration) -> bool {
-        const LOOK: Duration = Duration::from_millis(10);
-        let until = Instant::now() + at_most;
-        while self.busy.load(Ordering::Relaxed) > 0 {
-            if Instant::now() > until {
+    /// Waits until no request is being handled; returns false on timeout.
+    pub fn wait_idle(&self, timeout: Duration) -> bool {
+        const POLL_INTERVAL: Duration = Duration::from_millis(10);
+        let deadline = Instant::now() + timeout;
+        while self.active_requests.load(Ordering::Relaxed) > 0 {
+            if Instant::now() > deadline {
                 return false;
             }
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
         true
     }
 
-    /// Says whether an order is too old to be carried out, as after a pause of this process.
-    fn is_late(&self, order: &RequestDispatch) -> bool {
-        self.clock.now().since(order.issued_at) > MAX_DISPATCH_DELAY
+    /// Returns whether a dispatch is too old to be sent, as after a pause of this process.
+    fn is_expired(&self, dispatch: &RequestDispatch) -> bool {
+        self.clock.now().since(dispatch.issued_at) > MAX_DISPATCH_DELAY
     }
 
-    fn next_request(&self) -> RequestId {
+    fn next_request_id(&self) -> RequestId {
         let counter = self.counter.fetch_add(1, Ordering::Relaxed);
         request_id(self.host, self.incarnation, counter)
     }
 }
 
-/// Counts a connection as long as it lives.
-struct OpenGuard(Arc<CallerBorder>);
+/// Decrements the number of open connections when dropped.
+struct ConnectionGuard(Arc<CallerServer>);
 
-impl Drop for OpenGuard {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
-        self.0.open.fetch_sub(1, Ordering::Relaxed);
+        self.0.open_connections.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// Starts to accept callers on a bound listener.
+/// Starts accepting connections on a bound listener.
 ///
 /// # Errors
-/// Returns why the listener has no address.
+/// Returns why the listener has no address or the thread could not be started.
 pub fn start_callers(
-    border: Arc<CallerBorder>,
+    server: Arc<CallerServer>,
     listener: TcpListener,
     stop: Arc<AtomicBool>,
 ) -> std::io::Result<SocketAddr> {
@@ -132,18 +131,19 @@
     thread::Builder::new().name(String::from("callers")).spawn(move || {
         while !stop.load(Ordering::Relaxed) {
             let Ok((stream, _)) = listener.accept() else {
-                thread::sleep(ACCEPT_PAUSE);
+                thread::sleep(ACCEPT_RETRY_DELAY);
                 continue;
             };
-            let open = border.open.fetch_add(1, Ordering::Relaxed);
-            let guard = OpenGuard(Arc::clone(&border));
-            if open >= border.limits.connections {
-                connection::refuse_full(stream);
+            let open_connections = server.open_connections.fetch_add(1, Ordering::Relaxed);
+            let guard = ConnectionGuard(Arc::clone(&server));
+            if open_connections >= server.limits.max_connections {
+                connection::refuse_over_limit(stream);
                 continue;
             }
-            let spawned = thread::Builder::new().stack_size(CONNECTION_STACK).spawn(move || {
-                connection::serve(&guard.0, stream);
-            });
+            let spawned =
+                thread::Builder::new().stack_size(CONNECTION_STACK_BYTES).spawn(move || {
+                    connection::serve_connection(&guard.0, stream);
+                });
             drop(spawned);
         }
     })?;
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -1,4 +1,4 @@
-//! Puts an entry host together: the control thread and its borders.
+//! Starts the control thread and the I/O threads of an entry host.
 
 use std::{
     net::{SocketAddr, TcpListener},
@@ -16,12 +16,12 @@
 use socket2::{Domain, Socket, Type};
 
 use crate::{
-    border::{EngineBorder, EngineHttp, HostBorder, LogBorder, PlatformHttp},
-    callers::{CallerBorder, start_callers},
+    callers::{CallerServer, start_callers},
+    clients::{EngineClient, EngineHttpClient, HostListClient, LogClient, PlatformHttpClient},
     control::{ControlOutputs, ControlSender, control_channel, start_control, wall_millis},
     operators::start_operators,
     peers::start_peers,
-    platform::{start_appender, start_host_list, start_readers, start_reports},
+    platform::{start_appenders, start_host_list_poller, start_readers, start_report_fetchers},
     settings::NodeSettings,
 };
 
@@ -31,7 +31,7 @@
     peers: SocketAddr,
     operators: SocketAddr,
     control: ControlSender,
-    border: Arc<CallerBorder>,
+    server: Arc<CallerServer>,
     thread: Option<JoinHandle<()>>,
     stop: Arc<AtomicBool>,
     stopped: Receiver<()>,
@@ -41,24 +41,24 @@
     /// Starts an entry host.
     ///
     /// # Errors
-    /// Returns which address can not be listened on, and why.
+    /// Returns which address could not be listened on and why, or that a thread could not be started.
     pub fn start(settings: &NodeSettings) -> eyre::Result<Self> {
         let stop = Arc::new(AtomicBool::new(false));
         let (control, inputs) = control_channel();
         let peer_listener = bind("peers", settings.peers)?;
         let peer_address = peer_listener.local_addr()?;
         let peers = start_peers(settings.host, peer_listener, control.clone())?;
-        let platform = PlatformHttp::new(settings.platform.to_string());
-        let log: Arc<dyn LogBorder> = Arc::new(platform.clone());
-        let hosts: Arc<dyn HostBorder> = Arc::new(platform);
-        let engines: Arc<dyn EngineBorder> = Arc::new(EngineHttp::new());
+        let platform = PlatformHttpClient::new(settings.platform.to_string());
+        let log: Arc<dyn LogClient> = Arc::new(platform.clone());
+        let hosts: Arc<dyn HostListClient> = Arc::new(platform);
+        let engines: Arc<dyn EngineClient> = Arc::new(EngineHttpClient::new());
         let incarnation = wall_millis();
         let (stopped_sender, stopped) = mpsc::channel();
         let outputs = ControlOutputs {
             peers: peers.sender,
-            appends: start_appender(Arc::clone(&log), control.clone()),
+            appends: start_appenders(Arc::clone(&log), control.clone()),
             follows: start_readers(&log, &control, &stop),
-            reports: start_reports(&engines, &control),
+            reports: start_report_fetchers(&engines, &control),
             engines,
             stopped: stopped_sender,
         };
@@ -77,63 +77,69 @@
             control.clone(),
             Arc::clone(&stop),
         );
-        start_host_list(hosts, settings.hosts_every, control.clone(), Arc::clone(&stop));
+        start_host_list_poller(
+            hosts,
+            settings.host_list_interval,
+            control.clone(),
+            Arc::clone(&stop),
+        );
         let operators = start_operators(
             settings.operators,
             control.clone(),
             peers.counters,
             Arc::clone(&stop),
         )?;
-        let border =
-            CallerBorder::new(settings.host, incarnation, settings.limits, control.clone(), clock);
+        let server =
+            CallerServer::new(settings.host, incarnation, settings.limits, control.clone(), clock);
         let listener = bind("callers", settings.callers)?;
-        let border = Arc::new(border);
-        let callers = start_callers(Arc::clone(&border), listener, Arc::clone(&stop))?;
-        log::info!("host {} serves callers at {callers}", settings.host);
+        let server = Arc::new(server);
+        let callers = start_callers(Arc::clone(&server), listener, Arc::clone(&stop))?;
+        log::info!("host {} listens for callers on {callers}", settings.host);
         Ok(Self {
             callers,
             peers: peer_address,
             operators,
             control,
-            border,
+            server,
             thread: Some(thread),
             stop,
             stopped,
         })
     }
 
-    /// Returns where callers reach the host.
+    /// Returns the address for callers.
     pub const fn callers(&self) -> SocketAddr {
         self.callers
     }
 
-    /// Returns where peers reach the host.
+    /// Returns the address for peers.
     pub const fn peers(&self) -> SocketAddr {
         self.peers
     }
 
-    /// Returns where operators reach the host.
+    /// Returns the address for operators.
     pub const fn operators(&self) -> SocketAddr {
         self.operators
     }
 
-    /// Begins the planned stop.
+    /// Starts a planned stop.
     pub fn drain(&self) {
-        self.control.event(NodeEvent::StopRequested);
+        self.control.send_event(NodeEvent::StopRequested);
     }
 
-    /// Waits until the planned stop is complete and the last answer written; says whether it is.
-    pub fn wait_stopped(&self, at_most: Duration) -> bool {
-        const LAST_ANSWERS: Duration = Duration::from_secs(5);
-        let stopped = self.stopped.recv_timeout(at_most).is_ok();
-        stopped && self.border.wait_idle(LAST_ANSWERS)
+    /// Waits until the planned stop is complete and the last response is written; returns false on
+    /// timeout.
+    pub fn wait_until_stopped(&self, timeout: Duration) -> bool {
+        const RESPONSES_TIMEOUT: Duration = Duration::from_secs(5);
+        let stopped = self.stopped.recv_timeout(timeout).is_ok();
+        stopped && self.server.wait_idle(RESPONSES_TIMEOUT)
     }
 }
 
 impl Drop for EntryHost {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
-        // The callers' thread waits in accept; a connection lets it look at the stop flag.
+        // The accept thread blocks in `accept`; a connection makes it check the stop flag.
         drop(std::net::TcpStream::connect(self.callers));
         if let Some(thread) = self.thread.take() {
             drop(thread.join());
@@ -141,18 +147,19 @@
     }
 }
 
-fn bind(what: &str, address: SocketAddr) -> eyre::Result<TcpListener> {
-    listen(address)
-        .wrap_err_with(|| format!("{what} address {address} can not be used; pick a free one"))
+fn bind(purpose: &str, address: SocketAddr) -> eyre::Result<TcpListener> {
+    listen(address).wrap_err_with(|| {
+        format!("can not listen for {purpose} on {address}; choose a free address")
+    })
 }
 
-/// Listens with room for a burst: the standard library's 128 waiting connections are not enough
-/// for 256 callers at once, the rest of whom wait a second for their next try.
+/// Listens with a larger backlog than the standard library's 128 connections: in a burst the
+/// connections beyond the backlog are dropped and retried by the client only after a second.
 fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
-    const WAITING: i32 = 4096;
+    const BACKLOG: i32 = 4096;
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
     socket.bind(&address.into())?;
-    socket.listen(WAITING)?;
+    socket.listen(BACKLOG)?;
     Ok(socket.into())
 }
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -1,7 +1,7 @@
-//! The border to other entry hosts: frames over TCP, one connection for each direction.
+//! Transport of peer messages over TCP, with one connection for each direction.
 //!
-//! A message that can not be sent is dropped and counted: every exchange between hosts stands the
-//! loss of a message, and a queue of old ones would only be late.
+//! A message that can not be sent is dropped and counted: all protocols between hosts tolerate
+//! message loss, and queued messages would be outdated on delivery.
 
 use std::{
     collections::HashMap,
@@ -27,85 +27,90 @@
 
 use crate::control::ControlSender;
 
-/// Messages that wait for one host at most.
-const QUEUE: usize = 1024;
+/// Maximum number of queued messages for one host.
+const QUEUE_CAPACITY: usize = 1024;
 
-/// How long another host may take to accept a connection.
-const CONNECT: Duration = Duration::from_secs(1);
+/// Timeout for connecting to a host.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long to leave a host alone after it could not be reached.
-const RECONNECT_PAUSE: Duration = Duration::from_millis(200);
+/// Delay after a failed send or accept.
+const RECONNECT_DELAY: Duration = Duration::from_millis(200);
 
-/// A message on its way out.
+/// A message to send.
 #[derive(Debug)]
 pub struct OutgoingMessage {
-    /// Where to.
+    /// The receiver's address.
     pub address: String,
-    /// The sender's stamp.
+    /// The sender's hybrid timestamp.
     pub stamp: HybridTimestamp,
     /// The message.
     pub message: PeerMessage,
 }
 
-/// Counts of the border.
+/// Counters of the transport.
 #[derive(Debug, Default)]
 pub struct PeerCounters {
-    /// Messages dropped because their host was not reached or its queue was full.
+    /// Messages dropped because the host was unreachable or its queue was full.
     pub dropped: AtomicU64,
-    /// Bytes that could not be read as frames.
+    /// Connections closed because of an invalid frame or a read error.
     pub unreadable: AtomicU64,
 }
 
-/// The running border.
-pub struct PeerBorder {
-    /// The way out.
+/// The running transport.
+pub struct PeerTransport {
+    /// Accepts messages to send.
     pub sender: UnboundedSender<OutgoingMessage>,
-    /// Its counts.
+    /// The counters.
     pub counters: Arc<PeerCounters>,
-    /// The thread; it ends when all senders are dropped.
+    /// The transport thread, which ends when all senders are dropped.
     pub thread: JoinHandle<()>,
 }
 
-/// Starts the border on a bound listener.
+/// Starts the transport on a bound listener.
 ///
 /// # Errors
-/// Returns why the listener or the thread can not be set up.
+/// Returns why the listener, the runtime or the thread could not be set up.
 pub fn start_peers(
     host: HostId,
     listener: std::net::TcpListener,
     control: ControlSender,
-) -> std::io::Result<PeerBorder> {
+) -> std::io::Result<PeerTransport> {
     listener.set_nonblocking(true)?;
     let (sender, receiver) = mpsc::unbounded_channel();
     let counters = Arc::new(PeerCounters::default());
-    let counted = Arc::clone(&counters);
+    let thread_counters = Arc::clone(&counters);
     let runtime = Builder::new_current_thread().enable_all().build()?;
     let thread = thread::Builder::new().name(String::from("peers")).spawn(move || {
         runtime.block_on(async move {
             match TcpListener::from_std(listener) {
                 Ok(listener) => {
-                    tokio::spawn(accept(listener, control, Arc::clone(&counted)));
+                    tokio::spawn(accept_peers(listener, control, Arc::clone(&thread_counters)));
                 }
-                Err(error) => log::error!("peers can not be listened to: {error}"),
+                Err(error) => log::error!("can not accept connections from peers: {error}"),
             }
-            send_all(host, receiver, counted).await;
+            route_messages(host, receiver, thread_counters).await;
         });
     })?;
-    Ok(PeerBorder { sender, counters, thread })
+    Ok(PeerTransport { sender, counters, thread })
 }
 
-async fn accept(listener: TcpListener, control: ControlSender, counters: Arc<PeerCounters>) {
+async fn accept_peers(listener: TcpListener, control: ControlSender, counters: Arc<PeerCounters>) {
     loop {
         match listener.accept().await {
             Ok((stream, address)) => {
-                tokio::spawn(receive(stream, address, control.clone(), Arc::clone(&counters)));
+                tokio::spawn(receive_frames(
+                    stream,
+                    address,
+                    control.clone(),
+                    Arc::clone(&counters),
+                ));
             }
-            Err(_) => tokio::time::sleep(RECONNECT_PAUSE).await,
+            Err(_) => tokio::time::sleep(RECONNECT_DELAY).await,
         }
     }
 }
 
-async fn receive(
+async fn receive_frames(
     stream: TcpStream,
     address: SocketAddr,
     control: ControlSender,
@@ -115,18 +120,18 @@
     while let Some(frame) = frames.next().await {
         match frame {
             Ok(PeerFrame { from, stamp, message }) => {
-                control.event(NodeEvent::PeerMessage { from, stamp, message });
+                control.send_event(NodeEvent::PeerMessage { from, stamp, message });
             }
             Err(error) => {
                 counters.unreadable.fetch_add(1, Ordering::Relaxed);
-                log::debug!("connection from {address} closed: {error}");
+                log::debug!("closed peer connection from {address}: {error}");
                 return;
             }
         }
     }
 }
 
-async fn send_all(
+async fn route_messages(
     host: HostId,
     mut messages: UnboundedReceiver<OutgoingMessage>,
     counters: Arc<PeerCounters>,
@@ -135,8 +140,8 @@
     while let Some(OutgoingMessage { address, stamp, message }) = messages.recv().await {
         let frame = PeerFrame { from: host, stamp, message };
         let queue = queues.entry(address.clone()).or_insert_with(|| {
-            let (sender, receiver) = mpsc::channel(QUEUE);
-            tokio::spawn(send_to(address, receiver, Arc::clone(&counters)));
+            let (sender, receiver) = mpsc::channel(QUEUE_CAPACITY);
+            tokio::spawn(send_frames(address, receiver, Arc::clone(&counters)));
             sender
         });
         if queue.try_send(frame).is_err() {
@@ -145,7 +150,11 @@
     }
 }
 
-async fn send_to(address: String, mut frames: Receiver<PeerFrame>, counters: Arc<PeerCounters>) {
+async fn send_frames(
+    address: String,
+    mut frames: Receiver<PeerFrame>,
+    counters: Arc<PeerCounters>,
+) {
     let mut connection: Option<Framed<TcpStream, FrameCodec>> = None;
     while let Some(frame) = frames.recv().await {
         if connection.is_none() {
@@ -158,13 +167,13 @@
         if !sent {
             counters.dropped.fetch_add(1, Ordering::Relaxed);
             connection = None;
-            tokio::time::sleep(RECONNECT_PAUSE).await;
+            tokio::time::sleep(RECONNECT_DELAY).await;
         }
     }
 }
 
 async fn connect(address: &str) -> Option<Framed<TcpStream, FrameCodec>> {
-    let stream = timeout(CONNECT, TcpStream::connect(address)).await.ok()?.ok()?;
+    let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await.ok()?.ok()?;
     stream.set_nodelay(true).ok()?;
     Some(Framed::new(stream, FrameCodec::default()))
 }
--- a/crates/node/src/platform.rs
+++ b/crates/node/src/platform.rs
@@ -1,4 +1,4 @@
-//! The threads that follow the platform's log, append to it, and ask for its host list.
+//! Threads that read the platform's log, append to it, and fetch the host list and engine reports.
 
 use std::{
     sync::{
@@ -17,78 +17,78 @@
 };
 
 use crate::{
-    border::{EngineBorder, HostBorder, LogBorder, ReadBatch},
+    clients::{EngineClient, HostListClient, LogClient, ReadBatch},
     control::{ControlInput, ControlSender},
 };
 
-/// How long one read waits for records.
+/// How long a read at the end of a stream waits for new records.
 const READ_WAIT: Duration = Duration::from_secs(2);
 
-/// An offset that no stream reaches: a read from there tells where the stream ends.
+/// An offset beyond the end of every stream: a read from it returns the stream's end.
 const PAST_END: LogOffset = LogOffset::MAX;
 
-/// How long to wait after a failed read.
-const READ_PAUSE: Duration = Duration::from_millis(500);
+/// Delay after a failed read.
+const READ_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Threads that ask engines for reports; one that is stuck with a silent engine blocks no other.
+/// Number of threads that fetch engine reports, so that an unresponsive engine blocks only one.
 const REPORT_THREADS: usize = 6;
 
-/// An append to carry out.
+/// A record to append.
 #[derive(Debug)]
-pub struct AppendCall {
+pub struct AppendRequest {
     /// The stream.
     pub stream: LogStream,
     /// The record.
     pub payload: Vec<u8>,
-    /// Names it in its result.
+    /// Identifies the append in its result.
     pub ticket: u64,
 }
 
-/// A change of where a stream is read from.
+/// A change of the offset at which a stream is read.
 #[derive(Debug, Clone, Copy)]
-pub struct FollowCall {
+pub struct FollowRequest {
     /// The stream.
     pub stream: LogStream,
-    /// The first offset wanted; none to read no further.
+    /// The offset to continue from; `None` stops reading.
     pub from: Option<LogOffset>,
 }
 
-/// Starts the threads that append; each stream has its own, so that none waits for another.
-pub fn start_appender(log: Arc<dyn LogBorder>, control: ControlSender) -> Sender<AppendCall> {
-    let (sender, calls) = mpsc::channel::<AppendCall>();
+/// Starts the append threads, one for each stream so that a slow stream does not delay others.
+pub fn start_appenders(log: Arc<dyn LogClient>, control: ControlSender) -> Sender<AppendRequest> {
+    let (sender, requests) = mpsc::channel::<AppendRequest>();
     thread::spawn(move || {
-        let streams: Vec<(LogStream, Sender<AppendCall>)> = LogStream::ALL
+        let streams: Vec<(LogStream, Sender<AppendRequest>)> = LogStream::ALL
             .iter()
             .map(|stream| (*stream, start_stream_appender(Arc::clone(&log), control.clone())))
             .collect();
-        while let Ok(call) = calls.recv() {
-            let stream = streams.iter().find(|(stream, _)| *stream == call.stream);
+        while let Ok(request) = requests.recv() {
+            let stream = streams.iter().find(|(stream, _)| *stream == request.stream);
             if let Some((_, appender)) = stream {
-                drop(appender.send(call));
+                drop(appender.send(request));
             }
         }
     });
     sender
 }
 
-fn start_stream_appender(log: Arc<dyn LogBorder>, control: ControlSender) -> Sender<AppendCall> {
-    let (sender, calls) = mpsc::channel::<AppendCall>();
+fn start_stream_appender(log: Arc<dyn LogClient>, control: ControlSender) -> Sender<AppendRequest> {
+    let (sender, requests) = mpsc::channel::<AppendRequest>();
     thread::spawn(move || {
-        while let Ok(AppendCall { stream, payload, ticket }) = calls.recv() {
+        while let Ok(AppendRequest { stream, payload, ticket }) = requests.recv() {
             let result = log.append(stream, &payload);
-            control.event(NodeEvent::AppendEnded { ticket, result });
+            control.send_event(NodeEvent::AppendEnded { ticket, result });
         }
     });
     sender
 }
 
-/// Starts a reader for each stream; the core says where each begins.
+/// Starts a reader for each stream; the core sets where each begins.
 pub fn start_readers(
-    log: &Arc<dyn LogBorder>,
+    log: &Arc<dyn LogClient>,
     control: &ControlSender,
     stop: &Arc<AtomicBool>,
-) -> Sender<FollowCall> {
-    let (sender, calls) = mpsc::channel::<FollowCall>();
+) -> Sender<FollowRequest> {
+    let (sender, requests) = mpsc::channel::<FollowRequest>();
     let (log, control, stop) = (Arc::clone(log), control.clone(), Arc::clone(stop));
     thread::spawn(move || {
         let readers: Vec<(LogStream, Sender<Option<LogOffset>>)> = LogStream::ALL
@@ -101,18 +101,18 @@
                 (stream, sender)
             })
             .collect();
-        while let Ok(FollowCall { stream, from }) = calls.recv() {
-            let reader = readers.iter().find(|(known, _)| *known == stream);
+        while let Ok(FollowRequest { stream, from }) = requests.recv() {
+            let reader = readers.iter().find(|(reader_stream, _)| *reader_stream == stream);
             if let Some((_, reader)) = reader {
-                let _ended = reader.send(from);
+                let _disconnected = reader.send(from);
             }
         }
     });
     sender
 }
 
-/// Waits until the stream is wanted; returns from where, or `None` at the process's end.
-fn next_offset(offsets: &Receiver<Option<LogOffset>>) -> Option<LogOffset> {
+/// Waits until the stream is to be read; returns the offset, or `None` at shutdown.
+fn wait_for_offset(offsets: &Receiver<Option<LogOffset>>) -> Option<LogOffset> {
     loop {
         if let Some(offset) = offsets.recv().ok()? {
             return Some(offset);
@@ -121,14 +121,14 @@
 }
 
 fn read_stream(
-    log: &dyn LogBorder,
+    log: &dyn LogClient,
     stream: LogStream,
     offsets: &Receiver<Option<LogOffset>>,
     control: &ControlSender,
     stop: &AtomicBool,
 ) {
-    let Some(mut from) = next_offset(offsets) else { return };
-    // What is there already is read at once; only at the end is there anything to wait for.
+    let Some(mut from) = wait_for_offset(offsets) else { return };
+    // Existing records are read without waiting; only reads at the end wait for new ones.
     let mut wait = Duration::ZERO;
     while !stop.load(Ordering::Relaxed) {
         match offsets.try_recv() {
@@ -136,7 +136,7 @@
                 from = offset;
                 wait = Duration::ZERO;
             }
-            Ok(None) => match next_offset(offsets) {
+            Ok(None) => match wait_for_offset(offsets) {
                 Some(offset) => {
                     from = offset;
                     wait = Duration::ZERO;
@@ -147,7 +147,7 @@
             Err(mpsc::TryRecvError::Disconnected) => return,
         }
         if stream == LogStream::Snapshots && from == 0 {
-            // Only the newest one is of any use, and each may be large.
+            // Only the newest snapshot is used, and each may be large.
             from = log.read(stream, PAST_END, Duration::ZERO).map_or(0, |batch| batch.end);
             from = from.saturating_sub(1);
         }
@@ -156,62 +156,63 @@
                 from = batch.records.last().map_or(from, |record| record.offset + 1);
                 wait = if from >= batch.end { READ_WAIT } else { Duration::ZERO };
                 let ReadBatch { era, first, records, end } = batch;
-                control.event(NodeEvent::LogRead { stream, era, first, records, end });
+                control.send_event(NodeEvent::LogRead { stream, era, first, records, end });
             }
             Err(error) => {
-                log::debug!("{} stream: {error}", stream.name());
-                control.event(NodeEvent::LogUnavailable(stream));
+                log::debug!("reading stream {} failed: {error}", stream.name());
+                control.send_event(NodeEvent::LogUnavailable(stream));
                 wait = Duration::ZERO;
-                thread::sleep(READ_PAUSE);
+                thread::sleep(READ_RETRY_DELAY);
             }
         }
     }
 }
 
-/// Starts the thread that asks for changes of the host list.
-pub fn start_host_list(
-    hosts: Arc<dyn HostBorder>,
-    every: Duration,
+/// Starts the thread that polls the host list for changes.
+pub fn start_host_list_poller(
+    hosts: Arc<dyn HostListClient>,
+    interval: Duration,
     control: ControlSender,
     stop: Arc<AtomicBool>,
 ) {
     thread::spawn(move || {
         let mut version = 0;
-        let mut seen = false;
+        let mut received = false;
         while !stop.load(Ordering::Relaxed) {
             match hosts.changes(version) {
                 Ok((change, newer)) => {
-                    if newer != version || !seen {
-                        seen = true;
-                        control.event(NodeEvent::HostListChanged(change));
+                    if newer != version || !received {
+                        received = true;
+                        control.send_event(NodeEvent::HostListChanged(change));
                     }
                     version = newer;
                 }
-                Err(error) => log::debug!("host list: {error}"),
+                Err(error) => log::debug!("fetching the host list failed: {error}"),
             }
-            // A host that has seen nothing yet asks more often, so that it serves sooner.
-            thread::sleep(if version == 0 { every / 8 } else { every });
+            // Until the first version is known, poll more often to become ready sooner.
+            thread::sleep(if version == 0 { interval / 8 } else { interval });
         }
     });
 }
 
-/// Starts the threads that ask engines for their reports.
-pub fn start_reports(
-    engines: &Arc<dyn EngineBorder>,
+/// Starts the threads that fetch engine reports.
+pub fn start_report_fetchers(
+    engines: &Arc<dyn EngineClient>,
     control: &ControlSender,
 ) -> Sender<(EngineId, String)> {
-    let (sender, calls) = mpsc::channel::<(EngineId, String)>();
-    let calls = Arc::new(std::sync::Mutex::new(calls));
+    let (sender, requests) = mpsc::channel::<(EngineId, String)>();
+    let requests = Arc::new(std::sync::Mutex::new(requests));
     for _ in 0..REPORT_THREADS {
-        let (calls, engines, control) = (Arc::clone(&calls), Arc::clone(engines), control.clone());
+        let (requests, engines, control) =
+            (Arc::clone(&requests), Arc::clone(engines), control.clone());
         thread::spawn(move || {
             loop {
-                let call = match calls.lock() {
-                    Ok(calls) => calls.recv_timeout(Duration::from_secs(1)),
+                let request = match requests.lock() {
+                    Ok(requests) => requests.recv_timeout(Duration::from_secs(1)),
                     Err(_) => return,
                 };
-                match call {
-                    Ok((engine, address)) => ask_report(&*engines, engine, &address, &control),
+                match request {
+                    Ok((engine, address)) => fetch_report(&*engines, engine, &address, &control),
                     Err(RecvTimeoutError::Timeout) => {}
                     Err(RecvTimeoutError::Disconnected) => return,
                 }
@@ -221,14 +222,14 @@
     sender
 }
 
-fn ask_report(
-    engines: &dyn EngineBorder,
+fn fetch_report(
+    engines: &dyn EngineClient,
     engine: EngineId,
     address: &str,
     control: &ControlSender,
 ) {
     match engines.report(address) {
-        Ok(report) => control.input(ControlInput::Report(engine, report)),
-        Err(error) => log::debug!("report of engine {engine}: {error}"),
+        Ok(report) => control.send_input(ControlInput::Report(engine, report)),
+        Err(error) => log::debug!("fetching the report of engine {engine} failed: {error}"),
     }
 }
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -1,4 +1,4 @@
-//! A host's own settings file, checked as a whole: every mistake is named at once.
+//! The settings file of a host. All errors of a file are reported together.
 
 mod fields;
 mod reader;
@@ -8,88 +8,88 @@
 use reelreel_core::{node::NodeTimes, settings::source::SourceError};
 use toml::de::DeTable;
 
-pub use fields::{FIELDS, FieldKind, FieldSpec, describe};
-use reader::{FieldReader, FieldValues, addresses};
+pub use fields::{FIELDS, FieldKind, FieldSpec, describe_kind};
+use reader::{FieldReader, FieldValues, split_addresses};
 
-/// How log lines are written.
+/// Format of log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LogFormat {
-    /// For people.
+    /// Plain text.
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
 /// Limits on callers' connections and requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Connections at once.
-    pub connections: usize,
-    /// Bytes of a request head.
-    pub head_bytes: usize,
-    /// Bytes of a request body.
-    pub body_bytes: usize,
-    /// Time to send a request head.
-    pub head_time: Duration,
-    /// Time to send a request body.
-    pub body_time: Duration,
-    /// Time an idle connection is kept.
-    pub idle_time: Duration,
-    /// Time a backend server may be silent within an answer.
-    pub silence: Duration,
+    /// Maximum number of open connections.
+    pub max_connections: usize,
+    /// Maximum size of a request head, in bytes.
+    pub max_head_bytes: usize,
+    /// Maximum size of a request body, in bytes.
+    pub max_body_bytes: usize,
+    /// Time limit for receiving a request head.
+    pub head_timeout: Duration,
+    /// Time limit for receiving a request body.
+    pub body_timeout: Duration,
+    /// Time after which an idle connection is closed.
+    pub idle_timeout: Duration,
+    /// Timeout for a read from a backend server and for a write to a caller.
+    pub read_timeout: Duration,
 }
 
-/// A host's own settings.
+/// The settings of a host.
 #[derive(Debug, Clone)]
 pub struct NodeSettings {
-    /// The host.
+    /// The host id.
     pub host: u32,
-    /// Its data hall.
+    /// The host's data hall.
     pub hall: u16,
-    /// Where callers reach it.
+    /// The listening address for callers.
     pub callers: SocketAddr,
-    /// Where peers reach it.
+    /// The listening address for peers.
     pub peers: SocketAddr,
-    /// Where operators reach it.
+    /// The listening address for operators.
     pub operators: SocketAddr,
-    /// Where the platform is.
+    /// The platform's address.
     pub platform: SocketAddr,
-    /// Where some peers are reached.
+    /// Addresses of some peers, for a start while the platform is unavailable.
     pub seeds: Vec<String>,
-    /// How log lines are written.
+    /// Format of log lines.
     pub log_format: LogFormat,
-    /// Which log lines are written.
+    /// Minimum level of log lines.
     pub log_level: log::LevelFilter,
     /// Limits on callers.
     pub limits: CallerLimits,
-    /// The times it goes by.
+    /// Intervals and timeouts of the core.
     pub times: NodeTimes,
-    /// How often the host list is asked for changes.
-    pub hosts_every: Duration,
+    /// How often changes of the host list are fetched.
+    pub host_list_interval: Duration,
 }
 
 impl NodeSettings {
-    /// Reads a settings file.
+    /// Parses a settings file.
     ///
     /// # Errors
-    /// Returns every mistake, in the order of their places.
-    pub fn read(text: &str) -> Result<Self, Vec<SourceError>> {
+    /// Returns all errors, ordered by position.
+    pub fn parse(text: &str) -> Result<Self, Vec<SourceError>> {
         let (table, errors) = DeTable::parse_recoverable(text);
-        let mut reader = FieldReader { text, mistakes: Vec::new() };
+        let mut reader = FieldReader { text, errors: Vec::new() };
         for error in errors {
             let offset = error.span().map_or(0, |span| span.start);
-            reader.note(offset, format!("not valid TOML: {}", error.message()));
+            reader.record(offset, format!("not valid TOML: {}", error.message()));
         }
-        let mut values = FieldValues { numbers: BTreeMap::new(), texts: BTreeMap::new() };
-        if reader.mistakes.is_empty() {
+        let mut values = FieldValues { integers: BTreeMap::new(), texts: BTreeMap::new() };
+        if reader.errors.is_empty() {
             reader.read_table("", table.get_ref(), &mut values);
             reader.fill_defaults(&mut values);
         }
-        if reader.mistakes.is_empty() {
+        if reader.errors.is_empty() {
             return Ok(Self::build(&values));
         }
-        reader.mistakes.sort_by_key(|mistake| (mistake.line, mistake.column));
-        Err(reader.mistakes)
+        reader.errors.sort_by_key(|error| (error.line, error.column));
+        Err(reader.errors)
     }
 
     fn build(values: &FieldValues) -> Self {
@@ -104,28 +104,28 @@
             ..NodeTimes::default()
         };
         let limits = CallerLimits {
-            connections: values.size("limits", "connections"),
-            head_bytes: values.size("limits", "head_bytes"),
-            body_bytes: values.size("limits", "body_bytes"),
-            head_time: values.millis("limits", "head_ms"),
-            body_time: values.millis("limits", "body_ms"),
-            idle_time: values.millis("limits", "idle_ms"),
-            silence: values.millis("limits", "silence_ms"),
+            max_connections: values.count("limits", "connections"),
+            max_head_bytes: values.count("limits", "head_bytes"),
+            max_body_bytes: values.count("limits", "body_bytes"),
+            head_timeout: values.millis("limits", "head_ms"),
+            body_timeout: values.millis("limits", "body_ms"),
+            idle_timeout: values.millis("limits", "idle_ms"),
+            read_timeout: values.millis("limits", "silence_ms"),
         };
         let json = values.text("log", "format") == "json";
         Self {
-            host: u32::try_from(values.number("", "host")).unwrap_or_default(),
-            hall: u16::try_from(values.number("", "hall")).unwrap_or_default(),
+            host: u32::try_from(values.integer("", "host")).unwrap_or_default(),
+            hall: u16::try_from(values.integer("", "hall")).unwrap_or_default(),
             callers: values.address("callers"),
             peers: values.address("peers"),
             operators: values.address("operators"),
             platform: values.address("platform"),
-            seeds: addresses(values.text("", "seeds")),
+            seeds: split_addresses(values.text("", "seeds")),
             log_format: if json { LogFormat::Json } else { LogFormat::Text },
             log_level: values.text("log", "level").parse().unwrap_or(log::LevelFilter::Info),
             limits,
             times,
-            hosts_every: values.millis("times", "hosts_every_ms"),
+            host_list_interval: values.millis("times", "hosts_every_ms"),
         }
     }
 }
