--- a/crates/core/src/fleet/limits/engine_share.rs
+++ b/crates/core/src/fleet/limits/engine_share.rs
@@ -27,7 +27,7 @@
 /// One host's view of one engine's limit.
 #[derive(Debug, Clone)]
 pub(super) struct EngineShare {
-    pub(super) born: EngineIncarnation,
+    pub(super) incarnation: EngineIncarnation,
     /// The last declared limit.
     pub(super) limit: RequestLimit,
     /// Whether the engine has responded without a limit since.
@@ -62,12 +62,12 @@
 
 impl EngineShare {
     pub(super) fn new(
-        born: EngineIncarnation,
+        incarnation: EngineIncarnation,
         limit: RequestLimit,
         responded_at: ClockMillis,
     ) -> Self {
         Self {
-            born,
+            incarnation,
             limit,
             recovering: false,
             responded_at,
@@ -89,14 +89,14 @@
         }
     }
 
-    pub(super) const fn is_incarnation(&self, born: EngineIncarnation) -> bool {
-        is_same_incarnation(self.born, born)
+    pub(super) const fn is_incarnation(&self, incarnation: EngineIncarnation) -> bool {
+        is_same_incarnation(self.incarnation, incarnation)
     }
 
     /// Replaces the state of an earlier incarnation; waiting requests keep waiting.
     pub(super) fn begin_incarnation(
         &mut self,
-        born: EngineIncarnation,
+        incarnation: EngineIncarnation,
         limit: RequestLimit,
         responded_at: ClockMillis,
     ) {
@@ -107,7 +107,7 @@
             received,
             unused,
             unpermitted,
-            ..Self::new(born, limit, responded_at)
+            ..Self::new(incarnation, limit, responded_at)
         };
     }
 
@@ -196,7 +196,7 @@
     pub(super) fn report(&self, engine: &EngineName, now: ClockMillis) -> LimitReport {
         LimitReport {
             engine: Arc::clone(engine),
-            born: self.born,
+            incarnation: self.incarnation,
             limit: self.limit,
             state: if self.recovering { LimitState::Recovering } else { LimitState::Active },
             responded_ago: now.since(self.responded_at),
--- a/crates/core/src/fleet/limits/events.rs
+++ b/crates/core/src/fleet/limits/events.rs
@@ -18,7 +18,7 @@
         /// The engine.
         engine: EngineName,
         /// The incarnation that declares it.
-        born: EngineIncarnation,
+        incarnation: EngineIncarnation,
         /// The limit.
         limit: RequestLimit,
         /// The limit that was logged before, if it was still in force.
@@ -68,14 +68,14 @@
     ) -> Vec<LimitEvent> {
         let mut events = Vec::new();
         let mut still_limited = HashMap::new();
-        for (engine, born, limit) in limits {
+        for (engine, incarnation, limit) in limits {
             let previous = self.logged.remove(engine);
             let due = previous.is_none_or(|(previous, logged_at)| {
                 limit.differs_significantly(previous) && now.since(logged_at) >= MIN_LOG_INTERVAL
             });
             if due {
                 let (engine, previous) = (Arc::clone(engine), previous.map(|(limit, _)| limit));
-                events.push(LimitEvent::Limited { engine, born, limit, previous });
+                events.push(LimitEvent::Limited { engine, incarnation, limit, previous });
             }
             let logged = previous.filter(|_| !due).unwrap_or((limit, now));
             still_limited.insert(Arc::clone(engine), logged);
--- a/crates/core/src/fleet/limits/ledger.rs
+++ b/crates/core/src/fleet/limits/ledger.rs
@@ -81,7 +81,7 @@
 /// The account of one engine that declares a limit.
 #[derive(Debug, Clone)]
 struct LimitAccount {
-    born: EngineIncarnation,
+    incarnation: EngineIncarnation,
     limit: RequestLimit,
     /// When the response that last declared the limit or its end began.
     responded_at: ClockMillis,
@@ -102,7 +102,7 @@
 impl LimitAccount {
     fn new(report: &LimitReport, responded_at: ClockMillis, now: ClockMillis) -> Self {
         Self {
-            born: report.born,
+            incarnation: report.incarnation,
             limit: report.limit,
             responded_at,
             requested_at: now - report.requested_ago,
@@ -115,8 +115,8 @@
         }
     }
 
-    const fn is_incarnation(&self, born: EngineIncarnation) -> bool {
-        is_same_incarnation(self.born, born)
+    const fn is_incarnation(&self, incarnation: EngineIncarnation) -> bool {
+        is_same_incarnation(self.incarnation, incarnation)
     }
 
     /// Returns the rate at which permits are granted now. Unit: requests per second.
@@ -215,7 +215,7 @@
         let (fraction, recovering) = (self.fraction(), report.state != LimitState::Active);
         let account = self.accounts.get_mut(&report.engine);
         let Some(account) = account.filter(|account| {
-            account.is_incarnation(report.born) || responded_at < account.responded_at
+            account.is_incarnation(report.incarnation) || responded_at < account.responded_at
         }) else {
             // A limit that ended under the previous ledger gets an account as well: hosts wait for the report that
             // it is lifted.
@@ -224,7 +224,7 @@
             self.accounts.insert(Arc::clone(&report.engine), account);
             return;
         };
-        if !account.is_incarnation(report.born) {
+        if !account.is_incarnation(report.incarnation) {
             return;
         }
         if !recovering {
@@ -360,7 +360,7 @@
     /// Drops engines that are no longer listed in that incarnation; `incarnation_of` returns the listed one.
     pub fn retain(&mut self, incarnation_of: impl Fn(&str) -> Option<EngineIncarnation>) {
         self.accounts.retain(|engine, account| {
-            incarnation_of(engine).is_some_and(|born| account.is_incarnation(born))
+            incarnation_of(engine).is_some_and(|incarnation| account.is_incarnation(incarnation))
         });
     }
 }
@@ -370,7 +370,7 @@
         let recovering = self.recovery_rate.is_some();
         LimitReport {
             engine: Arc::clone(engine),
-            born: self.born,
+            incarnation: self.incarnation,
             limit: self.limit,
             state: if recovering { LimitState::Recovering } else { LimitState::Active },
             responded_ago: now.since(self.responded_at),
--- a/crates/core/src/fleet/limits/report.rs
+++ b/crates/core/src/fleet/limits/report.rs
@@ -21,7 +21,7 @@
     /// The engine.
     pub engine: EngineName,
     /// The incarnation that declared it.
-    pub born: EngineIncarnation,
+    pub incarnation: EngineIncarnation,
     /// The last declared limit.
     pub limit: RequestLimit,
     /// The state of the limit.
--- a/crates/core/src/fleet/limits/share.rs
+++ b/crates/core/src/fleet/limits/share.rs
@@ -78,16 +78,16 @@
     pub fn receive_declaration(
         &mut self,
         engine: &EngineName,
-        born: EngineIncarnation,
+        incarnation: EngineIncarnation,
         declaration: LimitDeclaration,
         now: ClockMillis,
     ) -> bool {
         match declaration.limit {
             Declared::Present(limit) => {
-                let new = || EngineShare::new(born, limit, now);
+                let new = || EngineShare::new(incarnation, limit, now);
                 let share = self.engines.entry(Arc::clone(engine)).or_insert_with(new);
-                if !share.is_incarnation(born) {
-                    share.begin_incarnation(born, limit, now);
+                if !share.is_incarnation(incarnation) {
+                    share.begin_incarnation(incarnation, limit, now);
                 }
                 share.pending |= share.recovering || share.limit != limit;
                 (share.limit, share.recovering, share.responded_at, share.requested_at) =
@@ -98,7 +98,8 @@
             Declared::Absent if declaration.absence_is_conclusive => {
                 let share = self.engines.get_mut(engine);
                 let share = share.filter(|share| {
-                    share.is_incarnation(born) && declaration.requested_at > share.responded_at
+                    share.is_incarnation(incarnation)
+                        && declaration.requested_at > share.responded_at
                 });
                 share.is_some_and(|share| {
                     share.pending |= !share.recovering;
@@ -139,7 +140,7 @@
     /// Drops engines that are no longer listed in that incarnation; `incarnation_of` returns the listed one.
     pub fn retain(&mut self, incarnation_of: impl Fn(&str) -> Option<EngineIncarnation>) {
         self.engines.retain(|engine, share| {
-            incarnation_of(engine).is_some_and(|born| share.is_incarnation(born))
+            incarnation_of(engine).is_some_and(|incarnation| share.is_incarnation(incarnation))
         });
         self.event_throttle.retain(|engine| incarnation_of(engine).is_some());
     }
@@ -147,7 +148,7 @@
     /// Returns the events to log now.
     pub fn take_events(&mut self, now: ClockMillis) -> Vec<LimitEvent> {
         let shares = self.engines.iter();
-        let limits = shares.map(|(engine, share)| (engine, share.born, share.limit));
+        let limits = shares.map(|(engine, share)| (engine, share.incarnation, share.limit));
         self.event_throttle.take(limits, now)
     }
 }
@@ -273,7 +274,7 @@
         let responded_at = now - report.responded_ago;
         let share = self.engines.get_mut(&report.engine);
         if report.is_lifted() {
-            let share = share.filter(|share| share.is_incarnation(report.born));
+            let share = share.filter(|share| share.is_incarnation(report.incarnation));
             if share.is_some_and(|share| {
                 share.recovering || share.has_no_declaration_after(responded_at)
             }) {
@@ -282,15 +283,15 @@
             return;
         }
         let Some(share) = share else {
-            let mut new = EngineShare::new(report.born, report.limit, responded_at);
+            let mut new = EngineShare::new(report.incarnation, report.limit, responded_at);
             new.apply(report, now);
             self.engines.insert(Arc::clone(&report.engine), new);
             return;
         };
-        if !share.is_incarnation(report.born) && responded_at >= share.responded_at {
-            share.begin_incarnation(report.born, report.limit, responded_at);
+        if !share.is_incarnation(report.incarnation) && responded_at >= share.responded_at {
+            share.begin_incarnation(report.incarnation, report.limit, responded_at);
             share.apply(report, now);
-        } else if share.is_incarnation(report.born) && responded_at > share.responded_at {
+        } else if share.is_incarnation(report.incarnation) && responded_at > share.responded_at {
             share.apply(report, now);
         }
     }
--- a/crates/core/src/placement/engine_reports.rs
+++ b/crates/core/src/placement/engine_reports.rs
@@ -20,7 +20,7 @@
         requested_at: ClockMillis,
     ) {
         let Some(inventory) = self.engines.get_mut(engine) else { return };
-        if !inventory.entry.is_incarnation(report.born) {
+        if !inventory.entry.is_incarnation(report.incarnation) {
             inventory.apply_report(report, requested_at);
             return;
         }
--- a/crates/core/src/placement/inventory.rs
+++ b/crates/core/src/placement/inventory.rs
@@ -47,7 +47,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineReport {
     /// Incarnation of the reporting engine, or zero if the report does not state it.
-    pub born: EngineIncarnation,
+    pub incarnation: EngineIncarnation,
     /// Number of orders taken.
     pub sequence: u64,
     /// Whether the engine is loading or unloading a base model.
@@ -260,7 +260,7 @@
     /// a new inventory.
     pub fn apply_report(&mut self, report: &EngineReport, requested_at: ClockMillis) -> bool {
         self.report_pending = false;
-        if !self.entry.is_incarnation(report.born) {
+        if !self.entry.is_incarnation(report.incarnation) {
             self.sequence = None;
             return false;
         }
--- a/crates/core/src/placement/load_suspects.rs
+++ b/crates/core/src/placement/load_suspects.rs
@@ -25,7 +25,7 @@
 /// A load after which its engine did not respond.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct FailedLoad {
-    born: EngineIncarnation,
+    incarnation: EngineIncarnation,
     version: WeightVersion,
     started_at: ClockMillis,
     recorded_at: ClockMillis,
@@ -61,14 +61,17 @@
         now: ClockMillis,
     ) {
         let loads = self.by_key.entry(Arc::clone(&load.key)).or_default();
-        if let Some(existing) =
-            loads.get_mut(&engine.name).filter(|existing| existing.born == engine.incarnation)
+        if let Some(existing) = loads
+            .get_mut(&engine.name)
+            .filter(|existing| existing.incarnation == engine.incarnation)
         {
             existing.engine_ended |= engine_ended;
             return;
         }
-        let (born, version, started_at) = (engine.incarnation, load.version, load.started_at);
-        let failed = FailedLoad { born, version, started_at, recorded_at: now, engine_ended };
+        let (incarnation, version, started_at) =
+            (engine.incarnation, load.version, load.started_at);
+        let failed =
+            FailedLoad { incarnation, version, started_at, recorded_at: now, engine_ended };
         loads.insert(Arc::clone(&engine.name), failed);
         let engine_failures = consecutive_failures(loads);
         if let Some(hold) = QuarantinePeriod::after(engine_failures, CRASHES_UNTIL_QUARANTINED) {
@@ -78,10 +81,10 @@
     }
 
     /// Records that an engine is alive, which clears failures recorded for its missing reports.
-    pub fn record_engine_alive(&mut self, engine: &str, born: EngineIncarnation) {
+    pub fn record_engine_alive(&mut self, engine: &str, incarnation: EngineIncarnation) {
         for loads in self.by_key.values_mut() {
             let known = loads.get(engine);
-            if known.is_some_and(|load| load.born == born && !load.engine_ended) {
+            if known.is_some_and(|load| load.incarnation == incarnation && !load.engine_ended) {
                 loads.remove(engine);
             }
         }
--- a/crates/core/tests/engine_limits/declarations.rs
+++ b/crates/core/tests/engine_limits/declarations.rs
@@ -73,7 +73,7 @@
     let engine: EngineName = Arc::from("e1");
     for case in cases {
         let mut share = LimitShare::default();
-        for ((responded_at, requested_at, born, limit, absence_is_conclusive), limited) in
+        for ((responded_at, requested_at, incarnation, limit, absence_is_conclusive), limited) in
             case.responses.iter().zip(case.limited)
         {
             let limit = limit.map_or(Declared::Absent, declared);
@@ -82,7 +82,7 @@
                 requested_at: at(*requested_at),
                 absence_is_conclusive: *absence_is_conclusive,
             };
-            share.receive_declaration(&engine, *born, declaration, at(*responded_at));
+            share.receive_declaration(&engine, *incarnation, declaration, at(*responded_at));
             assert_eq!(share.declares_limit(&engine), *limited, "{}, at {responded_at}", case.name);
         }
     }
--- a/crates/core/tests/engine_limits/faults.rs
+++ b/crates/core/tests/engine_limits/faults.rs
@@ -196,11 +196,12 @@
             fleet.on_arrival(host, now);
             arrived.push(now);
         }
-        while let Some((due, requested_at, host, limit, born)) = engine.responses.front().copied()
+        while let Some((due, requested_at, host, limit, incarnation)) =
+            engine.responses.front().copied()
             && due <= now
         {
             engine.responses.pop_front();
-            fleet.receive_response(host, born, limit, requested_at, now);
+            fleet.receive_response(host, incarnation, limit, requested_at, now);
         }
         for host in fleet.hosts_to_send(now) {
             // Requests of a host that has received no declaration are not restricted.
@@ -208,7 +209,7 @@
                 engine.received.push(now);
             }
             let due = now + Duration::from_millis(100);
-            engine.responses.push_back((due, now, host, engine.limit, fleet.born));
+            engine.responses.push_back((due, now, host, engine.limit, fleet.incarnation));
         }
         now = now + STEP;
     }
@@ -227,7 +228,7 @@
             engine.limit = tenths.and_then(|tenths| RequestLimit::new(f64::from(tenths) / 10.0));
             engine.declared.push((now, engine.limit));
         }
-        LimitEvent::Restart => fleet.born += 1,
+        LimitEvent::Restart => fleet.incarnation += 1,
         LimitEvent::Kill { on_ledger, host, millis } => {
             let host = if on_ledger { fleet.ledger_host() } else { host };
             if host == fleet.ledger_host() {
--- a/crates/core/tests/engine_limits/fleet.rs
+++ b/crates/core/tests/engine_limits/fleet.rs
@@ -101,7 +101,7 @@
 /// Hosts that share permits through a ledger.
 pub(crate) struct PermitFleet {
     pub(crate) engine: EngineName,
-    pub(crate) born: u64,
+    pub(crate) incarnation: u64,
     hosts: Vec<SimHost>,
     ledgers: Vec<SimLedger>,
     messages: VecDeque<SentMessage>,
@@ -119,7 +119,7 @@
     pub(crate) fn new(hosts: usize, seed: u64) -> Self {
         let mut fleet = Self {
             engine: Arc::from("e1"),
-            born: 1,
+            incarnation: 1,
             hosts: (0..hosts).map(|_| SimHost::default()).collect(),
             ledgers: Vec::new(),
             messages: VecDeque::new(),
@@ -186,7 +186,7 @@
     pub(crate) fn receive_response(
         &mut self,
         host: usize,
-        born: u64,
+        incarnation: u64,
         limit: Option<RequestLimit>,
         requested_at: ClockMillis,
         now: ClockMillis,
@@ -200,7 +200,7 @@
         let was_limited = host.share.is_limited(&engine);
         host.share.receive_declaration(
             &engine,
-            born,
+            incarnation,
             LimitDeclaration { limit, requested_at, absence_is_conclusive: true },
             now,
         );
@@ -394,7 +394,7 @@
         requested_at: ClockMillis,
         now: ClockMillis,
     ) {
-        self.receive_response(host, self.born, limit, requested_at, now);
+        self.receive_response(host, self.incarnation, limit, requested_at, now);
     }
 
     fn hosts_to_send(&mut self, now: ClockMillis) -> Vec<usize> {
--- a/crates/core/tests/placement/simulation.rs
+++ b/crates/core/tests/placement/simulation.rs
@@ -143,7 +143,7 @@
     pub(crate) fn report(&self) -> EngineReport {
         let held = |key: &ModelKey| LoadedModel { key: Arc::clone(key), version: 1 };
         EngineReport {
-            born: self.entry.incarnation,
+            incarnation: self.entry.incarnation,
             sequence: self.sequence,
             model_change_in_progress: false,
             held: self.held.keys().map(held).collect(),
@@ -284,8 +284,8 @@
         self.incarnations += 1;
         let index = number % self.engines.len();
         let previous = &self.engines[index];
-        let born = 1 + u64::try_from(self.incarnations).unwrap_or_default();
-        let entry = EngineEntry { incarnation: born, ..(*previous.entry).clone() };
+        let incarnation = 1 + u64::try_from(self.incarnations).unwrap_or_default();
+        let entry = EngineEntry { incarnation, ..(*previous.entry).clone() };
         let delayed_orders = previous.delayed_orders.clone();
         let engine = TestEngine::new(index, 0);
         self.engines[index] = TestEngine { entry: Arc::new(entry), delayed_orders, ..engine };
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -8,13 +8,13 @@
 pub mod freshness;
 pub mod host_count;
 pub mod membership;
-pub mod mirror;
-pub mod operator;
+pub mod topic_mirror;
+pub mod configuration;
 pub mod orders;
-pub mod placing;
-pub mod plan_lines;
+pub mod placement;
+pub mod plan_encoding;
 pub mod state;
-pub mod sums;
+pub mod aggregates;
 
 use std::{cell::RefCell, rc::Rc, sync::Arc, time::Duration};
 
@@ -143,7 +143,7 @@
         clock: Arc::clone(&shared.clock),
         longest_pause: reader_pause(&state, bound.is_some()),
     };
-    let sink = |update| state.borrow_mut().configuration_updated(update);
+    let sink = |update| state.borrow_mut().apply_configuration_update(update);
     let gate = state.borrow().following();
     let returns = state.borrow().store_returns();
     let pause = StorePause::finding(backoff(&shared, 0x1111), returns);
@@ -160,7 +160,7 @@
 fn reader_pause(state: &SharedControl, serves_keys: bool) -> Box<dyn Fn() -> Duration> {
     let state = Rc::clone(state);
     Box::new(move || {
-        let reads = serves_keys && state.borrow().reads_for_others();
+        let reads = serves_keys && state.borrow().is_assigned_reader();
         if reads { READER_PAUSE } else { LONGEST_PAUSE }
     })
 }
@@ -168,7 +168,7 @@
 async fn follow_engines(state: SharedControl) {
     let shared = Arc::clone(state.borrow().shared());
     let client = store_client(&state);
-    let sink = |update| state.borrow_mut().engines_updated(update);
+    let sink = |update| state.borrow_mut().apply_engines_update(update);
     let gate = state.borrow().following();
     let terms = FollowTerms {
         topic: KeyedTopic::Engines,
--- a/crates/gateway/src/control/sums.rs
+++ b/crates/gateway/src/control/aggregates.rs
@@ -1,7 +1,7 @@
 //! State that all hosts hold together: each host reports its part, a coordinator aggregates it and publishes the result.
 //!
 //! The coordinator is the placer of one service. Reports and results travel over the connections that carry demand and plans.
-//! Each kind of state is a [`FleetSum`]. Nothing is agreed on: a new coordinator receives all reports again, and until then each
+//! Each kind of state is a [`FleetAggregate`]. Nothing is agreed on: a new coordinator receives all reports again, and until then each
 //! host decides by what it knows.
 
 pub mod departures;
@@ -24,11 +24,12 @@
 
 use crate::{
     control::{
+        aggregates::{
+            departures::DepartureAggregate, limits::LimitAggregate, quotas::QuotaAggregate,
+            suspects::SuspectAggregate,
+        },
         domain::{PlacementDomain, RemovedSubscriber},
         state::ControlState,
-        sums::{
-            departures::DepartureSum, limits::LimitSum, quotas::QuotaSum, suspects::SuspectSum,
-        },
     },
     host::SharedState,
     peers::{
@@ -44,7 +45,7 @@
 
 /// What a sum needs to act.
 #[derive(Clone, Copy)]
-pub struct SumContext<'state> {
+pub struct AggregateContext<'state> {
     /// The time.
     pub now: ClockMillis,
     /// The configuration in force.
@@ -58,7 +59,7 @@
     profile: &'state HostProfile,
 }
 
-impl SumContext<'_> {
+impl AggregateContext<'_> {
     /// Returns the incarnation in which an engine is listed, unless it is leaving.
     pub fn active_life(&self, engine: &str) -> Option<EngineIncarnation> {
         let entry = self.engines.get(engine).filter(|entry| !entry.leaving);
@@ -75,9 +76,9 @@
 }
 
 /// State that all hosts report and the coordinator aggregates.
-pub trait FleetSum {
+pub trait FleetAggregate {
     /// Starts coordinating under a new lease.
-    fn begin(&mut self, context: &SumContext<'_>);
+    fn begin(&mut self, context: &AggregateContext<'_>);
 
     /// Stops coordinating.
     fn end(&mut self);
@@ -86,25 +87,25 @@
     fn resend_all(&mut self);
 
     /// Writes this host's pending reports; returns whether they are due.
-    fn report(&mut self, frame: &mut CountFrame, context: &SumContext<'_>) -> bool;
+    fn report(&mut self, frame: &mut CountFrame, context: &AggregateContext<'_>) -> bool;
 
     /// Takes whether the reports of a frame were sent.
     fn acknowledge(&mut self, frame: &CountFrame, sent: bool);
 
     /// Aggregates a host's reports.
-    fn count(&mut self, host: &Arc<str>, frame: &CountFrame, context: &SumContext<'_>);
+    fn count(&mut self, host: &Arc<str>, frame: &CountFrame, context: &AggregateContext<'_>);
 
     /// Writes the whole state for a new subscriber.
-    fn snapshot(&mut self, host: &Arc<str>, frame: &mut SumFrame, context: &SumContext<'_>);
+    fn snapshot(&mut self, host: &Arc<str>, frame: &mut SumFrame, context: &AggregateContext<'_>);
 
     /// Takes that a subscriber has disconnected.
-    fn unsubscribed(&mut self, listener: &RemovedSubscriber, context: &SumContext<'_>);
+    fn unsubscribed(&mut self, listener: &RemovedSubscriber, context: &AggregateContext<'_>);
 
     /// Writes what has changed for all subscribers and applies it to this host; `due` asks for what is published regularly.
-    fn publish(&mut self, frame: &mut SumFrame, due: bool, context: &SumContext<'_>);
+    fn publish(&mut self, frame: &mut SumFrame, due: bool, context: &AggregateContext<'_>);
 
     /// Applies what the coordinator has published.
-    fn receive(&mut self, frame: &SumFrame, context: &SumContext<'_>);
+    fn receive(&mut self, frame: &SumFrame, context: &AggregateContext<'_>);
 
     /// Returns frames for single hosts.
     fn replies(&mut self) -> Vec<(Arc<str>, SumFrame)> {
@@ -112,7 +113,7 @@
     }
 
     /// Does what is due on every host, and logs what has happened.
-    fn tick(&mut self, _context: &SumContext<'_>) {}
+    fn tick(&mut self, _context: &AggregateContext<'_>) {}
 
     /// Returns when the coordinator has something to publish next.
     fn next_due(&self, _now: ClockMillis) -> Option<ClockMillis> {
@@ -121,28 +122,28 @@
 }
 
 /// All sums, and whether this host coordinates them.
-pub struct SumLane {
-    sums: Vec<Box<dyn FleetSum>>,
+pub struct AggregateSet {
+    sums: Vec<Box<dyn FleetAggregate>>,
     /// The service whose placer coordinates, and the lease under which this host does.
     keeps: Option<(ServiceName, FenceToken)>,
     /// When a frame was last published.
     spoken: ClockMillis,
 }
 
-impl SumLane {
+impl AggregateSet {
     /// Starts without any lease.
     pub fn new(shared: &Arc<SharedState>) -> Self {
-        let sums: Vec<Box<dyn FleetSum>> = vec![
-            Box::new(QuotaSum::new(Arc::clone(shared))),
-            Box::new(SuspectSum::new(Arc::clone(shared))),
-            Box::new(LimitSum::new(Arc::clone(shared))),
-            Box::new(DepartureSum::new(Arc::clone(shared))),
+        let sums: Vec<Box<dyn FleetAggregate>> = vec![
+            Box::new(QuotaAggregate::new(Arc::clone(shared))),
+            Box::new(SuspectAggregate::new(Arc::clone(shared))),
+            Box::new(LimitAggregate::new(Arc::clone(shared))),
+            Box::new(DepartureAggregate::new(Arc::clone(shared))),
         ];
         Self { sums, keeps: None, spoken: ClockMillis::default() }
     }
 
     /// Takes the lease under which this host coordinates, if any.
-    fn keep(&mut self, lease: Option<(ServiceName, FenceToken)>, context: &SumContext<'_>) {
+    fn keep(&mut self, lease: Option<(ServiceName, FenceToken)>, context: &AggregateContext<'_>) {
         if self.keeps == lease {
             return;
         }
@@ -153,7 +154,7 @@
     }
 
     /// Aggregates the reports of all hosts, this one included, and publishes the result.
-    fn add_up(&mut self, domain: &mut PlacementDomain, context: &SumContext<'_>) {
+    fn add_up(&mut self, domain: &mut PlacementDomain, context: &AggregateContext<'_>) {
         let mut own = CountFrame::default();
         for sum in &mut self.sums {
             sum.report(&mut own, context);
@@ -180,8 +181,8 @@
     }
 
     /// Sends this host's reports to the coordinator.
-    fn report(&mut self, domain: &PlacementDomain, context: &SumContext<'_>) {
-        let Some(placer) = &domain.placer else { return };
+    fn report(&mut self, domain: &PlacementDomain, context: &AggregateContext<'_>) {
+        let Some(placer) = &domain.placer_sender else { return };
         let (host, service) = (context.host.to_string(), domain.service.to_string());
         let mut frame = CountFrame { host, service, ..CountFrame::default() };
         let mut due = false;
@@ -215,10 +216,10 @@
         let service = self.sums_service()?;
         let confirmed = self.domains.get(&service)?.tenure.is_confirmed(now);
         let (lane, domains, context) = self.sum_parts(now);
-        let context = SumContext { confirmed, ..context };
+        let context = AggregateContext { confirmed, ..context };
         let domain = domains.get_mut(&service)?;
-        lane.keep(domain.leads.then_some((service, domain.planned_token)), &context);
-        if domain.leads {
+        lane.keep(domain.holds_lease.then_some((service, domain.planned_token)), &context);
+        if domain.holds_lease {
             lane.add_up(domain, &context);
         } else {
             lane.report(domain, &context);
@@ -233,10 +234,11 @@
     fn sum_parts(
         &mut self,
         now: ClockMillis,
-    ) -> (&mut SumLane, &mut BTreeMap<ServiceName, PlacementDomain>, SumContext<'_>) {
+    ) -> (&mut AggregateSet, &mut BTreeMap<ServiceName, PlacementDomain>, AggregateContext<'_>)
+    {
         let Self { lane, domains, routes, shared, engines, owners, .. } = self;
         let profile = &shared.profile;
-        let context = SumContext {
+        let context = AggregateContext {
             now,
             routes: routes.as_deref(),
             host: &profile.name,
@@ -249,7 +251,7 @@
     }
 
     /// Aggregates a host's reports, where this one coordinates.
-    pub fn peer_count(&mut self, frame: &CountFrame) {
+    pub fn aggregate_peer_reports(&mut self, frame: &CountFrame) {
         let now = self.shared.clock.now();
         let (lane, _, context) = self.sum_parts(now);
         if lane.keeps.as_ref().is_none_or(|(service, _)| **service != *frame.service) {
@@ -277,11 +279,12 @@
     }
 
     /// Applies what the coordinator has published.
-    pub fn sums_received(&mut self, frame: &SumFrame) {
+    pub fn apply_published_aggregates(&mut self, frame: &SumFrame) {
         let now = self.shared.clock.now();
         let adds_up = self.sums_service().is_some_and(|service| *service == *frame.service);
         let domain = self.domains.get(frame.service.as_str());
-        let newest = domain.is_some_and(|domain| !domain.leads && frame.token >= domain.plan_token);
+        let newest =
+            domain.is_some_and(|domain| !domain.holds_lease && frame.token >= domain.plan_token);
         if !adds_up || !newest {
             return;
         }
@@ -294,7 +297,7 @@
     }
 
     /// Marks this host's reports as pending where the coordinating service has another placer.
-    pub fn resend_sums(&mut self, service: &str) {
+    pub fn resend_reports(&mut self, service: &str) {
         if self.sums_service().is_some_and(|summing| &*summing == service) {
             for sum in &mut self.lane.sums {
                 sum.resend_all();
--- a/crates/gateway/src/control/sums/departures.rs
+++ b/crates/gateway/src/control/aggregates/departures.rs
@@ -6,8 +6,8 @@
 
 use crate::{
     control::{
+        aggregates::{AggregateContext, FleetAggregate},
         domain::RemovedSubscriber,
-        sums::{FleetSum, SumContext},
     },
     host::SharedState,
     peers::{
@@ -17,17 +17,17 @@
 };
 
 /// Departures of engines, which every host keeps in a registry of its own.
-pub struct DepartureSum {
+pub struct DepartureAggregate {
     shared: Arc<SharedState>,
 }
 
-impl DepartureSum {
+impl DepartureAggregate {
     /// Starts with the host's registry.
     pub const fn new(shared: Arc<SharedState>) -> Self {
         Self { shared }
     }
 
-    fn take_lines(&self, lines: &[DepartureLine], context: &SumContext<'_>) {
+    fn take_lines(&self, lines: &[DepartureLine], context: &AggregateContext<'_>) {
         if !lines.is_empty() {
             self.shared.departures().receive(&reports(lines), context.now);
             self.shared.wake_control.notify_one();
@@ -43,8 +43,8 @@
     reports.iter().map(Into::into).collect()
 }
 
-impl FleetSum for DepartureSum {
-    fn begin(&mut self, _: &SumContext<'_>) {
+impl FleetAggregate for DepartureAggregate {
+    fn begin(&mut self, _: &AggregateContext<'_>) {
         self.resend_all();
     }
 
@@ -54,7 +54,7 @@
         self.shared.departures().resend_all();
     }
 
-    fn report(&mut self, frame: &mut CountFrame, context: &SumContext<'_>) -> bool {
+    fn report(&mut self, frame: &mut CountFrame, context: &AggregateContext<'_>) -> bool {
         frame.departures = lines(&self.shared.departures().take_pending(context.now));
         !frame.departures.is_empty()
     }
@@ -65,21 +65,21 @@
         }
     }
 
-    fn count(&mut self, _: &Arc<str>, frame: &CountFrame, context: &SumContext<'_>) {
+    fn count(&mut self, _: &Arc<str>, frame: &CountFrame, context: &AggregateContext<'_>) {
         self.take_lines(&frame.departures, context);
     }
 
-    fn snapshot(&mut self, _: &Arc<str>, frame: &mut SumFrame, context: &SumContext<'_>) {
+    fn snapshot(&mut self, _: &Arc<str>, frame: &mut SumFrame, context: &AggregateContext<'_>) {
         frame.departures = lines(&self.shared.departures().snapshot(context.now));
     }
 
-    fn unsubscribed(&mut self, _: &RemovedSubscriber, _: &SumContext<'_>) {}
+    fn unsubscribed(&mut self, _: &RemovedSubscriber, _: &AggregateContext<'_>) {}
 
-    fn publish(&mut self, frame: &mut SumFrame, _: bool, context: &SumContext<'_>) {
+    fn publish(&mut self, frame: &mut SumFrame, _: bool, context: &AggregateContext<'_>) {
         frame.departures = lines(&self.shared.departures().take_unpublished(context.now));
     }
 
-    fn receive(&mut self, frame: &SumFrame, context: &SumContext<'_>) {
+    fn receive(&mut self, frame: &SumFrame, context: &AggregateContext<'_>) {
         self.take_lines(&frame.departures, context);
     }
 }
--- a/crates/gateway/src/control/sums/limits.rs
+++ b/crates/gateway/src/control/aggregates/limits.rs
@@ -12,8 +12,8 @@
 
 use crate::{
     control::{
+        aggregates::{AggregateContext, FleetAggregate},
         domain::RemovedSubscriber,
-        sums::{FleetSum, SumContext},
     },
     events::HostEvent,
     host::SharedState,
@@ -24,14 +24,14 @@
 };
 
 /// Permits for the engines that have named a limit: the ledger, on the host that deals them, and this host's share.
-pub struct LimitSum {
+pub struct LimitAggregate {
     shared: Arc<SharedState>,
     ledger: Option<LimitLedger>,
     /// Grants that were not sent yet, by host.
     granted: BTreeMap<Arc<str>, Vec<PermitGrant>>,
 }
 
-impl LimitSum {
+impl LimitAggregate {
     /// Starts without a ledger.
     pub const fn new(shared: Arc<SharedState>) -> Self {
         Self { shared, ledger: None, granted: BTreeMap::new() }
@@ -46,8 +46,8 @@
     }
 }
 
-impl FleetSum for LimitSum {
-    fn begin(&mut self, _: &SumContext<'_>) {
+impl FleetAggregate for LimitAggregate {
+    fn begin(&mut self, _: &AggregateContext<'_>) {
         self.ledger = Some(LimitLedger::default());
         self.resend_all();
     }
@@ -61,7 +61,7 @@
         self.shared.limits().resend_all();
     }
 
-    fn report(&mut self, frame: &mut CountFrame, context: &SumContext<'_>) -> bool {
+    fn report(&mut self, frame: &mut CountFrame, context: &AggregateContext<'_>) -> bool {
         let update = self.shared.limits().take_pending(context.now);
         frame.limits = update.reports.iter().map(Into::into).collect();
         frame.asks = update.demands.iter().map(Into::into).collect();
@@ -74,7 +74,7 @@
         }
     }
 
-    fn count(&mut self, host: &Arc<str>, frame: &CountFrame, context: &SumContext<'_>) {
+    fn count(&mut self, host: &Arc<str>, frame: &CountFrame, context: &AggregateContext<'_>) {
         let Some(ledger) = &mut self.ledger else { return };
         let LimitUpdate { reports, demands } = update(frame);
         for report in &reports {
@@ -85,21 +85,21 @@
         }
     }
 
-    fn snapshot(&mut self, host: &Arc<str>, frame: &mut SumFrame, context: &SumContext<'_>) {
+    fn snapshot(&mut self, host: &Arc<str>, frame: &mut SumFrame, context: &AggregateContext<'_>) {
         if let Some(ledger) = &mut self.ledger {
             ledger.reset_host(host);
             frame.limits = ledger.snapshot(context.now).iter().map(Into::into).collect();
         }
     }
 
-    fn unsubscribed(&mut self, listener: &RemovedSubscriber, _: &SumContext<'_>) {
+    fn unsubscribed(&mut self, listener: &RemovedSubscriber, _: &AggregateContext<'_>) {
         if let Some(ledger) = &mut self.ledger {
             ledger.reset_host(&listener.host);
         }
         self.granted.remove(&listener.host);
     }
 
-    fn publish(&mut self, frame: &mut SumFrame, _: bool, context: &SumContext<'_>) {
+    fn publish(&mut self, frame: &mut SumFrame, _: bool, context: &AggregateContext<'_>) {
         let Some(ledger) = &mut self.ledger else { return };
         let now = context.now;
         ledger.retain(|engine| context.active_life(engine));
@@ -130,7 +130,7 @@
         granted.map(|(host, grants)| (host, frame(grants))).collect()
     }
 
-    fn receive(&mut self, frame: &SumFrame, context: &SumContext<'_>) {
+    fn receive(&mut self, frame: &SumFrame, context: &AggregateContext<'_>) {
         let grants: Vec<PermitGrant> = frame.grants.iter().map(Into::into).collect();
         let mut share = self.shared.limits();
         share.record_ledger_frame(context.now);
@@ -144,7 +144,7 @@
         }
     }
 
-    fn tick(&mut self, context: &SumContext<'_>) {
+    fn tick(&mut self, context: &AggregateContext<'_>) {
         let mut share = self.shared.limits();
         share.retain(|engine| context.active_life(engine));
         let changed = share.grant_fallback_permits(|engine| context.stands_in(engine), context.now);
@@ -168,9 +168,9 @@
 impl From<LimitEvent> for HostEvent {
     fn from(event: LimitEvent) -> Self {
         match event {
-            LimitEvent::Limited { engine, born, limit, previous } => Self::EngineLimited {
+            LimitEvent::Limited { engine, incarnation, limit, previous } => Self::EngineLimited {
                 engine: engine.to_string(),
-                born,
+                incarnation,
                 limit: limit.per_second(),
                 before: previous.map(RequestLimit::per_second),
             },
--- a/crates/gateway/src/control/sums/quotas.rs
+++ b/crates/gateway/src/control/aggregates/quotas.rs
@@ -13,8 +13,8 @@
 
 use crate::{
     control::{
+        aggregates::{AggregateContext, FleetAggregate},
         domain::RemovedSubscriber,
-        sums::{FleetSum, SumContext},
     },
     host::SharedState,
     peers::sum_frames::{CountFrame, QuotaFrame, SumFrame},
@@ -56,7 +56,7 @@
 }
 
 /// What all hosts grant of the organisations' quotas: the ledger, on the host that adds up, and this host's part.
-pub struct QuotaSum {
+pub struct QuotaAggregate {
     shared: Arc<SharedState>,
     ledger: Option<KeptLedger>,
     /// When the ledger was last told anything.
@@ -65,7 +65,7 @@
     spread: ClockMillis,
 }
 
-impl QuotaSum {
+impl QuotaAggregate {
     /// Starts without a ledger.
     pub fn new(shared: Arc<SharedState>) -> Self {
         let never = ClockMillis::default();
@@ -74,12 +74,12 @@
 }
 
 /// Returns whether anybody has a quota.
-fn has_quotas(context: &SumContext<'_>) -> bool {
+fn has_quotas(context: &AggregateContext<'_>) -> bool {
     context.routes.is_some_and(|routes| routes.organisations().is_some())
 }
 
-impl FleetSum for QuotaSum {
-    fn begin(&mut self, _: &SumContext<'_>) {
+impl FleetAggregate for QuotaAggregate {
+    fn begin(&mut self, _: &AggregateContext<'_>) {
         let opens_full = self.shared.quotas().opens_full();
         self.ledger = Some(KeptLedger::new(&self.shared.profile.bounds, opens_full));
     }
@@ -90,7 +90,7 @@
 
     fn resend_all(&mut self) {}
 
-    fn report(&mut self, frame: &mut CountFrame, context: &SumContext<'_>) -> bool {
+    fn report(&mut self, frame: &mut CountFrame, context: &AggregateContext<'_>) -> bool {
         if !has_quotas(context) {
             return false;
         }
@@ -109,20 +109,20 @@
         }
     }
 
-    fn count(&mut self, host: &Arc<str>, frame: &CountFrame, context: &SumContext<'_>) {
+    fn count(&mut self, host: &Arc<str>, frame: &CountFrame, context: &AggregateContext<'_>) {
         if let Some(ledger) = &mut self.ledger {
             let used: Vec<QuotaUsage> = frame.usage.iter().map(Into::into).collect();
             ledger.quotas.record_usage(host, &used, context.now);
         }
     }
 
-    fn snapshot(&mut self, host: &Arc<str>, _: &mut SumFrame, context: &SumContext<'_>) {
+    fn snapshot(&mut self, host: &Arc<str>, _: &mut SumFrame, context: &AggregateContext<'_>) {
         if let Some(ledger) = &mut self.ledger {
             ledger.quotas.mark_reachable(host, context.now);
         }
     }
 
-    fn unsubscribed(&mut self, listener: &RemovedSubscriber, context: &SumContext<'_>) {
+    fn unsubscribed(&mut self, listener: &RemovedSubscriber, context: &AggregateContext<'_>) {
         let Some(ledger) = &mut self.ledger else { return };
         match listener.silent_among {
             // It may go on serving: what it grants is set aside.
@@ -131,7 +131,7 @@
         }
     }
 
-    fn publish(&mut self, frame: &mut SumFrame, due: bool, context: &SumContext<'_>) {
+    fn publish(&mut self, frame: &mut SumFrame, due: bool, context: &AggregateContext<'_>) {
         let Some(ledger) = self.ledger.as_mut().filter(|_| has_quotas(context)) else { return };
         ledger.follow(context.routes, context.now);
         let named = ledger.quotas.low_levels(context.now);
@@ -143,7 +143,7 @@
         }
     }
 
-    fn receive(&mut self, frame: &SumFrame, context: &SumContext<'_>) {
+    fn receive(&mut self, frame: &SumFrame, context: &AggregateContext<'_>) {
         if let Some(quotas) = &frame.quotas {
             let words: Vec<QuotaLevel> = quotas.named.iter().map(Into::into).collect();
             self.shared.quotas().apply_ledger_levels(&words, context.now);
--- a/crates/gateway/src/control/sums/suspects.rs
+++ b/crates/gateway/src/control/aggregates/suspects.rs
@@ -9,8 +9,8 @@
 
 use crate::{
     control::{
+        aggregates::{AggregateContext, FleetAggregate},
         domain::RemovedSubscriber,
-        sums::{FleetSum, SumContext},
     },
     events::HostEvent,
     host::SharedState,
@@ -21,19 +21,19 @@
 };
 
 /// Requests under which engines ended: every host keeps the same book, and the one that adds up tells all.
-pub struct SuspectSum {
+pub struct SuspectAggregate {
     shared: Arc<SharedState>,
 }
 
-impl SuspectSum {
+impl SuspectAggregate {
     /// Starts with the host's book.
     pub const fn new(shared: Arc<SharedState>) -> Self {
         Self { shared }
     }
 }
 
-impl FleetSum for SuspectSum {
-    fn begin(&mut self, _: &SumContext<'_>) {
+impl FleetAggregate for SuspectAggregate {
+    fn begin(&mut self, _: &AggregateContext<'_>) {
         self.resend_all();
     }
 
@@ -43,7 +43,7 @@
         self.shared.quarantine().resend_all();
     }
 
-    fn report(&mut self, frame: &mut CountFrame, context: &SumContext<'_>) -> bool {
+    fn report(&mut self, frame: &mut CountFrame, context: &AggregateContext<'_>) -> bool {
         frame.suspects = write_suspects(&self.shared.quarantine().take_pending(context.now));
         !frame.suspects.is_empty()
     }
@@ -54,7 +54,7 @@
         }
     }
 
-    fn count(&mut self, host: &Arc<str>, frame: &CountFrame, context: &SumContext<'_>) {
+    fn count(&mut self, host: &Arc<str>, frame: &CountFrame, context: &AggregateContext<'_>) {
         let mut book = self.shared.quarantine();
         if host == context.host {
             book.resend(&read_suspects(&frame.suspects));
@@ -63,26 +63,26 @@
         }
     }
 
-    fn snapshot(&mut self, _: &Arc<str>, frame: &mut SumFrame, context: &SumContext<'_>) {
+    fn snapshot(&mut self, _: &Arc<str>, frame: &mut SumFrame, context: &AggregateContext<'_>) {
         frame.suspects = write_suspects(&self.shared.quarantine().snapshot(context.now));
     }
 
-    fn unsubscribed(&mut self, _: &RemovedSubscriber, _: &SumContext<'_>) {}
+    fn unsubscribed(&mut self, _: &RemovedSubscriber, _: &AggregateContext<'_>) {}
 
-    fn publish(&mut self, frame: &mut SumFrame, _: bool, context: &SumContext<'_>) {
+    fn publish(&mut self, frame: &mut SumFrame, _: bool, context: &AggregateContext<'_>) {
         let mut book = self.shared.quarantine();
         book.publish_own();
         frame.suspects = write_suspects(&book.take_unpublished(context.now));
     }
 
-    fn receive(&mut self, frame: &SumFrame, context: &SumContext<'_>) {
+    fn receive(&mut self, frame: &SumFrame, context: &AggregateContext<'_>) {
         if !frame.suspects.is_empty() {
             let reports = read_suspects(&frame.suspects);
             self.shared.quarantine().receive(&reports, false, context.now);
         }
     }
 
-    fn tick(&mut self, _: &SumContext<'_>) {
+    fn tick(&mut self, _: &AggregateContext<'_>) {
         let news = self.shared.quarantine().take_events();
         for news in news {
             self.shared.events.write(match news {
--- a/crates/gateway/src/control/announcements.rs
+++ b/crates/gateway/src/control/announcements.rs
@@ -40,7 +40,7 @@
     fn from(learned: LearnedDeparture) -> Self {
         Self::DepartureLearned {
             engine: learned.engine.to_string(),
-            born: learned.incarnation,
+            incarnation: learned.incarnation,
             source: learned.source.name().into(),
             age: duration_millis(learned.age),
         }
@@ -52,7 +52,7 @@
         match event {
             CooldownEvent::Began { engine, incarnation, duration } => {
                 let (engine, millis) = (engine.to_string(), duration_millis(duration));
-                Self::CooldownBegan { engine, born: incarnation, millis }
+                Self::CooldownBegan { engine, incarnation, millis }
             }
             CooldownEvent::Ended { engine, requests } => {
                 Self::CooldownEnded { engine: engine.to_string(), requests }
--- a/crates/gateway/src/control/operator.rs
+++ b/crates/gateway/src/control/configuration.rs
@@ -17,7 +17,7 @@
 
 impl ControlState {
     /// Takes what was read of the configuration.
-    pub fn configuration_updated(&mut self, update: TopicUpdate) {
+    pub fn apply_configuration_update(&mut self, update: TopicUpdate) {
         self.note_era();
         self.configuration.note_reading(&self.shared, "configuration", &update);
         self.note_health(update != TopicUpdate::Away);
--- a/crates/gateway/src/control/domain.rs
+++ b/crates/gateway/src/control/domain.rs
@@ -20,14 +20,14 @@
 use tokio::sync::mpsc;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::control::plan_lines::{EngineNumbers, change_line, engine_line, read_work};
-use crate::demand::ToldDemand;
+use crate::control::plan_encoding::{EngineNumbers, change_line, engine_line, read_work};
+use crate::demand::DemandReport;
 use crate::peers::frame::{
     ChangeLine, DemandFrame, EncodedFrame, EstimateLine, FrameBody, PlanFrame,
 };
 
 /// How many frames wait for a slow peer before it is let go.
-pub const PEER_QUEUE: usize = 64;
+pub const PEER_QUEUE_LENGTH: usize = 64;
 
 /// How many estimates go into one frame.
 const MOST_ESTIMATES: usize = 64;
@@ -82,7 +82,7 @@
     /// Where its frames go.
     pub frames: mpsc::Sender<EncodedFrame>,
     /// What it waits for and has no estimate of yet.
-    pub asked: Vec<ModelKey>,
+    pub awaiting_estimates: Vec<ModelKey>,
 }
 
 /// A host that has ceased to listen.
@@ -103,7 +103,7 @@
     /// This host's hold on the lease.
     pub tenure: PlacerTenure,
     /// Whether this host holds the lease.
-    pub leads: bool,
+    pub holds_lease: bool,
     /// The planner, while this host holds the lease of a service whose engines hold models.
     pub planner: Option<PlacementPlanner>,
     /// The token of the lease that this host holds.
@@ -123,11 +123,11 @@
     /// When queued adapters are expected.
     pub estimates: HashMap<ModelKey, ClockMillis>,
     /// What this host waits for and has no estimate of yet.
-    pub asked: Vec<ModelKey>,
+    pub awaiting_estimates: Vec<ModelKey>,
     /// Who listens to this host's plan.
     pub subscribers: Vec<PlanSubscriber>,
     /// Where demand for the placer goes, while there is a connection.
-    pub placer: Option<mpsc::Sender<EncodedFrame>>,
+    pub placer_sender: Option<mpsc::Sender<EncodedFrame>>,
     /// Hosts that have ceased to listen since this was last asked.
     gone: Vec<RemovedSubscriber>,
     /// The pace that was logged last.
@@ -158,7 +158,7 @@
             service,
             partition: u32::try_from(place).unwrap_or_default(),
             tenure: PlacerTenure::new(rules),
-            leads: false,
+            holds_lease: false,
             planner: None,
             planned_token: 0,
             plan: HashMap::new(),
@@ -168,9 +168,9 @@
             plan_token: 0,
             plan_live: false,
             estimates: HashMap::new(),
-            asked: Vec::new(),
+            awaiting_estimates: Vec::new(),
             subscribers: Vec::new(),
-            placer: None,
+            placer_sender: None,
             gone: Vec::new(),
             logged_pace: None,
             told_plan: HashMap::new(),
@@ -224,14 +224,14 @@
     }
 
     /// Tells demand to the own planner or to the placer; returns whether anyone took it.
-    pub fn tell_demand(&mut self, host: &Arc<str>, told: &ToldDemand, now: ClockMillis) -> bool {
+    pub fn tell_demand(&mut self, host: &Arc<str>, told: &DemandReport, now: ClockMillis) -> bool {
         if let Some(planner) = &mut self.planner {
             planner.record_demand(host, &told.entries, now);
             planner.record_work(host, &told.work, now);
-            self.asked.extend(waited_keys(&told.entries));
+            self.awaiting_estimates.extend(waited_keys(&told.entries));
             return true;
         }
-        let Some(placer) = &self.placer else { return false };
+        let Some(placer) = &self.placer_sender else { return false };
         let frame = DemandFrame {
             host: host.to_string(),
             service: self.service.to_string(),
@@ -298,7 +298,7 @@
         self.lives.remove(engine);
     }
 
-    fn born(&self, engine: &str) -> EngineIncarnation {
+    fn incarnation(&self, engine: &str) -> EngineIncarnation {
         self.lives.get(engine).copied().unwrap_or(UNKNOWN_INCARNATION)
     }
 
@@ -345,7 +345,7 @@
     /// Writes the whole plan, for a host that begins to listen.
     pub fn whole_plan(&self) -> EncodedFrame {
         let lines = self.plan.iter();
-        let lines = lines.map(|(engine, held)| engine_line(engine, self.born(engine), held));
+        let lines = lines.map(|(engine, held)| engine_line(engine, self.incarnation(engine), held));
         let frame = PlanFrame {
             engines: lines.collect(),
             numbers: self.numbers.lines(),
@@ -362,7 +362,7 @@
             let told = self.told_plan.insert(Arc::clone(engine), held.clone());
             match told {
                 Some(told) => frame.changes.push(change_line(engine, &told, held)),
-                None => frame.engines.push(engine_line(engine, self.born(engine), held)),
+                None => frame.engines.push(engine_line(engine, self.incarnation(engine), held)),
             }
         }
         FrameBody::Plan(frame).encoded()
@@ -391,7 +391,7 @@
         let Some(planner) = &self.planner else { return false };
         let estimate =
             |key: &ModelKey| Some((Arc::clone(key), planner.estimated_load_delay(key, now)?));
-        let own = self.asked.drain(..).filter_map(|key| estimate(&key));
+        let own = self.awaiting_estimates.drain(..).filter_map(|key| estimate(&key));
         let before = self.estimates.len();
         let known = own.map(|(key, time)| (key, now + time)).collect::<Vec<_>>();
         let told = !known.is_empty();
@@ -399,7 +399,7 @@
         let (service, token) = (self.service.to_string(), self.planned_token);
         let hosts = self.listeners();
         for subscriber in &mut self.subscribers {
-            let lines = subscriber.asked.drain(..).filter_map(|key| estimate(&key));
+            let lines = subscriber.awaiting_estimates.drain(..).filter_map(|key| estimate(&key));
             let lines = lines.take(MOST_ESTIMATES).map(|(key, time)| EstimateLine::new(&key, time));
             let estimates: Vec<EstimateLine> = lines.collect();
             if estimates.is_empty() {
@@ -436,7 +436,7 @@
     }
 
     /// Takes that a subscriber has closed its connection: it stops, or listens elsewhere.
-    pub fn subscriber_left(&mut self, frames: &mpsc::Sender<EncodedFrame>) {
+    pub fn remove_subscriber(&mut self, frames: &mpsc::Sender<EncodedFrame>) {
         let (subscribers, gone) = (&mut self.subscribers, &mut self.gone);
         subscribers.retain(|subscriber| {
             let kept = !subscriber.frames.same_channel(frames);
--- a/crates/gateway/src/control/engine_list.rs
+++ b/crates/gateway/src/control/engine_list.rs
@@ -21,7 +21,7 @@
 
 impl ControlState {
     /// Takes what was read of the engines' entries.
-    pub fn engines_updated(&mut self, update: TopicUpdate) {
+    pub fn apply_engines_update(&mut self, update: TopicUpdate) {
         self.note_era();
         self.engine_records.note_reading(&self.shared, "engines", &update);
         self.note_health(update != TopicUpdate::Away);
@@ -204,8 +204,8 @@
     }
 
     /// Takes that an incarnation of an engine has announced that it is leaving.
-    pub(super) fn engine_departs(&mut self, name: &str, born: EngineIncarnation) {
-        let known = self.engines.get(name).filter(|known| known.is_incarnation(born));
+    pub(super) fn engine_departs(&mut self, name: &str, incarnation: EngineIncarnation) {
+        let known = self.engines.get(name).filter(|known| known.is_incarnation(incarnation));
         if let Some(known) = known.cloned() {
             self.mark_leaving(&known);
         }
@@ -253,7 +253,10 @@
     /// Takes an engine's entry; returns whether something changed that all hosts must know.
     fn take_engine(&mut self, mut entry: EngineEntry) -> bool {
         let announced = self.shared.departures().is_departing(&entry.name, entry.incarnation);
-        let left = self.leaving.get(&entry.name).is_some_and(|born| entry.is_incarnation(*born));
+        let left = self
+            .leaving
+            .get(&entry.name)
+            .is_some_and(|incarnation| entry.is_incarnation(*incarnation));
         entry.leaving |= announced;
         if entry.leaving && !left {
             self.leaving.insert(Arc::clone(&entry.name), entry.incarnation);
@@ -267,7 +270,9 @@
         let reborn = old.is_some_and(|old| !old.is_incarnation(entry.incarnation));
         if reborn {
             let engine = entry.name.to_string();
-            self.shared.events.write(HostEvent::EngineReborn { engine, born: entry.incarnation });
+            self.shared
+                .events
+                .write(HostEvent::EngineReborn { engine, incarnation: entry.incarnation });
         }
         if let Some(domain) = self.domains.get_mut(&entry.service) {
             self.changed |= domain.engine_lives(&entry);
--- a/crates/gateway/src/control/era.rs
+++ b/crates/gateway/src/control/era.rs
@@ -28,7 +28,7 @@
     pub(super) fn note_trust(&mut self, now: ClockMillis) {
         let fell = self.eras.known() > 0;
         let waited = now.since(self.started) >= REWRITE_GRACE_PERIOD;
-        if !self.trusted && self.is_complete() && (!fell || self.has_heard_peer() || waited) {
+        if !self.trusted && self.is_complete() && (!fell || self.has_peer_state() || waited) {
             self.trusted = true;
             self.changed = true;
         }
--- a/crates/gateway/src/control/feed.rs
+++ b/crates/gateway/src/control/feed.rs
@@ -76,18 +76,18 @@
     /// Returns whether this host has read the store lately and passes on what it reads.
     pub fn is_reader(&self) -> bool {
         let away = self.configuration.is_away() || self.engine_records.is_away();
-        self.reads_itself() && self.is_complete() && !away
+        self.reads_store() && self.is_complete() && !away
     }
 
     /// Returns whether this host is to read the store itself: the group makes it a reader, and the store answers it.
     ///
     /// It may follow another reader besides until its own reading succeeds.
-    pub fn reads_itself(&self) -> bool {
-        self.reads_for_others() && self.health.is_fresh(self.shared.clock.now())
+    pub fn reads_store(&self) -> bool {
+        self.is_assigned_reader() && self.health.is_fresh(self.shared.clock.now())
     }
 
     /// Returns whether the group makes this host read the store for others, whether it can or not.
-    pub fn reads_for_others(&self) -> bool {
+    pub fn is_assigned_reader(&self) -> bool {
         self.shared.clock.now() < self.reads_until
     }
 
@@ -186,7 +186,7 @@
     }
 
     /// Returns everything that this host has read, for a peer that asked when its clock showed `asked`.
-    pub fn answer_frame(&self, asked: u64) -> StateFrame {
+    pub fn response_frame(&self, asked: u64) -> StateFrame {
         StateFrame { clock: Some(self.clock_line(asked)), ..self.state_frame() }
     }
 
--- a/crates/gateway/src/control/host_count.rs
+++ b/crates/gateway/src/control/host_count.rs
@@ -25,7 +25,7 @@
     }
 
     /// Takes how many hosts a placer hears from.
-    pub fn told(&mut self, count: u32, now: ClockMillis) {
+    pub fn record(&mut self, count: u32, now: ClockMillis) {
         let since = now.since(self.began);
         if since >= self.window {
             // What was told last held until now where nobody told anything in between.
--- a/crates/gateway/src/control/membership.rs
+++ b/crates/gateway/src/control/membership.rs
@@ -64,7 +64,7 @@
     let time_to_live = MEMBERSHIP.max(shared.profile.shortest_membership);
     let member = own_member(&shared);
     let unneeded = || shared.profile.capacity.should_leave(state.borrow().strong_members());
-    let sink = |update| state.borrow_mut().membership_updated(update);
+    let sink = |update| state.borrow_mut().apply_membership_update(update);
     loop {
         await_candidacy(&state, &mut client, &mut pause, &mut spread).await;
         let backoff = backoff(&shared, 0x3333).longest(LONGEST_JOIN_PAUSE);
@@ -124,11 +124,11 @@
     let mut state = state.borrow_mut();
     match owners {
         Ok(owners) => {
-            state.membership_updated(MembershipUpdate::Owners(owners));
+            state.apply_membership_update(MembershipUpdate::Owners(owners));
             Ok(())
         }
         Err(error) => {
-            state.membership_updated(MembershipUpdate::Failed);
+            state.apply_membership_update(MembershipUpdate::Failed);
             Err(error)
         }
     }
--- a/crates/gateway/src/control/placing.rs
+++ b/crates/gateway/src/control/placement.rs
@@ -26,10 +26,14 @@
 
 impl ControlState {
     /// Takes a peer's demand; `subscriber` gets the plan from now on.
-    pub fn peer_demand(&mut self, frame: &DemandFrame, subscriber: Option<PlanSubscriber>) -> bool {
+    pub fn handle_peer_demand(
+        &mut self,
+        frame: &DemandFrame,
+        subscriber: Option<PlanSubscriber>,
+    ) -> bool {
         let now = self.shared.clock.now();
         let Some(domain) = self.domains.get_mut(frame.service.as_str()) else { return false };
-        if !domain.leads {
+        if !domain.holds_lease {
             return false;
         }
         let entries: Vec<_> = frame.entries.iter().map(Into::into).collect();
@@ -41,7 +45,7 @@
         self.shared.wake_control.notify_one();
         let waited: Vec<ModelKey> = waited_keys(&entries).collect();
         for known in domain.subscribers.iter_mut().filter(|known| known.host == host) {
-            known.asked.extend(waited.iter().cloned());
+            known.awaiting_estimates.extend(waited.iter().cloned());
         }
         if let Some(subscriber) = subscriber {
             self.begin_listening(&frame.service, subscriber);
@@ -60,11 +64,11 @@
     }
 
     /// Takes a placer's plan.
-    pub fn peer_plan(&mut self, frame: &PlanFrame) {
+    pub fn apply_placer_plan(&mut self, frame: &PlanFrame) {
         let now = self.shared.clock.now();
         let Some(domain) = self.domains.get_mut(frame.service.as_str()) else { return };
-        if !domain.leads && domain.adopt_plan(frame, now) {
-            self.shared.shared_work().take(domain.told_work(frame));
+        if !domain.holds_lease && domain.adopt_plan(frame, now) {
+            self.shared.shared_work().update(domain.told_work(frame));
             self.hosts_counted(frame.hosts);
             let holdings = !frame.engines.is_empty() || !frame.changes.is_empty();
             self.changed |= holdings || !frame.estimates.is_empty();
@@ -136,20 +140,20 @@
             self.shared.events.write(HostEvent::Lease { service, state, token });
         }
         if !domain.tenure.is_holder() {
-            if std::mem::take(&mut domain.leads) {
+            if std::mem::take(&mut domain.holds_lease) {
                 domain.planner = None;
                 domain.begin_telling();
                 domain.subscribers.clear();
                 domain.plan_live = false;
-                self.shared.demand().tell_again(service);
+                self.shared.demand().resend_all(service);
             }
             return None;
         }
-        let begins = !domain.leads || domain.planned_token != domain.tenure.token();
-        domain.leads = true;
+        let begins = !domain.holds_lease || domain.planned_token != domain.tenure.token();
+        domain.holds_lease = true;
         if begins {
             domain.planned_token = domain.tenure.token();
-            self.shared.demand().tell_again(service);
+            self.shared.demand().resend_all(service);
         }
         self.hosts_counted(self.domains[service].listeners());
         Some(begins)
@@ -213,7 +217,7 @@
         self.changed |= !changed.is_empty();
         domain.tell_plan(changed, now);
         let work = domain.tell_work(now);
-        self.shared.shared_work().take(work);
+        self.shared.shared_work().update(work);
         self.changed |= domain.answer_asked(now);
         start_actions(own, service, domain.planned_token, actions);
         due
--- a/crates/gateway/src/control/plan_lines.rs
+++ b/crates/gateway/src/control/plan_encoding.rs
@@ -47,11 +47,11 @@
 /// Writes all that a life of an engine holds.
 pub(super) fn engine_line(
     engine: &EngineName,
-    born: EngineIncarnation,
+    incarnation: EngineIncarnation,
     held: &[LoadedModel],
 ) -> EngineLine {
     let held = held.iter().map(HeldLine::from).collect();
-    EngineLine { engine: engine.to_string(), held, born }
+    EngineLine { engine: engine.to_string(), held, born: incarnation }
 }
 
 /// Writes what an engine holds beyond what was told of it, and what it holds no more.
--- a/crates/gateway/src/control/state.rs
+++ b/crates/gateway/src/control/state.rs
@@ -25,8 +25,8 @@
 use crate::{
     border::KeyedRecord,
     control::{
-        domain::PlacementDomain, feed::FeedSource, host_count::HostCount, mirror::TopicMirror,
-        orders::OrderClients, sums::SumLane,
+        aggregates::AggregateSet, domain::PlacementDomain, feed::FeedSource, host_count::HostCount,
+        orders::OrderClients, topic_mirror::TopicMirror,
     },
     events::HostEvent,
     host::SharedState,
@@ -71,7 +71,7 @@
     /// Counts how often the store has answered again after a failure.
     store_returns: watch::Sender<u32>,
     host_count: HostCount,
-    pub(super) lane: SumLane,
+    pub(super) lane: AggregateSet,
     /// Engines whose entries have gone just after an outage, and until when they count.
     pub(super) lapsed: BTreeMap<EngineName, ClockMillis>,
     /// Listings of engines by a store that came back older, and from when on they count unless the engine writes again before.
@@ -88,7 +88,7 @@
     pub fn new(shared: Arc<SharedState>) -> Self {
         let freshness = ConfigurationFreshness::new(shared.profile.bounds.revocation);
         shared.set_keys_until(freshness.keys_valid_until());
-        let lane = SumLane::new(&shared);
+        let lane = AggregateSet::new(&shared);
         let started = shared.clock.now();
         let host_count = HostCount::new(shared.profile.bounds.retries.window);
         Self {
@@ -180,7 +180,7 @@
     }
 
     /// Takes what was learned of the group.
-    pub fn membership_updated(&mut self, update: MembershipUpdate) {
+    pub fn apply_membership_update(&mut self, update: MembershipUpdate) {
         self.note_era();
         let now = self.shared.clock.now();
         match update {
@@ -223,7 +223,7 @@
     /// Takes how many hosts a placer hears from.
     pub(super) fn hosts_counted(&mut self, count: u32) {
         let before = self.hosts();
-        self.host_count.told(count, self.shared.clock.now());
+        self.host_count.record(count, self.shared.clock.now());
         self.changed |= self.hosts() != before;
     }
 
@@ -236,11 +236,11 @@
     }
 
     /// Returns the services whose plan another host makes, with that host.
-    pub fn foreign_placers(&self) -> Vec<(ServiceName, SocketAddr)> {
+    pub fn remote_placers(&self) -> Vec<(ServiceName, SocketAddr)> {
         let own = self.shared.profile.peers;
         let placers = self.domains.values().filter_map(|domain| {
             let placer = self.owners.get(&domain.partition)?.address;
-            let foreign = placer != own && !domain.leads;
+            let foreign = placer != own && !domain.holds_lease;
             foreign.then(|| (Arc::clone(&domain.service), placer))
         });
         placers.collect()
@@ -252,9 +252,9 @@
     }
 
     /// Takes that the connection to the placer of a service has ended.
-    pub fn placer_lost(&mut self, service: &str) {
+    pub fn handle_placer_disconnect(&mut self, service: &str) {
         if let Some(domain) = self.domains.get_mut(service) {
-            domain.placer = None;
+            domain.placer_sender = None;
             domain.begin_telling();
             domain.plan_live = false;
             self.shared.shared_work().clear();
@@ -283,7 +283,12 @@
     /// Takes what `peer` has read from the store; `clock` tells its clock's readings.
     ///
     /// What a peer says of the present state counts only if it knows the store's newest era; its records have an order of their own.
-    pub fn peer_state(&mut self, frame: &StateFrame, peer: SocketAddr, clock: Option<PeerClock>) {
+    pub fn apply_peer_state(
+        &mut self,
+        frame: &StateFrame,
+        peer: SocketAddr,
+        clock: Option<PeerClock>,
+    ) {
         let current = self.eras.hear(frame.era, peer.to_string()) == EraWord::Newest;
         self.note_era();
         let records: Vec<KeyedRecord> = frame.configuration.iter().map(Into::into).collect();
@@ -314,7 +319,7 @@
     }
 
     /// Returns whether a peer has told everything that it read since this process started.
-    pub const fn has_heard_peer(&self) -> bool {
+    pub const fn has_peer_state(&self) -> bool {
         self.heard_peer
     }
 
--- a/crates/gateway/src/demand.rs
+++ b/crates/gateway/src/demand.rs
@@ -70,7 +70,7 @@
 
 /// What a host tells the placer of one service.
 #[derive(Debug, Clone, Default)]
-pub struct ToldDemand {
+pub struct DemandReport {
     /// What it is asked for.
     pub entries: Vec<DemandEntry>,
     /// What it has at engines.
@@ -103,14 +103,20 @@
     }
 
     /// Counts a request with a prompt of so many tokens.
-    pub fn asked(&mut self, service: &ServiceName, key: &ModelKey, tokens: u64) {
+    pub fn record_request(&mut self, service: &ServiceName, key: &ModelKey, tokens: u64) {
         let count = self.count(service, key);
         count.asked += 1;
         count.asked_tokens += tokens;
     }
 
     /// Counts a request that begins to wait.
-    pub fn wait_began(&mut self, service: &ServiceName, key: &ModelKey, tokens: u64, worth: f64) {
+    pub fn record_wait_start(
+        &mut self,
+        service: &ServiceName,
+        key: &ModelKey,
+        tokens: u64,
+        worth: f64,
+    ) {
         let count = self.count(service, key);
         count.waiting += 1;
         count.waiting_tokens += tokens;
@@ -118,13 +124,19 @@
     }
 
     /// Counts a waiting request with more or less worth than before.
-    pub fn wait_revalued(&mut self, service: &ServiceName, key: &ModelKey, difference: f64) {
+    pub fn adjust_waiting_value(&mut self, service: &ServiceName, key: &ModelKey, difference: f64) {
         let count = self.count(service, key);
         count.waiting_worth = (count.waiting_worth + difference).max(0.0);
     }
 
     /// Counts a request that waits no longer.
-    pub fn wait_ended(&mut self, service: &ServiceName, key: &ModelKey, tokens: u64, worth: f64) {
+    pub fn record_wait_end(
+        &mut self,
+        service: &ServiceName,
+        key: &ModelKey,
+        tokens: u64,
+        worth: f64,
+    ) {
         let count = self.count(service, key);
         count.waiting_tokens = count.waiting_tokens.saturating_sub(tokens);
         count.waiting = count.waiting.saturating_sub(1);
@@ -132,12 +144,17 @@
     }
 
     /// Takes that every copy of what requests wait for is at an engine that takes no requests from this host until a time.
-    pub fn copies_closed(&mut self, service: &ServiceName, key: &ModelKey, until: ClockMillis) {
+    pub fn set_copies_unavailable(
+        &mut self,
+        service: &ServiceName,
+        key: &ModelKey,
+        until: ClockMillis,
+    ) {
         self.count(service, key).copies_closed_until = until;
     }
 
     /// Takes what this host has at an engine.
-    pub fn engine_work(
+    pub fn set_engine_work(
         &mut self,
         service: &ServiceName,
         engine: &EngineName,
@@ -150,7 +167,7 @@
     }
 
     /// Takes an engine's word that it does not hold something.
-    pub fn said_absent(
+    pub fn record_absence(
         &mut self,
         service: &ServiceName,
         engine: &EngineName,
@@ -163,7 +180,7 @@
     }
 
     /// Takes that this host can not use an engine now: no connection came about, or it wants no requests from this host.
-    pub fn not_reached(&mut self, service: &ServiceName, engine: &EngineName) {
+    pub fn record_unreachable(&mut self, service: &ServiceName, engine: &EngineName) {
         let engines = self.unreached.entry(Arc::clone(service)).or_default();
         engines.insert(Arc::clone(engine));
     }
@@ -176,7 +193,7 @@
     }
 
     /// Takes what must be told now, by service.
-    pub fn drain(&mut self, now: ClockMillis) -> HashMap<ServiceName, ToldDemand> {
+    pub fn drain(&mut self, now: ClockMillis) -> HashMap<ServiceName, DemandReport> {
         let mut drained = self.drain_work(now);
         for (service, keys) in &mut self.services {
             let mut entries = Vec::new();
@@ -215,8 +232,8 @@
         drained
     }
 
-    fn drain_work(&mut self, now: ClockMillis) -> HashMap<ServiceName, ToldDemand> {
-        let mut drained: HashMap<ServiceName, ToldDemand> = HashMap::new();
+    fn drain_work(&mut self, now: ClockMillis) -> HashMap<ServiceName, DemandReport> {
+        let mut drained: HashMap<ServiceName, DemandReport> = HashMap::new();
         for (service, engines) in &mut self.engines {
             let mut work = HostWork::default();
             for (engine, count) in engines.iter_mut() {
@@ -231,7 +248,7 @@
     }
 
     /// Makes everything that holds be told again, to a new placer of a service.
-    pub fn tell_again(&mut self, service: &str) {
+    pub fn resend_all(&mut self, service: &str) {
         for count in self.services.get_mut(service).into_iter().flat_map(HashMap::values_mut) {
             count.changed = true;
         }
@@ -250,7 +267,7 @@
 
 impl SharedWork {
     /// Takes what a placer says.
-    pub fn take(&mut self, told: Vec<(EngineName, EngineWork)>) {
+    pub fn update(&mut self, told: Vec<(EngineName, EngineWork)>) {
         for (engine, work) in told {
             if work.open == 0 {
                 self.engines.remove(&engine);
@@ -266,7 +283,7 @@
     }
 
     /// Returns what an engine has to do, nothing where nobody told any.
-    pub fn at(&self, engine: &str) -> EngineWork {
+    pub fn get(&self, engine: &str) -> EngineWork {
         self.engines.get(engine).copied().unwrap_or_default()
     }
 }
--- a/crates/gateway/src/entry.rs
+++ b/crates/gateway/src/entry.rs
@@ -153,14 +153,14 @@
         let place = (Arc::clone(engine), Arc::clone(key));
         let now = self.now();
         self.absences.borrow_mut().insert(place, now);
-        self.shared.demand().said_absent(service, engine, key, now);
+        self.shared.demand().record_absence(service, engine, key, now);
         self.shared.wake_control.notify_one();
     }
 
     /// Has the placer told that no connection to an engine came about, unless this host is held up itself.
     pub fn note_unreached(&self, service: &ServiceName, engine: &EngineName) {
         if self.pool.borrow().connects_quickly() {
-            self.shared.demand().not_reached(service, engine);
+            self.shared.demand().record_unreachable(service, engine);
             self.shared.wake_control.notify_one();
         }
     }
@@ -218,7 +218,7 @@
             let mut services = routes.services_with_models();
             let service = services.find(|service| table.serves(&service.name, &engine));
             match service {
-                Some(service) => demand.engine_work(&service.name, &engine, work, runs),
+                Some(service) => demand.set_engine_work(&service.name, &engine, work, runs),
                 None => demand.forget_engine(&engine),
             }
         }
--- a/crates/gateway/src/entry/attempt.rs
+++ b/crates/gateway/src/entry/attempt.rs
@@ -241,14 +241,14 @@
 
     /// Returns what an engine has to read before a request that would be sent there now. Unit: tokens.
     pub fn unread_at(&self, entry: &EngineEntry) -> u64 {
-        let told = self.traffic.shared.shared_work().at(&entry.name).pending_prefill_tokens;
+        let told = self.traffic.shared.shared_work().get(&entry.name).pending_prefill_tokens;
         let (_, own) = self.traffic.pool.borrow().view(&entry.name);
         told.max(own.pending_prefill_tokens)
     }
 
     /// Returns what an engine has to read before this request's prompt, which counts there already.
     fn unread_before(&self, entry: &EngineEntry) -> u64 {
-        let told = self.traffic.shared.shared_work().at(&entry.name).pending_prefill_tokens;
+        let told = self.traffic.shared.shared_work().get(&entry.name).pending_prefill_tokens;
         let (_, own) = self.traffic.pool.borrow().view(&entry.name);
         told.max(own.pending_prefill_tokens.saturating_sub(self.facts.prompt.tokens()))
     }
--- a/crates/gateway/src/entry/exchange.rs
+++ b/crates/gateway/src/entry/exchange.rs
@@ -239,7 +239,7 @@
     async fn run(&mut self) -> (ExchangeEnd, &'static str) {
         if let Some(key) = &self.facts.model {
             let tokens = self.facts.prompt.tokens();
-            self.traffic.shared.demand().asked(&self.service, key, tokens);
+            self.traffic.shared.demand().record_request(&self.service, key, tokens);
         }
         // What is held back ends engines with everything that they run, and its body is known already.
         if let Some(end) = self.refuse_rejected().await {
--- a/crates/gateway/src/entry/pick.rs
+++ b/crates/gateway/src/entry/pick.rs
@@ -190,7 +190,7 @@
     let candidates: Vec<EngineCandidate<'_>> = able
         .iter()
         .map(|able| {
-            let told = shared.at(&able.entry.name);
+            let told = shared.get(&able.entry.name);
             let unread = told.pending_prefill_tokens.max(able.own.pending_prefill_tokens);
             EngineCandidate {
                 entry: &able.entry,
@@ -243,7 +243,7 @@
     now: ClockMillis,
 ) -> CopyUse {
     let Some(key) = key else { return CopyUse::Usable(None) };
-    let held = match table.held_version(key, engine) {
+    let held = match table.loaded_version(key, engine) {
         Some(held) if !traffic.is_absent(engine, key) => held,
         _ => return CopyUse::Unusable,
     };
--- a/crates/gateway/src/entry/preflight.rs
+++ b/crates/gateway/src/entry/preflight.rs
@@ -52,7 +52,7 @@
         if let Some(rejection) = self.request_rejection() {
             return Err(rejection);
         }
-        if !self.traffic.table().takes_work(entry) {
+        if !self.traffic.table().accepts_work(entry) {
             return Err(SendRejection::EngineChanged);
         }
         let shared = &self.traffic.shared;
--- a/crates/gateway/src/entry/wait.rs
+++ b/crates/gateway/src/entry/wait.rs
@@ -53,7 +53,7 @@
         tokens: u64,
         worth: f64,
     ) -> Self {
-        traffic.shared.demand().wait_began(service, key, tokens, worth);
+        traffic.shared.demand().record_wait_start(service, key, tokens, worth);
         traffic.shared.wake_control.notify_one();
         let (service, key) = (Arc::clone(service), Arc::clone(key));
         Self { traffic: Rc::clone(traffic), service, key, tokens, worth }
@@ -63,7 +63,7 @@
     fn revalue(&mut self, worth: f64) {
         if worth.total_cmp(&self.worth).is_ne() {
             let mut demand = self.traffic.shared.demand();
-            demand.wait_revalued(&self.service, &self.key, worth - self.worth);
+            demand.adjust_waiting_value(&self.service, &self.key, worth - self.worth);
             self.worth = worth;
         }
     }
@@ -93,7 +93,7 @@
     }
     let gate = traffic.shared.gate();
     table.ready_engines(service).any(|entry| {
-        table.held_version(key, &entry.name).is_some()
+        table.loaded_version(key, &entry.name).is_some()
             && gate.own_verdict(entry) == GateVerdict::Open
     })
 }
@@ -101,7 +101,7 @@
 impl Drop for WaitGuard {
     fn drop(&mut self) {
         let mut demand = self.traffic.shared.demand();
-        demand.wait_ended(&self.service, &self.key, self.tokens, self.worth);
+        demand.record_wait_end(&self.service, &self.key, self.tokens, self.worth);
     }
 }
 
@@ -190,9 +190,9 @@
     fn wait_for_holders(&mut self, holders: CoolingHolders) {
         if let Some(key) = &self.facts.model {
             let mut demand = self.traffic.shared.demand();
-            demand.copies_closed(&self.service, key, holders.until);
+            demand.set_copies_unavailable(&self.service, key, holders.until);
             for engine in &holders.engines {
-                demand.not_reached(&self.service, engine);
+                demand.record_unreachable(&self.service, engine);
             }
         }
         self.cooling_by = holders.engines.first().cloned();
--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -143,7 +143,8 @@
         /// The engine.
         engine: String,
         /// When its present life began, by its own clock. Unit: milliseconds since 1970.
-        born: u64,
+        #[serde(rename = "born")]
+        incarnation: u64,
     },
     /// An engine gets no more work.
     EngineLeaving {
@@ -155,7 +156,8 @@
         /// The engine.
         engine: String,
         /// When the incarnation that leaves began, by its own clock. Unit: milliseconds since 1970.
-        born: u64,
+        #[serde(rename = "born")]
+        incarnation: u64,
         /// Where the host learned of it: a response of the engine, another host, or the engine's entry.
         source: Cow<'static, str>,
         /// How long ago it was announced. Unit: milliseconds.
@@ -166,7 +168,8 @@
         /// The engine.
         engine: String,
         /// When the incarnation that asks for it began, by its own clock. Unit: milliseconds since 1970.
-        born: u64,
+        #[serde(rename = "born")]
+        incarnation: u64,
         /// Its length. Unit: milliseconds.
         millis: u64,
     },
@@ -197,7 +200,8 @@
         /// The engine.
         engine: String,
         /// When the life that says so began, by its own clock. Unit: milliseconds since 1970.
-        born: u64,
+        #[serde(rename = "born")]
+        incarnation: u64,
         /// What it takes. Unit: requests a second.
         limit: f64,
         /// What it had said before, if that still held.
--- a/crates/gateway/src/peers/client.rs
+++ b/crates/gateway/src/peers/client.rs
@@ -6,7 +6,7 @@
 use tokio::{net::TcpStream, sync::mpsc, task::JoinHandle};
 
 use crate::{
-    control::{SharedControl, domain::PEER_QUEUE, state::ControlState},
+    control::{SharedControl, domain::PEER_QUEUE_LENGTH, state::ControlState},
     peers::{
         PeerStream,
         frame::{DemandFrame, EncodedFrame, FrameBody},
@@ -41,9 +41,9 @@
     /// A host that has started asks also where the store answers it, if it reads for others or the store ever came back from an older
     /// copy: such a store says less than peers knew before. All others hear it from whom they follow.
     fn lacks_peers_word(&self, asks: u32) -> bool {
-        let unheard = !self.has_heard_peer() && asks < MOST_FIRST_ASKS;
+        let unheard = !self.has_peer_state() && asks < MOST_FIRST_ASKS;
         let fell = self.eras().known() > 0;
-        !self.is_complete() || (unheard && (self.reads_for_others() || fell))
+        !self.is_complete() || (unheard && (self.is_assigned_reader() || fell))
     }
 }
 
@@ -52,12 +52,12 @@
     let mut tasks: HashMap<ServiceName, (SocketAddr, JoinHandle<()>)> = HashMap::new();
     let mut looks = 0;
     loop {
-        let placers = state.borrow().foreign_placers();
+        let placers = state.borrow().remote_placers();
         tasks.retain(|service, (address, task)| {
             let kept = placers.iter().any(|(name, placer)| name == service && placer == address);
             if !kept && !task.is_finished() {
                 task.abort();
-                state.borrow_mut().placer_lost(service);
+                state.borrow_mut().handle_placer_disconnect(service);
             }
             kept && !task.is_finished()
         });
@@ -87,7 +87,7 @@
 /// Sends demand and receives plans until the connection ends.
 async fn talk_with_placer(state: SharedControl, service: ServiceName, address: SocketAddr) {
     let Some(mut stream) = connect(&state, address).await else { return };
-    let (sender, mut frames) = mpsc::channel(PEER_QUEUE);
+    let (sender, mut frames) = mpsc::channel(PEER_QUEUE_LENGTH);
     if !greet(&state, &service, &sender) {
         return;
     }
@@ -97,12 +97,12 @@
         let alive = tokio::select! {
             received = stream.receive() => match received.and_then(|frame| frame.body) {
                 Some(FrameBody::Plan(plan)) => {
-                    state.borrow_mut().peer_plan(&plan);
+                    state.borrow_mut().apply_placer_plan(&plan);
                     heard = clock.now();
                     true
                 }
                 Some(FrameBody::Sums(sums)) => {
-                    state.borrow_mut().sums_received(&sums);
+                    state.borrow_mut().apply_published_aggregates(&sums);
                     heard = clock.now();
                     true
                 }
@@ -119,7 +119,7 @@
             break;
         }
     }
-    state.borrow_mut().placer_lost(&service);
+    state.borrow_mut().handle_placer_disconnect(&service);
 }
 
 /// Opens the way for demand, and tells what waits already.
@@ -130,12 +130,12 @@
 ) -> bool {
     let mut state = state.borrow_mut();
     let host = state.shared().profile.name.to_string();
-    state.shared().demand().tell_again(service);
-    state.resend_sums(service);
+    state.shared().demand().resend_all(service);
+    state.resend_reports(service);
     let Some(domain) = state.domain(service) else { return false };
     let hello = DemandFrame { host, service: service.to_string(), ..DemandFrame::default() };
     let sent = sender.try_send(FrameBody::Demand(hello).encoded()).is_ok();
-    domain.placer = Some(sender.clone());
+    domain.placer_sender = Some(sender.clone());
     sent
 }
 
@@ -155,6 +155,6 @@
     let answer = tokio::time::timeout(ANSWER_PATIENCE, asking).await.ok().flatten();
     if let Some(FrameBody::State(frame)) = answer {
         let clock = frame.clock.as_ref().map(PeerClock::from);
-        state.borrow_mut().peer_state(&frame, peers[place], clock);
+        state.borrow_mut().apply_peer_state(&frame, peers[place], clock);
     }
 }
--- a/crates/gateway/src/peers/feed.rs
+++ b/crates/gateway/src/peers/feed.rs
@@ -56,7 +56,7 @@
             break;
         }
         state.reader_responded();
-        state.peer_state(&frame, reader, clock);
+        state.apply_peer_state(&frame, reader, clock);
         if !state.is_complete() {
             continue;
         }
@@ -65,8 +65,8 @@
             state.set_following(false);
             continue;
         }
-        let reads_itself = state.reads_itself();
-        state.set_following(!reads_itself);
+        let reads_store = state.reads_store();
+        state.set_following(!reads_store);
         if !std::mem::replace(&mut told, true) {
             let reader = reader.to_string();
             state.shared().events.write(HostEvent::Following { reader });
--- a/crates/gateway/src/peers/limit_lines.rs
+++ b/crates/gateway/src/peers/limit_lines.rs
@@ -86,7 +86,7 @@
     fn from(word: &LimitReport) -> Self {
         Self {
             engine: word.engine.to_string(),
-            born: word.born,
+            born: word.incarnation,
             limit: word.limit.per_second(),
             ended: word.state != LimitState::Active,
             back: word.is_lifted(),
@@ -105,7 +105,7 @@
         };
         Some(LimitReport {
             engine: Arc::from(line.engine.as_str()),
-            born: line.born,
+            incarnation: line.born,
             limit,
             state: match (line.back, line.ended) {
                 (true, _) => LimitState::Lifted,
--- a/crates/gateway/src/peers/server.rs
+++ b/crates/gateway/src/peers/server.rs
@@ -10,7 +10,7 @@
 use crate::{
     control::{
         SharedControl,
-        domain::{PEER_QUEUE, PlanSubscriber},
+        domain::{PEER_QUEUE_LENGTH, PlanSubscriber},
     },
     peers::{
         PeerStream,
@@ -50,7 +50,7 @@
 async fn serve_peer(state: SharedControl, socket: TcpStream) {
     let sent = state.borrow().shared().metrics.peer_bytes.clone();
     let mut stream = PeerStream::new(socket, sent);
-    let (sender, mut frames) = mpsc::channel(PEER_QUEUE);
+    let (sender, mut frames) = mpsc::channel(PEER_QUEUE_LENGTH);
     let mut subscribed: Vec<String> = Vec::new();
     loop {
         tokio::select! {
@@ -68,9 +68,9 @@
                             return;
                         }
                     }
-                    Some(FrameBody::Count(count)) => state.borrow_mut().peer_count(&count),
+                    Some(FrameBody::Count(count)) => state.borrow_mut().aggregate_peer_reports(&count),
                     Some(FrameBody::Ask(ask)) => {
-                        let answer = state.borrow().answer_frame(ask.asked);
+                        let answer = state.borrow().response_frame(ask.asked);
                         if stream.send(FrameBody::State(answer).encoded()).await.is_err() {
                             return;
                         }
@@ -137,9 +137,9 @@
     let listener = new.then(|| PlanSubscriber {
         host: Arc::from(demand.host.as_str()),
         frames: sender.clone(),
-        asked: Vec::new(),
+        awaiting_estimates: Vec::new(),
     });
-    let taken = state.borrow_mut().peer_demand(demand, listener);
+    let taken = state.borrow_mut().handle_peer_demand(demand, listener);
     if new && taken {
         subscribed.push(demand.service.clone());
     }
@@ -155,7 +155,7 @@
     let mut state = state.borrow_mut();
     for service in subscribed {
         if let Some(domain) = state.domain(service) {
-            domain.subscriber_left(sender);
+            domain.remove_subscriber(sender);
         }
     }
 }
@@ -170,7 +170,7 @@
     subscribed.iter().all(|service| {
         state.domain(service).is_some_and(|domain| {
             let mut listeners = domain.subscribers.iter();
-            domain.leads && listeners.any(|known| known.frames.same_channel(sender))
+            domain.holds_lease && listeners.any(|known| known.frames.same_channel(sender))
         })
     })
 }
--- a/crates/gateway/src/table.rs
+++ b/crates/gateway/src/table.rs
@@ -44,7 +44,7 @@
     }
 
     /// Returns whether an engine that was chosen from an earlier table still takes new work, in the same life.
-    pub fn takes_work(&self, chosen: &EngineEntry) -> bool {
+    pub fn accepts_work(&self, chosen: &EngineEntry) -> bool {
         let mut ready = self.ready_engines(&chosen.service);
         ready.any(|entry| entry.name == chosen.name && entry.is_incarnation(chosen.incarnation))
     }
@@ -55,7 +55,7 @@
     }
 
     /// Returns the version in which an engine holds `key`, if it does.
-    pub fn held_version(&self, key: &str, engine: &str) -> Option<WeightVersion> {
+    pub fn loaded_version(&self, key: &str, engine: &str) -> Option<WeightVersion> {
         let copies = self.copies.get(key)?;
         copies.iter().find(|(name, _)| &**name == engine).map(|(_, version)| *version)
     }
--- a/crates/gateway/tests/demand.rs
+++ b/crates/gateway/tests/demand.rs
@@ -105,7 +105,7 @@
             holding = runs.iter().copied().collect();
             let open = holding.values().sum();
             let runs = holding.iter().map(|(key, open)| (Arc::from(*key), *open)).collect();
-            collector.engine_work(
+            collector.set_engine_work(
                 &service,
                 &engine,
                 EngineWork { open, pending_prefill_tokens: 0 },
@@ -113,7 +113,7 @@
             );
         }
         if step.again {
-            collector.tell_again(&service);
+            collector.resend_all(&service);
         }
         let told = collector.drain(now).remove(&service).unwrap_or_default();
         assert_eq!(told.work.engines.len(), step.told_engines, "{}: engines", step.name);
@@ -132,7 +132,7 @@
     let (service, engine) = (Arc::from("assist"), Arc::from("e1"));
     let mut collector = DemandCollector::default();
     let runs = BTreeMap::from([(Arc::from("m/a"), 1)]);
-    collector.engine_work(
+    collector.set_engine_work(
         &service,
         &engine,
         EngineWork { open: 1, pending_prefill_tokens: 5 },
@@ -149,7 +149,7 @@
     let mut collector = DemandCollector::default();
     let runs = BTreeMap::from([(Arc::from("m/a"), 3)]);
     let service = Arc::from("assist");
-    collector.engine_work(
+    collector.set_engine_work(
         &service,
         &engine,
         EngineWork { open: 3, pending_prefill_tokens: 900 },
--- a/crates/gateway/tests/host/dialect.rs
+++ b/crates/gateway/tests/host/dialect.rs
@@ -176,7 +176,7 @@
     fn report_answer(&self, answer: &CallAnswer) -> Result<EngineReport, BorderError> {
         let body = read(answer)?;
         Ok(EngineReport {
-            born: body["born"].as_u64().unwrap_or_default(),
+            incarnation: body["born"].as_u64().unwrap_or_default(),
             sequence: body["sequence"].as_u64().unwrap_or_default(),
             model_change_in_progress: false,
             held: held(&body["held"]),
--- a/crates/gateway/tests/host/store_falls/world.rs
+++ b/crates/gateway/tests/host/store_falls/world.rs
@@ -228,7 +228,7 @@
             Step::Deliver(host) => self.deliver(host),
             Step::Ask(host, peer) => {
                 let frame = self.hosts[peer].state.borrow().state_frame();
-                self.hosts[host].state.borrow_mut().peer_state(&frame, address(peer), None);
+                self.hosts[host].state.borrow_mut().apply_peer_state(&frame, address(peer), None);
             }
             Step::Restart(host) => self.hosts[host] = self.start(host),
             Step::Wait(millis) => self.clock.advance(Duration::from_millis(millis)),
@@ -301,9 +301,9 @@
         known.read_to[topic] = Some(end);
         let mut state = known.state.borrow_mut();
         if topic == CONFIGURATION {
-            state.configuration_updated(update);
+            state.apply_configuration_update(update);
         } else {
-            state.engines_updated(update);
+            state.apply_engines_update(update);
         }
     }
 
@@ -317,7 +317,7 @@
         let (sender, frames) = mpsc::channel(64);
         let mut source = self.hosts[reader].state.borrow_mut();
         source.eras().hear(self.store.era, "store");
-        source.membership_updated(MembershipUpdate::Joined { share, sent });
+        source.apply_membership_update(MembershipUpdate::Joined { share, sent });
         let taken = source.add_follower(sender, 0);
         drop(source);
         if taken {
@@ -331,7 +331,7 @@
         while let Ok(frame) = frames.try_recv() {
             let frame = PeerFrame::decode(frame.bytes).expect("a frame");
             let Some(FrameBody::State(frame)) = frame.body else { panic!("another frame") };
-            follower.state.borrow_mut().peer_state(&frame, address(*reader), None);
+            follower.state.borrow_mut().apply_peer_state(&frame, address(*reader), None);
         }
     }
 
--- a/crates/gateway/tests/host_count.rs
+++ b/crates/gateway/tests/host_count.rs
@@ -35,7 +35,7 @@
     for case in COUNT_CASES {
         let mut count = HostCount::new(Duration::from_secs(10));
         for (at, hosts) in case.told {
-            count.told(*hosts, ClockMillis::from_millis(*at));
+            count.record(*hosts, ClockMillis::from_millis(*at));
         }
         assert_eq!(count.get(24), case.count, "{}", case.name);
     }
