--- a/crates/gateway/src/control/aggregates.rs
+++ b/crates/gateway/src/control/aggregates.rs
@@ -215,7 +215,7 @@
 
 /// Encodes a frame for the subscribers of a domain's placer.
 fn encode_frame(domain: &PlacementDomain, frame: SumFrame) -> EncodedFrame {
-    let (service, token) = (domain.service.to_string(), domain.planned_token);
+    let (service, token) = (domain.service.to_string(), domain.lease_token);
     let hosts = domain.subscribed_hosts();
     FrameBody::Sums(SumFrame { service, token, hosts, ..frame }).encoded()
 }
@@ -235,8 +235,7 @@
         let (aggregates, domains, context) = self.aggregate_parts(now);
         let context = AggregateContext { confirmed, ..context };
         let domain = domains.get_mut(&service)?;
-        aggregates
-            .set_lease(domain.holds_lease.then_some((service, domain.planned_token)), &context);
+        aggregates.set_lease(domain.holds_lease.then_some((service, domain.lease_token)), &context);
         if domain.holds_lease {
             aggregates.coordinate(domain, &context);
         } else {
--- a/crates/gateway/src/control/domain.rs
+++ b/crates/gateway/src/control/domain.rs
@@ -71,9 +71,9 @@
     engine: &EngineName,
     loaded: &[LoadedModel],
 ) {
-    let memory = weight_caches.entry(Arc::clone(engine)).or_default();
+    let cache = weight_caches.entry(Arc::clone(engine)).or_default();
     for model in loaded.iter().filter(|model| adapter_name(&model.key).is_some()) {
-        memory.insert(&model.key);
+        cache.insert(&model.key);
     }
 }
 
@@ -110,7 +110,7 @@
     /// The planner, while this host holds the lease of a service whose engines load models.
     pub planner: Option<PlacementPlanner>,
     /// Token of the lease that this host holds.
-    pub planned_token: FenceToken,
+    pub lease_token: FenceToken,
     /// Models and adapters that each engine has loaded, according to the placer.
     pub plan: HashMap<EngineName, Vec<LoadedModel>>,
     /// Incarnations of engines that `plan` refers to.
@@ -164,7 +164,7 @@
             tenure: PlacerTenure::new(rules),
             holds_lease: false,
             planner: None,
-            planned_token: 0,
+            lease_token: 0,
             plan: HashMap::new(),
             incarnations: HashMap::new(),
             weight_caches: HashMap::new(),
@@ -267,7 +267,7 @@
             }
         }
         self.store_throughput = Some(planner.store_throughput());
-        self.plan_token = self.planned_token;
+        self.plan_token = self.lease_token;
         self.plan_up_to_date = true;
         changed
     }
@@ -393,7 +393,7 @@
     fn empty_frame(&self) -> PlanFrame {
         PlanFrame {
             service: self.service.to_string(),
-            token: self.planned_token,
+            token: self.lease_token,
             hosts: self.subscribed_hosts(),
             ..PlanFrame::default()
         }
@@ -419,7 +419,7 @@
         let due_times = own_delays.map(|(key, delay)| (key, now + delay)).collect::<Vec<_>>();
         let has_new = !due_times.is_empty();
         self.estimates.extend(due_times);
-        let (service, token) = (self.service.to_string(), self.planned_token);
+        let (service, token) = (self.service.to_string(), self.lease_token);
         let hosts = self.subscribed_hosts();
         for subscriber in &mut self.subscribers {
             let lines = subscriber.awaiting_estimates.drain(..).filter_map(|key| estimate(&key));
--- a/crates/gateway/src/control/era.rs
+++ b/crates/gateway/src/control/era.rs
@@ -28,7 +28,7 @@
     /// again. If the store was never restored, it does not wait.
     pub(super) fn update_may_serve(&mut self, now: ClockMillis) {
         let was_restored = self.eras.known() > 0;
-        let grace_over = now.since(self.started) >= REWRITE_GRACE_PERIOD;
+        let grace_over = now.since(self.started_at) >= REWRITE_GRACE_PERIOD;
         if !self.may_serve
             && self.is_complete()
             && (!was_restored || self.has_peer_state() || grace_over)
--- a/crates/gateway/src/control/placement.rs
+++ b/crates/gateway/src/control/placement.rs
@@ -91,7 +91,7 @@
         if answer == OrderAnswer::Fenced {
             domain.tenure.handle_token_refusal(token);
         }
-        if domain.planned_token == token
+        if domain.lease_token == token
             && let Some(planner) = &mut domain.planner
         {
             planner.handle_order_answer(order.id, answer, now);
@@ -151,10 +151,10 @@
             }
             return None;
         }
-        let is_new = !domain.holds_lease || domain.planned_token != domain.tenure.token();
+        let is_new = !domain.holds_lease || domain.lease_token != domain.tenure.token();
         domain.holds_lease = true;
         if is_new {
-            domain.planned_token = domain.tenure.token();
+            domain.lease_token = domain.tenure.token();
             self.shared.demand().resend_all(service);
         }
         self.record_host_count(self.domains[service].subscribed_hosts());
@@ -222,7 +222,7 @@
         let work = domain.send_work(now);
         self.shared.shared_work().update(work);
         self.table_changed |= domain.send_estimates(now);
-        spawn_actions(state, service, domain.planned_token, actions);
+        spawn_actions(state, service, domain.lease_token, actions);
         due
     }
 
--- a/crates/gateway/src/control/state.rs
+++ b/crates/gateway/src/control/state.rs
@@ -62,7 +62,7 @@
     pub(super) eras: StoreEras,
     received_peer_state: bool,
     /// When this host started to read the store.
-    pub(super) started: ClockMillis,
+    pub(super) started_at: ClockMillis,
     /// Whether this host may serve by what it has read from the store.
     pub(super) may_serve: bool,
     /// The last era of the store that was handled.
@@ -91,7 +91,7 @@
         let freshness = ConfigurationFreshness::new(shared.profile.bounds.revocation);
         shared.set_keys_until(freshness.keys_valid_until());
         let aggregates = AggregateSet::new(&shared);
-        let started = shared.clock.now();
+        let started_at = shared.clock.now();
         let host_count = HostCount::new(shared.profile.bounds.retries.window);
         Self {
             logged_freshness: freshness.state(),
@@ -110,7 +110,7 @@
             store_health: StoreHealth::default(),
             eras: StoreEras::default(),
             received_peer_state: false,
-            started,
+            started_at,
             may_serve: false,
             last_known_era: 0,
             feed: FeedSource::default(),
--- a/crates/gateway/tests/demand.rs
+++ b/crates/gateway/tests/demand.rs
@@ -94,7 +94,7 @@
 ];
 
 #[test]
-fn a_placer_hears_of_every_change_and_sums_up_what_holds() {
+fn reports_contain_every_change_and_are_renewed() {
     let (service, engine) = (Arc::from("assist"), Arc::from("e1"));
     let mut collector = DemandCollector::default();
     let mut tracker = WorkTracker::default();
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn an_engine_that_is_listed_no_more_is_not_renewed() {
+fn work_at_a_delisted_engine_is_not_renewed() {
     let (service, engine) = (Arc::from("assist"), Arc::from("e1"));
     let mut collector = DemandCollector::default();
     let open_requests = BTreeMap::from([(Arc::from("m/a"), 1)]);
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn a_host_that_falls_silent_counts_no_more() {
+fn work_of_an_unresponsive_host_expires() {
     let (host, engine) = (Arc::from("host"), Arc::from("e1"));
     let mut collector = DemandCollector::default();
     let open_requests = BTreeMap::from([(Arc::from("m/a"), 3)]);
--- a/crates/gateway/tests/host_count.rs
+++ b/crates/gateway/tests/host_count.rs
@@ -35,7 +35,7 @@
 ];
 
 #[test]
-fn a_fall_counts_once_it_has_lasted() {
+fn a_decrease_takes_effect_once_it_has_lasted() {
     for case in COUNT_CASES {
         let mut count = HostCount::new(Duration::from_secs(10));
         for (at_ms, hosts) in case.counts {
--- a/crates/gateway/tests/serving_table.rs
+++ b/crates/gateway/tests/serving_table.rs
@@ -63,7 +63,7 @@
 ];
 
 #[test]
-fn an_engine_that_was_chosen_takes_work_only_as_it_is_listed_now() {
+fn chosen_engine_accepts_work_only_as_currently_listed() {
     for case in ACCEPTANCE_CASES {
         let listed =
             case.listed.map(|(service, incarnation, leaving)| entry(service, incarnation, leaving));
