--- a/crates/gateway/src/control/sums/limits.rs
+++ b/crates/gateway/src/control/aggregates/limits.rs
@@ -1,4 +1,4 @@
-//! Permits for the engines that have named a limit.
+//! Permits for engines with a declared limit.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -12,8 +12,8 @@
 
 use crate::{
     control::{
+        aggregates::{AggregateContext, FleetAggregate},
         domain::RemovedSubscriber,
-        sums::{FleetSum, SumContext},
     },
     events::HostEvent,
     host::SharedState,
@@ -23,22 +23,22 @@
     },
 };
 
-/// Permits for the engines that have named a limit: the ledger, on the host that deals them, and this host's share.
-pub struct LimitSum {
+/// Permits for engines with a declared limit: the ledger on the coordinator, and this host's share.
+pub struct LimitAggregate {
     shared: Arc<SharedState>,
     ledger: Option<LimitLedger>,
-    /// Grants that were not sent yet, by host.
-    granted: BTreeMap<Arc<str>, Vec<PermitGrant>>,
+    /// Grants not yet sent, by host.
+    unsent_grants: BTreeMap<Arc<str>, Vec<PermitGrant>>,
 }
 
-impl LimitSum {
+impl LimitAggregate {
     /// Starts without a ledger.
     pub const fn new(shared: Arc<SharedState>) -> Self {
-        Self { shared, ledger: None, granted: BTreeMap::new() }
+        Self { shared, ledger: None, unsent_grants: BTreeMap::new() }
     }
 }
 
-/// Reads what a host reports to the ledger.
+/// Decodes a host's report to the ledger.
 fn update(frame: &CountFrame) -> LimitUpdate {
     LimitUpdate {
         reports: read_limits(&frame.limits),
@@ -46,22 +46,22 @@
     }
 }
 
-impl FleetSum for LimitSum {
-    fn begin(&mut self, _: &SumContext<'_>) {
+impl FleetAggregate for LimitAggregate {
+    fn start_coordinating(&mut self, _: &AggregateContext<'_>) {
         self.ledger = Some(LimitLedger::default());
         self.resend_all();
     }
 
-    fn end(&mut self) {
+    fn stop_coordinating(&mut self) {
         self.ledger = None;
-        self.granted.clear();
+        self.unsent_grants.clear();
     }
 
     fn resend_all(&mut self) {
         self.shared.limits().resend_all();
     }
 
-    fn report(&mut self, frame: &mut CountFrame, context: &SumContext<'_>) -> bool {
+    fn report(&mut self, frame: &mut CountFrame, context: &AggregateContext<'_>) -> bool {
         let update = self.shared.limits().take_pending(context.now);
         frame.limits = update.reports.iter().map(Into::into).collect();
         frame.asks = update.demands.iter().map(Into::into).collect();
@@ -74,7 +74,7 @@
         }
     }
 
-    fn count(&mut self, host: &Arc<str>, frame: &CountFrame, context: &SumContext<'_>) {
+    fn add_report(&mut self, host: &Arc<str>, frame: &CountFrame, context: &AggregateContext<'_>) {
         let Some(ledger) = &mut self.ledger else { return };
         let LimitUpdate { reports, demands } = update(frame);
         for report in &reports {
@@ -85,44 +85,44 @@
         }
     }
 
-    fn snapshot(&mut self, host: &Arc<str>, frame: &mut SumFrame, context: &SumContext<'_>) {
+    fn snapshot(&mut self, host: &Arc<str>, frame: &mut SumFrame, context: &AggregateContext<'_>) {
         if let Some(ledger) = &mut self.ledger {
             ledger.reset_host(host);
             frame.limits = ledger.snapshot(context.now).iter().map(Into::into).collect();
         }
     }
 
-    fn unsubscribed(&mut self, listener: &RemovedSubscriber, _: &SumContext<'_>) {
+    fn handle_unsubscribe(&mut self, subscriber: &RemovedSubscriber, _: &AggregateContext<'_>) {
         if let Some(ledger) = &mut self.ledger {
-            ledger.reset_host(&listener.host);
+            ledger.reset_host(&subscriber.host);
         }
-        self.granted.remove(&listener.host);
+        self.unsent_grants.remove(&subscriber.host);
     }
 
-    fn publish(&mut self, frame: &mut SumFrame, _: bool, context: &SumContext<'_>) {
+    fn publish(&mut self, frame: &mut SumFrame, _: bool, context: &AggregateContext<'_>) {
         let Some(ledger) = &mut self.ledger else { return };
         let now = context.now;
-        ledger.retain(|engine| context.active_life(engine));
+        ledger.retain(|engine| context.active_incarnation(engine));
         ledger.set_confirmed(context.confirmed);
         let changes = ledger.take_changes(now);
         frame.limits = changes.iter().map(Into::into).collect();
         let mut granted = ledger.grant_permits(now);
-        let own = granted.remove(context.host).unwrap_or_default();
-        self.granted.append(&mut granted);
+        let own_grants = granted.remove(context.host).unwrap_or_default();
+        self.unsent_grants.append(&mut granted);
         let mut share = self.shared.limits();
         share.record_ledger_frame(now);
         for report in &changes {
             share.receive(report, now);
         }
-        let events = share.receive_grants(&own, now) || !changes.is_empty();
+        let changed = share.receive_grants(&own_grants, now) || !changes.is_empty();
         drop(share);
-        if events {
+        if changed {
             self.shared.permits_changed();
         }
     }
 
     fn replies(&mut self) -> Vec<(Arc<str>, SumFrame)> {
-        let granted = std::mem::take(&mut self.granted).into_iter();
+        let granted = std::mem::take(&mut self.unsent_grants).into_iter();
         let frame = |grants: Vec<PermitGrant>| SumFrame {
             grants: grants.iter().map(Into::into).collect(),
             ..SumFrame::default()
@@ -130,7 +130,7 @@
         granted.map(|(host, grants)| (host, frame(grants))).collect()
     }
 
-    fn receive(&mut self, frame: &SumFrame, context: &SumContext<'_>) {
+    fn receive(&mut self, frame: &SumFrame, context: &AggregateContext<'_>) {
         let grants: Vec<PermitGrant> = frame.grants.iter().map(Into::into).collect();
         let mut share = self.shared.limits();
         share.record_ledger_frame(context.now);
@@ -144,14 +144,15 @@
         }
     }
 
-    fn tick(&mut self, context: &SumContext<'_>) {
+    fn tick(&mut self, context: &AggregateContext<'_>) {
         let mut share = self.shared.limits();
-        share.retain(|engine| context.active_life(engine));
-        let changed = share.grant_fallback_permits(|engine| context.stands_in(engine), context.now);
-        let limited = i64::try_from(share.limited_count()).unwrap_or(i64::MAX);
+        share.retain(|engine| context.active_incarnation(engine));
+        let changed = share
+            .grant_fallback_permits(|engine| context.is_fallback_coordinator(engine), context.now);
+        let limited_count = i64::try_from(share.limited_count()).unwrap_or(i64::MAX);
         let events = share.take_events(context.now);
         drop(share);
-        self.shared.metrics.limited_engines.set(limited);
+        self.shared.metrics.limited_engines.set(limited_count);
         for event in events {
             self.shared.events.write(event.into());
         }
@@ -168,9 +169,9 @@
 impl From<LimitEvent> for HostEvent {
     fn from(event: LimitEvent) -> Self {
         match event {
-            LimitEvent::Limited { engine, born, limit, previous } => Self::EngineLimited {
+            LimitEvent::Limited { engine, incarnation, limit, previous } => Self::EngineLimited {
                 engine: engine.to_string(),
-                born,
+                incarnation,
                 limit: limit.per_second(),
                 before: previous.map(RequestLimit::per_second),
             },
--- a/crates/gateway/src/control/sums/suspects.rs
+++ b/crates/gateway/src/control/aggregates/suspects.rs
@@ -1,4 +1,4 @@
-//! Requests under which engines ended, as all hosts add them up.
+//! Requests that may have crashed engines, aggregated over all hosts.
 
 use std::sync::Arc;
 
@@ -9,8 +9,8 @@
 
 use crate::{
     control::{
+        aggregates::{AggregateContext, FleetAggregate},
         domain::RemovedSubscriber,
-        sums::{FleetSum, SumContext},
     },
     events::HostEvent,
     host::SharedState,
@@ -20,30 +20,31 @@
     },
 };
 
-/// Requests under which engines ended: every host keeps the same book, and the one that adds up tells all.
-pub struct SuspectSum {
+/// Requests that may have crashed engines. Every host keeps the same quarantine, and the
+/// coordinator publishes changes to all.
+pub struct SuspectAggregate {
     shared: Arc<SharedState>,
 }
 
-impl SuspectSum {
-    /// Starts with the host's book.
+impl SuspectAggregate {
+    /// Uses the host's quarantine.
     pub const fn new(shared: Arc<SharedState>) -> Self {
         Self { shared }
     }
 }
 
-impl FleetSum for SuspectSum {
-    fn begin(&mut self, _: &SumContext<'_>) {
+impl FleetAggregate for SuspectAggregate {
+    fn start_coordinating(&mut self, _: &AggregateContext<'_>) {
         self.resend_all();
     }
 
-    fn end(&mut self) {}
+    fn stop_coordinating(&mut self) {}
 
     fn resend_all(&mut self) {
         self.shared.quarantine().resend_all();
     }
 
-    fn report(&mut self, frame: &mut CountFrame, context: &SumContext<'_>) -> bool {
+    fn report(&mut self, frame: &mut CountFrame, context: &AggregateContext<'_>) -> bool {
         frame.suspects = write_suspects(&self.shared.quarantine().take_pending(context.now));
         !frame.suspects.is_empty()
     }
@@ -54,38 +55,38 @@
         }
     }
 
-    fn count(&mut self, host: &Arc<str>, frame: &CountFrame, context: &SumContext<'_>) {
-        let mut book = self.shared.quarantine();
+    fn add_report(&mut self, host: &Arc<str>, frame: &CountFrame, context: &AggregateContext<'_>) {
+        let mut quarantine = self.shared.quarantine();
         if host == context.host {
-            book.resend(&read_suspects(&frame.suspects));
+            quarantine.resend(&read_suspects(&frame.suspects));
         } else if !frame.suspects.is_empty() {
-            book.receive(&read_suspects(&frame.suspects), true, context.now);
+            quarantine.receive(&read_suspects(&frame.suspects), true, context.now);
         }
     }
 
-    fn snapshot(&mut self, _: &Arc<str>, frame: &mut SumFrame, context: &SumContext<'_>) {
+    fn snapshot(&mut self, _: &Arc<str>, frame: &mut SumFrame, context: &AggregateContext<'_>) {
         frame.suspects = write_suspects(&self.shared.quarantine().snapshot(context.now));
     }
 
-    fn unsubscribed(&mut self, _: &RemovedSubscriber, _: &SumContext<'_>) {}
+    fn handle_unsubscribe(&mut self, _: &RemovedSubscriber, _: &AggregateContext<'_>) {}
 
-    fn publish(&mut self, frame: &mut SumFrame, _: bool, context: &SumContext<'_>) {
-        let mut book = self.shared.quarantine();
-        book.publish_own();
-        frame.suspects = write_suspects(&book.take_unpublished(context.now));
+    fn publish(&mut self, frame: &mut SumFrame, _: bool, context: &AggregateContext<'_>) {
+        let mut quarantine = self.shared.quarantine();
+        quarantine.publish_own();
+        frame.suspects = write_suspects(&quarantine.take_unpublished(context.now));
     }
 
-    fn receive(&mut self, frame: &SumFrame, context: &SumContext<'_>) {
+    fn receive(&mut self, frame: &SumFrame, context: &AggregateContext<'_>) {
         if !frame.suspects.is_empty() {
             let reports = read_suspects(&frame.suspects);
             self.shared.quarantine().receive(&reports, false, context.now);
         }
     }
 
-    fn tick(&mut self, _: &SumContext<'_>) {
-        let news = self.shared.quarantine().take_events();
-        for news in news {
-            self.shared.events.write(match news {
+    fn tick(&mut self, _: &AggregateContext<'_>) {
+        let events = self.shared.quarantine().take_events();
+        for event in events {
+            self.shared.events.write(match event {
                 QuarantineEvent::Quarantined { mark, organisation, crashes, duration } => {
                     HostEvent::RequestHeld {
                         mark: format_mark(mark),
--- a/crates/gateway/src/control/announcements.rs
+++ b/crates/gateway/src/control/announcements.rs
@@ -1,4 +1,4 @@
-//! What engines have announced about themselves, as it is logged and counted.
+//! Logs and counts the departures and cooldowns that engines announce.
 
 use reelreel_core::{
     ClockMillis,
@@ -9,8 +9,8 @@
 use crate::{control::state::ControlState, events::HostEvent};
 
 impl ControlState {
-    /// Applies departures that this host has learned of, logs and counts them and cooldowns, and forgets those of engines that
-    /// have ended.
+    /// Applies departures that this host has learned of, logs and counts departures and cooldowns,
+    /// and drops those of engines that have ended.
     pub(super) fn tick_announcements(&mut self, now: ClockMillis) {
         let listed = |engine: &str| self.engines.get(engine).map(|entry| entry.incarnation);
         let mut departures = self.shared.departures();
@@ -27,7 +27,7 @@
         metrics.departing_engines.set(i64::try_from(departing).unwrap_or(i64::MAX));
         metrics.cooling_engines.set(i64::try_from(cooling).unwrap_or(i64::MAX));
         for learned in learned {
-            self.engine_departs(&learned.engine, learned.incarnation);
+            self.handle_departure(&learned.engine, learned.incarnation);
             self.shared.events.write(learned.into());
         }
         for event in events {
@@ -40,7 +40,7 @@
     fn from(learned: LearnedDeparture) -> Self {
         Self::DepartureLearned {
             engine: learned.engine.to_string(),
-            born: learned.incarnation,
+            incarnation: learned.incarnation,
             source: learned.source.name().into(),
             age: duration_millis(learned.age),
         }
@@ -52,7 +52,7 @@
         match event {
             CooldownEvent::Began { engine, incarnation, duration } => {
                 let (engine, millis) = (engine.to_string(), duration_millis(duration));
-                Self::CooldownBegan { engine, born: incarnation, millis }
+                Self::CooldownBegan { engine, incarnation, millis }
             }
             CooldownEvent::Ended { engine, requests } => {
                 Self::CooldownEnded { engine: engine.to_string(), requests }
