--- a/crates/core/tests/cooldown.rs
+++ b/crates/core/tests/cooldown.rs
@@ -1,4 +1,4 @@
-//! Cooldowns that engines ask one host for, and what becomes of its requests meanwhile.
+//! Cooldowns requested by engines, and the requests that arrive during them.
 
 use std::{sync::Arc, time::Duration};
 
@@ -6,10 +6,10 @@
 use reelreel_core::{
     ClockMillis,
     fleet::{
-        EngineBirth, EngineName,
+        EngineIncarnation, EngineName,
         announcement::Cooldown,
-        cold::{ColdChoice, ColdRequest, CoolingHolder},
-        cooldown::{CooldownEvent, CooldownStanding, CooldownTable},
+        cold_start::{ColdDecision, ColdRequest, CoolingEngine},
+        cooldown::{CooldownEvent, CooldownState, CooldownTable},
     },
 };
 
@@ -29,54 +29,54 @@
     Cooldown::from_seconds(millis(time).as_secs_f64()).expect("a cooldown")
 }
 
-/// What happens at one engine. Unit of times: milliseconds.
+/// An event at one engine. Unit of times: milliseconds.
 enum Occurrence {
-    /// It rejects a request and asks for a cooldown, in an incarnation.
-    Rejects(EngineBirth, u64),
-    /// The host sends it a request.
+    /// This incarnation rejects a request and requests a cooldown of this length.
+    Rejects(EngineIncarnation, u64),
+    /// The host sends a request.
     Send,
-    /// It responds to a request that was sent at a time, and accepts it or not.
+    /// The engine responds to a request that was sent at this time, and accepts it or not.
     Responds(u64, bool),
 }
 
 use Occurrence::{Rejects, Responds, Send};
 
-struct StandingCase {
+struct StateCase {
     name: &'static str,
-    happenings: &'static [(u64, Occurrence)],
-    /// At what time, for which incarnation, and after what time the engine is expected to take requests; zero: at once.
-    expected: &'static [(u64, EngineBirth, u64)],
+    occurrences: &'static [(u64, Occurrence)],
+    /// Time, incarnation, and time until the engine is available, zero if it is available now.
+    expected: &'static [(u64, EngineIncarnation, u64)],
 }
 
-const STANDING_CASES: &[StandingCase] = &[
-    StandingCase {
-        name: "it holds until its end, for its incarnation",
-        happenings: &[(0, Rejects(1, 3000))],
+const STATE_CASES: &[StateCase] = &[
+    StateCase {
+        name: "applies to its incarnation until its end",
+        occurrences: &[(0, Rejects(1, 3000))],
         expected: &[(0, 1, 3000), (2999, 1, 1), (3000, 1, 0), (100, 2, 0)],
     },
-    StandingCase {
-        name: "the later end counts",
-        happenings: &[(0, Rejects(1, 3000)), (100, Rejects(1, 500))],
+    StateCase {
+        name: "overlapping cooldowns last until the later end",
+        occurrences: &[(0, Rejects(1, 3000)), (100, Rejects(1, 500))],
         expected: &[(600, 1, 2400)],
     },
-    StandingCase {
-        name: "a response to what was sent before its end does not shorten it",
-        happenings: &[(0, Rejects(1, 3000)), (50, Responds(0, true))],
+    StateCase {
+        name: "not shortened by a response to an earlier request",
+        occurrences: &[(0, Rejects(1, 3000)), (50, Responds(0, true))],
         expected: &[(60, 1, 2940)],
     },
-    StandingCase {
-        name: "nor does one that comes after its end",
-        happenings: &[(0, Rejects(1, 3000)), (3000, Send), (3010, Responds(0, true))],
+    StateCase {
+        name: "no recovery by a late response to an earlier request",
+        occurrences: &[(0, Rejects(1, 3000)), (3000, Send), (3010, Responds(0, true))],
         expected: &[(3020, 1, 300)],
     },
-    StandingCase {
-        name: "afterwards one request probes the engine",
-        happenings: &[(0, Rejects(1, 3000)), (3000, Send)],
+    StateCase {
+        name: "one request probes the engine afterwards",
+        occurrences: &[(0, Rejects(1, 3000)), (3000, Send)],
         expected: &[(3001, 1, 300), (4001, 1, 0)],
     },
-    StandingCase {
-        name: "more go there as it accepts them",
-        happenings: &[
+    StateCase {
+        name: "an accepted probe permits more requests",
+        occurrences: &[
             (0, Rejects(1, 3000)),
             (3000, Send),
             (3010, Responds(3000, true)),
@@ -84,9 +84,9 @@
         ],
         expected: &[(3011, 1, 0)],
     },
-    StandingCase {
-        name: "no more than it accepted go there at a time",
-        happenings: &[
+    StateCase {
+        name: "no more requests at a time than permitted",
+        occurrences: &[
             (0, Rejects(1, 3000)),
             (3000, Send),
             (3010, Responds(3000, true)),
@@ -95,9 +95,9 @@
         ],
         expected: &[(3011, 1, 300)],
     },
-    StandingCase {
-        name: "a rejection without a cooldown lets the next request probe it",
-        happenings: &[
+    StateCase {
+        name: "a rejection without a cooldown permits the next probe",
+        occurrences: &[
             (0, Rejects(1, 3000)),
             (3000, Send),
             (3010, Responds(3000, false)),
@@ -105,94 +105,96 @@
         ],
         expected: &[(3011, 1, 300)],
     },
-    StandingCase {
-        name: "a probe that is rejected begins the next cooldown",
-        happenings: &[(0, Rejects(1, 3000)), (3000, Send), (3010, Rejects(1, 2000))],
+    StateCase {
+        name: "a rejected probe begins the next cooldown",
+        occurrences: &[(0, Rejects(1, 3000)), (3000, Send), (3010, Rejects(1, 2000))],
         expected: &[(3020, 1, 1990), (5010, 1, 0)],
     },
-    StandingCase {
-        name: "another incarnation begins anew",
-        happenings: &[(0, Rejects(1, 3000)), (100, Rejects(2, 200))],
+    StateCase {
+        name: "another incarnation starts without the cooldown",
+        occurrences: &[(0, Rejects(1, 3000)), (100, Rejects(2, 200))],
         expected: &[(150, 2, 150), (300, 2, 0)],
     },
 ];
 
 #[test]
-fn an_engine_takes_requests_again_after_its_cooldown_by_steps() {
-    for case in STANDING_CASES {
+fn requests_resume_gradually_after_a_cooldown() {
+    for case in STATE_CASES {
         let mut table = CooldownTable::default();
-        for (time, happening) in case.happenings {
-            match happening {
-                Rejects(born, length) => {
-                    table.requested(&engine(), *born, cooldown(*length), at(*time));
+        for (time, occurrence) in case.occurrences {
+            match occurrence {
+                Rejects(incarnation, length) => {
+                    table.record_cooldown(&engine(), *incarnation, cooldown(*length), at(*time));
                 }
-                Send => table.sent("engine-1", 1, at(*time)),
+                Send => table.record_sent("engine-1", 1, at(*time)),
                 Responds(sent, accepted) => {
-                    table.responded("engine-1", 1, at(*sent), *accepted);
+                    table.record_response("engine-1", 1, at(*sent), *accepted);
                 }
             }
         }
-        for (time, born, closed) in case.expected {
-            let expected = match closed {
-                0 => CooldownStanding::Open,
-                closed => CooldownStanding::Closed(millis(*closed)),
+        for (time, incarnation, unavailable_for) in case.expected {
+            let expected = match unavailable_for {
+                0 => CooldownState::Available,
+                unavailable_for => CooldownState::Unavailable(millis(*unavailable_for)),
             };
-            let standing = table.standing("engine-1", *born, at(*time));
-            assert_eq!(standing, expected, "{}: at {time}", case.name);
+            let state = table.state("engine-1", *incarnation, at(*time));
+            assert_eq!(state, expected, "{}: at {time}", case.name);
         }
     }
 }
 
-/// Ten requests accepted one after the other lift the restriction; so does a silence.
+/// Five accepted requests in a row end the restriction, and so does a time without requests.
 #[test]
-fn a_restriction_ends_with_accepted_requests_or_silence() {
+fn a_restriction_ends_with_accepted_requests_or_time() {
     let mut table = CooldownTable::default();
-    table.requested(&engine(), 1, cooldown(1000), at(0));
+    table.record_cooldown(&engine(), 1, cooldown(1000), at(0));
     for probe in 0..5 {
         let sent = at(1000 + probe * 10);
-        table.sent("engine-1", 1, sent);
-        table.responded("engine-1", 1, sent, true);
+        table.record_sent("engine-1", 1, sent);
+        table.record_response("engine-1", 1, sent, true);
     }
     let events = table.take_events();
-    assert!(matches!(events.first(), Some(CooldownEvent::Began { born: 1, .. })));
+    assert!(matches!(events.first(), Some(CooldownEvent::Began { incarnation: 1, .. })));
     assert_eq!(events.last(), Some(&CooldownEvent::Ended { engine: engine(), requests: 1 }));
-    table.requested(&engine(), 1, cooldown(1000), at(5000));
+    table.record_cooldown(&engine(), 1, cooldown(1000), at(5000));
     table.retain(|_| Some(1), at(15_900));
-    assert_eq!(table.take_events().len(), 1, "it is remembered");
+    assert_eq!(table.take_events().len(), 1, "the restriction is still in force");
     table.retain(|_| Some(1), at(16_000));
-    assert_eq!(table.take_events().len(), 1, "it is forgotten");
+    assert_eq!(table.take_events().len(), 1, "the restriction has ended");
 }
 
-/// An engine's entry may go and come back while the engine lives: that does not end its cooldown.
+/// An engine's entry may disappear and come back while the engine runs; this must not end its
+/// cooldown.
 #[test]
 fn a_cooldown_outlasts_the_entry_of_its_engine() {
     let mut table = CooldownTable::default();
-    table.requested(&engine(), 1, cooldown(3000), at(0));
+    table.record_cooldown(&engine(), 1, cooldown(3000), at(0));
     table.retain(|_| None, at(1000));
-    assert_eq!(table.standing("engine-1", 1, at(1500)), CooldownStanding::Closed(millis(1500)));
+    assert_eq!(table.state("engine-1", 1, at(1500)), CooldownState::Unavailable(millis(1500)));
     table.retain(|_| None, at(3000));
-    assert_eq!(table.standing("engine-1", 1, at(3000)), CooldownStanding::Open);
+    assert_eq!(table.state("engine-1", 1, at(3000)), CooldownState::Available);
 }
 
-/// Clients that are told to come back after one cooldown do not all return at the same moment.
+/// Clients that are refused during one cooldown must not all retry at the same time.
 #[test]
-fn clients_come_back_one_after_the_other() {
+fn retry_times_after_one_cooldown_are_spread() {
     let mut table = CooldownTable::default();
-    table.requested(&engine(), 1, cooldown(1000), at(0));
+    table.record_cooldown(&engine(), 1, cooldown(1000), at(0));
     let times: Vec<Duration> =
-        (0..30).filter_map(|_| table.return_time("engine-1", at(400))).collect();
+        (0..30).filter_map(|_| table.next_retry_after("engine-1", at(400))).collect();
     assert_eq!(times.first(), Some(&millis(600)));
     assert!(times.windows(2).all(|pair| pair[0] < pair[1]), "{times:?}");
 }
 
 #[derive(Debug, Clone, Copy)]
 enum Step {
-    /// A request goes there if the table allows it; the engine rejects it for some time, or accepts it.
+    /// A request is sent if the table permits it; the engine rejects it with a cooldown, or accepts
+    /// it.
     Request { rejects: Option<u64>, delay: u64 },
-    /// The engine starts again.
+    /// The engine restarts.
     Restart,
     /// Time passes.
-    Pass(u64),
+    Wait(u64),
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -200,156 +202,158 @@
         4 => (proptest::option::of(1u64..4000), 0u64..600)
             .prop_map(|(rejects, delay)| Step::Request { rejects, delay }),
         1 => Just(Step::Restart),
-        3 => (1u64..1500).prop_map(Step::Pass),
+        3 => (1u64..1500).prop_map(Step::Wait),
     ]
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(400))]
 
-    /// Whatever an engine rejects, accepts, and when, no request goes there within a cooldown that this incarnation has asked
-    /// for, and requests go there again after the last one.
+    /// No sequence of responses may lead to a request within a cooldown of the same incarnation, or
+    /// block requests after the last cooldown.
     #[test]
     fn no_history_sends_requests_within_a_cooldown(
         steps in proptest::collection::vec(step(), 1..80),
     ) {
         let mut table = CooldownTable::default();
-        let (mut now, mut born) = (0, 1);
+        let (mut now, mut incarnation) = (0, 1);
         let mut until = 0;
-        // When responses come, what was sent when in which incarnation, and whether it was rejected.
-        let mut responses: Vec<(u64, u64, EngineBirth, Option<u64>)> = Vec::new();
+        // Time of the response, time and incarnation of the request, and its cooldown if it is
+        // rejected.
+        let mut responses: Vec<(u64, u64, EngineIncarnation, Option<u64>)> = Vec::new();
         for step in steps {
-            responses.retain(|(due, sent, life, rejects)| {
+            responses.retain(|(due, sent, request_incarnation, rejects)| {
                 if *due > now {
                     return true;
                 }
                 match rejects {
                     Some(time) => {
-                        table.requested(&engine(), *life, cooldown(*time), at(now));
-                        if *life == born {
+                        table.record_cooldown(&engine(), *request_incarnation, cooldown(*time), at(now));
+                        if *request_incarnation == incarnation {
                             until = until.max(now + time);
                         }
                     }
                     None => {
-                        table.responded("engine-1", *life, at(*sent), true);
+                        table.record_response("engine-1", *request_incarnation, at(*sent), true);
                     }
                 }
                 false
             });
             match step {
                 Step::Request { rejects, delay } => {
-                    if table.standing("engine-1", born, at(now)) == CooldownStanding::Open {
+                    if table.state("engine-1", incarnation, at(now)) == CooldownState::Available {
                         prop_assert!(now >= until, "sent at {now} within a cooldown until {until}");
-                        table.sent("engine-1", born, at(now));
-                        responses.push((now + delay, now, born, rejects));
+                        table.record_sent("engine-1", incarnation, at(now));
+                        responses.push((now + delay, now, incarnation, rejects));
                     }
                 }
                 Step::Restart => {
-                    born += 1;
+                    incarnation += 1;
                     until = 0;
                     responses.clear();
                 }
-                Step::Pass(time) => now += time,
+                Step::Wait(time) => now += time,
             }
-            table.retain(|_| Some(born), at(now));
+            table.retain(|_| Some(incarnation), at(now));
         }
         let later = at(now.max(until) + 1000);
-        prop_assert_eq!(table.standing("engine-1", born, later), CooldownStanding::Open);
+        prop_assert_eq!(table.state("engine-1", incarnation, later), CooldownState::Available);
     }
 }
 
-struct ChoiceCase {
+struct DecisionCase {
     name: &'static str,
     elapsed: u64,
-    /// When the holder takes requests again.
-    holder: u64,
-    loadable: bool,
-    /// When another copy is expected.
-    load: Option<u64>,
-    choice: ColdChoice,
+    /// Unit: milliseconds.
+    engine_available_in: u64,
+    loadable_elsewhere: bool,
+    /// Unit: milliseconds.
+    load_estimate: Option<u64>,
+    decision: ColdDecision,
 }
 
-const CHOICE_CASES: &[ChoiceCase] = &[
-    ChoiceCase {
-        name: "it waits for a cooldown that ends in time",
+const DECISION_CASES: &[DecisionCase] = &[
+    DecisionCase {
+        name: "waits for a cooldown that ends in time",
         elapsed: 0,
-        holder: 300,
-        loadable: false,
-        load: None,
-        choice: ColdChoice::Wait(millis(300)),
+        engine_available_in: 300,
+        loadable_elsewhere: false,
+        load_estimate: None,
+        decision: ColdDecision::Wait(millis(300)),
     },
-    ChoiceCase {
-        name: "nothing can be loaded: it is refused at once",
+    DecisionCase {
+        name: "refused at once if no engine can load it",
         elapsed: 0,
-        holder: 3000,
-        loadable: false,
-        load: None,
-        choice: ColdChoice::Refuse(millis(3000)),
+        engine_available_in: 3000,
+        loadable_elsewhere: false,
+        load_estimate: None,
+        decision: ColdDecision::Refuse(millis(3000)),
     },
-    ChoiceCase {
-        name: "a load that no engine takes does not count",
+    DecisionCase {
+        name: "an estimate is ignored if no engine can load it",
         elapsed: 0,
-        holder: 3000,
-        loadable: false,
-        load: Some(250),
-        choice: ColdChoice::Refuse(millis(3000)),
+        engine_available_in: 3000,
+        loadable_elsewhere: false,
+        load_estimate: Some(250),
+        decision: ColdDecision::Refuse(millis(3000)),
     },
-    ChoiceCase {
-        name: "it waits for an estimate of another copy",
+    DecisionCase {
+        name: "waits for an estimate of another copy",
         elapsed: 2,
-        holder: 3000,
-        loadable: true,
-        load: None,
-        choice: ColdChoice::Wait(millis(100)),
+        engine_available_in: 3000,
+        loadable_elsewhere: true,
+        load_estimate: None,
+        decision: ColdDecision::Wait(millis(100)),
     },
-    ChoiceCase {
-        name: "it waits for another copy",
+    DecisionCase {
+        name: "waits for another copy",
         elapsed: 20,
-        holder: 3000,
-        loadable: true,
-        load: Some(250),
-        choice: ColdChoice::Wait(millis(2230)),
+        engine_available_in: 3000,
+        loadable_elsewhere: true,
+        load_estimate: Some(250),
+        decision: ColdDecision::Wait(millis(2230)),
     },
-    ChoiceCase {
-        name: "no estimate has come: it is refused",
+    DecisionCase {
+        name: "refused without an estimate",
         elapsed: 110,
-        holder: 3000,
-        loadable: true,
-        load: None,
-        choice: ColdChoice::Refuse(millis(3000)),
+        engine_available_in: 3000,
+        loadable_elsewhere: true,
+        load_estimate: None,
+        decision: ColdDecision::Refuse(millis(3000)),
     },
-    ChoiceCase {
-        name: "the other copy comes too late, but before the holder returns",
+    DecisionCase {
+        name: "refused until the other copy, which is late but first",
         elapsed: 20,
-        holder: 3000,
-        loadable: true,
-        load: Some(900),
-        choice: ColdChoice::Refuse(millis(900)),
+        engine_available_in: 3000,
+        loadable_elsewhere: true,
+        load_estimate: Some(900),
+        decision: ColdDecision::Refuse(millis(900)),
     },
-    ChoiceCase {
-        name: "a probe keeps it back for too long",
+    DecisionCase {
+        name: "refused if a probe would take too long",
         elapsed: 400,
-        holder: 300,
-        loadable: false,
-        load: None,
-        choice: ColdChoice::Refuse(millis(300)),
+        engine_available_in: 300,
+        loadable_elsewhere: false,
+        load_estimate: None,
+        decision: ColdDecision::Refuse(millis(300)),
     },
 ];
 
 #[test]
-fn a_request_waits_beside_a_cooldown_only_while_an_answer_is_useful() {
-    for case in CHOICE_CASES {
-        let (time, loadable) = (millis(case.holder), case.loadable);
+fn a_request_waits_during_a_cooldown_only_while_an_answer_is_useful() {
+    for case in DECISION_CASES {
+        let (available_in, loadable_elsewhere) =
+            (millis(case.engine_available_in), case.loadable_elsewhere);
         let request = ColdRequest {
             elapsed: millis(case.elapsed),
-            target: millis(600),
+            latency_target: millis(600),
             remaining: millis(9000),
-            estimate: case.load.map(millis),
-            cooling: Some(CoolingHolder { time, loadable }),
-            reading: millis(40),
-            longest_pause: Some(millis(250)),
-            returned: false,
+            estimate: case.load_estimate.map(millis),
+            cooling: Some(CoolingEngine { available_in, loadable_elsewhere }),
+            prefill_time: millis(40),
+            max_event_gap: Some(millis(250)),
+            client_retried: false,
         };
-        assert_eq!(request.choose(), case.choice, "{}", case.name);
+        assert_eq!(request.decide(), case.decision, "{}", case.name);
     }
 }
