--- a/crates/cli/src/logs/losses.rs
+++ b/crates/cli/src/logs/losses.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, fmt::Write as _, path::PathBuf};
 
-use reelreel_gateway::{entry::record::LOGGED_SHARE, events::HostEvent};
+use reelreel_gateway::{events::HostEvent, traffic::request_log::LOG_SAMPLE_INTERVAL};
 use serde::Serialize;
 
 use super::{
@@ -84,7 +84,7 @@
 
 /// Returns how many requests one line stands for.
 fn weight(cause: &RequestCause) -> u64 {
-    if *cause == RequestCause::Served { LOGGED_SHARE } else { 1 }
+    if *cause == RequestCause::Served { LOG_SAMPLE_INTERVAL } else { 1 }
 }
 
 fn spans(logs: &HostLogs) -> Vec<SpanRow> {
@@ -101,7 +101,7 @@
 fn count(row: &mut SpanRow, line: &LogLine) {
     match &line.event {
         HostEvent::Request(event) if event.outcome == "answered" => {
-            row.served += LOGGED_SHARE;
+            row.served += LOG_SAMPLE_INTERVAL;
         }
         HostEvent::Request(_) => row.lost += 1,
         HostEvent::Order { kind, answer, .. } => match (kind.as_str(), answer.as_str()) {
@@ -127,7 +127,7 @@
     }
     writeln!(
         text,
-        "\nServed requests are estimated: one in {LOGGED_SHARE} is logged. Times are means in ms."
+        "\nServed requests are estimated: one in {LOG_SAMPLE_INTERVAL} is logged. Times are means in ms."
     )?;
     writeln!(
         text,
--- a/crates/gateway/src/gate.rs
+++ b/crates/gateway/src/availability.rs
@@ -18,9 +18,9 @@
 
 /// Whether an engine takes a request now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum GateVerdict {
+pub enum EngineAvailability {
     /// It does.
-    Open,
+    Available,
     /// It takes only so many requests from all hosts together, and this host has no permit.
     Limited,
     /// It wants no requests from this host, and is expected to take some again after this time.
@@ -30,7 +30,7 @@
 }
 
 /// What engines have announced, locked for some verdicts.
-pub struct EngineGate<'host> {
+pub struct AvailabilityView<'host> {
     limits: MutexGuard<'host, LimitShare>,
     departures: MutexGuard<'host, DepartureRegistry>,
     cooldowns: MutexGuard<'host, CooldownTable>,
@@ -39,34 +39,34 @@
 
 impl SharedState {
     /// Locks what engines have announced for a moment.
-    pub fn gate(&self) -> EngineGate<'_> {
+    pub fn availability(&self) -> AvailabilityView<'_> {
         let (limits, departures, cooldowns) = (self.limits(), self.departures(), self.cooldowns());
-        EngineGate { limits, departures, cooldowns, now: self.clock.now() }
+        AvailabilityView { limits, departures, cooldowns, now: self.clock.now() }
     }
 }
 
-impl EngineGate<'_> {
+impl AvailabilityView<'_> {
     /// Returns whether an engine takes a request that wants a permit for some use.
-    pub fn verdict(&mut self, entry: &EngineEntry, wanted: PermitUse) -> GateVerdict {
-        let verdict = self.own_verdict(entry);
-        if verdict != GateVerdict::Open {
-            return verdict;
+    pub fn for_request(&mut self, entry: &EngineEntry, wanted: PermitUse) -> EngineAvailability {
+        let availability = self.without_limit(entry);
+        if availability != EngineAvailability::Available {
+            return availability;
         }
         match self.limits.standing(&entry.name, wanted, self.now) {
-            LimitStanding::Used => GateVerdict::Limited,
-            LimitStanding::Free | LimitStanding::Permitted => GateVerdict::Open,
+            LimitStanding::Used => EngineAvailability::Limited,
+            LimitStanding::Free | LimitStanding::Permitted => EngineAvailability::Available,
         }
     }
 
     /// Returns whether an engine takes a call, its limit aside: an order, a question for a report, or a request that holds a
     /// permit.
-    pub fn own_verdict(&self, entry: &EngineEntry) -> GateVerdict {
+    pub fn without_limit(&self, entry: &EngineEntry) -> EngineAvailability {
         if self.departures.is_departing(&entry.name, entry.incarnation) {
-            return GateVerdict::Departing;
+            return EngineAvailability::Departing;
         }
         match self.cooldowns.state(&entry.name, entry.incarnation, self.now) {
-            CooldownState::Available => GateVerdict::Open,
-            CooldownState::Unavailable(time) => GateVerdict::Cooling(time),
+            CooldownState::Available => EngineAvailability::Available,
+            CooldownState::Unavailable(time) => EngineAvailability::Cooling(time),
         }
     }
 }
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -24,7 +24,7 @@
     NotSent(std::io::Error),
     /// It was sent and may have been carried out.
     #[error("no answer came: {0}")]
-    NoAnswer(ReadError),
+    NoResponse(ReadError),
     /// It was sent, and the patience is over.
     #[error("no answer came in time")]
     TimedOut,
@@ -65,7 +65,7 @@
         };
         let exchange = exchange(&mut stream, self.address, request);
         let answer = match tokio::time::timeout(patience, exchange).await {
-            Ok(answer) => answer.map_err(CallError::NoAnswer)?,
+            Ok(answer) => answer.map_err(CallError::NoResponse)?,
             Err(_) => return Err(CallError::TimedOut),
         };
         if answer.head.keeps_connection() && !stream.has_unused_bytes() {
--- a/crates/gateway/src/control/orders.rs
+++ b/crates/gateway/src/control/orders.rs
@@ -10,11 +10,11 @@
 };
 
 use crate::{
+    availability::EngineAvailability,
     border::CallAnswer,
     call::{CallClient, CallError},
     control::SharedControl,
     events::HostEvent,
-    gate::GateVerdict,
     host::{ResponseKind, SharedState},
     metrics::{EngineCallKind, OrderLabels},
 };
@@ -79,7 +79,7 @@
 ) {
     let shared = Arc::clone(state.borrow().shared());
     let dialect = &shared.dialects.engine;
-    if shared.gate().own_verdict(&order.engine) != GateVerdict::Open {
+    if shared.availability().without_limit(&order.engine) != EngineAvailability::Available {
         let now = shared.clock.now();
         state.borrow_mut().order_answered(&service, token, &order, OrderAnswer::NotSent, now);
         return;
@@ -94,7 +94,7 @@
             dialect.order_answer(&answer)
         }
         Err(CallError::NotSent(_)) => OrderAnswer::NotSent,
-        Err(CallError::NoAnswer(_) | CallError::TimedOut) => OrderAnswer::Unknown,
+        Err(CallError::NoResponse(_) | CallError::TimedOut) => OrderAnswer::Unknown,
     };
     let now = shared.clock.now();
     let mut state = state.borrow_mut();
@@ -138,7 +138,7 @@
 async fn ask_report(state: SharedControl, service: ServiceName, engine: Arc<EngineEntry>) {
     let shared = Arc::clone(state.borrow().shared());
     let dialect = &shared.dialects.engine;
-    if shared.gate().own_verdict(&engine) != GateVerdict::Open {
+    if shared.availability().without_limit(&engine) != EngineAvailability::Available {
         if let Some(planner) = state.borrow_mut().planner(&service) {
             planner.report_failed(&engine.name, false);
         }
--- a/crates/gateway/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -1,6 +1,6 @@
 //! Connections to engines, and what their answers say.
 
-pub mod ends;
+pub mod end_detection;
 pub mod pool;
 pub mod send;
 
--- a/crates/gateway/src/engines/ends.rs
+++ b/crates/gateway/src/engines/end_detection.rs
@@ -12,7 +12,7 @@
 };
 use tokio::sync::watch;
 
-use crate::{engines::EnginePool, entry::TrafficState, events::HostEvent};
+use crate::{engines::EnginePool, events::HostEvent, traffic::TrafficState};
 
 /// How many marks a log line shows: an engine runs dozens of requests at a time.
 const MOST_SHOWN: usize = 8;
--- a/crates/gateway/src/host.rs
+++ b/crates/gateway/src/host.rs
@@ -28,11 +28,11 @@
     border::BorderDialects,
     control::run_control,
     demand::{DemandCollector, SharedWork},
-    entry::run_entry,
     events::{EventLog, HostEvent},
     metrics::{EngineCallKind, HostMetrics},
     profile::HostProfile,
     table::ServingTable,
+    traffic::run_traffic,
 };
 
 /// The control thread's stack. Unit: bytes.
@@ -279,7 +279,7 @@
         .name(String::from("control"))
         .stack_size(CONTROL_STACK)
         .spawn(move || run_control(&control))?;
-    run_entry(shared)?;
+    run_traffic(shared)?;
     let open = shared.open_requests.load(Ordering::Relaxed);
     shared.events.write(HostEvent::Stopped { open });
     // The control thread leaves the group as soon as the stop begins; it is not waited for.
--- a/crates/gateway/src/entry.rs
+++ b/crates/gateway/src/traffic.rs
@@ -2,24 +2,24 @@
 //!
 //! Read [`connection`] for one client connection, [`prepare`] and [`exchange`] for one request,
 //! [`pick`] for where it goes, [`wait`] for what happens until its adapter is there, [`attempt`] for
-//! one send, [`plain`] for services that carry less than they are asked for, [`refusal`] for how it ends without an engine's answer, [`quarantine`] for requests under which engines ended, [`pass`] for how an answer is
+//! one send, [`admission`] for services that carry less than they are asked for, [`refusal`] for how it ends without an engine's answer, [`quarantine`] for requests under which engines ended, [`relay`] for how an answer is
 //! passed on, and [`stream`] for answers in events.
 
-pub mod answer;
+pub mod local_response;
 pub mod attempt;
 pub mod preflight;
 pub mod connection;
 pub mod deadline;
 pub mod exchange;
 pub mod forward;
-pub mod pass;
+pub mod relay;
 pub mod permit;
 pub mod pick;
-pub mod plain;
+pub mod admission;
 pub mod prepare;
 pub mod probe;
 pub mod quarantine;
-pub mod record;
+pub mod request_log;
 pub mod refusal;
 pub mod stream;
 pub mod wait;
@@ -43,7 +43,7 @@
 use tokio::{net::TcpListener, runtime::Builder, sync::watch, task::LocalSet};
 
 use crate::{
-    engines::{EnginePool, ends::EndWatch},
+    engines::{EnginePool, end_detection::EndWatch},
     host::SharedState,
     table::ServingTable,
 };
@@ -256,7 +256,7 @@
 ///
 /// # Errors
 /// Returns that an address can not be listened on.
-pub fn run_entry(shared: &Arc<SharedState>) -> std::io::Result<()> {
+pub fn run_traffic(shared: &Arc<SharedState>) -> std::io::Result<()> {
     let runtime = Builder::new_current_thread().enable_all().build()?;
     let local = LocalSet::new();
     local.block_on(&runtime, entry(shared))
--- a/crates/gateway/src/entry/plain.rs
+++ b/crates/gateway/src/traffic/admission.rs
@@ -5,12 +5,12 @@
 use reelreel_core::fleet::{EngineEntry, admission::AdmissionSignal};
 
 use crate::{
-    entry::{
-        answer::OwnAnswer,
+    availability::EngineAvailability,
+    traffic::{
         exchange::{Exchange, ExchangeEnd, REPEAT_PAUSE},
+        local_response::OwnAnswer,
         pick::EnginePick,
     },
-    gate::GateVerdict,
 };
 
 /// The shortest and the longest time after which a client of a service without room is told to come back.
@@ -65,7 +65,8 @@
         if has_other && self.may_send_again() {
             return None;
         }
-        let open = self.traffic.shared.gate().own_verdict(entry) == GateVerdict::Open;
+        let open = self.traffic.shared.availability().without_limit(entry)
+            == EngineAvailability::Available;
         if self.sends == 1 && open && self.may_send_again() {
             self.unreached.pop();
             tokio::time::sleep(REPEAT_PAUSE).await;
--- a/crates/gateway/src/entry/attempt.rs
+++ b/crates/gateway/src/traffic/attempt.rs
@@ -17,13 +17,13 @@
 use crate::{
     border::SendTerms,
     engines::{ConnectTerms, EngineAnswer, EngineLease, EnginePool, send_request},
-    entry::{
+    host::ResponseKind,
+    traffic::{
         exchange::{Exchange, ExchangeEnd, SENT_AHEAD, SendEnd},
         forward::forwarded_request,
         pick::{EngineNeed, EnginePick, pick_engine},
         preflight::SendRejection,
     },
-    host::ResponseKind,
 };
 
 /// What an engine gets beyond the deadline to say itself that the time is over.
--- a/crates/gateway/src/entry/connection.rs
+++ b/crates/gateway/src/traffic/connection.rs
@@ -9,10 +9,10 @@
 };
 use tokio::net::{TcpListener, TcpStream};
 
-use crate::entry::{
+use crate::traffic::{
     TrafficState,
-    answer::OwnAnswer,
     exchange::{ClientRequest, ExchangeEnd, run_exchange},
+    local_response::OwnAnswer,
 };
 
 /// How long to wait after a connection could not be taken.
--- a/crates/gateway/src/entry/exchange.rs
+++ b/crates/gateway/src/traffic/exchange.rs
@@ -23,10 +23,10 @@
 use crate::{
     border::RequestFacts,
     engines::EngineAnswer,
-    entry::{
+    traffic::{
         TrafficState,
-        answer::{ENGINE_FAILED, TIME_OVER},
         deadline::RequestDeadline,
+        local_response::{ENGINE_FAILED, TIME_OVER},
         permit::PermitWait,
         pick::{CoolingHolders, EngineNeed, EnginePick, pick_engine},
         preflight::SendRejection,
--- a/crates/gateway/src/entry/forward.rs
+++ b/crates/gateway/src/traffic/forward.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     border::{ExchangeDialect, SendTerms},
-    entry::exchange::ClientRequest,
+    traffic::exchange::ClientRequest,
 };
 
 /// What a head takes beside the body, so that writing it seldom allocates again. Unit: bytes.
@@ -20,7 +20,7 @@
     request: &ClientRequest,
     terms: &SendTerms<'_>,
 ) -> Bytes {
-    let mut fields = passed_fields(dialect, &request.head.fields);
+    let mut fields = forwarded_fields(dialect, &request.head.fields);
     let bodiless = matches!(request.head.method.as_str(), "GET" | "HEAD");
     if !request.body.is_empty() || !bodiless {
         fields.push("Content-Length", request.body.len().to_string());
@@ -41,7 +41,7 @@
 /// Returns the client's fields that an engine gets as they are.
 ///
 /// Fields of the connection, of the body's framing, and those that only the system sets are left out.
-pub fn passed_fields(dialect: &dyn ExchangeDialect, fields: &HeaderFields) -> HeaderFields {
+pub fn forwarded_fields(dialect: &dyn ExchangeDialect, fields: &HeaderFields) -> HeaderFields {
     let mut passed = fields.end_to_end();
     passed.remove_all(&["Content-Length"]);
     passed.remove_all(dialect.system_fields());
--- a/crates/gateway/src/entry/permit.rs
+++ b/crates/gateway/src/traffic/permit.rs
@@ -4,7 +4,7 @@
 
 use reelreel_core::fleet::{EngineEntry, EngineName, limits::share::PermitUse};
 
-use crate::entry::{
+use crate::traffic::{
     TrafficState,
     exchange::Exchange,
     pick::{EngineNeed, EnginePick, pick_engine},
--- a/crates/gateway/src/entry/pick.rs
+++ b/crates/gateway/src/traffic/pick.rs
@@ -14,7 +14,7 @@
 };
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::{entry::TrafficState, gate::GateVerdict, table::ServingTable};
+use crate::{availability::EngineAvailability, table::ServingTable, traffic::TrafficState};
 
 /// Where a request may go.
 #[derive(Debug, Clone)]
@@ -117,7 +117,7 @@
     now: ClockMillis,
 ) -> (Vec<AbleEngine>, Vec<(Duration, EngineName)>) {
     let most = connection_share(table, need.service);
-    let mut gate = traffic.shared.gate();
+    let mut availability = traffic.shared.availability();
     let (mut able, mut cooling) = (Vec::new(), Vec::new());
     for entry in table.ready_engines(need.service) {
         if need.excluded.contains(&entry.name) {
@@ -127,11 +127,11 @@
         let CopyUse::Usable(version) = copy else { continue };
         let (condition, own) = traffic.pool.borrow().view(&entry.name);
         if own.open < most {
-            let permitted = match gate.verdict(entry, need.wanted) {
-                GateVerdict::Open => true,
-                GateVerdict::Limited => false,
-                GateVerdict::Departing => continue,
-                GateVerdict::Cooling(time) => {
+            let permitted = match availability.for_request(entry, need.wanted) {
+                EngineAvailability::Available => true,
+                EngineAvailability::Limited => false,
+                EngineAvailability::Departing => continue,
+                EngineAvailability::Cooling(time) => {
                     cooling.push((time, Arc::clone(&entry.name)));
                     continue;
                 }
@@ -153,12 +153,13 @@
     cooling.sort();
     let (soonest, _) = cooling.first()?;
     let until = now + *soonest;
-    let gate = traffic.shared.gate();
+    let availability = traffic.shared.availability();
     let is_adapter = need.key.is_some_and(|key| adapter_name(key).is_some());
     let mut others = table.ready_engines(need.service);
     let loadable = is_adapter
         && others.any(|entry| {
-            !need.excluded.contains(&entry.name) && gate.own_verdict(entry) == GateVerdict::Open
+            !need.excluded.contains(&entry.name)
+                && availability.without_limit(entry) == EngineAvailability::Available
         });
     let engines = cooling.into_iter().map(|(_, engine)| engine).collect();
     Some(CoolingHolders { engines, until, loadable })
--- a/crates/gateway/src/entry/preflight.rs
+++ b/crates/gateway/src/traffic/preflight.rs
@@ -6,13 +6,13 @@
 use reelreel_core::fleet::{EngineEntry, WeightVersion};
 
 use crate::{
-    entry::{
-        answer::{ENGINE_FAILED, KEYS_IN_DOUBT, NO_ORGANISATION, OwnAnswer, TIME_OVER},
+    availability::EngineAvailability,
+    metrics::EngineCallKind,
+    traffic::{
         exchange::{Exchange, ExchangeEnd},
+        local_response::{ENGINE_FAILED, KEYS_IN_DOUBT, NO_ORGANISATION, OwnAnswer, TIME_OVER},
         permit::HeldPermit,
     },
-    gate::GateVerdict,
-    metrics::EngineCallKind,
 };
 
 /// Why a request is not sent to the engine that was chosen for it.
@@ -56,10 +56,10 @@
             return Err(SendRejection::EngineChanged);
         }
         let shared = &self.traffic.shared;
-        match shared.gate().own_verdict(entry) {
-            GateVerdict::Open | GateVerdict::Limited => {}
-            GateVerdict::Cooling(_) => return Err(SendRejection::EngineCooling),
-            GateVerdict::Departing => return Err(SendRejection::EngineChanged),
+        match shared.availability().without_limit(entry) {
+            EngineAvailability::Available | EngineAvailability::Limited => {}
+            EngineAvailability::Cooling(_) => return Err(SendRejection::EngineCooling),
+            EngineAvailability::Departing => return Err(SendRejection::EngineChanged),
         }
         if !permit.use_up(self.permit_use()) {
             return Err(SendRejection::LimitUsed);
--- a/crates/gateway/src/entry/prepare.rs
+++ b/crates/gateway/src/traffic/prepare.rs
@@ -15,16 +15,16 @@
 
 use crate::{
     border::RequestFacts,
-    entry::{
+    events::{HostEvent, RequestEvent},
+    metrics::RequestLabels,
+    traffic::{
         TrafficState,
-        answer::{
+        exchange::{ClientRequest, ExchangeEnd},
+        local_response::{
             BAD_FIELDS, KEYS_IN_DOUBT, NO_ORGANISATION, NO_REVISION, NO_ROUTE, NOT_READY,
             OwnAnswer, STOPPING,
         },
-        exchange::{ClientRequest, ExchangeEnd},
     },
-    events::{HostEvent, RequestEvent},
-    metrics::RequestLabels,
 };
 
 /// What a request says and where its route leads.
--- a/crates/gateway/src/entry/probe.rs
+++ b/crates/gateway/src/traffic/probe.rs
@@ -6,7 +6,7 @@
 use reelreel_http::{HttpStream, RequestHead, ResponseHead};
 use tokio::net::{TcpListener, TcpStream};
 
-use crate::entry::TrafficState;
+use crate::traffic::TrafficState;
 
 /// The longest head of a probe.
 const HEAD_LIMIT: usize = 8 * 1024;
--- a/crates/gateway/src/entry/quarantine.rs
+++ b/crates/gateway/src/traffic/quarantine.rs
@@ -7,7 +7,7 @@
     health::EngineOutcome, quarantine::EndedRun,
 };
 
-use crate::{engines::ends::run_broke, entry::exchange::Exchange};
+use crate::{engines::end_detection::run_broke, traffic::exchange::Exchange};
 
 /// How long a request that may be sent again waits to know whether its engine ended: a refused connection shows within a
 /// round trip, a few milliseconds between data halls of a region.
--- a/crates/gateway/src/entry/refusal.rs
+++ b/crates/gateway/src/traffic/refusal.rs
@@ -4,9 +4,9 @@
 
 use reelreel_core::fleet::{EngineEntry, EngineName, queue_admission::QueueCandidate};
 
-use crate::entry::{
-    answer::{ENGINE_FAILED, OwnAnswer},
+use crate::traffic::{
     exchange::{Exchange, ExchangeEnd},
+    local_response::{ENGINE_FAILED, OwnAnswer},
     pick::{CoolingHolders, EnginePick},
 };
 
--- a/crates/gateway/src/entry/pass.rs
+++ b/crates/gateway/src/traffic/relay.rs
@@ -14,7 +14,7 @@
 
 use crate::{
     engines::{EngineAnswer, EngineLease, EnginePool, send_request},
-    entry::{
+    traffic::{
         exchange::{Exchange, ExchangeEnd, SENT_AHEAD, SendEnd},
         pick::EnginePick,
         stream::EventCutter,
--- a/crates/gateway/src/entry/record.rs
+++ b/crates/gateway/src/traffic/request_log.rs
@@ -6,13 +6,13 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::{
-    entry::exchange::Exchange,
     events::{HostEvent, RequestEvent},
     metrics::RequestLabels,
+    traffic::exchange::Exchange,
 };
 
 /// One in so many requests that were served in time is logged.
-pub const LOGGED_SHARE: u64 = 16;
+pub const LOG_SAMPLE_INTERVAL: u64 = 16;
 
 impl Exchange<'_> {
     /// Counts how the request ended, and writes its line.
@@ -27,7 +27,7 @@
         }
         let late = outcome == "answered" && self.is_late();
         let number = xxh3_64(self.facts.id.as_bytes());
-        if outcome == "answered" && !late && !number.is_multiple_of(LOGGED_SHARE) {
+        if outcome == "answered" && !late && !number.is_multiple_of(LOG_SAMPLE_INTERVAL) {
             return;
         }
         shared.events.write(HostEvent::Request(RequestEvent {
--- a/crates/gateway/src/entry/wait.rs
+++ b/crates/gateway/src/traffic/wait.rs
@@ -9,13 +9,13 @@
 };
 
 use crate::{
-    entry::{
+    availability::EngineAvailability,
+    traffic::{
         TrafficState,
         exchange::{Exchange, SENT_AHEAD},
         pick::{CoolingHolders, EnginePick},
         preflight::SendRejection,
     },
-    gate::GateVerdict,
 };
 
 /// How often a waiting request looks whether a holder can be reached again.
@@ -91,10 +91,10 @@
     if !table.copies.contains_key(key) {
         return false;
     }
-    let gate = traffic.shared.gate();
+    let availability = traffic.shared.availability();
     table.ready_engines(service).any(|entry| {
         table.held_version(key, &entry.name).is_some()
-            && gate.own_verdict(entry) == GateVerdict::Open
+            && availability.without_limit(entry) == EngineAvailability::Available
     })
 }
 
