--- a/crates/gateway/src/traffic/exchange.rs
+++ b/crates/gateway/src/traffic/exchange.rs
@@ -322,7 +322,7 @@
             SendOutcome::NotSent => {
                 self.excluded_engines.push(Arc::clone(&entry.name));
                 self.failed_connects += 1;
-                self.slow_connects += u32::from(began.elapsed_ms() >= SLOW_CONNECT_TIME);
+                self.slow_connects += u32::from(began.elapsed() >= SLOW_CONNECT_TIME);
                 if self.failed_connects < CONNECT_FAILURE_LIMIT
                     && self.slow_connects < SLOW_CONNECT_LIMIT
                 {
