--- a/crates/gateway/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -4,5 +4,5 @@
 pub mod pool;
 pub mod send;
 
-pub use pool::{ConnectOptions, EngineLease, EnginePool};
+pub use pool::{ConnectOptions, EngineConnection, EnginePool};
 pub use send::{EngineResponse, SendError, send_request};
--- a/crates/gateway/src/engines/pool.rs
+++ b/crates/gateway/src/engines/pool.rs
@@ -64,7 +64,7 @@
 }
 
 /// A connection to an engine, with an open request counted for as long as it lives.
-pub struct EngineLease {
+pub struct EngineConnection {
     request_count: RequestCountGuard,
     /// The engine.
     pub entry: Arc<EngineEntry>,
@@ -184,7 +184,7 @@
         entry: &Arc<EngineEntry>,
         options: ConnectOptions,
         now: ClockMillis,
-    ) -> std::io::Result<EngineLease> {
+    ) -> std::io::Result<EngineConnection> {
         let idle = pool.borrow_mut().take_idle(&entry.name, options.recent_only, now);
         let hall = Some(Arc::clone(&entry.hall));
         pool.borrow_mut().engines.entry(Arc::clone(&entry.name)).or_default().hall = hall;
@@ -195,7 +195,7 @@
         } else {
             Self::connect_new(pool, entry, now).await?
         };
-        Ok(EngineLease { request_count, entry: Arc::clone(entry), stream, reused })
+        Ok(EngineConnection { request_count, entry: Arc::clone(entry), stream, reused })
     }
 }
 
@@ -317,7 +317,7 @@
     }
 }
 
-impl EngineLease {
+impl EngineConnection {
     /// Takes that the engine has read the request's prompt: its first event is there.
     pub fn record_prefill_done(&mut self) {
         self.request_count.record_prefill_done();
--- a/crates/gateway/src/engines/send.rs
+++ b/crates/gateway/src/engines/send.rs
@@ -9,7 +9,7 @@
 
 use crate::{
     border::{AnswerFacts, ExchangeDialect},
-    engines::EngineLease,
+    engines::EngineConnection,
 };
 
 /// The longest head of an engine's answer.
@@ -65,18 +65,18 @@
 /// # Errors
 /// Returns that no answer came; the request may have run.
 pub async fn send_request(
-    lease: &mut EngineLease,
+    connection: &mut EngineConnection,
     dialect: &dyn ExchangeDialect,
     request: &Bytes,
     method: &str,
     id: &str,
 ) -> Result<EngineResponse, SendError> {
-    let (mut head, written) = write_and_read(&mut lease.stream, request).await?;
+    let (mut head, written) = write_and_read(&mut connection.stream, request).await?;
     let mut reusable = written;
     let mut unrelated_announcements = EngineAnnouncements::default();
     for _ in 0..UNRELATED_RESPONSE_LIMIT {
         if matches!(head.status, 100..=199) {
-            head = lease.stream.read_response_head(HEAD_LIMIT).await?;
+            head = connection.stream.read_response_head(HEAD_LIMIT).await?;
             continue;
         }
         let framing = BodyFraming::of_response(&head, method).map_err(ReadError::from)?;
@@ -93,11 +93,11 @@
             break;
         }
         reusable = false;
-        let body = lease.stream.read_whole_body(&mut decoder, UNRELATED_BODY_LIMIT).await?;
+        let body = connection.stream.read_whole_body(&mut decoder, UNRELATED_BODY_LIMIT).await?;
         if body.is_none() {
             break;
         }
-        head = lease.stream.read_response_head(HEAD_LIMIT).await?;
+        head = connection.stream.read_response_head(HEAD_LIMIT).await?;
     }
     Err(SendError::OnlyUnrelated)
 }
--- a/crates/gateway/src/traffic/attempt.rs
+++ b/crates/gateway/src/traffic/attempt.rs
@@ -16,7 +16,7 @@
 
 use crate::{
     border::SendTerms,
-    engines::{ConnectOptions, EngineLease, EnginePool, EngineResponse, send_request},
+    engines::{ConnectOptions, EngineConnection, EnginePool, EngineResponse, send_request},
     host::ResponseKind,
     traffic::{
         exchange::{ConnectionAction, Exchange, READ_AHEAD_LIMIT, SendOutcome},
@@ -48,14 +48,14 @@
                 tokio::time::sleep(timeout).await;
                 let key = key.as_ref();
                 let permit_use = PermitUse::New;
-                let need = EngineRequirements {
+                let requirements = EngineRequirements {
                     service: &service,
                     key,
                     excluded: &excluded,
                     id: &id,
                     permit_use,
                 };
-                let other = pick_engine(&traffic, &need);
+                let other = pick_engine(&traffic, &requirements);
                 if matches!(other, EnginePick::Engine(..)) && traffic.try_spend_retry(&service) {
                     return;
                 }
@@ -85,27 +85,27 @@
                 return SendOutcome::Finished(ConnectionAction::Reset, "client_gone");
             }
         };
-        let Ok(mut lease) = connected else {
+        let Ok(mut connection) = connected else {
             self.record_outcome(entry, EngineOutcome::Unreachable);
             self.traffic.record_unreachable(&self.service, &entry.name);
             return SendOutcome::NotSent;
         };
-        if !lease.reused {
+        if !connection.reused {
             self.traffic.shared.metrics.connects.inc();
         }
         let request = match self.begin_send(entry, version, None, &mut permit) {
             Ok(request) => request,
             Err(rejection) => {
-                lease.close();
+                connection.close();
                 return SendOutcome::Rejected(rejection);
             }
         };
         let sent_at = self.traffic.now();
         let dialect = Arc::clone(&self.traffic.shared.dialects.exchange);
-        let time_over = self.deadline.clone().expired(DEADLINE_SLACK);
+        let deadline_expired = self.deadline.clone().expired(DEADLINE_SLACK);
         let first_byte_timeout = self.first_byte_timeout(entry);
         let sending = send_request(
-            &mut lease,
+            &mut connection,
             &*dialect,
             &request,
             &self.request.head.method,
@@ -115,7 +115,7 @@
             biased;
             response = sending => response,
             () = self.client.closed(READ_AHEAD_LIMIT) => {
-                lease.close();
+                connection.close();
                 self.may_have_run = true;
                 if self.traffic.now().since(sent_at) > self.route.latency_target * FIRST_BYTE_TIMEOUT_TARGETS {
                     self.record_outcome(entry, EngineOutcome::FirstByteTimeout);
@@ -123,41 +123,41 @@
                 return SendOutcome::Finished(ConnectionAction::Reset, "client_gone");
             }
             () = first_byte_timeout => {
-                lease.close();
+                connection.close();
                 self.may_have_run = true;
                 self.record_outcome(entry, EngineOutcome::FirstByteTimeout);
                 return SendOutcome::FirstByteTimeout;
             }
-            () = time_over => {
-                lease.close();
+            () = deadline_expired => {
+                connection.close();
                 self.may_have_run = true;
                 return SendOutcome::DeadlineExceeded;
             }
         };
         let Ok(response) = response else {
-            lease.close();
+            connection.close();
             self.may_have_run = true;
             self.handle_broken_run(entry).await;
             return SendOutcome::Failed;
         };
         self.record_announcements(entry, &response, sent_at);
-        self.handle_response(lease, response, sent_at, version).await
+        self.handle_response(connection, response, sent_at, version).await
     }
 
     async fn handle_response(
         &mut self,
-        mut lease: EngineLease,
+        mut connection: EngineConnection,
         mut response: EngineResponse,
         sent_at: ClockMillis,
         version: Option<WeightVersion>,
     ) -> SendOutcome {
-        let entry = Arc::clone(&lease.entry);
+        let entry = Arc::clone(&connection.entry);
         if response.facts.not_run || response.facts.misdirected {
             if !response.facts.misdirected {
                 self.record_outcome(&entry, EngineOutcome::Refused);
             }
             let absent = response.facts.misdirected;
-            self.drain_and_keep(lease, response).await;
+            self.drain_and_keep(connection, response).await;
             return SendOutcome::NotRun { absent };
         }
         self.may_have_run = true;
@@ -166,18 +166,18 @@
         let other_version = self.ran_other_version(&entry, &response, version);
         if claims_not_run || (success && (!response.facts.signed || other_version)) {
             // The status would promise, or claim, what the engine did not, or the answer is of other weights.
-            lease.close();
+            connection.close();
             self.record_outcome(&entry, EngineOutcome::Failed);
             return SendOutcome::Failed;
         }
         if success && self.route.kind.is_stream() {
-            return self.relay_stream(lease, response, sent_at).await;
+            return self.relay_stream(connection, response, sent_at).await;
         }
-        let body_read = self.read_full_body(&mut lease, &mut response).await;
+        let body_read = self.read_full_body(&mut connection, &mut response).await;
         let body = match body_read {
             Ok(body) => body,
             Err(outcome) => {
-                lease.close();
+                connection.close();
                 if matches!(outcome, SendOutcome::Failed) {
                     self.handle_broken_run(&entry).await;
                 }
@@ -186,7 +186,7 @@
         };
         self.record_complete_run();
         let delay = self.traffic.now().since(sent_at);
-        self.keep_or_close(lease, &response);
+        self.keep_or_close(connection, &response);
         if response.head.status >= 500 {
             self.record_outcome(&entry, EngineOutcome::ErrorResponse);
             return SendOutcome::ErrorResponse(Box::new(response), body);
@@ -262,12 +262,12 @@
         reported.max(local.pending_prefill_tokens.saturating_sub(self.facts.prompt.tokens()))
     }
 
-    /// Takes what a response that has just begun announces of its engine; the request was sent at `sent`.
+    /// Takes what a response that has just begun announces of its engine; the request was sent at `sent_at`.
     pub(super) fn record_announcements(
         &self,
         entry: &EngineEntry,
         response: &EngineResponse,
-        sent: ClockMillis,
+        sent_at: ClockMillis,
     ) {
         let shared = &self.traffic.shared;
         if response.unrelated_announcements != EngineAnnouncements::default() {
@@ -275,14 +275,14 @@
             shared.note_announcements(
                 entry,
                 &response.unrelated_announcements,
-                sent,
+                sent_at,
                 ResponseKind::Other,
             );
         }
         let facts = &response.facts;
         let ran = facts.signed && !facts.not_run && !facts.misdirected;
         let kind = if ran { ResponseKind::Accepted } else { ResponseKind::Rejected };
-        shared.note_announcements(entry, &facts.announcements, sent, kind);
+        shared.note_announcements(entry, &facts.announcements, sent_at, kind);
         if facts.not_run {
             let cooldown = matches!(facts.announcements.cooldown, Declared::Present(_));
             shared.metrics.count_rejection(self.sends > 1, cooldown);
--- a/crates/gateway/src/traffic/exchange.rs
+++ b/crates/gateway/src/traffic/exchange.rs
@@ -295,14 +295,14 @@
     }
 
     fn pick_excluding(&self, excluded: &[EngineName]) -> EnginePick {
-        let need = EngineRequirements {
+        let requirements = EngineRequirements {
             service: &self.service,
             key: self.facts.model.as_ref(),
             excluded,
             id: &self.facts.id,
             permit_use: self.permit_use(),
         };
-        pick_engine(self.traffic, &need)
+        pick_engine(self.traffic, &requirements)
     }
 
     /// Sends the request to one engine; `None` when another send may follow.
--- a/crates/gateway/src/traffic/permit.rs
+++ b/crates/gateway/src/traffic/permit.rs
@@ -122,7 +122,7 @@
     ///
     /// It goes before requests that have got nothing yet: its client would lose what it has.
     pub(super) async fn pick_for_resume(&self, excluded: &[EngineName]) -> EnginePick {
-        let need = EngineRequirements {
+        let requirements = EngineRequirements {
             service: &self.service,
             key: self.facts.model.as_ref(),
             excluded,
@@ -130,7 +130,7 @@
             permit_use: PermitUse::Resumed,
         };
         let mut permits = self.traffic.shared.permits.subscribe();
-        let engines = match pick_engine(self.traffic, &need) {
+        let engines = match pick_engine(self.traffic, &requirements) {
             EnginePick::Limited(engines) => engines,
             EnginePick::Cooling(_) => Vec::new(),
             pick => return pick,
@@ -143,7 +143,7 @@
             loop {
                 // The sender lives as long as the shared state; the end of a cooldown is not signalled.
                 let _ = tokio::time::timeout(RESUME_POLL_INTERVAL, permits.changed()).await;
-                let pick = pick_engine(self.traffic, &need);
+                let pick = pick_engine(self.traffic, &requirements);
                 if !matches!(pick, EnginePick::Limited(_) | EnginePick::Cooling(_)) {
                     return pick;
                 }
--- a/crates/gateway/src/traffic/pick.rs
+++ b/crates/gateway/src/traffic/pick.rs
@@ -38,7 +38,7 @@
     /// The engines, the one first that is expected to take requests soonest.
     pub engines: Vec<EngineName>,
     /// When the first of them is expected to take requests again.
-    pub until: ClockMillis,
+    pub available_at: ClockMillis,
     /// Whether another engine could load what the request names.
     pub loadable_elsewhere: bool,
 }
@@ -69,24 +69,24 @@
 }
 
 /// Returns the engine for a request.
-pub fn pick_engine(traffic: &TrafficState, need: &EngineRequirements<'_>) -> EnginePick {
+pub fn pick_engine(traffic: &TrafficState, requirements: &EngineRequirements<'_>) -> EnginePick {
     let (table, now) = (traffic.table(), traffic.now());
-    let ready = table.ready_engines(need.service).next().is_some();
-    let (mut eligible, cooling) = eligible_engines(traffic, &table, need, now);
-    retain_reachable(traffic, need.key.is_some(), &mut eligible, now);
+    let ready = table.ready_engines(requirements.service).next().is_some();
+    let (mut eligible, cooling) = eligible_engines(traffic, &table, requirements, now);
+    retain_reachable(traffic, requirements.key.is_some(), &mut eligible, now);
     if !eligible.is_empty() && !cooling.is_empty() {
         traffic.shared.metrics.cooldown_diverted.inc();
     }
     if eligible.is_empty() {
-        if let Some(cooling) = find_cooling_engines(traffic, &table, need, cooling, now) {
+        if let Some(cooling) = find_cooling_engines(traffic, &table, requirements, cooling, now) {
             return EnginePick::Cooling(cooling);
         }
-        let cold = ready && need.key.is_some();
+        let cold = ready && requirements.key.is_some();
         return if cold { EnginePick::ColdStart } else { EnginePick::Unavailable };
     }
     let newest = eligible.iter().map(|eligible| eligible.version).max().flatten();
     eligible.retain(|eligible| eligible.version == newest);
-    let Some(preferred) = best_index(traffic, &table, need, &eligible, now) else {
+    let Some(preferred) = best_index(traffic, &table, requirements, &eligible, now) else {
         return EnginePick::Unavailable;
     };
     if !eligible[preferred].permitted {
@@ -95,7 +95,7 @@
         let (permitted, limited): (Vec<_>, Vec<_>) =
             eligible.into_iter().partition(|eligible| eligible.permitted);
         eligible = permitted;
-        let Some(best) = best_index(traffic, &table, need, &eligible, now) else {
+        let Some(best) = best_index(traffic, &table, requirements, &eligible, now) else {
             return EnginePick::Limited(order_by_permit_time(traffic, limited));
         };
         traffic.shared.metrics.limit_diverted.inc();
@@ -113,21 +113,21 @@
 fn eligible_engines(
     traffic: &TrafficState,
     table: &ServingTable,
-    need: &EngineRequirements<'_>,
+    requirements: &EngineRequirements<'_>,
     now: ClockMillis,
 ) -> (Vec<EligibleEngine>, Vec<(Duration, EngineName)>) {
-    let limit = connection_share(table, need.service);
+    let limit = connection_share(table, requirements.service);
     let mut availability = traffic.shared.availability();
     let (mut eligible, mut cooling) = (Vec::new(), Vec::new());
-    for entry in table.ready_engines(need.service) {
-        if need.excluded.contains(&entry.name) {
+    for entry in table.ready_engines(requirements.service) {
+        if requirements.excluded.contains(&entry.name) {
             continue;
         }
-        let copy = usable_copy(traffic, table, need.key, &entry.name, now);
+        let copy = usable_copy(traffic, table, requirements.key, &entry.name, now);
         let CopyUsability::Usable(version) = copy else { continue };
         let (health, local_work) = traffic.pool.borrow().health_and_work(&entry.name);
         if local_work.open < limit {
-            let permitted = match availability.for_request(entry, need.permit_use) {
+            let permitted = match availability.for_request(entry, requirements.permit_use) {
                 EngineAvailability::Available => true,
                 EngineAvailability::Limited => false,
                 EngineAvailability::Departing => continue,
@@ -152,23 +152,23 @@
 fn find_cooling_engines(
     traffic: &TrafficState,
     table: &ServingTable,
-    need: &EngineRequirements<'_>,
+    requirements: &EngineRequirements<'_>,
     mut cooling: Vec<(Duration, EngineName)>,
     now: ClockMillis,
 ) -> Option<CoolingEngines> {
     cooling.sort();
     let (shortest, _) = cooling.first()?;
-    let until = now + *shortest;
+    let available_at = now + *shortest;
     let availability = traffic.shared.availability();
-    let is_adapter = need.key.is_some_and(|key| adapter_name(key).is_some());
-    let mut others = table.ready_engines(need.service);
+    let is_adapter = requirements.key.is_some_and(|key| adapter_name(key).is_some());
+    let mut others = table.ready_engines(requirements.service);
     let loadable_elsewhere = is_adapter
         && others.any(|entry| {
-            !need.excluded.contains(&entry.name)
+            !requirements.excluded.contains(&entry.name)
                 && availability.without_limit(entry) == EngineAvailability::Available
         });
     let engines = cooling.into_iter().map(|(_, engine)| engine).collect();
-    Some(CoolingEngines { engines, until, loadable_elsewhere })
+    Some(CoolingEngines { engines, available_at, loadable_elsewhere })
 }
 
 /// Keeps the engines that can be reached.
@@ -194,7 +194,7 @@
 fn best_index(
     traffic: &TrafficState,
     table: &ServingTable,
-    need: &EngineRequirements<'_>,
+    requirements: &EngineRequirements<'_>,
     eligible: &[EligibleEngine],
     now: ClockMillis,
 ) -> Option<usize> {
@@ -210,13 +210,15 @@
                 health: &eligible.health,
                 own_open: eligible.local_work.open,
                 reported_open: reported.open,
-                pending_prefill_time: traffic.prefill_time_for(need.service, pending_tokens),
+                pending_prefill_time: traffic
+                    .prefill_time_for(requirements.service, pending_tokens),
             }
         })
         .collect();
     drop(shared);
     let hall = &traffic.shared.profile.hall;
-    let best = choose_engine(&candidates, hall, xxh3_64(need.id.as_bytes()), table.hosts, now)?;
+    let best =
+        choose_engine(&candidates, hall, xxh3_64(requirements.id.as_bytes()), table.hosts, now)?;
     eligible.iter().position(|eligible| eligible.entry.name == best)
 }
 
@@ -258,11 +260,12 @@
     now: ClockMillis,
 ) -> CopyUsability {
     let Some(key) = key else { return CopyUsability::Usable(None) };
-    let held = match table.held_version(key, engine) {
-        Some(held) if !traffic.is_absent(engine, key) => held,
+    let resident_version = match table.held_version(key, engine) {
+        Some(resident_version) if !traffic.is_absent(engine, key) => resident_version,
         _ => return CopyUsability::Unusable,
     };
     let Some(published) = table.versions.get(key) else { return CopyUsability::Usable(None) };
-    let usable = published.allows(held, traffic.shared.profile.bounds.version_apply, now);
-    if usable { CopyUsability::Usable(Some(held)) } else { CopyUsability::Unusable }
+    let usable =
+        published.allows(resident_version, traffic.shared.profile.bounds.version_apply, now);
+    if usable { CopyUsability::Usable(Some(resident_version)) } else { CopyUsability::Unusable }
 }
--- a/crates/gateway/src/traffic/refusal.rs
+++ b/crates/gateway/src/traffic/refusal.rs
@@ -40,14 +40,14 @@
             remaining: self.deadline.remaining(),
             pending_prefill_time: self.traffic.prefill_time_for(&self.service, ahead),
             prefill_time: self.traffic.prefill_time_for(&self.service, self.facts.prompt.tokens()),
-            client_retried: self.is_client_retry(),
+            client_retried: self.client_retried(),
         };
         request.refusal_retry_after()
     }
 
     /// Returns whether the client seems to have been refused before and to have come back: it has less time than its route
     /// gives.
-    pub(super) fn is_client_retry(&self) -> bool {
+    pub(super) fn client_retried(&self) -> bool {
         let deadline = self.facts.deadline.unwrap_or(self.route.timeout);
         deadline < self.route.timeout.mul_f64(RETRIED_DEADLINE_FRACTION)
     }
@@ -113,7 +113,7 @@
         let cooldown =
             |engine: &EngineName| self.traffic.shared.cooldowns().next_retry_after(engine, now);
         let cooldown = cooling.engines.first().and_then(cooldown);
-        let cooldown = cooldown.unwrap_or_else(|| cooling.until.since(now));
+        let cooldown = cooldown.unwrap_or_else(|| cooling.available_at.since(now));
         let load =
             cooling.loadable_elsewhere.then(|| self.load_estimate().unwrap_or(LOADING_RETRY_AFTER));
         load.map_or(cooldown, |load| load.min(cooldown))
--- a/crates/gateway/src/traffic/relay.rs
+++ b/crates/gateway/src/traffic/relay.rs
@@ -13,7 +13,7 @@
 };
 
 use crate::{
-    engines::{EngineLease, EnginePool, EngineResponse, send_request},
+    engines::{EngineConnection, EnginePool, EngineResponse, send_request},
     traffic::{
         exchange::{ConnectionAction, Exchange, READ_AHEAD_LIMIT, SendOutcome},
         pick::EnginePick,
@@ -63,10 +63,10 @@
     /// Returns how the send ended instead.
     pub async fn read_full_body(
         &mut self,
-        lease: &mut EngineLease,
+        connection: &mut EngineConnection,
         response: &mut EngineResponse,
     ) -> Result<Bytes, SendOutcome> {
-        let reading = lease.stream.read_whole_body(&mut response.decoder, BUFFERED_BODY_LIMIT);
+        let reading = connection.stream.read_whole_body(&mut response.decoder, BUFFERED_BODY_LIMIT);
         tokio::select! {
             biased;
             body = reading => match body {
@@ -81,23 +81,27 @@
     }
 
     /// Keeps the engine's connection if it may serve another request.
-    pub fn keep_or_close(&self, lease: EngineLease, response: &EngineResponse) {
-        let clean = !lease.stream.has_unused_bytes() && response.decoder.is_done();
-        let (engine, born) = (&lease.entry.name, lease.entry.incarnation);
+    pub fn keep_or_close(&self, connection: EngineConnection, response: &EngineResponse) {
+        let clean = !connection.stream.has_unused_bytes() && response.decoder.is_done();
+        let (engine, born) = (&connection.entry.name, connection.entry.incarnation);
         let departing = self.traffic.shared.departures().is_departing(engine, born);
         if response.reusable && clean && !departing {
-            lease.keep(response.keep_alive(), self.traffic.now());
+            connection.keep(response.keep_alive(), self.traffic.now());
         } else {
-            lease.close();
+            connection.close();
         }
     }
 
     /// Reads the rest of an answer that nobody needs, to keep its connection.
-    pub async fn drain_and_keep(&self, mut lease: EngineLease, mut response: EngineResponse) {
-        let reading = lease.stream.read_whole_body(&mut response.decoder, BUFFERED_BODY_LIMIT);
+    pub async fn drain_and_keep(
+        &self,
+        mut connection: EngineConnection,
+        mut response: EngineResponse,
+    ) {
+        let reading = connection.stream.read_whole_body(&mut response.decoder, BUFFERED_BODY_LIMIT);
         match tokio::time::timeout(DRAIN_TIMEOUT, reading).await {
-            Ok(Ok(Some(_))) => self.keep_or_close(lease, &response),
-            _ => lease.close(),
+            Ok(Ok(Some(_))) => self.keep_or_close(connection, &response),
+            _ => connection.close(),
         }
     }
 
@@ -146,7 +150,7 @@
     /// Passes a stream on event by event, and takes a resumable one up elsewhere when it breaks.
     pub async fn relay_stream(
         &mut self,
-        lease: EngineLease,
+        connection: EngineConnection,
         response: EngineResponse,
         sent_at: ClockMillis,
     ) -> SendOutcome {
@@ -161,29 +165,30 @@
             keep_connection,
         };
         self.status = response.head.status;
-        let mut segment = (lease, response, sent_at);
+        let mut segment = (connection, response, sent_at);
         let mut resumes = 0;
         loop {
-            let (mut lease, mut response, sent_at) = segment;
-            let entry = Arc::clone(&lease.entry);
-            let outcome =
-                self.relay_segment(&mut lease, &mut response.decoder, &mut progress, sent_at).await;
+            let (mut connection, mut response, sent_at) = segment;
+            let entry = Arc::clone(&connection.entry);
+            let outcome = self
+                .relay_segment(&mut connection, &mut response.decoder, &mut progress, sent_at)
+                .await;
             match outcome {
                 SegmentOutcome::Complete => {
                     self.record_complete_run();
-                    self.keep_or_close(lease, &response);
+                    self.keep_or_close(connection, &response);
                     return SendOutcome::Finished(self.end_stream(&mut progress).await, "answered");
                 }
                 SegmentOutcome::ClientGone => {
-                    lease.close();
+                    connection.close();
                     return SendOutcome::Finished(ConnectionAction::Reset, "client_gone");
                 }
                 SegmentOutcome::DeadlineExceeded => {
-                    lease.close();
+                    connection.close();
                     return stream_failure(&progress, "time_over");
                 }
                 SegmentOutcome::Interrupted => {
-                    lease.close();
+                    connection.close();
                     self.handle_broken_run(&entry).await;
                 }
             }
@@ -207,7 +212,7 @@
     /// Passes on what one engine sends of a stream.
     async fn relay_segment(
         &mut self,
-        lease: &mut EngineLease,
+        connection: &mut EngineConnection,
         decoder: &mut BodyDecoder,
         progress: &mut StreamProgress,
         sent_at: ClockMillis,
@@ -216,7 +221,7 @@
         loop {
             let chunk = tokio::select! {
                 biased;
-                chunk = lease.stream.read_body(decoder) => chunk,
+                chunk = connection.stream.read_body(decoder) => chunk,
                 () = self.client.closed(READ_AHEAD_LIMIT) => return SegmentOutcome::ClientGone,
                 () = self.deadline.clone().expired(STREAM_DEADLINE_SLACK) => return SegmentOutcome::DeadlineExceeded,
             };
@@ -226,12 +231,12 @@
                 Err(_) => return SegmentOutcome::Interrupted,
             };
             if std::mem::take(&mut awaiting_first_byte) {
-                lease.record_prefill_done();
+                connection.record_prefill_done();
                 let (time, prompt) =
                     (self.traffic.now().since(sent_at), self.facts.prompt.tokens());
                 self.traffic.record_prefill_time(&self.service, prompt, self.prefill_ahead, time);
                 let delay = self.traffic.now().since(sent_at);
-                self.record_outcome(&lease.entry, EngineOutcome::Answered(delay));
+                self.record_outcome(&connection.entry, EngineOutcome::Answered(delay));
             }
             let events = if progress.resumable {
                 match progress.splitter.push(&data) {
@@ -296,7 +301,7 @@
         &mut self,
         broken: &EngineEntry,
         progress: &StreamProgress,
-    ) -> Option<(EngineLease, EngineResponse, ClockMillis)> {
+    ) -> Option<(EngineConnection, EngineResponse, ClockMillis)> {
         let used_up = self.sent_to.len() >= self.route.attempt_limit.max(1) as usize;
         if used_up || !self.try_spend_resend() {
             return None;
@@ -308,17 +313,17 @@
         let now = self.traffic.now();
         let options = self.connect_options(true);
         let connecting = EnginePool::connect(&self.traffic.pool, &entry, options, now);
-        let mut lease = connecting.await.ok()?;
+        let mut connection = connecting.await.ok()?;
         let Ok(request) =
             self.begin_send(&entry, version, progress.splitter.last_id(), &mut permit)
         else {
-            lease.close();
+            connection.close();
             return None;
         };
         self.traffic.shared.metrics.resumes.inc();
         let dialect = Arc::clone(&self.traffic.shared.dialects.exchange);
         let (method, id) = (self.request.head.method.clone(), self.facts.id.clone());
-        let sending = send_request(&mut lease, &*dialect, &request, &method, &id);
+        let sending = send_request(&mut connection, &*dialect, &request, &method, &id);
         let response = tokio::select! {
             biased;
             response = sending => Some(response),
@@ -334,15 +339,15 @@
                     && response.facts.signed
                     && !self.ran_other_version(&entry, &response, version) =>
             {
-                Some((lease, response, now))
+                Some((connection, response, now))
             }
             Some(Err(_)) => {
-                lease.close();
+                connection.close();
                 self.handle_broken_run(&entry).await;
                 None
             }
             _ => {
-                lease.close();
+                connection.close();
                 None
             }
         }
--- a/crates/gateway/src/traffic/wait.rs
+++ b/crates/gateway/src/traffic/wait.rs
@@ -190,7 +190,7 @@
     fn record_cooldown_wait(&mut self, cooling: CoolingEngines) {
         if let Some(key) = &self.facts.model {
             let mut demand = self.traffic.shared.demand();
-            demand.copies_closed(&self.service, key, cooling.until);
+            demand.copies_closed(&self.service, key, cooling.available_at);
             for engine in &cooling.engines {
                 demand.not_reached(&self.service, engine);
             }
@@ -222,12 +222,12 @@
             remaining: self.deadline.remaining(),
             estimate,
             cooling: self.cooling_engines.as_ref().map(|cooling| CoolingEngine {
-                available_in: cooling.until.since(now),
+                available_in: cooling.available_at.since(now),
                 loadable_elsewhere: cooling.loadable_elsewhere,
             }),
             prefill_time: self.traffic.prefill_time_for(&self.service, self.facts.prompt.tokens()),
             max_event_gap: self.route.max_event_gap,
-            client_retried: self.is_client_retry(),
+            client_retried: self.client_retried(),
         }
     }
 }
