--- a/crates/gateway/src/engines/send.rs
+++ b/crates/gateway/src/engines/send.rs
@@ -71,8 +71,8 @@
     method: &str,
     id: &str,
 ) -> Result<EngineResponse, SendError> {
-    let (mut head, written) = write_and_read(&mut connection.stream, request).await?;
-    let mut reusable = written;
+    let (mut head, fully_written) = write_and_read(&mut connection.stream, request).await?;
+    let mut reusable = fully_written;
     let mut unrelated_announcements = EngineAnnouncements::default();
     for _ in 0..UNRELATED_RESPONSE_LIMIT {
         if matches!(head.status, 100..=199) {
@@ -111,16 +111,16 @@
     let mut write = pin!(writer.write_all(request));
     let mut read = pin!(reader.read_response_head(HEAD_LIMIT));
     let mut write_finished = false;
-    let mut written = false;
+    let mut fully_written = false;
     loop {
         tokio::select! {
             biased;
             outcome = &mut write, if !write_finished => {
                 // When writing fails, an answer may have come before; reading tells.
                 write_finished = true;
-                written = outcome.is_ok();
+                fully_written = outcome.is_ok();
             }
-            head = &mut read => return Ok((head?, written)),
+            head = &mut read => return Ok((head?, fully_written)),
         }
     }
 }
--- a/crates/gateway/src/traffic.rs
+++ b/crates/gateway/src/traffic.rs
@@ -232,10 +232,10 @@
 
     /// Forgets suspects that are old, and counts the others.
     fn update_suspect_metrics(&self, now: ClockMillis) {
-        let mut book = self.shared.quarantine();
-        book.forget_old(now);
-        let (suspects, held) = book.counts();
-        drop(book);
+        let mut quarantine = self.shared.quarantine();
+        quarantine.forget_old(now);
+        let (suspects, held) = quarantine.counts();
+        drop(quarantine);
         let metrics = &self.shared.metrics;
         metrics.suspects.set(i64::try_from(suspects).unwrap_or(i64::MAX));
         metrics.held_requests.set(i64::try_from(held).unwrap_or(i64::MAX));
@@ -328,9 +328,9 @@
 /// Waits until all requests have ended, at most as long as the operator gives.
 async fn drain(traffic: &TrafficState) {
     let max_wait = traffic.shared.profile.bounds.stop_grace.saturating_sub(SHUTDOWN_RESERVE);
-    let began = traffic.now();
+    let started_at = traffic.now();
     loop {
-        let waited = traffic.now().since(began);
+        let waited = traffic.now().since(started_at);
         let open = traffic.shared.open_requests.load(Ordering::Relaxed);
         if waited >= max_wait || (waited >= MIN_DRAIN_TIME && open == 0) {
             return;
--- a/crates/gateway/src/traffic/admission.rs
+++ b/crates/gateway/src/traffic/admission.rs
@@ -20,7 +20,7 @@
 impl Exchange<'_> {
     /// Returns after what time the client should come back where the service carries less than it is asked for and this
     /// request is among those that are not sent on.
-    pub(super) fn admission_refusal(&self) -> Option<Duration> {
+    pub(super) fn admission_retry_after(&self) -> Option<Duration> {
         if !self.traffic.has_no_models(&self.service) {
             return None;
         }
--- a/crates/gateway/src/traffic/deadline.rs
+++ b/crates/gateway/src/traffic/deadline.rs
@@ -15,8 +15,8 @@
 
 impl RequestDeadline {
     /// Sets the deadline of a request that arrived at `arrived` and is worth so much time.
-    pub fn new(clock: &Arc<dyn ClockSource>, arrived: ClockMillis, allowed: Duration) -> Self {
-        Self { clock: Arc::clone(clock), expires_at: arrived + allowed }
+    pub fn new(clock: &Arc<dyn ClockSource>, arrived: ClockMillis, time_limit: Duration) -> Self {
+        Self { clock: Arc::clone(clock), expires_at: arrived + time_limit }
     }
 
     /// Returns what is left of the time.
--- a/crates/gateway/src/traffic/exchange.rs
+++ b/crates/gateway/src/traffic/exchange.rs
@@ -203,11 +203,11 @@
     ) -> Self {
         let PreparedRequest { facts, route, service, organisation, mark, quota_cost, revision } =
             prepared;
-        let allowed = facts.deadline.unwrap_or(route.timeout).min(route.timeout);
+        let time_limit = facts.deadline.unwrap_or(route.timeout).min(route.timeout);
         Self {
             traffic,
             client,
-            deadline: RequestDeadline::new(&traffic.shared.clock, request.arrived, allowed),
+            deadline: RequestDeadline::new(&traffic.shared.clock, request.arrived, time_limit),
             request,
             facts,
             route,
@@ -245,13 +245,13 @@
         if let Some(result) = self.refuse_if_rejected().await {
             return result;
         }
-        if let Some(time) = self.admission_refusal() {
+        if let Some(time) = self.admission_retry_after() {
             return self.refuse_unadmitted(time).await;
         }
         loop {
             match self.pick() {
                 EnginePick::Engine(entry, version) => {
-                    if let Some(time) = self.queue_refusal(&entry) {
+                    if let Some(time) = self.queue_retry_after(&entry) {
                         return self.refuse_long_queue(time).await;
                     }
                     if let Some(result) = self.try_engine(&entry, version).await {
@@ -267,7 +267,7 @@
                             }
                         }
                         WaitOutcome::ClientGone => return (ConnectionAction::Reset, "client_gone"),
-                        WaitOutcome::Refused(time) => return self.refuse_waiting(time).await,
+                        WaitOutcome::Refused(time) => return self.refuse_after_wait(time).await,
                     }
                 }
                 EnginePick::Unavailable => return self.give_up("no_engine").await,
@@ -311,7 +311,7 @@
         entry: &Arc<EngineEntry>,
         version: Option<WeightVersion>,
     ) -> Option<(ConnectionAction, &'static str)> {
-        let began = Instant::now();
+        let started_at = Instant::now();
         match self.send(entry, version).await {
             SendOutcome::Finished(action, outcome) => Some((action, outcome)),
             SendOutcome::Rejected(rejection) => self.handle_rejection(rejection).await,
@@ -322,7 +322,7 @@
             SendOutcome::NotSent => {
                 self.excluded_engines.push(Arc::clone(&entry.name));
                 self.failed_connects += 1;
-                self.slow_connects += u32::from(began.elapsed() >= SLOW_CONNECT_TIME);
+                self.slow_connects += u32::from(started_at.elapsed() >= SLOW_CONNECT_TIME);
                 if self.failed_connects < CONNECT_FAILURE_LIMIT
                     && self.slow_connects < SLOW_CONNECT_LIMIT
                 {
@@ -402,8 +402,8 @@
     /// Returns the rank of the request at engines: its organisation's goes before its route's.
     pub fn priority(&self) -> u8 {
         let organisation = self.organisation.as_ref();
-        let own = organisation.and_then(|organisation| organisation.priority);
-        own.unwrap_or(self.route.priority)
+        let organisation_priority = organisation.and_then(|organisation| organisation.priority);
+        organisation_priority.unwrap_or(self.route.priority)
     }
 
     /// Returns whether the client's connection serves another request after this one.
--- a/crates/gateway/src/traffic/refusal.rs
+++ b/crates/gateway/src/traffic/refusal.rs
@@ -29,7 +29,7 @@
     /// Returns after what time the client should come back where the best engine's queue is too long.
     ///
     /// What was sent before goes on: it may have run.
-    pub(super) fn queue_refusal(&self, entry: &EngineEntry) -> Option<Duration> {
+    pub(super) fn queue_retry_after(&self, entry: &EngineEntry) -> Option<Duration> {
         if self.sends > 0 || self.facts.model.is_none() {
             return None;
         }
@@ -62,7 +62,7 @@
     }
 
     /// Refuses a request for which there was no engine in time.
-    pub(super) async fn refuse_waiting(
+    pub(super) async fn refuse_after_wait(
         &mut self,
         retry_after: Duration,
     ) -> (ConnectionAction, &'static str) {
--- a/crates/gateway/src/traffic/relay.rs
+++ b/crates/gateway/src/traffic/relay.rs
@@ -83,8 +83,8 @@
     /// Keeps the engine's connection if it may serve another request.
     pub fn keep_or_close(&self, connection: EngineConnection, response: &EngineResponse) {
         let clean = !connection.stream.has_unused_bytes() && response.decoder.is_done();
-        let (engine, born) = (&connection.entry.name, connection.entry.incarnation);
-        let departing = self.traffic.shared.departures().is_departing(engine, born);
+        let (engine, incarnation) = (&connection.entry.name, connection.entry.incarnation);
+        let departing = self.traffic.shared.departures().is_departing(engine, incarnation);
         if response.reusable && clean && !departing {
             connection.keep(response.keep_alive(), self.traffic.now());
         } else {
@@ -299,14 +299,14 @@
     /// Takes a broken stream up at another engine, after the last event that the client has.
     async fn resume(
         &mut self,
-        broken: &EngineEntry,
+        interrupted: &EngineEntry,
         progress: &StreamProgress,
     ) -> Option<(EngineConnection, EngineResponse, ClockMillis)> {
-        let used_up = self.sent_to.len() >= self.route.attempt_limit.max(1) as usize;
-        if used_up || !self.try_spend_resend() {
+        let attempts_exhausted = self.sent_to.len() >= self.route.attempt_limit.max(1) as usize;
+        if attempts_exhausted || !self.try_spend_resend() {
             return None;
         }
-        let excluded = [Arc::clone(&broken.name)];
+        let excluded = [Arc::clone(&interrupted.name)];
         let pick = self.pick_for_resume(&excluded).await;
         let EnginePick::Engine(entry, version) = pick else { return None };
         let mut permit = self.acquire_permit(&entry, PermitUse::Resumed)?;
--- a/crates/gateway/src/traffic/wait.rs
+++ b/crates/gateway/src/traffic/wait.rs
@@ -116,7 +116,7 @@
         if !self.must_keep_waiting() {
             return WaitOutcome::PickAgain;
         }
-        let began = self.traffic.now();
+        let started_at = self.traffic.now();
         let mut guard = self.facts.model.clone().map(|key| {
             let tokens = self.facts.prompt.tokens();
             let worth = self.cold_request().worth();
@@ -153,7 +153,7 @@
                 break WaitOutcome::PickAgain;
             }
         };
-        let waited = self.traffic.now().since(began);
+        let waited = self.traffic.now().since(started_at);
         self.waited += waited;
         self.traffic.shared.metrics.load_wait.observe(waited.as_secs_f64());
         if let WaitOutcome::Refused(time) = outcome
