--- a/crates/gateway/src/engines/pool.rs
+++ b/crates/gateway/src/engines/pool.rs
@@ -30,7 +30,7 @@
 const KEEP_ALIVE_FRACTION: f64 = 0.6;
 
 /// Maximum idle time of a connection for a request that must not run twice.
-const FRESH_IDLE_LIMIT: Duration = Duration::from_millis(1500);
+const RECENT_IDLE_LIMIT: Duration = Duration::from_millis(1500);
 
 /// Maximum number of idle connections to one engine.
 const IDLE_CONNECTION_LIMIT: usize = 16;
@@ -145,12 +145,12 @@
     pub fn clean_up(
         &mut self,
         listed: impl Fn(&str) -> bool,
-        takes_requests: impl Fn(&str) -> bool,
+        accepts_requests: impl Fn(&str) -> bool,
         now: ClockMillis,
     ) {
         self.engines.retain(|engine, state| {
-            let keeps = takes_requests(engine);
-            state.idle.retain(|idle| keeps && now < idle.expires_at && idle.stream.is_quiet());
+            let accepts = accepts_requests(engine);
+            state.idle.retain(|idle| accepts && now < idle.expires_at && idle.stream.is_quiet());
             listed(engine) || state.work.open > 0 || state.work_changed
         });
     }
@@ -164,7 +164,7 @@
         let state = self.engines.get_mut(engine)?;
         while let Some(idle) = state.idle.pop() {
             let idle_time = now.since(idle.idle_since);
-            let usable = now < idle.expires_at && (!recent_only || idle_time < FRESH_IDLE_LIMIT);
+            let usable = now < idle.expires_at && (!recent_only || idle_time < RECENT_IDLE_LIMIT);
             if usable && idle.stream.is_quiet() {
                 return Some(idle.stream);
             }
@@ -233,9 +233,9 @@
         now: ClockMillis,
     ) -> std::io::Result<HttpStream> {
         let timeout = pool.borrow().connect_time.timeout();
-        let began = Instant::now();
+        let started_at = Instant::now();
         let connected = HttpStream::connect(entry.address, timeout).await;
-        let time = began.elapsed();
+        let time = started_at.elapsed();
         let mut pool = pool.borrow_mut();
         match connected {
             Ok(stream) => {
--- a/crates/gateway/src/traffic.rs
+++ b/crates/gateway/src/traffic.rs
@@ -259,8 +259,9 @@
         let entries: HashMap<&str, &EngineEntry> =
             entries.map(|entry| (&*entry.name, &**entry)).collect();
         let listed = |engine: &str| entries.contains_key(engine);
-        let takes_requests = |engine: &str| entries.get(engine).is_some_and(|entry| !entry.leaving);
-        self.pool.borrow_mut().clean_up(listed, takes_requests, now);
+        let accepts_requests =
+            |engine: &str| entries.get(engine).is_some_and(|entry| !entry.leaving);
+        self.pool.borrow_mut().clean_up(listed, accepts_requests, now);
         self.absent_copies
             .borrow_mut()
             .retain(|_, reported_at| now.since(*reported_at) < ABSENCE_TTL);
--- a/crates/gateway/src/traffic/admission.rs
+++ b/crates/gateway/src/traffic/admission.rs
@@ -61,8 +61,8 @@
         entry: &EngineEntry,
     ) -> Option<(ConnectionAction, &'static str)> {
         self.excluded_engines.push(Arc::clone(&entry.name));
-        let has_other = matches!(self.pick(), EnginePick::Engine(..));
-        if has_other && self.try_spend_resend() {
+        let other_available = matches!(self.pick(), EnginePick::Engine(..));
+        if other_available && self.try_spend_resend() {
             return None;
         }
         let available = self.traffic.shared.availability().without_limit(entry)
--- a/crates/gateway/src/traffic/attempt.rs
+++ b/crates/gateway/src/traffic/attempt.rs
@@ -117,7 +117,9 @@
             () = self.client.closed(READ_AHEAD_LIMIT) => {
                 connection.close();
                 self.may_have_run = true;
-                if self.traffic.now().since(sent_at) > self.route.latency_target * FIRST_BYTE_TIMEOUT_TARGETS {
+                if self.traffic.now().since(sent_at)
+                    > self.route.latency_target * FIRST_BYTE_TIMEOUT_TARGETS
+                {
                     self.record_outcome(entry, EngineOutcome::FirstByteTimeout);
                 }
                 return SendOutcome::Finished(ConnectionAction::Reset, "client_gone");
@@ -137,7 +139,7 @@
         let Ok(response) = response else {
             connection.close();
             self.may_have_run = true;
-            self.handle_broken_run(entry).await;
+            self.handle_interrupted_run(entry).await;
             return SendOutcome::Failed;
         };
         self.record_announcements(entry, &response, sent_at);
@@ -180,7 +182,7 @@
             Err(outcome) => {
                 connection.close();
                 if matches!(outcome, SendOutcome::Failed) {
-                    self.handle_broken_run(&entry).await;
+                    self.handle_interrupted_run(&entry).await;
                 }
                 return outcome;
             }
--- a/crates/gateway/src/traffic/probe.rs
+++ b/crates/gateway/src/traffic/probe.rs
@@ -62,17 +62,17 @@
         let read = stream.read_request_head(HEAD_LIMIT);
         let Ok(Ok(head)) = tokio::time::timeout(PROBE_IDLE_TIMEOUT, read).await else { return };
         let (status, text) = handler(&traffic, &head);
-        let keeps = head.keeps_connection() && !traffic.shared.is_stopping();
+        let keep_connection = head.keeps_connection() && !traffic.shared.is_stopping();
         let mut response = ResponseHead::new(status);
         response.fields.push("Content-Type", "text/plain; version=0.0.4");
         response.fields.push("Content-Length", text.len().to_string());
-        if !keeps {
+        if !keep_connection {
             response.fields.push("Connection", "close");
         }
         let mut bytes = BytesMut::with_capacity(128 + text.len());
         response.write_to(&mut bytes);
         bytes.extend_from_slice(text.as_bytes());
-        if stream.write(&bytes).await.is_err() || !keeps {
+        if stream.write(&bytes).await.is_err() || !keep_connection {
             return;
         }
     }
--- a/crates/gateway/src/traffic/quarantine.rs
+++ b/crates/gateway/src/traffic/quarantine.rs
@@ -52,7 +52,7 @@
     /// Records that the current run was interrupted and checks whether its engine terminated.
     ///
     /// A retryable request waits for the check: sent at once, it could terminate another engine.
-    pub(super) async fn handle_broken_run(&mut self, entry: &Arc<EngineEntry>) {
+    pub(super) async fn handle_interrupted_run(&mut self, entry: &Arc<EngineEntry>) {
         self.record_outcome(entry, EngineOutcome::Failed);
         let Some(run) = self.current_run.take() else { return };
         let end_check = check_after_failure(self.traffic, entry, run);
--- a/crates/gateway/src/traffic/refusal.rs
+++ b/crates/gateway/src/traffic/refusal.rs
@@ -70,10 +70,12 @@
             // The earlier of a load elsewhere and the client's permit, within its remaining time.
             let load = self.has_load_estimate().then_some(retry_after);
             let time = load.map_or(permit, |load| load.min(permit));
-            let longest = (self.deadline.remaining() / RETRY_AFTER_DIVISOR).max(FULL_RETRY_AFTER);
+            let max_retry_after =
+                (self.deadline.remaining() / RETRY_AFTER_DIVISOR).max(FULL_RETRY_AFTER);
             let text =
                 "the engines take only so many requests; come back after the time in Retry-After";
-            let response = LocalResponse::refusal(text, time.clamp(FULL_RETRY_AFTER, longest));
+            let response =
+                LocalResponse::refusal(text, time.clamp(FULL_RETRY_AFTER, max_retry_after));
             return self.respond(response, "limit_used").await;
         }
         if let Some(cooling) = self.cooling_engines.take().filter(|_| !self.may_have_run) {
--- a/crates/gateway/src/traffic/relay.rs
+++ b/crates/gateway/src/traffic/relay.rs
@@ -76,16 +76,17 @@
             () = self.client.closed(READ_AHEAD_LIMIT) => {
                 Err(SendOutcome::Finished(ConnectionAction::Reset, "client_gone"))
             }
-            () = self.deadline.clone().expired(STREAM_DEADLINE_SLACK) => Err(SendOutcome::DeadlineExceeded),
+            () = self.deadline.clone().expired(STREAM_DEADLINE_SLACK) =>
+                Err(SendOutcome::DeadlineExceeded),
         }
     }
 
     /// Returns the connection to the pool if it can be reused, and closes it otherwise.
     pub fn keep_or_close(&self, connection: EngineConnection, response: &EngineResponse) {
-        let clean = !connection.stream.has_unused_bytes() && response.decoder.is_done();
+        let fully_read = !connection.stream.has_unused_bytes() && response.decoder.is_done();
         let (engine, incarnation) = (&connection.entry.name, connection.entry.incarnation);
         let departing = self.traffic.shared.departures().is_departing(engine, incarnation);
-        if response.reusable && clean && !departing {
+        if response.reusable && fully_read && !departing {
             connection.keep(response.keep_alive(), self.traffic.now());
         } else {
             connection.close();
@@ -135,7 +136,8 @@
         tokio::select! {
             biased;
             written = self.client.write(bytes) => written,
-            () = self.deadline.clone().expired(STREAM_DEADLINE_SLACK) => Err(ErrorKind::TimedOut.into()),
+            () = self.deadline.clone().expired(STREAM_DEADLINE_SLACK) =>
+                Err(ErrorKind::TimedOut.into()),
         }
     }
 
@@ -189,7 +191,7 @@
                 }
                 SegmentOutcome::Interrupted => {
                     connection.close();
-                    self.handle_broken_run(&entry).await;
+                    self.handle_interrupted_run(&entry).await;
                 }
             }
             if progress.pending_head.is_some() {
@@ -223,7 +225,8 @@
                 biased;
                 chunk = connection.stream.read_body(decoder) => chunk,
                 () = self.client.closed(READ_AHEAD_LIMIT) => return SegmentOutcome::ClientGone,
-                () = self.deadline.clone().expired(STREAM_DEADLINE_SLACK) => return SegmentOutcome::DeadlineExceeded,
+                () = self.deadline.clone().expired(STREAM_DEADLINE_SLACK) =>
+                    return SegmentOutcome::DeadlineExceeded,
             };
             let data = match chunk {
                 Ok(Some(data)) => data,
@@ -232,9 +235,14 @@
             };
             if std::mem::take(&mut awaiting_first_byte) {
                 connection.record_prefill_done();
-                let (time, prompt) =
+                let (time, prompt_tokens) =
                     (self.traffic.now().since(sent_at), self.facts.prompt.tokens());
-                self.traffic.record_prefill_time(&self.service, prompt, self.prefill_ahead, time);
+                self.traffic.record_prefill_time(
+                    &self.service,
+                    prompt_tokens,
+                    self.prefill_ahead,
+                    time,
+                );
                 let delay = self.traffic.now().since(sent_at);
                 self.record_outcome(&connection.entry, EngineOutcome::Answered(delay));
             }
@@ -343,7 +351,7 @@
             }
             Some(Err(_)) => {
                 connection.close();
-                self.handle_broken_run(&entry).await;
+                self.handle_interrupted_run(&entry).await;
                 None
             }
             _ => {
