--- a/crates/gateway/src/availability.rs
+++ b/crates/gateway/src/availability.rs
@@ -62,8 +62,8 @@
         }
     }
 
-    /// Returns whether an engine accepts a call without regard to its limit: an order, a report call, or
-    /// a request that holds a permit.
+    /// Returns whether an engine accepts a call without regard to its limit: an order, a report
+    /// call, or a request that holds a permit.
     pub fn without_limit(&self, entry: &EngineEntry) -> EngineAvailability {
         if self.departures.is_departing(&entry.name, entry.incarnation) {
             return EngineAvailability::Departing;
--- a/crates/gateway/src/engines/end_detection.rs
+++ b/crates/gateway/src/engines/end_detection.rs
@@ -1,8 +1,9 @@
 //! Detects whether an engine terminated when its runs were interrupted.
 //!
 //! An interrupted response has many causes, such as a network fault or an engine that closes one
-//! connection. A new connection tells them apart: an engine that refuses it has terminated, one that
-//! accepts it is alive (the connection is kept for the next request), and a timeout shows neither.
+//! connection. A new connection tells them apart: an engine that refuses it has terminated, one
+//! that accepts it is alive (the connection is kept for the next request), and a timeout shows
+//! neither.
 
 use std::{collections::HashMap, io::ErrorKind, rc::Rc, sync::Arc};
 
@@ -32,8 +33,8 @@
 }
 
 impl EndDetector {
-    /// Adds an interrupted run; returns whether it is the first of its engine, and a receiver that is
-    /// closed when the check has finished.
+    /// Adds an interrupted run; returns whether it is the first of its engine, and a receiver that
+    /// is closed when the check has finished.
     fn add(&mut self, engine: &EngineName, run: EndedRun) -> (bool, watch::Receiver<()>) {
         let new = || PendingCheck { runs: Vec::new(), finished: watch::Sender::new(()) };
         let pending = self.pending.entry(Arc::clone(engine)).or_insert_with(new);
--- a/crates/gateway/src/engines/pool.rs
+++ b/crates/gateway/src/engines/pool.rs
@@ -80,8 +80,8 @@
         self.engines.get(engine).map(|state| (state.health.clone(), state.work)).unwrap_or_default()
     }
 
-    /// Returns this host's work, with its open requests by model or adapter, at the engines where it
-    /// has changed since the last call.
+    /// Returns this host's work, with its open requests by model or adapter, at the engines where
+    /// it has changed since the last call.
     pub fn take_changed_work(&mut self) -> Vec<(EngineName, EngineWork, BTreeMap<ModelKey, u32>)> {
         let mut changed = Vec::new();
         for (engine, state) in &mut self.engines {
@@ -118,7 +118,8 @@
         self.halls.get(&entry.hall).is_some_and(|reachability| reachability.is_in_backoff(now))
     }
 
-    /// Returns whether connects are quick in general, so that a failed one indicates a fault of its engine.
+    /// Returns whether connects are quick in general, so that a failed one indicates a fault of its
+    /// engine.
     pub fn connects_quickly(&self) -> bool {
         self.connect_time.is_quick()
     }
@@ -140,8 +141,8 @@
         }
     }
 
-    /// Closes expired connections and those to engines that accept no more requests, and drops engines
-    /// that are not listed.
+    /// Closes expired connections and those to engines that accept no more requests, and drops
+    /// engines that are not listed.
     pub fn clean_up(
         &mut self,
         listed: impl Fn(&str) -> bool,
@@ -174,8 +175,8 @@
 
     /// Returns an idle connection to an engine, or a new one.
     ///
-    /// A request that may run only once gets a connection that was used just now or a
-    /// new one, so that the engine does not close it at the same moment.
+    /// A request that must not run twice gets a recently used or a new connection: the engine might
+    /// close one that has been idle for long at the moment of the send.
     ///
     /// # Errors
     /// Returns the error of a failed connect; nothing was sent.
@@ -254,7 +255,8 @@
 /// Options of a connection for one request.
 #[derive(Debug, Clone)]
 pub struct ConnectOptions {
-    /// Whether an idle connection must have been used recently: for a request that must not run twice.
+    /// Whether an idle connection must have been used recently: for a request that must not run
+    /// twice.
     pub recent_only: bool,
     /// The requested model or adapter.
     pub key: Option<ModelKey>,
--- a/crates/gateway/src/traffic.rs
+++ b/crates/gateway/src/traffic.rs
@@ -144,7 +144,8 @@
         changes
     }
 
-    /// Records the time from a send to the first event, for a prompt with other tokens queued before it.
+    /// Records the time from a send to the first event, for a prompt with other tokens queued
+    /// before it.
     pub fn record_prefill_time(
         &self,
         service: &ServiceName,
@@ -162,7 +163,8 @@
         speeds.get(service).map_or(Duration::ZERO, |speed| speed.time_for(tokens))
     }
 
-    /// Records that an engine reported not to hold a model or adapter, and reports it to the placer.
+    /// Records that an engine reported not to hold a model or adapter, and reports it to the
+    /// placer.
     pub fn record_absence(&self, service: &ServiceName, engine: &EngineName, key: &ModelKey) {
         let copy = (Arc::clone(engine), Arc::clone(key));
         let now = self.now();
--- a/crates/gateway/src/traffic/admission.rs
+++ b/crates/gateway/src/traffic/admission.rs
@@ -54,8 +54,8 @@
 
     /// Handles the refusal of a full backend server; returns `None` if another send may follow.
     ///
-    /// Another server is tried at once. If there is none, the same server is tried once more after a
-    /// delay; further tries would only use up the retry budget.
+    /// Another server is tried at once. If there is none, the same server is tried once more after
+    /// a delay; further tries would only use up the retry budget.
     pub(super) async fn handle_full_server(
         &mut self,
         entry: &EngineEntry,
--- a/crates/gateway/src/traffic/attempt.rs
+++ b/crates/gateway/src/traffic/attempt.rs
@@ -33,8 +33,8 @@
 const FIRST_BYTE_TIMEOUT_TARGETS: u32 = 2;
 
 impl Exchange<'_> {
-    /// Completes once the first byte is overdue and another engine can take the request; the retry is
-    /// then already spent from the budget. Never completes otherwise.
+    /// Completes once the first byte is overdue and another engine can take the request; the retry
+    /// is then already spent from the budget. Never completes otherwise.
     fn first_byte_timeout(&self, entry: &EngineEntry) -> impl Future<Output = ()> + use<> {
         let may_retry = self.route.kind.is_retryable() && self.may_try_other_engine();
         // A request that may have terminated an engine must not run at two engines at a time.
@@ -167,8 +167,8 @@
         let success = (200..300).contains(&response.head.status);
         let other_version = self.ran_other_version(&entry, &response, version);
         if claims_not_run || (success && (!response.facts.signed || other_version)) {
-            // Not relayed: the status would tell the client that the request did not run, the success is
-            // unsigned, or the response was computed with other weights.
+            // Not relayed: the status would tell the client that the request did not run, the
+            // success is unsigned, or the response was computed with other weights.
             connection.close();
             self.record_outcome(&entry, EngineOutcome::Failed);
             return SendOutcome::Failed;
@@ -221,8 +221,8 @@
         requested != ran
     }
 
-    /// Returns the options of a connection for this request; `recent_only` excludes connections that
-    /// have been idle for long.
+    /// Returns the options of a connection for this request; `recent_only` excludes connections
+    /// that have been idle for long.
     pub fn connect_options(&self, recent_only: bool) -> ConnectOptions {
         ConnectOptions {
             recent_only,
@@ -246,7 +246,8 @@
         }
     }
 
-    /// Charges a repeated send to the organisation's quota if an earlier one may have run: each run counts.
+    /// Charges a repeated send to the organisation's quota if an earlier one may have run: each run
+    /// counts.
     fn charge_repeated_run(&self) {
         if let Some(organisation) = self.organisation.as_ref().filter(|_| self.may_have_run) {
             let now = self.traffic.now();
@@ -261,8 +262,8 @@
         reported.max(local.pending_prefill_tokens)
     }
 
-    /// Returns the number of tokens that an engine has to prefill before this request's prompt, which
-    /// is already included in the local count.
+    /// Returns the number of tokens that an engine has to prefill before this request's prompt,
+    /// which is already included in the local count.
     fn pending_prefill_before(&self, entry: &EngineEntry) -> u64 {
         let reported = self.traffic.shared.shared_work().at(&entry.name).pending_prefill_tokens;
         let (_, local) = self.traffic.pool.borrow().health_and_work(&entry.name);
@@ -278,7 +279,8 @@
     ) {
         let shared = &self.traffic.shared;
         if response.unrelated_announcements != EngineAnnouncements::default() {
-            // The send time of the other request is unknown, so missing announcements carry no meaning.
+            // The send time of the other request is unknown, so missing announcements carry no
+            // meaning.
             shared.note_announcements(
                 entry,
                 &response.unrelated_announcements,
--- a/crates/gateway/src/traffic/exchange.rs
+++ b/crates/gateway/src/traffic/exchange.rs
@@ -41,7 +41,8 @@
 /// Delay before a request is sent again to an engine that refused it.
 pub(super) const RETRY_DELAY: Duration = Duration::from_millis(60);
 
-/// Maximum number of slow failed connects of one request: each uses up a part of its latency target.
+/// Maximum number of slow failed connects of one request: each uses up a part of its latency
+/// target.
 const SLOW_CONNECT_LIMIT: u32 = 4;
 
 /// Maximum number of failed connects of one request. Higher than [`SLOW_CONNECT_LIMIT`] because
@@ -78,7 +79,7 @@
 
 /// Outcome of one send.
 pub enum SendOutcome {
-    /// The client has got its response or disconnected.
+    /// The client has got its response or disconnected; with the outcome for logs and metrics.
     Finished(ConnectionAction, &'static str),
     /// Not sent: a check right before the send failed.
     Rejected(SendRejection),
@@ -241,8 +242,8 @@
             let tokens = self.facts.prompt.tokens();
             self.traffic.shared.demand().asked(&self.service, key, tokens);
         }
-        // Checked before admission and before an engine is chosen: a quarantined request can terminate
-        // an engine and everything that it runs.
+        // Checked before admission and before an engine is chosen: a quarantined request can
+        // terminate an engine and everything that it runs.
         if let Some(result) = self.refuse_if_rejected().await {
             return result;
         }
@@ -279,7 +280,8 @@
     /// Picks an engine for the request.
     pub fn pick(&self) -> EnginePick {
         let mut excluded = self.excluded_engines.clone();
-        // Once the route's attempt limit is reached, only engines that have been tried may be retried.
+        // Once the route's attempt limit is reached, only engines that have been tried may be
+        // retried.
         let attempts_exhausted = self.sent_to.len() >= self.route.attempt_limit.max(1) as usize;
         if attempts_exhausted {
             let table = self.traffic.table();
--- a/crates/gateway/src/traffic/permit.rs
+++ b/crates/gateway/src/traffic/permit.rs
@@ -10,7 +10,8 @@
     pick::{EnginePick, EngineRequirements, pick_engine},
 };
 
-/// How long an interrupted stream waits for an engine to resume at; about the gap that streams may have.
+/// How long an interrupted stream waits for an engine to resume at; about the gap that streams may
+/// have.
 const RESUME_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Interval at which an interrupted stream looks for an engine.
@@ -67,8 +68,8 @@
 impl Exchange<'_> {
     /// Takes a permit for a send to an engine; returns `None` if its limit leaves no permit.
     ///
-    /// The permit is taken before connecting: otherwise two requests that chose the engine by the same
-    /// permit would both be sent.
+    /// The permit is taken before connecting: otherwise two requests that chose the engine by the
+    /// same permit would both be sent.
     pub(super) fn acquire_permit(
         &self,
         entry: &EngineEntry,
@@ -121,10 +122,11 @@
         self.traffic.shared.limits().return_time(&wait.engine, hosts, self.traffic.now())
     }
 
-    /// Picks an engine to resume an interrupted stream; waits briefly if all candidates have a limit or
-    /// a cooldown.
+    /// Picks an engine to resume an interrupted stream; waits briefly if all candidates have a
+    /// limit or a cooldown.
     ///
-    /// Resumed streams take precedence over other requests: their clients would lose what they have got.
+    /// Resumed streams take precedence over other requests: their clients would lose what they have
+    /// got.
     pub(super) async fn pick_for_resume(&self, excluded: &[EngineName]) -> EnginePick {
         let requirements = EngineRequirements {
             service: &self.service,
--- a/crates/gateway/src/traffic/pick.rs
+++ b/crates/gateway/src/traffic/pick.rs
@@ -21,7 +21,8 @@
 pub enum EnginePick {
     /// This engine, with the adapter version to run if one is published.
     Engine(Arc<EngineEntry>, Option<WeightVersion>),
-    /// All candidates have a limit and this host has no permit; ordered by the expected time of one.
+    /// All candidates have a limit and this host has no permit; ordered by the expected time of
+    /// one.
     Limited(Vec<Arc<EngineEntry>>),
     /// All candidates are within a cooldown.
     Cooling(CoolingEngines),
@@ -89,8 +90,8 @@
         return EnginePick::Unavailable;
     };
     if !eligible[preferred].permitted {
-        // The request goes to another engine if possible; the recorded demand gets this host a permit
-        // for later ones.
+        // The request goes to another engine if possible; the recorded demand gets this host a
+        // permit for later ones.
         traffic.shared.limits().wish(&eligible[preferred].entry.name, now);
         let (permitted, limited): (Vec<_>, Vec<_>) =
             eligible.into_iter().partition(|eligible| eligible.permitted);
--- a/crates/gateway/src/traffic/preflight.rs
+++ b/crates/gateway/src/traffic/preflight.rs
@@ -39,8 +39,8 @@
 impl Exchange<'_> {
     /// Checks and records a send right before its first byte; returns the bytes to send.
     ///
-    /// Every send goes through here: a request may have waited for a permit or a connection since its
-    /// engine was chosen.
+    /// Every send goes through here: a request may have waited for a permit or a connection since
+    /// its engine was chosen.
     ///
     /// # Errors
     /// Returns why the request is not sent.
--- a/crates/gateway/src/traffic/quarantine.rs
+++ b/crates/gateway/src/traffic/quarantine.rs
@@ -11,7 +11,8 @@
 
 /// How long a retry waits for the check whether its engine terminated.
 ///
-/// A refused connection shows within a round trip, a few milliseconds between data halls of a region.
+/// A refused connection shows within a round trip, a few milliseconds between data halls of a
+/// region.
 const END_CHECK_TIMEOUT: Duration = Duration::from_millis(50);
 
 impl Exchange<'_> {
@@ -57,7 +58,8 @@
         let Some(run) = self.current_run.take() else { return };
         let end_check = check_after_failure(self.traffic, entry, run);
         if self.route.kind.is_retryable() && self.may_try_other_engine() {
-            // Without a result in time the engine counts as alive; a further send shows if it is not.
+            // Without a result in time the engine counts as alive; a further send shows if it is
+            // not.
             let _ = tokio::time::timeout(END_CHECK_TIMEOUT, end_check).await;
         }
     }
--- a/crates/gateway/src/traffic/refusal.rs
+++ b/crates/gateway/src/traffic/refusal.rs
@@ -45,7 +45,8 @@
         request.refusal_retry_after()
     }
 
-    /// Returns whether the client appears to have retried: its deadline is below the route's timeout.
+    /// Returns whether the client appears to have retried: its deadline is below the route's
+    /// timeout.
     pub(super) fn client_retried(&self) -> bool {
         let deadline = self.facts.deadline.unwrap_or(self.route.timeout);
         deadline < self.route.timeout.mul_f64(RETRIED_DEADLINE_FRACTION)
--- a/crates/gateway/src/traffic/relay.rs
+++ b/crates/gateway/src/traffic/relay.rs
@@ -149,7 +149,8 @@
         }
     }
 
-    /// Relays a stream event by event, and resumes an interrupted one at another engine if possible.
+    /// Relays a stream event by event, and resumes an interrupted one at another engine if
+    /// possible.
     pub async fn relay_stream(
         &mut self,
         connection: EngineConnection,
--- a/crates/gateway/src/traffic/request_log.rs
+++ b/crates/gateway/src/traffic/request_log.rs
@@ -54,7 +54,8 @@
         }));
     }
 
-    /// Returns whether the first byte missed the latency target or a gap between events was too long.
+    /// Returns whether the first byte missed the latency target or a gap between events was too
+    /// long.
     fn is_late(&self) -> bool {
         let first_byte = Duration::from_millis(self.first_byte_ms);
         let gap_exceeded =
--- a/crates/gateway/src/traffic/wait.rs
+++ b/crates/gateway/src/traffic/wait.rs
@@ -67,8 +67,8 @@
         }
     }
 
-    /// Keeps counting the request until an available engine holds its adapter, or for at most `time`,
-    /// when its client has retried.
+    /// Keeps counting the request until an available engine holds its adapter, or for at most
+    /// `time`, when its client has retried.
     fn keep_counted_for(self, time: Duration) {
         tokio::task::spawn_local(async move {
             let mut changes = self.traffic.table_changes();
@@ -85,7 +85,7 @@
     }
 }
 
-/// Returns whether an engine that accepts requests from this host holds a model or adapter.
+/// Returns whether any engine that accepts requests from this host holds a model or adapter.
 fn has_available_copy(traffic: &TrafficState, service: &str, key: &str) -> bool {
     let table = traffic.table();
     if !table.copies.contains_key(key) {
@@ -108,8 +108,8 @@
 impl Exchange<'_> {
     /// Waits until an engine can take the request, or until it is refused.
     ///
-    /// The request counts as waiting for its adapter even if only engines without a permit for it hold a
-    /// copy: the placer may load another copy elsewhere.
+    /// The request counts as waiting for its adapter even if only engines without a permit for it
+    /// hold a copy: the placer may load another copy elsewhere.
     pub async fn wait_for_engine(&mut self) -> WaitOutcome {
         let mut changes = self.traffic.table_changes();
         let mut permits = self.traffic.shared.permits.subscribe();
@@ -187,8 +187,8 @@
 
     /// Records that all candidates are within cooldowns and reports it to the placer.
     ///
-    /// The placer then loads another copy at once, and not at these engines if other hosts can't use
-    /// them either.
+    /// The placer then loads another copy at once, and not at these engines if other hosts can't
+    /// use them either.
     fn record_cooldown_wait(&mut self, cooling: CoolingEngines) {
         if let Some(key) = &self.facts.model {
             let mut demand = self.traffic.shared.demand();
