--- a/crates/gateway/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -1,8 +1,8 @@
-//! Connections to engines, and what their answers say.
+//! Connections to engines and the exchange of requests and responses.
 
-pub mod ends;
+pub mod end_detection;
 pub mod pool;
 pub mod send;
 
-pub use pool::{ConnectTerms, EngineLease, EnginePool};
-pub use send::{EngineAnswer, SendFailure, send_request};
+pub use pool::{ConnectOptions, EngineConnection, EnginePool};
+pub use send::{EngineResponse, SendError, send_request};
--- /dev/null
+++ b/crates/gateway/src/engines/end_detection.rs
@@ -0,0 +1,84 @@
+//! Detects whether an engine terminated when its runs were interrupted.
+//!
+//! An interrupted response has many causes, such as a network fault or an engine that closes one
+//! connection. A new connection tells them apart: an engine that refuses it has terminated, one
+//! that accepts it is alive (the connection is kept for the next request), and a timeout shows
+//! neither.
+
+use std::{collections::HashMap, io::ErrorKind, rc::Rc, sync::Arc};
+
+use reelreel_core::fleet::{
+    EngineEntry, EngineName,
+    quarantine::{InterruptedRun, engine_incarnation_id, format_mark},
+};
+use tokio::sync::watch;
+
+use crate::{engines::EnginePool, events::HostEvent, traffic::TrafficState};
+
+/// Maximum number of request marks in a log event.
+const LOGGED_MARK_LIMIT: usize = 8;
+
+/// The interrupted runs of an engine that is being checked.
+#[derive(Debug)]
+struct PendingCheck {
+    runs: Vec<InterruptedRun>,
+    /// Closed when the check has finished, by dropping it.
+    finished: watch::Sender<()>,
+}
+
+/// The interrupted runs of all engines that are being checked.
+#[derive(Debug, Default)]
+pub struct EndDetector {
+    pending: HashMap<EngineName, PendingCheck>,
+}
+
+impl EndDetector {
+    /// Adds an interrupted run; returns whether it is the first of its engine, and a receiver that
+    /// is closed when the check has finished.
+    fn add(&mut self, engine: &EngineName, run: InterruptedRun) -> (bool, watch::Receiver<()>) {
+        let new = || PendingCheck { runs: Vec::new(), finished: watch::Sender::new(()) };
+        let pending = self.pending.entry(Arc::clone(engine)).or_insert_with(new);
+        pending.runs.push(run);
+        (pending.runs.len() == 1, pending.finished.subscribe())
+    }
+}
+
+/// Checks whether an engine terminated after one of its runs was interrupted.
+///
+/// Runs that are interrupted meanwhile share the check. The future completes with the check, which
+/// goes on if the future is dropped.
+pub fn check_after_failure(
+    traffic: &Rc<TrafficState>,
+    entry: &Arc<EngineEntry>,
+    run: InterruptedRun,
+) -> impl Future<Output = ()> + use<> {
+    let (is_first, mut finished) = traffic.end_detector.borrow_mut().add(&entry.name, run);
+    if is_first {
+        tokio::task::spawn_local(reconnect(Rc::clone(traffic), Arc::clone(entry)));
+    }
+    async move { while finished.changed().await.is_ok() {} }
+}
+
+async fn reconnect(traffic: Rc<TrafficState>, entry: Arc<EngineEntry>) {
+    let connected = EnginePool::connect_idle(&traffic.pool, &entry, traffic.now()).await;
+    let Some(mut pending) = traffic.end_detector.borrow_mut().pending.remove(&entry.name) else {
+        return;
+    };
+    if connected.is_err_and(|error| error.kind() == ErrorKind::ConnectionRefused) {
+        pending.runs.sort_by_key(|run| std::cmp::Reverse(run.began));
+        report_engine_end(&traffic, &entry, &pending.runs);
+    }
+}
+
+fn report_engine_end(traffic: &TrafficState, entry: &EngineEntry, runs: &[InterruptedRun]) {
+    let shared = &traffic.shared;
+    let life = engine_incarnation_id(&entry.name, entry.incarnation);
+    shared.quarantine().record_crash(life, runs, traffic.now());
+    shared.wake_control.notify_one();
+    shared.metrics.engines_ended.inc();
+    shared.events.write(HostEvent::EngineEnded {
+        engine: entry.name.to_string(),
+        runs: runs.len(),
+        marks: runs.iter().take(LOGGED_MARK_LIMIT).map(|run| format_mark(run.mark)).collect(),
+    });
+}
--- a/crates/gateway/src/engines/send.rs
+++ b/crates/gateway/src/engines/send.rs
@@ -1,4 +1,4 @@
-//! One request to one engine, up to the head of its answer.
+//! Sends a request to an engine and reads the head of the response.
 
 use std::{pin::pin, time::Duration};
 
@@ -9,36 +9,36 @@
 
 use crate::{
     border::{AnswerFacts, ExchangeDialect},
-    engines::EngineLease,
+    engines::EngineConnection,
 };
 
-/// The longest head of an engine's answer.
+/// Maximum size of a response head.
 const HEAD_LIMIT: usize = 16 * 1024;
 
-/// The longest answer to another request that is read over.
-const STRAY_LIMIT: usize = 256 * 1024;
+/// Maximum size of a response body to another request that is skipped.
+const UNRELATED_BODY_LIMIT: usize = 256 * 1024;
 
-/// How many answers to other requests are read over.
-const MOST_STRAYS: u32 = 3;
+/// Maximum number of response heads that are considered for one request.
+const UNRELATED_RESPONSE_LIMIT: u32 = 3;
 
-/// An engine's answer, its body not read yet.
+/// An engine's response whose body has not been read.
 #[derive(Debug)]
-pub struct EngineAnswer {
-    /// The head.
+pub struct EngineResponse {
+    /// The status and header fields.
     pub head: ResponseHead,
-    /// What the head says.
+    /// Values read from the header fields.
     pub facts: AnswerFacts,
-    /// Cuts the body.
+    /// Decoder of the body.
     pub decoder: BodyDecoder,
-    /// Whether the connection may serve another request once the body is whole.
+    /// Whether the connection can be reused after the body has been read.
     pub reusable: bool,
-    /// What responses to other requests announced that came before this one.
-    pub stray: EngineAnnouncements,
+    /// Announcements of preceding responses to other requests.
+    pub unrelated_announcements: EngineAnnouncements,
 }
 
-impl EngineAnswer {
-    /// Returns how long the engine keeps the connection, where it says so.
-    pub fn kept(&self) -> Option<Duration> {
+impl EngineResponse {
+    /// Returns the keep-alive time that the engine announces.
+    pub fn keep_alive(&self) -> Option<Duration> {
         let value = self.head.fields.text("keep-alive")?;
         let timeout = value.split(',').find_map(|part| part.trim().strip_prefix("timeout="));
         let seconds = timeout.unwrap_or(value).trim().parse().ok()?;
@@ -46,63 +46,63 @@
     }
 }
 
-/// Why there is no answer; the request may have run.
+/// Why there is no response; the request may have run.
 #[derive(Debug, thiserror::Error)]
-pub enum SendFailure {
-    /// The connection failed, or what came is no answer.
+pub enum SendError {
+    /// The connection failed or the response is malformed.
     #[error(transparent)]
     Read(#[from] ReadError),
-    /// Only answers to other requests came.
-    #[error("the engine answered other requests only")]
-    Strays,
+    /// Only responses to other requests were received.
+    #[error("engine sent only responses to other requests")]
+    OnlyUnrelated,
 }
 
-/// Sends a request and reads answers until one belongs to it.
+/// Sends a request and reads responses until one belongs to it.
 ///
-/// The answer is read while the request is still written: an engine may answer before it has read a
-/// long body. Such a connection is not used again.
+/// The response is read while the request is written: an engine may respond before it has read a
+/// long body. Such a connection is not reused.
 ///
 /// # Errors
-/// Returns that no answer came; the request may have run.
+/// Returns why there is no response; the request may have run.
 pub async fn send_request(
-    lease: &mut EngineLease,
+    connection: &mut EngineConnection,
     dialect: &dyn ExchangeDialect,
     request: &Bytes,
     method: &str,
     id: &str,
-) -> Result<EngineAnswer, SendFailure> {
-    let (mut head, written) = write_and_read(&mut lease.stream, request).await?;
-    let mut reusable = written;
-    let mut stray = EngineAnnouncements::default();
-    for _ in 0..MOST_STRAYS {
+) -> Result<EngineResponse, SendError> {
+    let (mut head, fully_written) = write_and_read(&mut connection.stream, request).await?;
+    let mut reusable = fully_written;
+    let mut unrelated_announcements = EngineAnnouncements::default();
+    for _ in 0..UNRELATED_RESPONSE_LIMIT {
         if matches!(head.status, 100..=199) {
-            head = lease.stream.read_response_head(HEAD_LIMIT).await?;
+            head = connection.stream.read_response_head(HEAD_LIMIT).await?;
             continue;
         }
         let framing = BodyFraming::of_response(&head, method).map_err(ReadError::from)?;
         let mut decoder = BodyDecoder::new(framing);
         let facts = dialect.answer_facts(&head);
-        let refusal = facts.not_run || facts.misdirected;
-        let own = facts.id.as_deref().map_or(refusal, |answered| answered == id);
-        if own {
+        let rejected = facts.not_run || facts.misdirected;
+        let matches_request = facts.id.as_deref().map_or(rejected, |response_id| response_id == id);
+        if matches_request {
             reusable &= head.keeps_connection() && framing != BodyFraming::UntilClose;
-            return Ok(EngineAnswer { head, facts, decoder, reusable, stray });
+            return Ok(EngineResponse { head, facts, decoder, reusable, unrelated_announcements });
         }
-        stray = facts.announcements.merged(stray);
+        unrelated_announcements = facts.announcements.merged(unrelated_announcements);
         if framing == BodyFraming::UntilClose || !head.keeps_connection() {
             break;
         }
         reusable = false;
-        let body = lease.stream.read_whole_body(&mut decoder, STRAY_LIMIT).await?;
+        let body = connection.stream.read_whole_body(&mut decoder, UNRELATED_BODY_LIMIT).await?;
         if body.is_none() {
             break;
         }
-        head = lease.stream.read_response_head(HEAD_LIMIT).await?;
+        head = connection.stream.read_response_head(HEAD_LIMIT).await?;
     }
-    Err(SendFailure::Strays)
+    Err(SendError::OnlyUnrelated)
 }
 
-/// Writes the request while reading the first head; returns whether all of it was written.
+/// Writes the request while reading the first head; returns whether the request was fully written.
 async fn write_and_read(
     stream: &mut HttpStream,
     request: &Bytes,
@@ -110,17 +110,17 @@
     let (mut reader, mut writer) = stream.halves();
     let mut write = pin!(writer.write_all(request));
     let mut read = pin!(reader.read_response_head(HEAD_LIMIT));
-    let mut ended = false;
-    let mut written = false;
+    let mut write_finished = false;
+    let mut fully_written = false;
     loop {
         tokio::select! {
             biased;
-            outcome = &mut write, if !ended => {
-                // When writing fails, an answer may have come before; reading tells.
-                ended = true;
-                written = outcome.is_ok();
+            outcome = &mut write, if !write_finished => {
+                // After a failed write there may still be a response to read.
+                write_finished = true;
+                fully_written = outcome.is_ok();
             }
-            head = &mut read => return Ok((head?, written)),
+            head = &mut read => return Ok((head?, fully_written)),
         }
     }
 }
--- /dev/null
+++ b/crates/gateway/src/traffic.rs
@@ -0,0 +1,355 @@
+//! The traffic thread: accepts client connections and routes each request to an engine.
+//!
+//! - [`connection`]: one client connection.
+//! - [`prepare`], [`exchange`]: one request.
+//! - [`pick`]: selection of an engine.
+//! - [`wait`]: waiting for an adapter, a permit or the end of a cooldown.
+//! - [`attempt`]: one send to an engine, after the checks of [`preflight`].
+//! - [`admission`]: load shedding for services without models.
+//! - [`refusal`]: responses without an engine.
+//! - [`quarantine`]: requests whose engines terminated.
+//! - [`relay`], [`stream`]: passing responses and event streams to the client.
+
+pub mod local_response;
+pub mod attempt;
+pub mod preflight;
+pub mod connection;
+pub mod deadline;
+pub mod exchange;
+pub mod forward;
+pub mod relay;
+pub mod permit;
+pub mod pick;
+pub mod admission;
+pub mod prepare;
+pub mod probe;
+pub mod quarantine;
+pub mod request_log;
+pub mod refusal;
+pub mod stream;
+pub mod wait;
+
+use std::{
+    cell::{Cell, RefCell, RefMut},
+    collections::HashMap,
+    net::SocketAddr,
+    rc::Rc,
+    sync::{Arc, atomic::Ordering},
+    time::Duration,
+};
+
+use reelreel_core::{
+    ClockMillis,
+    fleet::{
+        EngineEntry, EngineName, ModelKey, ServiceName, admission::AdmissionController,
+        retry_share::RetryShare,
+    },
+};
+use tokio::{net::TcpListener, runtime::Builder, sync::watch, task::LocalSet};
+
+use crate::{
+    engines::{EnginePool, end_detection::EndDetector},
+    host::SharedState,
+    table::ServingTable,
+};
+
+/// Interval at which expired idle connections and stale state are dropped.
+const CLEANUP_INTERVAL: Duration = Duration::from_secs(1);
+
+/// Interval at which this host's work at engines is reported to the placers.
+///
+/// Well below the load time of an adapter, so that a slot whose last run has ended is soon reused.
+const WORK_REPORT_INTERVAL: Duration = Duration::from_millis(50);
+
+/// Delay before binding to an address in use is retried.
+const BIND_RETRY_DELAY: Duration = Duration::from_millis(100);
+
+/// Maximum number of retries of a bind.
+const BIND_RETRY_LIMIT: u32 = 30;
+
+/// Minimum time that a stopping host keeps serving, for clients that the balancer still sends.
+const MIN_DRAIN_TIME: Duration = Duration::from_millis(2600);
+
+/// Part of the operator's grace period that is not spent on draining.
+const SHUTDOWN_RESERVE: Duration = Duration::from_millis(500);
+
+/// Interval at which a stopping host checks whether it has drained.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
+
+/// How long an engine's report that it lacks a model or adapter overrides the serving table.
+const ABSENCE_TTL: Duration = Duration::from_millis(120);
+
+/// State shared by the tasks of the traffic thread.
+pub struct TrafficState {
+    /// State shared by the host's threads.
+    pub shared: Arc<SharedState>,
+    /// The connections to engines.
+    pub pool: Rc<RefCell<EnginePool>>,
+    /// Interrupted runs, until it is known whether their engine terminated.
+    pub end_detector: RefCell<EndDetector>,
+    /// This host's share of each service's retry budget.
+    retry_shares: RefCell<HashMap<ServiceName, RetryShare>>,
+    /// Admission control of each service without models.
+    pub admissions: RefCell<HashMap<ServiceName, AdmissionController>>,
+    /// Models and adapters that engines reported as not held, with the time of the report.
+    absent_copies: RefCell<HashMap<(EngineName, ModelKey), ClockMillis>>,
+    /// Total size of the buffered request bodies, in bytes.
+    pub body_bytes: Cell<usize>,
+    /// Number of open client connections.
+    pub connections: Cell<usize>,
+    table: watch::Receiver<Arc<ServingTable>>,
+}
+
+impl TrafficState {
+    fn new(shared: Arc<SharedState>) -> Self {
+        let table = shared.table.subscribe();
+        Self {
+            shared,
+            pool: Rc::default(),
+            end_detector: RefCell::default(),
+            retry_shares: RefCell::default(),
+            admissions: RefCell::default(),
+            absent_copies: RefCell::default(),
+            body_bytes: Cell::new(0),
+            connections: Cell::new(0),
+            table,
+        }
+    }
+
+    /// Returns the current time.
+    pub fn now(&self) -> ClockMillis {
+        self.shared.clock.now()
+    }
+
+    /// Returns the current serving table.
+    pub fn table(&self) -> Arc<ServingTable> {
+        Arc::clone(&self.table.borrow())
+    }
+
+    /// Returns whether the host can serve every route, including those that require a key.
+    ///
+    /// A host that can't reports itself as not ready, so that the balancer uses other hosts.
+    pub fn serves_all_routes(&self) -> bool {
+        let serves_keys = self.shared.serves_keys(self.now());
+        let table = self.table();
+        let has_keyed_routes =
+            table.routes.as_ref().is_some_and(|routes| routes.organisations().is_some());
+        table.is_complete() && (serves_keys || !has_keyed_routes)
+    }
+
+    /// Returns a receiver that is notified of the next serving table.
+    pub fn table_changes(&self) -> watch::Receiver<Arc<ServingTable>> {
+        let mut changes = self.table.clone();
+        changes.mark_unchanged();
+        changes
+    }
+
+    /// Records the time from a send to the first event, for a prompt with other tokens queued
+    /// before it.
+    pub fn record_prefill_time(
+        &self,
+        service: &ServiceName,
+        prompt_tokens: u64,
+        tokens_ahead: u64,
+        time: Duration,
+    ) {
+        let mut speeds = self.shared.reading();
+        speeds.entry(Arc::clone(service)).or_default().record(prompt_tokens, tokens_ahead, time);
+    }
+
+    /// Returns the estimated prefill time of a number of tokens at an engine of a service.
+    pub fn prefill_time_for(&self, service: &str, tokens: u64) -> Duration {
+        let speeds = self.shared.reading();
+        speeds.get(service).map_or(Duration::ZERO, |speed| speed.time_for(tokens))
+    }
+
+    /// Records that an engine reported not to hold a model or adapter, and reports it to the
+    /// placer.
+    pub fn record_absence(&self, service: &ServiceName, engine: &EngineName, key: &ModelKey) {
+        let copy = (Arc::clone(engine), Arc::clone(key));
+        let now = self.now();
+        self.absent_copies.borrow_mut().insert(copy, now);
+        self.shared.demand().record_absence(service, engine, key, now);
+        self.shared.wake_control.notify_one();
+    }
+
+    /// Reports to the placer that a connection to an engine failed.
+    ///
+    /// Not reported while connecting is slow in general: the cause may then be this host.
+    pub fn record_unreachable(&self, service: &ServiceName, engine: &EngineName) {
+        if self.pool.borrow().connects_quickly() {
+            self.shared.demand().record_unreachable(service, engine);
+            self.shared.wake_control.notify_one();
+        }
+    }
+
+    /// Returns whether an engine recently reported not to hold a model or adapter.
+    pub fn is_absent(&self, engine: &EngineName, key: &ModelKey) -> bool {
+        let copy = (Arc::clone(engine), Arc::clone(key));
+        let reported_at = self.absent_copies.borrow().get(&copy).copied();
+        reported_at.is_some_and(|reported_at| self.now().since(reported_at) < ABSENCE_TTL)
+    }
+
+    /// Returns whether the engines of a service are backend servers without models.
+    pub fn has_no_models(&self, service: &str) -> bool {
+        let table = self.table();
+        let entry = table.routes.as_ref().and_then(|routes| routes.service(service));
+        entry.is_some_and(|entry| entry.hosting.is_none())
+    }
+
+    /// Spends one retry from this host's share of a service's retry budget.
+    ///
+    /// Returns false if none is left.
+    pub fn try_spend_retry(&self, service: &ServiceName) -> bool {
+        let allowance = &self.shared.profile.bounds.retries;
+        let hosts = self.table().hosts;
+        let spent = self.retry_share(service).try_spend(allowance, hosts, self.now());
+        let metrics = &self.shared.metrics;
+        let counter = if spent { &metrics.retries } else { &metrics.retries_refused };
+        counter.inc();
+        spent
+    }
+
+    /// Returns this host's share of the retry budget of a service.
+    fn retry_share(&self, service: &ServiceName) -> RefMut<'_, RetryShare> {
+        let first_start = self.shared.profile.first_start;
+        let new =
+            || if first_start { RetryShare::with_full_credit() } else { RetryShare::default() };
+        RefMut::map(self.retry_shares.borrow_mut(), |shares| {
+            shares.entry(Arc::clone(service)).or_insert_with(new)
+        })
+    }
+
+    /// Records the first send of a request, which earns a fraction of a retry.
+    pub fn record_request(&self, service: &ServiceName) {
+        self.retry_share(service).record_request(self.now());
+    }
+
+    /// Reports this host's work at engines with models to their placers.
+    fn report_work(&self) {
+        let table = self.table();
+        let Some(routes) = &table.routes else { return };
+        let changed = self.pool.borrow_mut().take_changed_work();
+        if changed.is_empty() {
+            return;
+        }
+        let mut demand = self.shared.demand();
+        for (engine, work, runs) in changed {
+            let mut services = routes.services_with_models();
+            let service = services.find(|service| table.serves(&service.name, &engine));
+            match service {
+                Some(service) => demand.set_engine_work(&service.name, &engine, work, runs),
+                None => demand.forget_engine(&engine),
+            }
+        }
+    }
+
+    /// Drops expired suspects and updates the metrics of the remaining ones.
+    fn update_suspect_metrics(&self, now: ClockMillis) {
+        let mut quarantine = self.shared.quarantine();
+        quarantine.evict_expired(now);
+        let (suspects, held) = quarantine.counts();
+        drop(quarantine);
+        let metrics = &self.shared.metrics;
+        metrics.suspects.set(i64::try_from(suspects).unwrap_or(i64::MAX));
+        metrics.held_requests.set(i64::try_from(held).unwrap_or(i64::MAX));
+    }
+
+    fn clean_up(&self) {
+        let (table, now) = (self.table(), self.now());
+        let entries = table.engines.values().flatten();
+        let entries: HashMap<&str, &EngineEntry> =
+            entries.map(|entry| (&*entry.name, &**entry)).collect();
+        let listed = |engine: &str| entries.contains_key(engine);
+        let accepts_requests =
+            |engine: &str| entries.get(engine).is_some_and(|entry| !entry.leaving);
+        self.pool.borrow_mut().clean_up(listed, accepts_requests, now);
+        self.absent_copies
+            .borrow_mut()
+            .retain(|_, reported_at| now.since(*reported_at) < ABSENCE_TTL);
+        self.update_suspect_metrics(now);
+        let allowance = &self.shared.profile.bounds.retries;
+        for share in self.retry_shares.borrow_mut().values_mut() {
+            share.expire_requests(allowance, now);
+        }
+    }
+}
+
+/// Runs the traffic thread until a planned stop has completed.
+///
+/// # Errors
+/// Returns the error of an address that can't be bound.
+pub fn run_traffic(shared: &Arc<SharedState>) -> std::io::Result<()> {
+    let runtime = Builder::new_current_thread().enable_all().build()?;
+    let local = LocalSet::new();
+    local.block_on(&runtime, run(shared))
+}
+
+async fn run(shared: &Arc<SharedState>) -> std::io::Result<()> {
+    let traffic = Rc::new(TrafficState::new(Arc::clone(shared)));
+    let clients = bind_with_retry(shared.profile.clients).await?;
+    let readiness = bind_with_retry(shared.profile.readiness).await?;
+    match bind_with_retry(shared.profile.metrics).await {
+        Ok(metrics) => {
+            tokio::task::spawn_local(probe::serve_metrics(Rc::clone(&traffic), metrics));
+        }
+        // Requests are served without metrics too.
+        Err(error) => log::warn!("no metrics endpoint at {}: {error}", shared.profile.metrics),
+    }
+    shared.events.write(crate::events::HostEvent::Started {
+        clients: clients.local_addr()?,
+        peers: shared.profile.peers,
+    });
+    tokio::task::spawn_local(connection::accept_clients(Rc::clone(&traffic), clients));
+    tokio::task::spawn_local(probe::serve_readiness(Rc::clone(&traffic), readiness));
+    tokio::task::spawn_local(clean_up_periodically(Rc::clone(&traffic)));
+    tokio::task::spawn_local(report_work_periodically(Rc::clone(&traffic)));
+    let mut stopping = shared.stopping.subscribe();
+    // Can't fail: the shared state holds the sender.
+    let _ = stopping.wait_for(|stopping| *stopping).await;
+    drain(&traffic).await;
+    Ok(())
+}
+
+async fn bind_with_retry(address: SocketAddr) -> std::io::Result<TcpListener> {
+    let mut attempts = 0;
+    loop {
+        match TcpListener::bind(address).await {
+            Err(error)
+                if error.kind() == std::io::ErrorKind::AddrInUse && attempts < BIND_RETRY_LIMIT =>
+            {
+                attempts += 1;
+                tokio::time::sleep(BIND_RETRY_DELAY).await;
+            }
+            outcome => return outcome,
+        }
+    }
+}
+
+async fn report_work_periodically(traffic: Rc<TrafficState>) {
+    loop {
+        tokio::time::sleep(WORK_REPORT_INTERVAL).await;
+        traffic.report_work();
+    }
+}
+
+async fn clean_up_periodically(traffic: Rc<TrafficState>) {
+    loop {
+        tokio::time::sleep(CLEANUP_INTERVAL).await;
+        traffic.clean_up();
+    }
+}
+
+/// Waits until all requests have completed or the grace period is nearly over.
+async fn drain(traffic: &TrafficState) {
+    let max_wait = traffic.shared.profile.bounds.stop_grace.saturating_sub(SHUTDOWN_RESERVE);
+    let started_at = traffic.now();
+    loop {
+        let waited = traffic.now().since(started_at);
+        let open = traffic.shared.open_requests.load(Ordering::Relaxed);
+        if waited >= max_wait || (waited >= MIN_DRAIN_TIME && open == 0) {
+            return;
+        }
+        tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
+    }
+}
--- a/crates/gateway/src/entry/forward.rs
+++ b/crates/gateway/src/traffic/forward.rs
@@ -1,26 +1,26 @@
-//! A client's request as an engine gets it.
+//! Serialization of a client's request for an engine.
 //!
-//! Every send goes through [`forwarded_request`], the first one, a repeat and a stream that goes on
-//! elsewhere alike, so that what a client may not decide is taken out in one place.
+//! Every send goes through [`forwarded_request`], including repeats and resumed streams, so that
+//! header fields which clients must not set are removed in one place.
 
 use bytes::{Bytes, BytesMut};
 use reelreel_http::{HeaderFields, RequestHead};
 
 use crate::{
     border::{ExchangeDialect, SendTerms},
-    entry::exchange::ClientRequest,
+    traffic::exchange::ClientRequest,
 };
 
-/// What a head takes beside the body, so that writing it seldom allocates again. Unit: bytes.
-const USUAL_HEAD: usize = 512;
+/// Buffer capacity reserved for the head, in bytes.
+const TYPICAL_HEAD_BYTES: usize = 512;
 
-/// Writes a request with its method, target and body unaltered and the terms of this send.
+/// Serializes a request with its method, target and body unaltered and the terms of this send.
 pub fn forwarded_request(
     dialect: &dyn ExchangeDialect,
     request: &ClientRequest,
     terms: &SendTerms<'_>,
 ) -> Bytes {
-    let mut fields = passed_fields(dialect, &request.head.fields);
+    let mut fields = forwarded_fields(dialect, &request.head.fields);
     let bodiless = matches!(request.head.method.as_str(), "GET" | "HEAD");
     if !request.body.is_empty() || !bodiless {
         fields.push("Content-Length", request.body.len().to_string());
@@ -32,16 +32,16 @@
         modern: true,
         fields,
     };
-    let mut bytes = BytesMut::with_capacity(USUAL_HEAD + request.body.len());
+    let mut bytes = BytesMut::with_capacity(TYPICAL_HEAD_BYTES + request.body.len());
     head.write_to(&mut bytes);
     bytes.extend_from_slice(&request.body);
     bytes.freeze()
 }
 
-/// Returns the client's fields that an engine gets as they are.
+/// Returns the client's header fields that are forwarded unaltered.
 ///
-/// Fields of the connection, of the body's framing, and those that only the system sets are left out.
-pub fn passed_fields(dialect: &dyn ExchangeDialect, fields: &HeaderFields) -> HeaderFields {
+/// Leaves out hop-by-hop fields, `Content-Length`, and the fields that only the system sets.
+pub fn forwarded_fields(dialect: &dyn ExchangeDialect, fields: &HeaderFields) -> HeaderFields {
     let mut passed = fields.end_to_end();
     passed.remove_all(&["Content-Length"]);
     passed.remove_all(dialect.system_fields());
--- /dev/null
+++ b/crates/gateway/src/traffic/pick.rs
@@ -0,0 +1,274 @@
+//! Selection of an engine for a request.
+
+use std::{sync::Arc, time::Duration};
+
+use reelreel_core::{
+    ClockMillis,
+    fleet::{
+        EngineEntry, EngineName, ModelKey, WeightVersion, adapter_name,
+        engine_choice::{EngineCandidate, choose_engine},
+        health::EngineHealth,
+        limits::share::PermitUse,
+        work::EngineWork,
+    },
+};
+use xxhash_rust::xxh3::xxh3_64;
+
+use crate::{availability::EngineAvailability, table::ServingTable, traffic::TrafficState};
+
+/// Result of selecting an engine.
+#[derive(Debug, Clone)]
+pub enum EnginePick {
+    /// This engine, with the adapter version to run if one is published.
+    Engine(Arc<EngineEntry>, Option<WeightVersion>),
+    /// All candidates have a limit and this host has no permit; ordered by the expected time of
+    /// one.
+    Limited(Vec<Arc<EngineEntry>>),
+    /// All candidates are within a cooldown.
+    Cooling(CoolingEngines),
+    /// No engine holds the requested model or adapter.
+    ColdStart,
+    /// No engine of the service accepts new work.
+    Unavailable,
+}
+
+/// Engines that could run a request after their cooldowns.
+#[derive(Debug, Clone)]
+pub struct CoolingEngines {
+    /// The engines, ordered by the expected end of their cooldowns.
+    pub engines: Vec<EngineName>,
+    /// When the first of them is expected to accept requests again.
+    pub available_at: ClockMillis,
+    /// Whether another engine could load the requested adapter.
+    pub loadable_elsewhere: bool,
+}
+
+/// Requirements of a request on its engine.
+#[derive(Debug, Clone, Copy)]
+pub struct EngineRequirements<'request> {
+    /// The service.
+    pub service: &'request str,
+    /// The model or adapter that the engine must hold.
+    pub key: Option<&'request ModelKey>,
+    /// Engines that must not be picked.
+    pub excluded: &'request [EngineName],
+    /// The request's id, hashed to spread requests over equal candidates.
+    pub id: &'request str,
+    /// The use of a permit: by a new, waiting or resumed request.
+    pub permit_use: PermitUse,
+}
+
+/// An engine that can take a request.
+struct EligibleEngine {
+    entry: Arc<EngineEntry>,
+    version: Option<WeightVersion>,
+    health: EngineHealth,
+    local_work: EngineWork,
+    /// Whether the engine's limit allows this host to send a request now.
+    permitted: bool,
+}
+
+/// Picks the engine for a request.
+pub fn pick_engine(traffic: &TrafficState, requirements: &EngineRequirements<'_>) -> EnginePick {
+    let (table, now) = (traffic.table(), traffic.now());
+    let ready = table.ready_engines(requirements.service).next().is_some();
+    let (mut eligible, cooling) = eligible_engines(traffic, &table, requirements, now);
+    retain_reachable(traffic, requirements.key.is_some(), &mut eligible, now);
+    if !eligible.is_empty() && !cooling.is_empty() {
+        traffic.shared.metrics.cooldown_diverted.inc();
+    }
+    if eligible.is_empty() {
+        if let Some(cooling) = find_cooling_engines(traffic, &table, requirements, cooling, now) {
+            return EnginePick::Cooling(cooling);
+        }
+        let cold = ready && requirements.key.is_some();
+        return if cold { EnginePick::ColdStart } else { EnginePick::Unavailable };
+    }
+    let newest = eligible.iter().map(|eligible| eligible.version).max().flatten();
+    eligible.retain(|eligible| eligible.version == newest);
+    let Some(preferred) = best_index(traffic, &table, requirements, &eligible, now) else {
+        return EnginePick::Unavailable;
+    };
+    if !eligible[preferred].permitted {
+        // The request goes to another engine if possible; the recorded demand gets this host a
+        // permit for later ones.
+        traffic.shared.limits().record_diversion(&eligible[preferred].entry.name, now);
+        let (permitted, limited): (Vec<_>, Vec<_>) =
+            eligible.into_iter().partition(|eligible| eligible.permitted);
+        eligible = permitted;
+        let Some(best) = best_index(traffic, &table, requirements, &eligible, now) else {
+            return EnginePick::Limited(order_by_permit_time(traffic, limited));
+        };
+        traffic.shared.metrics.limit_diverted.inc();
+        return to_pick(&eligible[best]);
+    }
+    to_pick(&eligible[preferred])
+}
+
+fn to_pick(eligible: &EligibleEngine) -> EnginePick {
+    EnginePick::Engine(Arc::clone(&eligible.entry), eligible.version)
+}
+
+/// Returns the engines that meet the requirements and accept work, and those within a cooldown with
+/// the time until they are expected to accept requests.
+fn eligible_engines(
+    traffic: &TrafficState,
+    table: &ServingTable,
+    requirements: &EngineRequirements<'_>,
+    now: ClockMillis,
+) -> (Vec<EligibleEngine>, Vec<(Duration, EngineName)>) {
+    let limit = connection_share(table, requirements.service);
+    let mut availability = traffic.shared.availability();
+    let (mut eligible, mut cooling) = (Vec::new(), Vec::new());
+    for entry in table.ready_engines(requirements.service) {
+        if requirements.excluded.contains(&entry.name) {
+            continue;
+        }
+        let copy = usable_copy(traffic, table, requirements.key, &entry.name, now);
+        let CopyUsability::Usable(version) = copy else { continue };
+        let (health, local_work) = traffic.pool.borrow().health_and_work(&entry.name);
+        if local_work.open < limit {
+            let permitted = match availability.for_request(entry, requirements.permit_use) {
+                EngineAvailability::Available => true,
+                EngineAvailability::Limited => false,
+                EngineAvailability::Departing => continue,
+                EngineAvailability::Cooling(time) => {
+                    cooling.push((time, Arc::clone(&entry.name)));
+                    continue;
+                }
+            };
+            eligible.push(EligibleEngine {
+                entry: Arc::clone(entry),
+                version,
+                health,
+                local_work,
+                permitted,
+            });
+        }
+    }
+    (eligible, cooling)
+}
+
+/// Returns the engines that only a cooldown excludes, or `None` if there are none.
+fn find_cooling_engines(
+    traffic: &TrafficState,
+    table: &ServingTable,
+    requirements: &EngineRequirements<'_>,
+    mut cooling: Vec<(Duration, EngineName)>,
+    now: ClockMillis,
+) -> Option<CoolingEngines> {
+    cooling.sort();
+    let (shortest, _) = cooling.first()?;
+    let available_at = now + *shortest;
+    let availability = traffic.shared.availability();
+    let is_adapter = requirements.key.is_some_and(|key| adapter_name(key).is_some());
+    let mut others = table.ready_engines(requirements.service);
+    let loadable_elsewhere = is_adapter
+        && others.any(|entry| {
+            !requirements.excluded.contains(&entry.name)
+                && availability.without_limit(entry) == EngineAvailability::Available
+        });
+    let engines = cooling.into_iter().map(|(_, engine)| engine).collect();
+    Some(CoolingEngines { engines, available_at, loadable_elsewhere })
+}
+
+/// Retains the reachable engines.
+///
+/// An unreachable engine does not count as holding a model: the request waits, and the placer loads
+/// another copy. Engines without models are retained if none is reachable.
+fn retain_reachable(
+    traffic: &TrafficState,
+    needs_copy: bool,
+    eligible: &mut Vec<EligibleEngine>,
+    now: ClockMillis,
+) {
+    let pool = traffic.pool.borrow();
+    let reachable = |eligible: &EligibleEngine| !pool.is_hall_unreachable(&eligible.entry, now);
+    if needs_copy {
+        eligible.retain(|eligible| !eligible.health.is_in_backoff(now) && reachable(eligible));
+    } else if eligible.iter().any(reachable) {
+        eligible.retain(reachable);
+    }
+}
+
+/// Returns the index of the best engine.
+fn best_index(
+    traffic: &TrafficState,
+    table: &ServingTable,
+    requirements: &EngineRequirements<'_>,
+    eligible: &[EligibleEngine],
+    now: ClockMillis,
+) -> Option<usize> {
+    let shared = traffic.shared.shared_work();
+    let candidates: Vec<EngineCandidate<'_>> = eligible
+        .iter()
+        .map(|eligible| {
+            let reported = shared.get(&eligible.entry.name);
+            let pending_tokens =
+                reported.pending_prefill_tokens.max(eligible.local_work.pending_prefill_tokens);
+            EngineCandidate {
+                entry: &eligible.entry,
+                health: &eligible.health,
+                own_open: eligible.local_work.open,
+                reported_open: reported.open,
+                pending_prefill_time: traffic
+                    .prefill_time_for(requirements.service, pending_tokens),
+            }
+        })
+        .collect();
+    drop(shared);
+    let hall = &traffic.shared.profile.hall;
+    let best =
+        choose_engine(&candidates, hall, xxh3_64(requirements.id.as_bytes()), table.hosts, now)?;
+    eligible.iter().position(|eligible| eligible.entry.name == best)
+}
+
+/// Orders engines with a limit by the length of this host's permit queue.
+fn order_by_permit_time(
+    traffic: &TrafficState,
+    limited: Vec<EligibleEngine>,
+) -> Vec<Arc<EngineEntry>> {
+    let limits = traffic.shared.limits();
+    let mut entries: Vec<Arc<EngineEntry>> =
+        limited.into_iter().map(|eligible| eligible.entry).collect();
+    entries.sort_by(|left, right| {
+        limits.queued_seconds(&left.name).total_cmp(&limits.queued_seconds(&right.name))
+    });
+    entries
+}
+
+/// Returns this host's share of an engine's connection limit.
+fn connection_share(table: &ServingTable, service: &str) -> u32 {
+    let service = table.routes.as_ref().and_then(|routes| routes.service(service));
+    let limit = service.map_or(u32::MAX, |service| service.connection_limit);
+    (limit / table.hosts.max(1)).max(1)
+}
+
+/// Whether an engine's copy of a model or adapter can serve a request.
+enum CopyUsability {
+    /// Usable, with the version to run if one is published.
+    Usable(Option<WeightVersion>),
+    /// Not usable.
+    Unusable,
+}
+
+/// Returns whether an engine's copy of a model or adapter can serve requests.
+///
+/// A version older than the published one is used only for a limited time after the publication.
+fn usable_copy(
+    traffic: &TrafficState,
+    table: &ServingTable,
+    key: Option<&ModelKey>,
+    engine: &EngineName,
+    now: ClockMillis,
+) -> CopyUsability {
+    let Some(key) = key else { return CopyUsability::Usable(None) };
+    let resident_version = match table.loaded_version(key, engine) {
+        Some(resident_version) if !traffic.is_absent(engine, key) => resident_version,
+        _ => return CopyUsability::Unusable,
+    };
+    let Some(published) = table.versions.get(key) else { return CopyUsability::Usable(None) };
+    let usable =
+        published.allows(resident_version, traffic.shared.profile.bounds.version_apply, now);
+    if usable { CopyUsability::Usable(Some(resident_version)) } else { CopyUsability::Unusable }
+}
