--- a/crates/cli/src/host.rs
+++ b/crates/cli/src/host.rs
@@ -41,7 +41,7 @@
         move || {
             for signal in signals.forever() {
                 if signal == SIGHUP {
-                    shared.reloaded(read_settings(&settings_path()).err());
+                    shared.record_reload(read_settings(&settings_path()).err());
                 } else {
                     shared.stop();
                 }
--- a/crates/gateway/examples/path_cost.rs
+++ b/crates/gateway/examples/path_cost.rs
@@ -30,15 +30,15 @@
 /// How many requests go before, so that connections are there.
 const WARM_UP: usize = 20;
 
-struct TimedKind {
+struct RequestKind {
     name: &'static str,
     path: &'static str,
     model: Option<&'static str>,
 }
 
-const KINDS: &[TimedKind] = &[
-    TimedKind { name: "plain", path: "/single/a", model: None },
-    TimedKind { name: "stream", path: "/stream/a", model: Some(MODEL_NAME) },
+const KINDS: &[RequestKind] = &[
+    RequestKind { name: "plain", path: "/single/a", model: None },
+    RequestKind { name: "stream", path: "/stream/a", model: Some(MODEL_NAME) },
 ];
 
 fn main() {
@@ -55,19 +55,19 @@
     }
 }
 
-fn report(kind: &TimedKind, place: &str, address: SocketAddr, engine: &str) {
+fn report(kind: &RequestKind, endpoint: &str, address: SocketAddr, engine: &str) {
     let mut times: Vec<Duration> = (0..WARM_UP + ROUNDS)
-        .map(|number| first_byte(kind, address, engine, &format!("{place}-{number}")))
+        .map(|number| first_byte(kind, address, engine, &format!("{endpoint}-{number}")))
         .skip(WARM_UP)
         .collect();
     times.sort_unstable();
     let median = times[times.len() / 2].as_micros();
     let tail = times[times.len() * 99 / 100].as_micros();
-    println!("{:<8} {place:<8} {median:>9} {tail:>8}", kind.name);
+    println!("{:<8} {endpoint:<8} {median:>9} {tail:>8}", kind.name);
 }
 
 /// Sends one request on a new connection and returns the time to the first byte of its answer.
-fn first_byte(kind: &TimedKind, address: SocketAddr, engine: &str, id: &str) -> Duration {
+fn first_byte(kind: &RequestKind, address: SocketAddr, engine: &str, id: &str) -> Duration {
     let mut socket = TcpStream::connect(address).expect("a connection");
     socket.set_nodelay(true).expect("no delay");
     let model = kind.model.map(|model| format!("X-Model: {model}\r\n")).unwrap_or_default();
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -5,7 +5,7 @@
 use bytes::BytesMut;
 use reelreel_http::{BodyDecoder, BodyFraming, HttpStream, ReadError};
 
-use crate::border::{CallAnswer, CallRequest};
+use crate::codec::{CallRequest, CallResponse};
 
 /// The longest head of an answer.
 const HEAD_LIMIT: usize = 16 * 1024;
@@ -56,7 +56,7 @@
         &mut self,
         request: &CallRequest,
         patience: Duration,
-    ) -> Result<CallAnswer, CallError> {
+    ) -> Result<CallResponse, CallError> {
         let mut stream = match self.kept.take() {
             Some(stream) if stream.is_quiet() => stream,
             _ => HttpStream::connect(self.address, CONNECT_PATIENCE.min(patience))
@@ -80,7 +80,7 @@
     stream: &mut HttpStream,
     address: SocketAddr,
     request: &CallRequest,
-) -> Result<CallAnswer, ReadError> {
+) -> Result<CallResponse, ReadError> {
     let mut head = request.head.clone();
     head.fields.push("Host", address.to_string());
     if !request.body.is_empty() || head.method != "GET" {
@@ -94,5 +94,5 @@
     let framing = BodyFraming::of_response(&head, &request.head.method)?;
     let mut decoder = BodyDecoder::new(framing);
     let body = stream.read_whole_body(&mut decoder, BODY_LIMIT).await?.unwrap_or_default();
-    Ok(CallAnswer { head, body })
+    Ok(CallResponse { head, body })
 }
--- a/crates/gateway/src/border.rs
+++ b/crates/gateway/src/codec.rs
@@ -31,7 +31,7 @@
 
 /// The answer to a call.
 #[derive(Debug, Clone)]
-pub struct CallAnswer {
+pub struct CallResponse {
     /// The head.
     pub head: ResponseHead,
     /// The whole body.
@@ -40,7 +40,7 @@
 
 /// Why an answer could not be read.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum BorderError {
+pub enum CodecError {
     /// The peer refused the call and did nothing.
     #[error("the call was refused with status {0}; it is repeated later")]
     Refused(u16),
@@ -58,7 +58,7 @@
 
 /// What a client's request says beside its route.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct RequestFacts {
+pub struct RequestMetadata {
     /// The attempt's own id.
     pub id: String,
     /// How long the client will wait.
@@ -75,18 +75,18 @@
 
 /// Why a client's request is refused at once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum FactError {
+pub enum RequestError {
     /// It carries no id.
     #[error("the request carries no id; send one that no other attempt carries")]
-    Id,
+    MissingId,
     /// A field is not a number where one is due.
     #[error("a header field is not the number that it should be; write it in decimal digits")]
-    Number,
+    InvalidNumber,
 }
 
 /// What the host adds to a request that it sends to an engine.
 #[derive(Debug, Clone)]
-pub struct SendTerms<'send> {
+pub struct ForwardMetadata<'send> {
     /// The life of the engine that must run it, no other.
     pub engine: &'send str,
     /// What is left of the time.
@@ -103,7 +103,7 @@
 
 /// What an engine's answer says beside its body.
 #[derive(Debug, Clone, PartialEq)]
-pub struct AnswerFacts {
+pub struct ResponseMetadata {
     /// The id of the request that it answers.
     pub id: Option<String>,
     /// Whether the engine promises that the request has not run and will not.
@@ -119,51 +119,51 @@
 }
 
 /// Translates between the host and its clients and engines.
-pub trait ExchangeDialect: Send + Sync {
+pub trait RequestCodec: Send + Sync {
     /// Reads what a client's request says.
     ///
     /// # Errors
     /// Returns why the request is refused.
-    fn request_facts(&self, head: &RequestHead) -> Result<RequestFacts, FactError>;
+    fn decode_request(&self, head: &RequestHead) -> Result<RequestMetadata, RequestError>;
 
     /// Returns the fields of a request that only this system sets: what a client wrote there is
     /// taken out before a request goes to an engine.
-    fn system_fields(&self) -> &'static [&'static str];
+    fn reserved_fields(&self) -> &'static [&'static str];
 
     /// Puts the terms into the header fields of a request that goes to an engine.
     ///
-    /// The fields of [`Self::system_fields`] have been taken out before.
-    fn set_terms(&self, fields: &mut HeaderFields, terms: &SendTerms<'_>);
+    /// The fields of [`Self::reserved_fields`] have been taken out before.
+    fn set_forward_metadata(&self, fields: &mut HeaderFields, terms: &ForwardMetadata<'_>);
 
     /// Reads what an engine's answer says.
-    fn answer_facts(&self, head: &ResponseHead) -> AnswerFacts;
+    fn decode_response(&self, head: &ResponseHead) -> ResponseMetadata;
 
     /// Reads what any response of an engine, also to an order or for a report, announces about it.
-    fn announcements(&self, head: &ResponseHead) -> EngineAnnouncements;
+    fn decode_announcements(&self, head: &ResponseHead) -> EngineAnnouncements;
 
     /// Marks an answer of the host's own as belonging to a request.
-    fn mark_own_answer(&self, fields: &mut HeaderFields, id: &str);
+    fn set_response_id(&self, fields: &mut HeaderFields, id: &str);
 
     /// Returns the path that asks whether the host takes requests.
     fn readiness_path(&self) -> &'static str;
 }
 
 /// Translates between the host and an engine's control side.
-pub trait EngineDialect: Send + Sync {
+pub trait EngineCodec: Send + Sync {
     /// Writes an order.
-    fn order(&self, order: &PlannedOrder, holder: &str, token: FenceToken) -> CallRequest;
+    fn encode_order(&self, order: &PlannedOrder, holder: &str, token: FenceToken) -> CallRequest;
 
     /// Reads the answer to an order.
-    fn order_answer(&self, answer: &CallAnswer) -> OrderAnswer;
+    fn decode_order_response(&self, response: &CallResponse) -> OrderAnswer;
 
     /// Writes a call for a report.
-    fn report(&self, engine: &str) -> CallRequest;
+    fn encode_report_request(&self, engine: &str) -> CallRequest;
 
     /// Reads a report.
     ///
     /// # Errors
     /// Returns that it is none.
-    fn report_answer(&self, answer: &CallAnswer) -> Result<EngineReport, BorderError>;
+    fn decode_report(&self, response: &CallResponse) -> Result<EngineReport, CodecError>;
 }
 
 /// A record of a keyed topic.
@@ -179,7 +179,7 @@
 
 /// A page of the newest record of each key.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct NewestPage {
+pub struct SnapshotPage {
     /// The records of this page.
     pub records: Vec<KeyedRecord>,
     /// Whether more keys follow after the last one.
@@ -201,7 +201,7 @@
 
 /// What the platform deals to a member of a group.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct GroupShare {
+pub struct GroupAssignment {
     /// The era of the store in which this holds.
     pub era: StoreEra,
     /// Rises with every change of the group within an era.
@@ -231,37 +231,42 @@
 }
 
 /// Translates between the host and the platform's store.
-pub trait StoreDialect: Send + Sync {
+pub trait StoreCodec: Send + Sync {
     /// Reads how long the store wants no calls from this host, where a refusal says so.
-    fn cooldown(&self, answer: &CallAnswer) -> Option<Cooldown>;
+    fn decode_cooldown(&self, response: &CallResponse) -> Option<Cooldown>;
 
     /// Reads the era of the store that every answer of it carries, refusals too; zero where it carries none.
-    fn era(&self, answer: &CallAnswer) -> StoreEra;
+    fn decode_era(&self, response: &CallResponse) -> StoreEra;
 
     /// Writes a call for a page of the newest records of a topic.
-    fn newest(&self, topic: KeyedTopic, after: Option<&str>) -> CallRequest;
+    fn encode_snapshot_request(&self, topic: KeyedTopic, after: Option<&str>) -> CallRequest;
 
     /// Reads a page of newest records.
     ///
     /// # Errors
     /// Returns that the store refused, or that the answer is none.
-    fn newest_answer(&self, answer: &CallAnswer) -> Result<NewestPage, BorderError>;
+    fn decode_snapshot_page(&self, response: &CallResponse) -> Result<SnapshotPage, CodecError>;
 
     /// Writes a call for the records from a position on, held until there are some.
-    fn read(&self, topic: KeyedTopic, from: StorePosition, wait: Duration) -> CallRequest;
+    fn encode_read_request(
+        &self,
+        topic: KeyedTopic,
+        from: StorePosition,
+        wait: Duration,
+    ) -> CallRequest;
 
     /// Reads records.
     ///
     /// # Errors
     /// Returns that the store refused, that the records are gone, or that the answer is none.
-    fn read_answer(
+    fn decode_records(
         &self,
         from: StorePosition,
-        answer: &CallAnswer,
-    ) -> Result<RecordBatch, BorderError>;
+        response: &CallResponse,
+    ) -> Result<RecordBatch, CodecError>;
 
     /// Writes a call that joins the group of hosts, or stays in it; `generation` is the last one heard in this era.
-    fn join(
+    fn encode_join(
         &self,
         member: &str,
         time_to_live: Duration,
@@ -272,40 +277,41 @@
     ///
     /// # Errors
     /// Returns that the store refused, or that the answer is none.
-    fn join_answer(&self, answer: &CallAnswer) -> Result<GroupShare, BorderError>;
+    fn decode_assignment(&self, response: &CallResponse) -> Result<GroupAssignment, CodecError>;
 
     /// Writes a call that leaves the group.
-    fn leave(&self, member: &str) -> CallRequest;
+    fn encode_leave(&self, member: &str) -> CallRequest;
 
     /// Writes a call for the holders of all partitions.
-    fn owners(&self) -> CallRequest;
+    fn encode_owners_request(&self) -> CallRequest;
 
     /// Reads the holders, by partition.
     ///
     /// # Errors
     /// Returns that the store refused, or that the answer is none.
-    fn owners_answer(&self, answer: &CallAnswer) -> Result<HashMap<u32, String>, BorderError>;
+    fn decode_owners(&self, response: &CallResponse) -> Result<HashMap<u32, String>, CodecError>;
 
     /// Reads a record of the configuration topic.
     ///
     /// # Errors
     /// Returns that the record can not be read.
-    fn configuration(&self, record: &KeyedRecord) -> Result<ConfigurationRecord, BorderError>;
+    fn decode_configuration(&self, record: &KeyedRecord)
+    -> Result<ConfigurationRecord, CodecError>;
 
     /// Reads an engine's entry.
     ///
     /// # Errors
     /// Returns that the record can not be read.
-    fn engine(&self, record: &KeyedRecord) -> Result<EngineEntry, BorderError>;
+    fn decode_engine(&self, record: &KeyedRecord) -> Result<EngineEntry, CodecError>;
 }
 
 /// Everything that is spoken at the host's borders.
 #[derive(Clone)]
-pub struct BorderDialects {
+pub struct Codecs {
     /// With clients, and with engines about requests.
-    pub exchange: Arc<dyn ExchangeDialect>,
+    pub request: Arc<dyn RequestCodec>,
     /// With engines about what they hold.
-    pub engine: Arc<dyn EngineDialect>,
+    pub engine: Arc<dyn EngineCodec>,
     /// With the platform's store.
-    pub store: Arc<dyn StoreDialect>,
+    pub store: Arc<dyn StoreCodec>,
 }
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -22,7 +22,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::{
-    border::KeyedTopic,
+    codec::KeyedTopic,
     control::{
         membership::{keep_membership, own_member},
         state::ControlState,
@@ -30,8 +30,8 @@
     host::SharedState,
     peers::{client::run_peer_client, feed::run_feed_client, server::run_peer_server},
     store::{
-        Backoff, LONGEST_PAUSE, StoreClient, StorePause,
-        follow::{FollowTerms, READ_WAIT, follow_topic},
+        Backoff, MAX_BACKOFF, StoreBackoff, StoreClient,
+        follow::{FollowOptions, LONG_POLL_WAIT, follow_topic},
         membership::leave,
     },
 };
@@ -122,8 +122,8 @@
     let state = state.borrow();
     let shared = state.shared();
     let calls = shared.metrics.store_calls.clone();
-    let dialect = Arc::clone(&shared.dialects.store);
-    StoreClient::new(dialect, shared.profile.store, calls, state.eras().clone())
+    let dialect = Arc::clone(&shared.codecs.store);
+    StoreClient::new(dialect, shared.profile.store_address, calls, state.eras().clone())
 }
 
 fn backoff(shared: &SharedState, salt: u64) -> Backoff {
@@ -134,25 +134,25 @@
     let shared = Arc::clone(state.borrow().shared());
     let client = store_client(&state);
     let bounds = &shared.profile.bounds;
-    let bound = bounds.revocation;
-    let wait = read_wait(bounds.configuration_apply);
-    let terms = FollowTerms {
+    let bound = bounds.max_revocation_delay;
+    let wait = read_wait(bounds.max_configuration_delay);
+    let terms = FollowOptions {
         topic: KeyedTopic::Configuration,
-        rest: CONFIGURATION_REST,
-        wait: bound.map_or(wait, |bound| (bound / FRESHNESS_PARTS).min(wait)),
+        min_interval: CONFIGURATION_REST,
+        poll_wait: bound.map_or(wait, |bound| (bound / FRESHNESS_PARTS).min(wait)),
         clock: Arc::clone(&shared.clock),
-        longest_pause: reader_pause(&state, bound.is_some()),
+        max_backoff: reader_pause(&state, bound.is_some()),
     };
     let sink = |update| state.borrow_mut().configuration_updated(update);
     let gate = state.borrow().following();
     let returns = state.borrow().store_returns();
-    let pause = StorePause::finding(backoff(&shared, 0x1111), returns);
+    let pause = StoreBackoff::probing(backoff(&shared, 0x1111), returns);
     follow_topic(client, terms, pause, gate, sink).await;
 }
 
 /// Returns how long the store holds a read that tells of changes which are to be in force within `bound`.
 fn read_wait(bound: Duration) -> Duration {
-    (bound / CHANGE_PARTS).min(READ_WAIT)
+    (bound / CHANGE_PARTS).min(LONG_POLL_WAIT)
 }
 
 /// Returns how long a host pauses at most between reads of the configuration that fail: where keys are served by
@@ -161,7 +161,7 @@
     let state = Rc::clone(state);
     Box::new(move || {
         let reads = serves_keys && state.borrow().reads_for_others();
-        if reads { READER_PAUSE } else { LONGEST_PAUSE }
+        if reads { READER_PAUSE } else { MAX_BACKOFF }
     })
 }
 
@@ -170,14 +170,14 @@
     let client = store_client(&state);
     let sink = |update| state.borrow_mut().engines_updated(update);
     let gate = state.borrow().following();
-    let terms = FollowTerms {
+    let terms = FollowOptions {
         topic: KeyedTopic::Engines,
-        rest: ENGINES_REST,
-        wait: read_wait(shared.profile.bounds.leaving_apply),
+        min_interval: ENGINES_REST,
+        poll_wait: read_wait(shared.profile.bounds.max_leaving_delay),
         clock: Arc::clone(&shared.clock),
-        longest_pause: Box::new(|| LONGEST_PAUSE),
+        max_backoff: Box::new(|| MAX_BACKOFF),
     };
     let returns = state.borrow().store_returns();
-    let pause = StorePause::woken(backoff(&shared, 0x2222), returns);
+    let pause = StoreBackoff::passive(backoff(&shared, 0x2222), returns);
     follow_topic(client, terms, pause, gate, sink).await;
 }
--- a/crates/gateway/src/control/domain.rs
+++ b/crates/gateway/src/control/domain.rs
@@ -23,7 +23,7 @@
 use crate::control::plan_lines::{EngineNumbers, change_line, engine_line, read_work};
 use crate::demand::ToldDemand;
 use crate::peers::frame::{
-    ChangeLine, DemandFrame, EncodedFrame, EstimateLine, FrameBody, PlanFrame,
+    DemandFrame, EncodedFrame, EngineChangeMessage, FrameBody, LoadEstimateMessage, PlanFrame,
 };
 
 /// How many frames wait for a slow peer before it is let go.
@@ -198,7 +198,12 @@
             self.spoken = now;
             let (numbers, work) = self.numbers.write(&changed);
             let pace = self.pace.map(Into::into);
-            let frame = PlanFrame { pace, numbers, work, ..self.empty_frame() };
+            let frame = PlanFrame {
+                store_throughput: pace,
+                engine_numbers: numbers,
+                work,
+                ..self.empty_frame()
+            };
             let frame = FrameBody::Plan(frame).encoded();
             self.work_pause = WORK_SECOND.mul_f64(frame.bytes.len() as f64 / WORK_BYTES);
             self.broadcast(&frame);
@@ -237,9 +242,9 @@
             service: self.service.to_string(),
             entries: told.entries.iter().map(Into::into).collect(),
             work: told.work.engines.iter().map(Into::into).collect(),
-            runs: told.work.open_requests.iter().map(Into::into).collect(),
+            open_requests: told.work.open_requests.iter().map(Into::into).collect(),
             absent: told.work.absent.iter().map(Into::into).collect(),
-            unreached: told.work.unreachable.iter().map(ToString::to_string).collect(),
+            unreachable: told.work.unreachable.iter().map(ToString::to_string).collect(),
         };
         placer.try_send(FrameBody::Demand(frame).encoded()).is_ok()
     }
@@ -262,12 +267,12 @@
     }
 
     /// Takes how an engine's holdings changed; an engine that this host was not told of lists what it holds itself.
-    fn adopt_change(&mut self, line: &ChangeLine) {
+    fn adopt_change(&mut self, line: &EngineChangeMessage) {
         let Some(held) = self.plan.get_mut(line.engine.as_str()) else { return };
-        let gained: Vec<LoadedModel> = line.gained.iter().map(Into::into).collect();
+        let gained: Vec<LoadedModel> = line.added.iter().map(Into::into).collect();
         let is_gained = |key: &ModelKey| gained.iter().any(|model| model.key == *key);
         held.retain(|model| {
-            !is_gained(&model.key) && !line.lost.iter().any(|key| **key == *model.key)
+            !is_gained(&model.key) && !line.removed.iter().any(|key| **key == *model.key)
         });
         note_memory(&mut self.memories, &EngineName::from(line.engine.as_str()), &gained);
         held.extend(gained);
@@ -320,22 +325,22 @@
             return false;
         }
         self.plan_token = frame.token;
-        self.pace = frame.pace.as_ref().map(Into::into).or(self.pace);
+        self.pace = frame.store_throughput.as_ref().map(Into::into).or(self.pace);
         for line in &frame.engines {
-            let held: Vec<LoadedModel> = line.held.iter().map(Into::into).collect();
+            let held: Vec<LoadedModel> = line.loaded_models.iter().map(Into::into).collect();
             let engine = EngineName::from(line.engine.as_str());
-            self.lives.insert(Arc::clone(&engine), line.born);
+            self.lives.insert(Arc::clone(&engine), line.incarnation);
             note_memory(&mut self.memories, &engine, &held);
             self.plan.insert(engine, held);
         }
         for line in &frame.changes {
             self.adopt_change(line);
         }
-        for line in &frame.numbers {
+        for line in &frame.engine_numbers {
             self.numbered.insert(line.number, EngineName::from(line.engine.as_str()));
         }
         for line in &frame.estimates {
-            let due = now + Duration::from_millis(u64::from(line.millis));
+            let due = now + Duration::from_millis(u64::from(line.expected_in_ms));
             self.estimates.insert(Arc::from(line.key.as_str()), due);
         }
         self.plan_live = true;
@@ -348,7 +353,7 @@
         let lines = lines.map(|(engine, held)| engine_line(engine, self.born(engine), held));
         let frame = PlanFrame {
             engines: lines.collect(),
-            numbers: self.numbers.lines(),
+            engine_numbers: self.numbers.lines(),
             ..self.empty_frame()
         };
         FrameBody::Plan(frame).encoded()
@@ -400,8 +405,9 @@
         let hosts = self.listeners();
         for subscriber in &mut self.subscribers {
             let lines = subscriber.asked.drain(..).filter_map(|key| estimate(&key));
-            let lines = lines.take(MOST_ESTIMATES).map(|(key, time)| EstimateLine::new(&key, time));
-            let estimates: Vec<EstimateLine> = lines.collect();
+            let lines =
+                lines.take(MOST_ESTIMATES).map(|(key, time)| LoadEstimateMessage::new(&key, time));
+            let estimates: Vec<LoadEstimateMessage> = lines.collect();
             if estimates.is_empty() {
                 continue;
             }
--- a/crates/gateway/src/control/engine_list.rs
+++ b/crates/gateway/src/control/engine_list.rs
@@ -15,8 +15,8 @@
 };
 
 use crate::{
-    border::KeyedRecord, control::state::ControlState, events::HostEvent,
-    peers::engine_lines::EngineUpdate, store::follow::TopicUpdate,
+    codec::KeyedRecord, control::state::ControlState, events::HostEvent,
+    peers::engine_messages::EngineUpdate, store::follow::TopicUpdate,
 };
 
 impl ControlState {
@@ -24,10 +24,10 @@
     pub fn engines_updated(&mut self, update: TopicUpdate) {
         self.note_era();
         self.engine_records.note_reading(&self.shared, "engines", &update);
-        self.note_health(update != TopicUpdate::Away);
+        self.note_health(update != TopicUpdate::Unavailable);
         match update {
-            TopicUpdate::Away => return,
-            TopicUpdate::Whole { records, end, .. } => {
+            TopicUpdate::Unavailable => return,
+            TopicUpdate::Snapshot { records, end, .. } => {
                 let kept = records.iter().map(|record| record.key.as_str()).collect();
                 self.drop_unlisted(&kept, end);
                 self.take_records(&records, Some(end));
@@ -95,7 +95,7 @@
     ) {
         let now = self.shared.clock.now();
         self.withheld.remove(name);
-        let until = self.health.relisting_until(now).max(writing_again.map(|time| now + time));
+        let until = self.health.reregistration_until(now).max(writing_again.map(|time| now + time));
         match (self.engines.get(name), until) {
             (Some(entry), Some(until)) if !entry.leaving => {
                 self.lapsed.insert(Arc::clone(name), until);
@@ -146,7 +146,7 @@
                 self.take_update(gone, whole);
                 continue;
             }
-            let entry = match self.shared.dialects.store.engine(record) {
+            let entry = match self.shared.codecs.store.decode_engine(record) {
                 Ok(entry) => Some(entry),
                 Err(error) => {
                     log::warn!("entry {}: {error}; it names no engine", record.key);
--- a/crates/gateway/src/control/era.rs
+++ b/crates/gateway/src/control/era.rs
@@ -4,11 +4,11 @@
     ClockMillis, StorePosition, clock::duration_millis, fleet::stale_listing::REWRITE_GRACE_PERIOD,
 };
 
-use crate::{control::state::ControlState, events::HostEvent, store::eras::StoreEras};
+use crate::{control::state::ControlState, events::HostEvent, store::era::EraTracker};
 
 impl ControlState {
     /// Returns the newest era of the store that this host has heard of.
-    pub const fn eras(&self) -> &StoreEras {
+    pub const fn eras(&self) -> &EraTracker {
         &self.eras
     }
 
@@ -26,7 +26,7 @@
     /// since. A host that has just started can not know; any peer can, or the operator, who writes again within some seconds. Where the
     /// store never fell, and where a peer answers, nothing is waited for.
     pub(super) fn note_trust(&mut self, now: ClockMillis) {
-        let fell = self.eras.known() > 0;
+        let fell = self.eras.current() > 0;
         let waited = now.since(self.started) >= REWRITE_GRACE_PERIOD;
         if !self.trusted && self.is_complete() && (!fell || self.has_heard_peer() || waited) {
             self.trusted = true;
@@ -36,7 +36,7 @@
 
     /// Takes into account an era of the store that was heard of since the last call.
     pub(super) fn note_era(&mut self) {
-        let heard = self.eras.newest();
+        let heard = self.eras.current_with_source();
         if heard.era == self.noted_era {
             return;
         }
@@ -44,7 +44,7 @@
         let now = self.shared.clock.now();
         let age = self.confirmed_at().map(|moment| duration_millis(now.since(moment)));
         self.shared.metrics.store_era.set(i64::try_from(heard.era).unwrap_or(i64::MAX));
-        let (to, teller) = (heard.era, heard.teller);
+        let (to, teller) = (heard.era, heard.source);
         self.shared.events.write(HostEvent::StoreEra { from, to, teller, age });
     }
 }
--- a/crates/gateway/src/control/feed.rs
+++ b/crates/gateway/src/control/feed.rs
@@ -14,9 +14,9 @@
 use crate::{
     control::state::ControlState,
     events::HostEvent,
-    peers::engine_lines::{EngineUpdate, write_engines},
+    peers::engine_messages::{EngineUpdate, encode_engines},
     peers::frame::{EncodedFrame, FrameBody},
-    peers::state_frames::{OwnerLine, RecordLine, StateFrame},
+    peers::state_frames::{KeyedRecordMessage, PartitionOwnerMessage, StateFrame},
     store::membership::GroupMember,
 };
 
@@ -44,7 +44,7 @@
 
 impl FeedSource {
     /// Takes a record of the configuration that is to be passed on.
-    pub fn configuration_changed(&mut self, record: RecordLine) {
+    pub fn configuration_changed(&mut self, record: KeyedRecordMessage) {
         self.whole = None;
         if !self.followers.is_empty() {
             self.next.configuration.push(record);
@@ -62,7 +62,7 @@
     /// Takes that everything is to be passed on anew.
     pub fn all_changed(&mut self) {
         self.whole = None;
-        self.next.whole = true;
+        self.next.complete = true;
     }
 
     fn send(&mut self, frame: &EncodedFrame, now: ClockMillis) {
@@ -106,7 +106,7 @@
 
     /// Returns the other hosts that read the store, in this host's order of preference.
     pub fn other_readers(&self) -> Vec<SocketAddr> {
-        let own = self.shared.profile.peers;
+        let own = self.shared.profile.peer_address;
         let partitions = reader_partitions(self.shared.profile.partitions);
         let holders = partitions.filter_map(|partition| self.owners.get(&partition));
         let mut readers: Vec<SocketAddr> = holders.map(|holder| holder.address).collect();
@@ -142,7 +142,7 @@
         if let Some(whole) = &self.feed.whole {
             return whole.clone();
         }
-        let frame = StateFrame { confirmed: 0, ..self.state_frame() };
+        let frame = StateFrame { confirmed_at: 0, ..self.state_frame() };
         let whole = FrameBody::State(frame).encoded();
         self.feed.whole = Some(whole.clone());
         whole
@@ -175,12 +175,12 @@
         if !changed && now.since(self.feed.told) < ALIVE_INTERVAL {
             return;
         }
-        let frame = if next.whole {
+        let frame = if next.complete {
             self.state_frame()
         } else {
-            let (names, engines) = write_engines(&engines);
-            let StateFrame { confirmed, era, .. } = self.fresh_frame();
-            StateFrame { confirmed, names, engines, era, ..next }
+            let (names, engines) = encode_engines(&engines);
+            let StateFrame { confirmed_at: confirmed, era, .. } = self.fresh_frame();
+            StateFrame { confirmed_at: confirmed, names, engines, era, ..next }
         };
         self.feed.send(&FrameBody::State(frame).encoded(), now);
     }
@@ -197,10 +197,13 @@
     }
 
     /// Returns who holds which partition, as it goes to a peer.
-    pub fn owner_lines(&self) -> Vec<OwnerLine> {
+    pub fn owner_lines(&self) -> Vec<PartitionOwnerMessage> {
         let lines = self.owners.iter();
         lines
-            .map(|(partition, host)| OwnerLine { partition: *partition, host: host.to_string() })
+            .map(|(partition, host)| PartitionOwnerMessage {
+                partition: *partition,
+                member: host.to_string(),
+            })
             .collect()
     }
 
--- a/crates/gateway/src/control/freshness.rs
+++ b/crates/gateway/src/control/freshness.rs
@@ -5,7 +5,7 @@
 use crate::{
     control::state::ControlState,
     events::HostEvent,
-    peers::state_frames::{ClockLine, StateFrame},
+    peers::state_frames::{ClockMessage, StateFrame},
 };
 
 impl ControlState {
@@ -14,7 +14,7 @@
     /// Called only after what was published holds everything up to that moment.
     pub(super) fn configuration_confirmed(&mut self, moment: ClockMillis) {
         self.freshness.confirm(moment, self.shared.clock.now());
-        self.shared.set_keys_until(self.freshness.keys_valid_until());
+        self.shared.accept_keys_until(self.freshness.keys_valid_until());
         self.tell_freshness();
     }
 
@@ -38,12 +38,12 @@
     /// Returns how new the configuration is that this host passes on.
     pub fn fresh_frame(&self) -> StateFrame {
         let confirmed = self.confirmed_at().map_or(0, ClockMillis::as_millis);
-        StateFrame { confirmed, ..self.era_frame() }
+        StateFrame { confirmed_at: confirmed, ..self.era_frame() }
     }
 
     /// Returns a frame that says nothing but which era of the store this host knows.
     fn era_frame(&self) -> StateFrame {
-        StateFrame { era: self.eras.known(), ..StateFrame::default() }
+        StateFrame { era: self.eras.current(), ..StateFrame::default() }
     }
 
     /// Answers a peer's ask with what this host's clock shows, and nothing of the configuration.
@@ -52,7 +52,7 @@
     }
 
     /// Answers a peer's ask with what this host's clock shows.
-    pub fn clock_line(&self, asked: u64) -> ClockLine {
-        ClockLine { asked, now: self.shared.clock.now().as_millis() }
+    pub fn clock_line(&self, asked: u64) -> ClockMessage {
+        ClockMessage { requested_at: asked, now: self.shared.clock.now().as_millis() }
     }
 }
--- a/crates/gateway/src/control/membership.rs
+++ b/crates/gateway/src/control/membership.rs
@@ -8,8 +8,8 @@
     control::{MEMBERSHIP, SharedControl, backoff, store_client},
     host::SharedState,
     store::{
-        Backoff, LONGEST_PAUSE, StoreClient, StoreError, StorePause,
-        membership::{GroupMember, MembershipUpdate, leave, owners, stay_member},
+        Backoff, MAX_BACKOFF, StoreBackoff, StoreClient, StoreError,
+        membership::{GroupMember, MembershipUpdate, leave, owners, run_membership},
     },
 };
 
@@ -59,17 +59,17 @@
     let shared = Arc::clone(state.borrow().shared());
     let mut client = store_client(&state);
     let returns = state.borrow().store_returns();
-    let mut pause = StorePause::woken(backoff(&shared, 0x4444), returns);
+    let mut pause = StoreBackoff::passive(backoff(&shared, 0x4444), returns);
     let mut spread = backoff(&shared, 0x5555);
-    let time_to_live = MEMBERSHIP.max(shared.profile.shortest_membership);
+    let time_to_live = MEMBERSHIP.max(shared.profile.min_membership_ttl);
     let member = own_member(&shared);
     let unneeded = || shared.profile.capacity.should_leave(state.borrow().strong_members());
     let sink = |update| state.borrow_mut().membership_updated(update);
     loop {
         await_candidacy(&state, &mut client, &mut pause, &mut spread).await;
-        let backoff = backoff(&shared, 0x3333).longest(LONGEST_JOIN_PAUSE);
+        let backoff = backoff(&shared, 0x3333).with_max_delay(LONGEST_JOIN_PAUSE);
         let clock = Arc::clone(&shared.clock);
-        stay_member(&mut client, member, time_to_live, clock, backoff, unneeded, sink).await;
+        run_membership(&mut client, member, time_to_live, clock, backoff, unneeded, sink).await;
         state.borrow_mut().leave_group();
         if let Err(error) = leave(&mut client, member).await {
             log::debug!("leave: {error}");
@@ -80,7 +80,7 @@
 /// Returns this host as a member of the group.
 pub fn own_member(shared: &SharedState) -> GroupMember {
     GroupMember {
-        address: shared.profile.peers,
+        address: shared.profile.peer_address,
         strong: shared.profile.capacity.has_high_capacity(),
     }
 }
@@ -92,7 +92,7 @@
 async fn await_candidacy(
     state: &SharedControl,
     client: &mut StoreClient,
-    pause: &mut StorePause,
+    pause: &mut StoreBackoff,
     spread: &mut Backoff,
 ) {
     let shared = Arc::clone(state.borrow().shared());
@@ -104,10 +104,10 @@
         if !follows || state.borrow().should_join() {
             if let Err(error) = learn_owners(state, client).await {
                 log::debug!("owners: {error}");
-                pause.after_failure(LONGEST_PAUSE).await;
+                pause.wait_after_failure(MAX_BACKOFF).await;
                 continue;
             }
-            pause.succeeded();
+            pause.reset();
             let early = shared.clock.now().since(began) < patience.delay;
             let want = !early && state.borrow().should_join();
             wanted = if want { wanted + 1 } else { 0 };
@@ -115,7 +115,7 @@
                 return;
             }
         }
-        tokio::time::sleep(spread.spread(CANDIDACY_INTERVAL)).await;
+        tokio::time::sleep(spread.jitter(CANDIDACY_INTERVAL)).await;
     }
 }
 
--- a/crates/gateway/src/control/mirror.rs
+++ b/crates/gateway/src/control/mirror.rs
@@ -134,7 +134,7 @@
 
     /// Counts and logs when the store is lost or regained, and how far a whole reading went beside what was known.
     pub fn note_reading(&mut self, shared: &SharedState, what: &'static str, update: &TopicUpdate) {
-        if let TopicUpdate::Whole { records, end, .. } = update {
+        if let TopicUpdate::Snapshot { records, end, .. } = update {
             let event = HostEvent::TopicRead {
                 what: what.into(),
                 records: records.len(),
@@ -145,7 +145,7 @@
             };
             shared.events.write(event);
         }
-        let away = *update == TopicUpdate::Away;
+        let away = *update == TopicUpdate::Unavailable;
         if away {
             shared.metrics.store_failures.inc();
         }
--- a/crates/gateway/src/control/operator.rs
+++ b/crates/gateway/src/control/operator.rs
@@ -8,10 +8,10 @@
 };
 
 use crate::{
-    border::{BorderError, ConfigurationRecord, KeyedRecord},
+    codec::{CodecError, ConfigurationRecord, KeyedRecord},
     control::{domain::PlacementDomain, state::ControlState},
     events::HostEvent,
-    peers::state_frames::RecordLine,
+    peers::state_frames::KeyedRecordMessage,
     store::follow::TopicUpdate,
 };
 
@@ -20,11 +20,11 @@
     pub fn configuration_updated(&mut self, update: TopicUpdate) {
         self.note_era();
         self.configuration.note_reading(&self.shared, "configuration", &update);
-        self.note_health(update != TopicUpdate::Away);
+        self.note_health(update != TopicUpdate::Unavailable);
         let (records, asked) = match update {
-            TopicUpdate::Whole { records, asked, .. } => (records, Some(asked)),
-            TopicUpdate::Records { records, asked } => (records, asked),
-            TopicUpdate::Away => return,
+            TopicUpdate::Snapshot { records, requested_at: asked, .. } => (records, Some(asked)),
+            TopicUpdate::Records { records, requested_at: asked } => (records, asked),
+            TopicUpdate::Unavailable => return,
         };
         self.take_configuration(&records);
         if let Some(asked) = asked {
@@ -36,7 +36,7 @@
         for record in records {
             let known = self.configuration.holds(&record.key, record.position);
             if !known && self.take_operator_record(record) {
-                self.feed.configuration_changed(RecordLine::from(record));
+                self.feed.configuration_changed(KeyedRecordMessage::from(record));
                 self.shared.wake_control.notify_one();
             }
         }
@@ -53,7 +53,7 @@
             self.configuration.take(key, position, None);
             return false;
         }
-        let newer = match self.shared.dialects.store.configuration(record) {
+        let newer = match self.shared.codecs.store.decode_configuration(record) {
             Ok(ConfigurationRecord::Routes(routes)) => self.take_routes(routes, position),
             Ok(ConfigurationRecord::Version(key, version)) => self.take_version(key, version),
             Ok(ConfigurationRecord::Other) => {
@@ -69,12 +69,12 @@
         newer
     }
 
-    fn take_unreadable(&mut self, record: &KeyedRecord, error: &BorderError) -> bool {
+    fn take_unreadable(&mut self, record: &KeyedRecord, error: &CodecError) -> bool {
         let value = Some(record.value.clone());
         let newer = self.configuration.take(&record.key, record.position, value);
         if newer {
             log::warn!("record {}: {error}; the last good one goes on", record.key);
-            if matches!(error, BorderError::Configuration(_)) {
+            if matches!(error, CodecError::Configuration(_)) {
                 self.freshness.newer_unreadable();
             }
         }
--- a/crates/gateway/src/control/orders.rs
+++ b/crates/gateway/src/control/orders.rs
@@ -10,8 +10,8 @@
 };
 
 use crate::{
-    border::CallAnswer,
     call::{CallClient, CallError},
+    codec::CallResponse,
     control::SharedControl,
     events::HostEvent,
     gate::GateVerdict,
@@ -78,20 +78,20 @@
     order: PlannedOrder,
 ) {
     let shared = Arc::clone(state.borrow().shared());
-    let dialect = &shared.dialects.engine;
+    let dialect = &shared.codecs.engine;
     if shared.gate().own_verdict(&order.engine) != GateVerdict::Open {
         let now = shared.clock.now();
         state.borrow_mut().order_answered(&service, token, &order, OrderAnswer::NotSent, now);
         return;
     }
     let mut client = state.borrow_mut().order_clients().take(&order.engine);
-    let call = dialect.order(&order, &shared.profile.name, token);
+    let call = dialect.encode_order(&order, &shared.profile.name, token);
     let began = shared.clock.now();
     shared.count_engine_call(&order.engine.name, EngineCallKind::Order);
     let answer = match client.call(&call, ORDER_PATIENCE).await {
         Ok(answer) => {
             note_announcements(&shared, &order.engine, &answer, began);
-            dialect.order_answer(&answer)
+            dialect.decode_order_response(&answer)
         }
         Err(CallError::NotSent(_)) => OrderAnswer::NotSent,
         Err(CallError::NoAnswer(_) | CallError::TimedOut) => OrderAnswer::Unknown,
@@ -128,16 +128,16 @@
 fn note_announcements(
     shared: &SharedState,
     engine: &EngineEntry,
-    answer: &CallAnswer,
+    answer: &CallResponse,
     sent: ClockMillis,
 ) {
-    let announcements = shared.dialects.exchange.announcements(&answer.head);
-    shared.note_announcements(engine, &announcements, sent, ResponseKind::Other);
+    let announcements = shared.codecs.request.decode_announcements(&answer.head);
+    shared.record_announcements(engine, &announcements, sent, ResponseKind::Other);
 }
 
 async fn ask_report(state: SharedControl, service: ServiceName, engine: Arc<EngineEntry>) {
     let shared = Arc::clone(state.borrow().shared());
-    let dialect = &shared.dialects.engine;
+    let dialect = &shared.codecs.engine;
     if shared.gate().own_verdict(&engine) != GateVerdict::Open {
         if let Some(planner) = state.borrow_mut().planner(&service) {
             planner.handle_report_failure(&engine.name, false);
@@ -146,7 +146,7 @@
     }
     let mut client = state.borrow_mut().order_clients().take(&engine);
     let asked = shared.clock.now();
-    let call = dialect.report(&engine.name);
+    let call = dialect.encode_report_request(&engine.name);
     shared.count_engine_call(&engine.name, EngineCallKind::Report);
     let answer = client.call(&call, REPORT_PATIENCE).await;
     if let Ok(answer) = &answer {
@@ -154,7 +154,7 @@
     }
     // A process that has ended refuses; whatever else fails may be this host's own doing, or its link's.
     let refused = matches!(&answer, Err(CallError::NotSent(error)) if error.kind() == ErrorKind::ConnectionRefused);
-    let report = answer.ok().and_then(|answer| dialect.report_answer(&answer).ok());
+    let report = answer.ok().and_then(|answer| dialect.decode_report(&answer).ok());
     let mut state = state.borrow_mut();
     state.order_clients().keep(&engine.name, client);
     let Some(planner) = state.planner(&service) else { return };
--- a/crates/gateway/src/control/placing.rs
+++ b/crates/gateway/src/control/placing.rs
@@ -188,7 +188,7 @@
         planner.set_versions(&versions);
         planner.set_limits(self.shared.limits().limits());
         planner.set_cooldowns(self.shared.cooldowns().unavailable_engines(now).cloned().collect());
-        if let Some(speed) = self.shared.reading().get(service) {
+        if let Some(speed) = self.shared.prefill_speeds().get(service) {
             planner.set_prefill_speed(speed);
         }
         let actions = planner.plan(token.is_some(), now);
--- a/crates/gateway/src/control/plan_lines.rs
+++ b/crates/gateway/src/control/plan_lines.rs
@@ -6,7 +6,9 @@
     EngineIncarnation, EngineName, LoadedModel, ModelKey, work::EngineWork,
 };
 
-use crate::peers::frame::{ChangeLine, EngineLine, HeldLine, NumberLine};
+use crate::peers::frame::{
+    EngineChangeMessage, EngineModelsMessage, EngineNumberMessage, LoadedModelMessage,
+};
 
 /// How many numbers tell one engine's work: its number, open requests, unread tokens.
 const WORK_FIELDS: usize = 3;
@@ -22,12 +24,12 @@
     pub(super) fn write(
         &mut self,
         work: &[(EngineName, EngineWork)],
-    ) -> (Vec<NumberLine>, Vec<u64>) {
+    ) -> (Vec<EngineNumberMessage>, Vec<u64>) {
         let (mut new, mut written) = (Vec::new(), Vec::with_capacity(work.len() * WORK_FIELDS));
         for (engine, work) in work {
             let next = u32::try_from(self.numbers.len()).unwrap_or(u32::MAX);
             let number = *self.numbers.entry(Arc::clone(engine)).or_insert_with(|| {
-                new.push(NumberLine { number: next, engine: engine.to_string() });
+                new.push(EngineNumberMessage { number: next, engine: engine.to_string() });
                 next
             });
             written.extend([u64::from(number), u64::from(work.open), work.pending_prefill_tokens]);
@@ -36,10 +38,13 @@
     }
 
     /// Returns all numbers, for a host that begins to listen.
-    pub(super) fn lines(&self) -> Vec<NumberLine> {
+    pub(super) fn lines(&self) -> Vec<EngineNumberMessage> {
         let lines = self.numbers.iter();
         lines
-            .map(|(engine, number)| NumberLine { number: *number, engine: engine.to_string() })
+            .map(|(engine, number)| EngineNumberMessage {
+                number: *number,
+                engine: engine.to_string(),
+            })
             .collect()
     }
 }
@@ -49,9 +54,9 @@
     engine: &EngineName,
     born: EngineIncarnation,
     held: &[LoadedModel],
-) -> EngineLine {
-    let held = held.iter().map(HeldLine::from).collect();
-    EngineLine { engine: engine.to_string(), held, born }
+) -> EngineModelsMessage {
+    let held = held.iter().map(LoadedModelMessage::from).collect();
+    EngineModelsMessage { engine: engine.to_string(), loaded_models: held, incarnation: born }
 }
 
 /// Writes what an engine holds beyond what was told of it, and what it holds no more.
@@ -59,14 +64,14 @@
     engine: &EngineName,
     told: &[LoadedModel],
     held: &[LoadedModel],
-) -> ChangeLine {
+) -> EngineChangeMessage {
     let gained = held.iter().filter(|model| !told.contains(model));
     let kept = |key: &ModelKey| held.iter().any(|model| model.key == *key);
     let lost = told.iter().filter(|model| !kept(&model.key));
-    ChangeLine {
+    EngineChangeMessage {
         engine: engine.to_string(),
-        gained: gained.map(HeldLine::from).collect(),
-        lost: lost.map(|model| model.key.to_string()).collect(),
+        added: gained.map(LoadedModelMessage::from).collect(),
+        removed: lost.map(|model| model.key.to_string()).collect(),
     }
 }
 
--- a/crates/gateway/src/control/state.rs
+++ b/crates/gateway/src/control/state.rs
@@ -23,18 +23,18 @@
 use tokio::sync::watch;
 
 use crate::{
-    border::KeyedRecord,
+    codec::KeyedRecord,
     control::{
         domain::PlacementDomain, feed::FeedSource, host_count::HostCount, mirror::TopicMirror,
         orders::OrderClients, sums::SumLane,
     },
     events::HostEvent,
     host::SharedState,
-    peers::engine_lines::{EngineUpdate, read_engines, write_engines},
-    peers::state_frames::{OwnerLine, RecordLine, StateFrame},
+    peers::engine_messages::{EngineUpdate, decode_engines, encode_engines},
+    peers::state_frames::{KeyedRecordMessage, PartitionOwnerMessage, StateFrame},
     store::{
-        StoreReturns,
-        eras::{EraWord, StoreEras},
+        StoreRecoveries,
+        era::{EraStatus, EraTracker},
         health::StoreHealth,
         membership::{GroupMember, MembershipUpdate},
     },
@@ -58,7 +58,7 @@
     /// Until when this host reads the store for others, as far as the group goes.
     pub(super) reads_until: ClockMillis,
     pub(super) health: StoreHealth,
-    pub(super) eras: StoreEras,
+    pub(super) eras: EraTracker,
     heard_peer: bool,
     /// When this host began to read.
     pub(super) started: ClockMillis,
@@ -86,11 +86,11 @@
 impl ControlState {
     /// Starts with nothing known.
     pub fn new(shared: Arc<SharedState>) -> Self {
-        let freshness = ConfigurationFreshness::new(shared.profile.bounds.revocation);
-        shared.set_keys_until(freshness.keys_valid_until());
+        let freshness = ConfigurationFreshness::new(shared.profile.bounds.max_revocation_delay);
+        shared.accept_keys_until(freshness.keys_valid_until());
         let lane = SumLane::new(&shared);
         let started = shared.clock.now();
-        let host_count = HostCount::new(shared.profile.bounds.retries.window);
+        let host_count = HostCount::new(shared.profile.bounds.retry_policy.window);
         Self {
             told_freshness: freshness.state(),
             freshness,
@@ -106,7 +106,7 @@
             owners: HashMap::new(),
             reads_until: ClockMillis::default(),
             health: StoreHealth::default(),
-            eras: StoreEras::default(),
+            eras: EraTracker::default(),
             heard_peer: false,
             started,
             trusted: false,
@@ -135,7 +135,7 @@
     }
 
     /// Returns a receiver that tells when the store has answered again after a failure.
-    pub fn store_returns(&self) -> StoreReturns {
+    pub fn store_returns(&self) -> StoreRecoveries {
         self.store_returns.subscribe()
     }
 
@@ -152,9 +152,9 @@
     pub(super) fn lease_rules(&self) -> LeaseRules {
         let profile = &self.shared.profile;
         LeaseRules {
-            time_to_live: super::MEMBERSHIP.max(profile.shortest_membership),
-            handover_wait: profile.bounds.lease,
-            engines_enforce_fencing: profile.bounds.engines_check_fences,
+            time_to_live: super::MEMBERSHIP.max(profile.min_membership_ttl),
+            handover_wait: profile.bounds.handover_wait,
+            engines_enforce_fencing: profile.bounds.engines_enforce_fencing,
         }
     }
 
@@ -164,17 +164,17 @@
         if answered {
             self.store_answered(now);
         } else {
-            self.health.failed(now);
+            self.health.record_failure(now);
         }
     }
 
     /// Takes that the reader that this host follows has said something.
     pub fn reader_responded(&mut self) {
-        self.health.told_by_reader(self.shared.clock.now());
+        self.health.record_reader_update(self.shared.clock.now());
     }
 
     fn store_answered(&mut self, now: ClockMillis) {
-        if self.health.answered(now) {
+        if self.health.record_response(now) {
             self.store_returns.send_modify(|returns| *returns = returns.wrapping_add(1));
         }
     }
@@ -184,7 +184,7 @@
         self.note_era();
         let now = self.shared.clock.now();
         match update {
-            MembershipUpdate::Joined { share, sent } => {
+            MembershipUpdate::Joined { assignment: share, sent } => {
                 self.store_answered(now);
                 self.dealt(&share.partitions, sent);
                 let token = generation_token(share.era, share.generation);
@@ -195,7 +195,7 @@
             }
             MembershipUpdate::Failed => {
                 self.shared.metrics.store_failures.inc();
-                self.health.failed(now);
+                self.health.record_failure(now);
                 for domain in self.domains.values_mut() {
                     domain.tenure.handle_join_failure(now);
                 }
@@ -229,7 +229,7 @@
 
     /// Returns the members of the group other than this host.
     pub fn other_members(&self) -> Vec<SocketAddr> {
-        let own = self.shared.profile.peers;
+        let own = self.shared.profile.peer_address;
         let members: BTreeSet<SocketAddr> =
             self.owners.values().map(|member| member.address).collect();
         members.into_iter().filter(|member| *member != own).collect()
@@ -237,7 +237,7 @@
 
     /// Returns the services whose plan another host makes, with that host.
     pub fn foreign_placers(&self) -> Vec<(ServiceName, SocketAddr)> {
-        let own = self.shared.profile.peers;
+        let own = self.shared.profile.peer_address;
         let placers = self.domains.values().filter_map(|domain| {
             let placer = self.owners.get(&domain.partition)?.address;
             let foreign = placer != own && !domain.leads;
@@ -263,17 +263,17 @@
 
     /// Returns what this host has read from the store, for a peer that can not.
     pub fn state_frame(&self) -> StateFrame {
-        let (names, engines) = write_engines(&self.listed_engines());
+        let (names, engines) = encode_engines(&self.listed_engines());
         let configuration = self.configuration.records.iter().map(|(key, (position, value))| {
             let (key, value) = (key.clone(), value.clone());
-            RecordLine { key, value, offset: position.offset, era: position.era }
+            KeyedRecordMessage { key, value, offset: position.offset, era: position.era }
         });
         StateFrame {
             configuration: configuration.collect(),
             names,
             engines,
             owners: self.owner_lines(),
-            whole: true,
+            complete: true,
             engines_end: self.engine_records.end().offset,
             engines_era: self.engine_records.end().era,
             ..self.fresh_frame()
@@ -284,28 +284,29 @@
     ///
     /// What a peer says of the present state counts only if it knows the store's newest era; its records have an order of their own.
     pub fn peer_state(&mut self, frame: &StateFrame, peer: SocketAddr, clock: Option<PeerClock>) {
-        let current = self.eras.hear(frame.era, peer.to_string()) == EraWord::Newest;
+        let current = self.eras.observe(frame.era, peer.to_string()) == EraStatus::Current;
         self.note_era();
         let records: Vec<KeyedRecord> = frame.configuration.iter().map(Into::into).collect();
         self.take_configuration(&records);
-        let updates = read_engines(&frame.names, &frame.engines);
+        let updates = decode_engines(&frame.names, &frame.engines);
         let read_to = frame.engines_read_to();
         // A peer that has read nothing yet does not know that there are no engines.
-        let whole = (frame.whole && read_to > StorePosition::default()).then_some(read_to);
+        let whole = (frame.complete && read_to > StorePosition::default()).then_some(read_to);
         self.take_passed_on(updates, whole);
         self.heard_peer |= whole.is_some();
         if current {
             self.take_owners(&frame.owners);
         }
         self.publish();
-        if let Some(clock) = clock.filter(|_| current && frame.confirmed > 0) {
-            let moment = clock.to_local(ClockMillis::from_millis(frame.confirmed));
+        if let Some(clock) = clock.filter(|_| current && frame.confirmed_at > 0) {
+            let moment = clock.to_local(ClockMillis::from_millis(frame.confirmed_at));
             self.configuration_confirmed(moment);
         }
     }
 
-    fn take_owners(&mut self, lines: &[OwnerLine]) {
-        let owner = |line: &OwnerLine| Some((line.partition, line.host.parse().ok()?));
+    fn take_owners(&mut self, lines: &[PartitionOwnerMessage]) {
+        let owner =
+            |line: &PartitionOwnerMessage| Some((line.partition, line.member.parse().ok()?));
         let owners: HashMap<u32, GroupMember> = lines.iter().filter_map(owner).collect();
         if !owners.is_empty() && owners != self.owners {
             self.owners = owners;
--- a/crates/gateway/src/control/sums.rs
+++ b/crates/gateway/src/control/sums.rs
@@ -32,8 +32,8 @@
     },
     host::SharedState,
     peers::{
+        aggregate_frames::{AggregateFrame, HostReportFrame},
         frame::{EncodedFrame, FrameBody},
-        sum_frames::{CountFrame, SumFrame},
     },
     profile::HostProfile,
     store::membership::GroupMember,
@@ -70,7 +70,7 @@
     pub fn stands_in(&self, engine: &str) -> bool {
         let partitions = u64::from(self.profile.partitions.max(1));
         let partition = u32::try_from(xxh3_64(engine.as_bytes()) % partitions).unwrap_or_default();
-        self.owners.get(&partition).is_some_and(|owner| owner.address == self.profile.peers)
+        self.owners.get(&partition).is_some_and(|owner| owner.address == self.profile.peer_address)
     }
 }
 
@@ -86,28 +86,28 @@
     fn resend_all(&mut self);
 
     /// Writes this host's pending reports; returns whether they are due.
-    fn report(&mut self, frame: &mut CountFrame, context: &SumContext<'_>) -> bool;
+    fn report(&mut self, frame: &mut HostReportFrame, context: &SumContext<'_>) -> bool;
 
     /// Takes whether the reports of a frame were sent.
-    fn acknowledge(&mut self, frame: &CountFrame, sent: bool);
+    fn acknowledge(&mut self, frame: &HostReportFrame, sent: bool);
 
     /// Aggregates a host's reports.
-    fn count(&mut self, host: &Arc<str>, frame: &CountFrame, context: &SumContext<'_>);
+    fn count(&mut self, host: &Arc<str>, frame: &HostReportFrame, context: &SumContext<'_>);
 
     /// Writes the whole state for a new subscriber.
-    fn snapshot(&mut self, host: &Arc<str>, frame: &mut SumFrame, context: &SumContext<'_>);
+    fn snapshot(&mut self, host: &Arc<str>, frame: &mut AggregateFrame, context: &SumContext<'_>);
 
     /// Takes that a subscriber has disconnected.
     fn unsubscribed(&mut self, listener: &RemovedSubscriber, context: &SumContext<'_>);
 
     /// Writes what has changed for all subscribers and applies it to this host; `due` asks for what is published regularly.
-    fn publish(&mut self, frame: &mut SumFrame, due: bool, context: &SumContext<'_>);
+    fn publish(&mut self, frame: &mut AggregateFrame, due: bool, context: &SumContext<'_>);
 
     /// Applies what the coordinator has published.
-    fn receive(&mut self, frame: &SumFrame, context: &SumContext<'_>);
+    fn receive(&mut self, frame: &AggregateFrame, context: &SumContext<'_>);
 
     /// Returns frames for single hosts.
-    fn replies(&mut self) -> Vec<(Arc<str>, SumFrame)> {
+    fn replies(&mut self) -> Vec<(Arc<str>, AggregateFrame)> {
         Vec::new()
     }
 
@@ -154,7 +154,7 @@
 
     /// Aggregates the reports of all hosts, this one included, and publishes the result.
     fn add_up(&mut self, domain: &mut PlacementDomain, context: &SumContext<'_>) {
-        let mut own = CountFrame::default();
+        let mut own = HostReportFrame::default();
         for sum in &mut self.sums {
             sum.report(&mut own, context);
             sum.acknowledge(&own, true);
@@ -166,11 +166,11 @@
             }
         }
         let due = context.now.since(self.spoken) >= ALIVE_INTERVAL;
-        let mut frame = SumFrame::default();
+        let mut frame = AggregateFrame::default();
         for sum in &mut self.sums {
             sum.publish(&mut frame, due, context);
         }
-        if due || frame != SumFrame::default() {
+        if due || frame != AggregateFrame::default() {
             self.spoken = context.now;
             domain.broadcast(&encoded_sums(domain, frame));
         }
@@ -183,13 +183,13 @@
     fn report(&mut self, domain: &PlacementDomain, context: &SumContext<'_>) {
         let Some(placer) = &domain.placer else { return };
         let (host, service) = (context.host.to_string(), domain.service.to_string());
-        let mut frame = CountFrame { host, service, ..CountFrame::default() };
+        let mut frame = HostReportFrame { host, service, ..HostReportFrame::default() };
         let mut due = false;
         for sum in &mut self.sums {
             due |= sum.report(&mut frame, context);
         }
         if due {
-            let sent = placer.try_send(FrameBody::Count(frame.clone()).encoded()).is_ok();
+            let sent = placer.try_send(FrameBody::HostReport(frame.clone()).encoded()).is_ok();
             for sum in &mut self.sums {
                 sum.acknowledge(&frame, sent);
             }
@@ -198,10 +198,10 @@
 }
 
 /// Encodes a frame for the subscribers of a domain's placer.
-fn encoded_sums(domain: &PlacementDomain, frame: SumFrame) -> EncodedFrame {
+fn encoded_sums(domain: &PlacementDomain, frame: AggregateFrame) -> EncodedFrame {
     let (service, token) = (domain.service.to_string(), domain.planned_token);
     let hosts = domain.listeners();
-    FrameBody::Sums(SumFrame { service, token, hosts, ..frame }).encoded()
+    FrameBody::Aggregate(AggregateFrame { service, token, hosts, ..frame }).encoded()
 }
 
 impl ControlState {
@@ -249,7 +249,7 @@
     }
 
     /// Aggregates a host's reports, where this one coordinates.
-    pub fn peer_count(&mut self, frame: &CountFrame) {
+    pub fn peer_count(&mut self, frame: &HostReportFrame) {
         let now = self.shared.clock.now();
         let (lane, _, context) = self.sum_parts(now);
         if lane.keeps.as_ref().is_none_or(|(service, _)| **service != *frame.service) {
@@ -269,7 +269,7 @@
         if lane.keeps.as_ref().is_none_or(|(keeps, _)| **keeps != *service) {
             return None;
         }
-        let mut frame = SumFrame::default();
+        let mut frame = AggregateFrame::default();
         for sum in &mut lane.sums {
             sum.snapshot(host, &mut frame, &context);
         }
@@ -277,7 +277,7 @@
     }
 
     /// Applies what the coordinator has published.
-    pub fn sums_received(&mut self, frame: &SumFrame) {
+    pub fn sums_received(&mut self, frame: &AggregateFrame) {
         let now = self.shared.clock.now();
         let adds_up = self.sums_service().is_some_and(|service| *service == *frame.service);
         let domain = self.domains.get(frame.service.as_str());
--- a/crates/gateway/src/control/sums/departures.rs
+++ b/crates/gateway/src/control/sums/departures.rs
@@ -11,8 +11,8 @@
     },
     host::SharedState,
     peers::{
-        departure_lines::DepartureLine,
-        sum_frames::{CountFrame, SumFrame},
+        aggregate_frames::{AggregateFrame, HostReportFrame},
+        departure_messages::DepartureMessage,
     },
 };
 
@@ -27,7 +27,7 @@
         Self { shared }
     }
 
-    fn take_lines(&self, lines: &[DepartureLine], context: &SumContext<'_>) {
+    fn take_lines(&self, lines: &[DepartureMessage], context: &SumContext<'_>) {
         if !lines.is_empty() {
             self.shared.departures().receive(&reports(lines), context.now);
             self.shared.wake_control.notify_one();
@@ -35,11 +35,11 @@
     }
 }
 
-fn reports(lines: &[DepartureLine]) -> Vec<DepartureReport> {
+fn reports(lines: &[DepartureMessage]) -> Vec<DepartureReport> {
     lines.iter().map(Into::into).collect()
 }
 
-fn lines(reports: &[DepartureReport]) -> Vec<DepartureLine> {
+fn lines(reports: &[DepartureReport]) -> Vec<DepartureMessage> {
     reports.iter().map(Into::into).collect()
 }
 
@@ -54,32 +54,32 @@
         self.shared.departures().resend_all();
     }
 
-    fn report(&mut self, frame: &mut CountFrame, context: &SumContext<'_>) -> bool {
+    fn report(&mut self, frame: &mut HostReportFrame, context: &SumContext<'_>) -> bool {
         frame.departures = lines(&self.shared.departures().take_pending(context.now));
         !frame.departures.is_empty()
     }
 
-    fn acknowledge(&mut self, frame: &CountFrame, sent: bool) {
+    fn acknowledge(&mut self, frame: &HostReportFrame, sent: bool) {
         if !sent {
             self.shared.departures().resend(&reports(&frame.departures));
         }
     }
 
-    fn count(&mut self, _: &Arc<str>, frame: &CountFrame, context: &SumContext<'_>) {
+    fn count(&mut self, _: &Arc<str>, frame: &HostReportFrame, context: &SumContext<'_>) {
         self.take_lines(&frame.departures, context);
     }
 
-    fn snapshot(&mut self, _: &Arc<str>, frame: &mut SumFrame, context: &SumContext<'_>) {
+    fn snapshot(&mut self, _: &Arc<str>, frame: &mut AggregateFrame, context: &SumContext<'_>) {
         frame.departures = lines(&self.shared.departures().snapshot(context.now));
     }
 
     fn unsubscribed(&mut self, _: &RemovedSubscriber, _: &SumContext<'_>) {}
 
-    fn publish(&mut self, frame: &mut SumFrame, _: bool, context: &SumContext<'_>) {
+    fn publish(&mut self, frame: &mut AggregateFrame, _: bool, context: &SumContext<'_>) {
         frame.departures = lines(&self.shared.departures().take_unpublished(context.now));
     }
 
-    fn receive(&mut self, frame: &SumFrame, context: &SumContext<'_>) {
+    fn receive(&mut self, frame: &AggregateFrame, context: &SumContext<'_>) {
         self.take_lines(&frame.departures, context);
     }
 }
--- a/crates/gateway/src/control/sums/limits.rs
+++ b/crates/gateway/src/control/sums/limits.rs
@@ -18,8 +18,8 @@
     events::HostEvent,
     host::SharedState,
     peers::{
-        limit_lines::read_limits,
-        sum_frames::{CountFrame, SumFrame},
+        aggregate_frames::{AggregateFrame, HostReportFrame},
+        limit_messages::decode_limits,
     },
 };
 
@@ -39,10 +39,10 @@
 }
 
 /// Reads what a host reports to the ledger.
-fn update(frame: &CountFrame) -> LimitUpdate {
+fn update(frame: &HostReportFrame) -> LimitUpdate {
     LimitUpdate {
-        reports: read_limits(&frame.limits),
-        demands: frame.asks.iter().map(Into::into).collect(),
+        reports: decode_limits(&frame.limits),
+        demands: frame.permit_demands.iter().map(Into::into).collect(),
     }
 }
 
@@ -61,20 +61,20 @@
         self.shared.limits().resend_all();
     }
 
-    fn report(&mut self, frame: &mut CountFrame, context: &SumContext<'_>) -> bool {
+    fn report(&mut self, frame: &mut HostReportFrame, context: &SumContext<'_>) -> bool {
         let update = self.shared.limits().take_pending(context.now);
         frame.limits = update.reports.iter().map(Into::into).collect();
-        frame.asks = update.demands.iter().map(Into::into).collect();
+        frame.permit_demands = update.demands.iter().map(Into::into).collect();
         update != LimitUpdate::default()
     }
 
-    fn acknowledge(&mut self, frame: &CountFrame, sent: bool) {
+    fn acknowledge(&mut self, frame: &HostReportFrame, sent: bool) {
         if !sent {
             self.shared.limits().resend(&update(frame));
         }
     }
 
-    fn count(&mut self, host: &Arc<str>, frame: &CountFrame, context: &SumContext<'_>) {
+    fn count(&mut self, host: &Arc<str>, frame: &HostReportFrame, context: &SumContext<'_>) {
         let Some(ledger) = &mut self.ledger else { return };
         let LimitUpdate { reports, demands } = update(frame);
         for report in &reports {
@@ -85,7 +85,7 @@
         }
     }
 
-    fn snapshot(&mut self, host: &Arc<str>, frame: &mut SumFrame, context: &SumContext<'_>) {
+    fn snapshot(&mut self, host: &Arc<str>, frame: &mut AggregateFrame, context: &SumContext<'_>) {
         if let Some(ledger) = &mut self.ledger {
             ledger.reset_host(host);
             frame.limits = ledger.snapshot(context.now).iter().map(Into::into).collect();
@@ -99,7 +99,7 @@
         self.granted.remove(&listener.host);
     }
 
-    fn publish(&mut self, frame: &mut SumFrame, _: bool, context: &SumContext<'_>) {
+    fn publish(&mut self, frame: &mut AggregateFrame, _: bool, context: &SumContext<'_>) {
         let Some(ledger) = &mut self.ledger else { return };
         let now = context.now;
         ledger.retain(|engine| context.active_life(engine));
@@ -121,20 +121,20 @@
         }
     }
 
-    fn replies(&mut self) -> Vec<(Arc<str>, SumFrame)> {
+    fn replies(&mut self) -> Vec<(Arc<str>, AggregateFrame)> {
         let granted = std::mem::take(&mut self.granted).into_iter();
-        let frame = |grants: Vec<PermitGrant>| SumFrame {
+        let frame = |grants: Vec<PermitGrant>| AggregateFrame {
             grants: grants.iter().map(Into::into).collect(),
-            ..SumFrame::default()
+            ..AggregateFrame::default()
         };
         granted.map(|(host, grants)| (host, frame(grants))).collect()
     }
 
-    fn receive(&mut self, frame: &SumFrame, context: &SumContext<'_>) {
+    fn receive(&mut self, frame: &AggregateFrame, context: &SumContext<'_>) {
         let grants: Vec<PermitGrant> = frame.grants.iter().map(Into::into).collect();
         let mut share = self.shared.limits();
         share.record_ledger_frame(context.now);
-        for report in read_limits(&frame.limits) {
+        for report in decode_limits(&frame.limits) {
             share.receive(&report, context.now);
         }
         let changed = share.receive_grants(&grants, context.now) || !frame.limits.is_empty();
--- a/crates/gateway/src/control/sums/quotas.rs
+++ b/crates/gateway/src/control/sums/quotas.rs
@@ -17,7 +17,7 @@
         sums::{FleetSum, SumContext},
     },
     host::SharedState,
-    peers::sum_frames::{CountFrame, QuotaFrame, SumFrame},
+    peers::aggregate_frames::{AggregateFrame, HostReportFrame, QuotaLevelsMessage},
     profile::OperatorBounds,
 };
 
@@ -37,8 +37,8 @@
 impl KeptLedger {
     /// Begins a ledger, whose accounts open full where its host may.
     fn new(bounds: &OperatorBounds, opens_full: bool) -> Self {
-        let silent_serves = bounds.revocation.unwrap_or(bounds.quota.window);
-        let quotas = QuotaLedger::new(bounds.quota, silent_serves, opens_full);
+        let silent_serves = bounds.max_revocation_delay.unwrap_or(bounds.quota_tolerance.window);
+        let quotas = QuotaLedger::new(bounds.quota_tolerance, silent_serves, opens_full);
         Self { quotas, revision: None }
     }
 
@@ -90,7 +90,7 @@
 
     fn resend_all(&mut self) {}
 
-    fn report(&mut self, frame: &mut CountFrame, context: &SumContext<'_>) -> bool {
+    fn report(&mut self, frame: &mut HostReportFrame, context: &SumContext<'_>) -> bool {
         if !has_quotas(context) {
             return false;
         }
@@ -102,21 +102,21 @@
         due
     }
 
-    fn acknowledge(&mut self, frame: &CountFrame, sent: bool) {
+    fn acknowledge(&mut self, frame: &HostReportFrame, sent: bool) {
         if sent {
             let told: Vec<QuotaUsage> = frame.usage.iter().map(Into::into).collect();
             self.shared.quotas().acknowledge(&told);
         }
     }
 
-    fn count(&mut self, host: &Arc<str>, frame: &CountFrame, context: &SumContext<'_>) {
+    fn count(&mut self, host: &Arc<str>, frame: &HostReportFrame, context: &SumContext<'_>) {
         if let Some(ledger) = &mut self.ledger {
             let used: Vec<QuotaUsage> = frame.usage.iter().map(Into::into).collect();
             ledger.quotas.record_usage(host, &used, context.now);
         }
     }
 
-    fn snapshot(&mut self, host: &Arc<str>, _: &mut SumFrame, context: &SumContext<'_>) {
+    fn snapshot(&mut self, host: &Arc<str>, _: &mut AggregateFrame, context: &SumContext<'_>) {
         if let Some(ledger) = &mut self.ledger {
             ledger.quotas.mark_reachable(host, context.now);
         }
@@ -131,7 +131,7 @@
         }
     }
 
-    fn publish(&mut self, frame: &mut SumFrame, due: bool, context: &SumContext<'_>) {
+    fn publish(&mut self, frame: &mut AggregateFrame, due: bool, context: &SumContext<'_>) {
         let Some(ledger) = self.ledger.as_mut().filter(|_| has_quotas(context)) else { return };
         ledger.follow(context.routes, context.now);
         let named = ledger.quotas.low_levels(context.now);
@@ -139,13 +139,14 @@
         let soon = !named.is_empty() && context.now.since(self.spread) >= QUOTA_PAUSE;
         if due || soon {
             self.spread = context.now;
-            frame.quotas = Some(QuotaFrame { named: named.iter().map(Into::into).collect() });
+            frame.quotas =
+                Some(QuotaLevelsMessage { levels: named.iter().map(Into::into).collect() });
         }
     }
 
-    fn receive(&mut self, frame: &SumFrame, context: &SumContext<'_>) {
+    fn receive(&mut self, frame: &AggregateFrame, context: &SumContext<'_>) {
         if let Some(quotas) = &frame.quotas {
-            let words: Vec<QuotaLevel> = quotas.named.iter().map(Into::into).collect();
+            let words: Vec<QuotaLevel> = quotas.levels.iter().map(Into::into).collect();
             self.shared.quotas().apply_ledger_levels(&words, context.now);
         }
     }
--- a/crates/gateway/src/control/sums/suspects.rs
+++ b/crates/gateway/src/control/sums/suspects.rs
@@ -15,8 +15,8 @@
     events::HostEvent,
     host::SharedState,
     peers::{
-        sum_frames::{CountFrame, SumFrame},
-        suspect_lines::{read_suspects, write_suspects},
+        aggregate_frames::{AggregateFrame, HostReportFrame},
+        suspect_messages::{decode_suspects, encode_suspects},
     },
 };
 
@@ -43,41 +43,41 @@
         self.shared.quarantine().resend_all();
     }
 
-    fn report(&mut self, frame: &mut CountFrame, context: &SumContext<'_>) -> bool {
-        frame.suspects = write_suspects(&self.shared.quarantine().take_pending(context.now));
+    fn report(&mut self, frame: &mut HostReportFrame, context: &SumContext<'_>) -> bool {
+        frame.suspects = encode_suspects(&self.shared.quarantine().take_pending(context.now));
         !frame.suspects.is_empty()
     }
 
-    fn acknowledge(&mut self, frame: &CountFrame, sent: bool) {
+    fn acknowledge(&mut self, frame: &HostReportFrame, sent: bool) {
         if !sent {
-            self.shared.quarantine().resend(&read_suspects(&frame.suspects));
+            self.shared.quarantine().resend(&decode_suspects(&frame.suspects));
         }
     }
 
-    fn count(&mut self, host: &Arc<str>, frame: &CountFrame, context: &SumContext<'_>) {
+    fn count(&mut self, host: &Arc<str>, frame: &HostReportFrame, context: &SumContext<'_>) {
         let mut book = self.shared.quarantine();
         if host == context.host {
-            book.resend(&read_suspects(&frame.suspects));
+            book.resend(&decode_suspects(&frame.suspects));
         } else if !frame.suspects.is_empty() {
-            book.receive(&read_suspects(&frame.suspects), true, context.now);
+            book.receive(&decode_suspects(&frame.suspects), true, context.now);
         }
     }
 
-    fn snapshot(&mut self, _: &Arc<str>, frame: &mut SumFrame, context: &SumContext<'_>) {
-        frame.suspects = write_suspects(&self.shared.quarantine().snapshot(context.now));
+    fn snapshot(&mut self, _: &Arc<str>, frame: &mut AggregateFrame, context: &SumContext<'_>) {
+        frame.suspects = encode_suspects(&self.shared.quarantine().snapshot(context.now));
     }
 
     fn unsubscribed(&mut self, _: &RemovedSubscriber, _: &SumContext<'_>) {}
 
-    fn publish(&mut self, frame: &mut SumFrame, _: bool, context: &SumContext<'_>) {
+    fn publish(&mut self, frame: &mut AggregateFrame, _: bool, context: &SumContext<'_>) {
         let mut book = self.shared.quarantine();
         book.publish_own();
-        frame.suspects = write_suspects(&book.take_unpublished(context.now));
+        frame.suspects = encode_suspects(&book.take_unpublished(context.now));
     }
 
-    fn receive(&mut self, frame: &SumFrame, context: &SumContext<'_>) {
+    fn receive(&mut self, frame: &AggregateFrame, context: &SumContext<'_>) {
         if !frame.suspects.is_empty() {
-            let reports = read_suspects(&frame.suspects);
+            let reports = decode_suspects(&frame.suspects);
             self.shared.quarantine().receive(&reports, false, context.now);
         }
     }
--- a/crates/gateway/src/engines/send.rs
+++ b/crates/gateway/src/engines/send.rs
@@ -8,7 +8,7 @@
 use tokio::io::AsyncWriteExt;
 
 use crate::{
-    border::{AnswerFacts, ExchangeDialect},
+    codec::{RequestCodec, ResponseMetadata},
     engines::EngineLease,
 };
 
@@ -27,7 +27,7 @@
     /// The head.
     pub head: ResponseHead,
     /// What the head says.
-    pub facts: AnswerFacts,
+    pub facts: ResponseMetadata,
     /// Cuts the body.
     pub decoder: BodyDecoder,
     /// Whether the connection may serve another request once the body is whole.
@@ -66,7 +66,7 @@
 /// Returns that no answer came; the request may have run.
 pub async fn send_request(
     lease: &mut EngineLease,
-    dialect: &dyn ExchangeDialect,
+    dialect: &dyn RequestCodec,
     request: &Bytes,
     method: &str,
     id: &str,
@@ -81,7 +81,7 @@
         }
         let framing = BodyFraming::of_response(&head, method).map_err(ReadError::from)?;
         let mut decoder = BodyDecoder::new(framing);
-        let facts = dialect.answer_facts(&head);
+        let facts = dialect.decode_response(&head);
         let refusal = facts.not_run || facts.misdirected;
         let own = facts.id.as_deref().map_or(refusal, |answered| answered == id);
         if own {
--- a/crates/gateway/src/entry.rs
+++ b/crates/gateway/src/entry.rs
@@ -138,13 +138,13 @@
 
     /// Takes that an engine gave a first event so long after a send, with so much to read before it.
     pub fn note_reading(&self, service: &ServiceName, prompt: u64, ahead: u64, time: Duration) {
-        let mut reading = self.shared.reading();
+        let mut reading = self.shared.prefill_speeds();
         reading.entry(Arc::clone(service)).or_default().record(prompt, ahead, time);
     }
 
     /// Returns how long an engine of a service takes to read so many tokens.
     pub fn reading_time(&self, service: &str, tokens: u64) -> Duration {
-        let reading = self.shared.reading();
+        let reading = self.shared.prefill_speeds();
         reading.get(service).map_or(Duration::ZERO, |speed| speed.time_for(tokens))
     }
 
@@ -181,7 +181,7 @@
 
     /// Takes a further send to a service from this host's share of the retry budget.
     pub fn take_retry(&self, service: &ServiceName) -> bool {
-        let allowance = &self.shared.profile.bounds.retries;
+        let allowance = &self.shared.profile.bounds.retry_policy;
         let hosts = self.table().hosts;
         let taken = self.retry_share(service).try_spend(allowance, hosts, self.now());
         let metrics = &self.shared.metrics;
@@ -245,7 +245,7 @@
         self.pool.borrow_mut().clean(listed, takes_requests, now);
         self.absences.borrow_mut().retain(|_, said| now.since(*said) < ABSENCE_HOLDS);
         self.count_suspects(now);
-        let allowance = &self.shared.profile.bounds.retries;
+        let allowance = &self.shared.profile.bounds.retry_policy;
         for share in self.retries.borrow_mut().values_mut() {
             share.expire_requests(allowance, now);
         }
@@ -264,18 +264,18 @@
 
 async fn entry(shared: &Arc<SharedState>) -> std::io::Result<()> {
     let traffic = Rc::new(TrafficState::new(Arc::clone(shared)));
-    let clients = listen(shared.profile.clients).await?;
-    let readiness = listen(shared.profile.readiness).await?;
-    match listen(shared.profile.metrics).await {
+    let clients = listen(shared.profile.client_address).await?;
+    let readiness = listen(shared.profile.readiness_address).await?;
+    match listen(shared.profile.metrics_address).await {
         Ok(metrics) => {
             tokio::task::spawn_local(probe::serve_metrics(Rc::clone(&traffic), metrics));
         }
         // Requests matter more than what is counted of them.
-        Err(error) => log::warn!("no metrics at {}: {error}", shared.profile.metrics),
+        Err(error) => log::warn!("no metrics at {}: {error}", shared.profile.metrics_address),
     }
     shared.events.write(crate::events::HostEvent::Started {
         clients: clients.local_addr()?,
-        peers: shared.profile.peers,
+        peers: shared.profile.peer_address,
     });
     tokio::task::spawn_local(connection::accept_clients(Rc::clone(&traffic), clients));
     tokio::task::spawn_local(probe::serve_readiness(Rc::clone(&traffic), readiness));
--- a/crates/gateway/src/entry/answer.rs
+++ b/crates/gateway/src/entry/answer.rs
@@ -6,7 +6,7 @@
 use reelreel_core::fleet::routes::ConfigRevision;
 use reelreel_http::ResponseHead;
 
-use crate::border::ExchangeDialect;
+use crate::codec::RequestCodec;
 
 /// An answer that the host makes itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -43,7 +43,7 @@
     }
 
     /// Writes the answer; `close` tells the client that the connection ends with it.
-    pub fn write(&self, dialect: &dyn ExchangeDialect, id: Option<&str>, close: bool) -> BytesMut {
+    pub fn write(&self, dialect: &dyn RequestCodec, id: Option<&str>, close: bool) -> BytesMut {
         let mut head = ResponseHead::new(self.status);
         head.fields.push("Content-Type", "text/plain");
         head.fields.push("Content-Length", (self.text.len() + 1).to_string());
@@ -51,7 +51,7 @@
             head.fields.push("Retry-After", format!("{:.2}", time.as_secs_f64()));
         }
         if let Some(id) = id {
-            dialect.mark_own_answer(&mut head.fields, id);
+            dialect.set_response_id(&mut head.fields, id);
         }
         if close {
             head.fields.push("Connection", "close");
--- a/crates/gateway/src/entry/attempt.rs
+++ b/crates/gateway/src/entry/attempt.rs
@@ -15,7 +15,7 @@
 };
 
 use crate::{
-    border::SendTerms,
+    codec::ForwardMetadata,
     engines::{ConnectTerms, EngineAnswer, EngineLease, EnginePool, send_request},
     entry::{
         exchange::{Exchange, ExchangeEnd, SENT_AHEAD, SendEnd},
@@ -86,7 +86,7 @@
             return SendEnd::NotSent;
         };
         if !lease.reused {
-            self.traffic.shared.metrics.connects.inc();
+            self.traffic.shared.metrics.engine_connects.inc();
         }
         let request = match self.begin_send(entry, version, None, &mut permit) {
             Ok(request) => request,
@@ -96,7 +96,7 @@
             }
         };
         let began = self.traffic.now();
-        let dialect = Arc::clone(&self.traffic.shared.dialects.exchange);
+        let dialect = Arc::clone(&self.traffic.shared.codecs.request);
         let time_over = self.deadline.clone().over(DEADLINE_SLACK);
         let overdue = self.overdue(entry);
         let sending = send_request(
@@ -263,12 +263,12 @@
         let shared = &self.traffic.shared;
         if answer.stray != EngineAnnouncements::default() {
             // When the request that it belongs to was sent is not known, so that its silence on a matter means nothing.
-            shared.note_announcements(entry, &answer.stray, sent, ResponseKind::Other);
+            shared.record_announcements(entry, &answer.stray, sent, ResponseKind::Other);
         }
         let facts = &answer.facts;
         let ran = facts.signed && !facts.not_run && !facts.misdirected;
         let kind = if ran { ResponseKind::Accepted } else { ResponseKind::Rejected };
-        shared.note_announcements(entry, &facts.announcements, sent, kind);
+        shared.record_announcements(entry, &facts.announcements, sent, kind);
         if facts.not_run {
             let cooldown = matches!(facts.announcements.cooldown, Declared::Present(_));
             shared.metrics.count_rejection(self.sends > 1, cooldown);
@@ -287,7 +287,7 @@
         version: Option<WeightVersion>,
         resume_after: Option<&str>,
     ) -> Bytes {
-        let terms = SendTerms {
+        let terms = ForwardMetadata {
             engine: &entry.name,
             remaining: self.deadline.remaining(),
             priority: self.priority(),
@@ -295,7 +295,7 @@
             version,
             resume_after,
         };
-        let dialect = &*self.traffic.shared.dialects.exchange;
+        let dialect = &*self.traffic.shared.codecs.request;
         forwarded_request(dialect, &self.request, &terms)
     }
 }
--- a/crates/gateway/src/entry/connection.rs
+++ b/crates/gateway/src/entry/connection.rs
@@ -70,7 +70,7 @@
     loop {
         match listener.accept().await {
             Ok((socket, _)) => {
-                if traffic.connections.get() < traffic.shared.profile.most_connections {
+                if traffic.connections.get() < traffic.shared.profile.max_connections {
                     tokio::task::spawn_local(serve_client(Rc::clone(&traffic), socket));
                 }
             }
@@ -122,7 +122,7 @@
             Ok(request) => request,
             Err(RequestFailure::Silent) => return,
             Err(RequestFailure::Answered(answer)) => {
-                let bytes = answer.write(&*traffic.shared.dialects.exchange, None, true);
+                let bytes = answer.write(&*traffic.shared.codecs.request, None, true);
                 if client.write(&bytes).await.is_ok() {
                     client.finish(LINGER).await;
                 }
@@ -220,7 +220,7 @@
 
 fn hold_body(traffic: &Rc<TrafficState>, bytes: usize) -> Result<BodyHold, RequestFailure> {
     let held = traffic.body_bytes.get() + bytes;
-    if held > traffic.shared.profile.most_body_bytes {
+    if held > traffic.shared.profile.max_body_bytes {
         let text = "this host holds too many bodies; come back shortly";
         let answer = OwnAnswer::refusal(text, Duration::from_millis(500));
         return Err(RequestFailure::Answered(answer));
--- a/crates/gateway/src/entry/deadline.rs
+++ b/crates/gateway/src/entry/deadline.rs
@@ -4,7 +4,7 @@
 
 use reelreel_core::{ClockMillis, ClockSource};
 
-use crate::timer::reached;
+use crate::timer::sleep_until;
 
 /// Until when an answer to a request is worth anything, by the clock that goes on while the host is suspended.
 #[derive(Clone)]
@@ -26,6 +26,6 @@
 
     /// Waits until the time is over by `slack`.
     pub async fn over(self, slack: Duration) {
-        reached(&*self.clock, self.until + slack).await;
+        sleep_until(&*self.clock, self.until + slack).await;
     }
 }
--- a/crates/gateway/src/entry/exchange.rs
+++ b/crates/gateway/src/entry/exchange.rs
@@ -21,7 +21,7 @@
 use tokio::time::Instant;
 
 use crate::{
-    border::RequestFacts,
+    codec::RequestMetadata,
     engines::EngineAnswer,
     entry::{
         TrafficState,
@@ -108,7 +108,7 @@
     /// The request.
     pub request: ClientRequest,
     /// What it says.
-    pub facts: RequestFacts,
+    pub facts: RequestMetadata,
     /// Its route.
     pub route: Arc<RouteEntry>,
     /// The service that runs it.
--- a/crates/gateway/src/entry/forward.rs
+++ b/crates/gateway/src/entry/forward.rs
@@ -7,7 +7,7 @@
 use reelreel_http::{HeaderFields, RequestHead};
 
 use crate::{
-    border::{ExchangeDialect, SendTerms},
+    codec::{ForwardMetadata, RequestCodec},
     entry::exchange::ClientRequest,
 };
 
@@ -16,16 +16,16 @@
 
 /// Writes a request with its method, target and body unaltered and the terms of this send.
 pub fn forwarded_request(
-    dialect: &dyn ExchangeDialect,
+    dialect: &dyn RequestCodec,
     request: &ClientRequest,
-    terms: &SendTerms<'_>,
+    terms: &ForwardMetadata<'_>,
 ) -> Bytes {
     let mut fields = passed_fields(dialect, &request.head.fields);
     let bodiless = matches!(request.head.method.as_str(), "GET" | "HEAD");
     if !request.body.is_empty() || !bodiless {
         fields.push("Content-Length", request.body.len().to_string());
     }
-    dialect.set_terms(&mut fields, terms);
+    dialect.set_forward_metadata(&mut fields, terms);
     let head = RequestHead {
         method: request.head.method.clone(),
         target: request.head.target.clone(),
@@ -41,9 +41,9 @@
 /// Returns the client's fields that an engine gets as they are.
 ///
 /// Fields of the connection, of the body's framing, and those that only the system sets are left out.
-pub fn passed_fields(dialect: &dyn ExchangeDialect, fields: &HeaderFields) -> HeaderFields {
+pub fn passed_fields(dialect: &dyn RequestCodec, fields: &HeaderFields) -> HeaderFields {
     let mut passed = fields.end_to_end();
     passed.remove_all(&["Content-Length"]);
-    passed.remove_all(dialect.system_fields());
+    passed.remove_all(dialect.reserved_fields());
     passed
 }
--- a/crates/gateway/src/entry/pass.rs
+++ b/crates/gateway/src/entry/pass.rs
@@ -309,7 +309,7 @@
             return None;
         };
         self.traffic.shared.metrics.resumes.inc();
-        let dialect = Arc::clone(&self.traffic.shared.dialects.exchange);
+        let dialect = Arc::clone(&self.traffic.shared.codecs.request);
         let (method, id) = (self.request.head.method.clone(), self.facts.id.clone());
         let sending = send_request(&mut lease, &*dialect, &request, &method, &id);
         let answer = tokio::select! {
--- a/crates/gateway/src/entry/pick.rs
+++ b/crates/gateway/src/entry/pick.rs
@@ -248,6 +248,6 @@
         _ => return CopyUse::Unusable,
     };
     let Some(named) = table.versions.get(key) else { return CopyUse::Usable(None) };
-    let usable = named.allows(held, traffic.shared.profile.bounds.version_apply, now);
+    let usable = named.allows(held, traffic.shared.profile.bounds.max_version_delay, now);
     if usable { CopyUse::Usable(Some(held)) } else { CopyUse::Unusable }
 }
--- a/crates/gateway/src/entry/prepare.rs
+++ b/crates/gateway/src/entry/prepare.rs
@@ -14,7 +14,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::{
-    border::RequestFacts,
+    codec::RequestMetadata,
     entry::{
         TrafficState,
         answer::{
@@ -31,7 +31,7 @@
 #[derive(Debug)]
 pub struct PreparedRequest {
     /// What it says.
-    pub facts: RequestFacts,
+    pub facts: RequestMetadata,
     /// Its route.
     pub route: Arc<RouteEntry>,
     /// The service that runs it.
@@ -79,7 +79,7 @@
 ) -> Result<PreparedRequest, EarlyRefusal> {
     let serves_keys = traffic.shared.serves_keys(request.arrived);
     let table = traffic.table();
-    let facts = traffic.shared.dialects.exchange.request_facts(&request.head);
+    let facts = traffic.shared.codecs.request.decode_request(&request.head);
     let facts = facts.map_err(|_| BAD_FIELDS)?;
     let Some(routes) = table.routes.as_ref().filter(|_| table.engines_known) else {
         return Err(NOT_READY.into());
@@ -113,7 +113,7 @@
 /// Returns what a request is known again by.
 fn marked<'request>(
     request: &'request ClientRequest,
-    facts: &'request RequestFacts,
+    facts: &'request RequestMetadata,
     organisation: Option<&'request OrganisationEntry>,
 ) -> RequestIdentity<'request> {
     RequestIdentity {
@@ -135,7 +135,8 @@
 ) -> Result<u64, EarlyRefusal> {
     let Some(limit) = &organisation.quota else { return Ok(0) };
     let cost = limit.cost(tokens);
-    let terms = QuotaContext { limit, tolerance: &traffic.shared.profile.bounds.quota, hosts };
+    let terms =
+        QuotaContext { limit, tolerance: &traffic.shared.profile.bounds.quota_tolerance, hosts };
     let taken = traffic.shared.quotas().take(&organisation.name, cost, &terms, traffic.now());
     match taken {
         Ok(()) => Ok(cost),
@@ -158,8 +159,8 @@
     // Who comes back is to reach a host that can tell.
     let sent_elsewhere = answer == KEYS_IN_DOUBT;
     let keep = request.head.keeps_connection() && !traffic.shared.is_stopping() && !sent_elsewhere;
-    let dialect = &traffic.shared.dialects.exchange;
-    let facts = dialect.request_facts(&request.head).ok();
+    let dialect = &traffic.shared.codecs.request;
+    let facts = dialect.decode_request(&request.head).ok();
     let fingerprint = facts.as_ref().and_then(|facts| facts.key.fingerprint());
     let id = facts.map(|facts| facts.id);
     let bytes = answer.write(&**dialect, id.as_deref(), !keep);
--- a/crates/gateway/src/entry/probe.rs
+++ b/crates/gateway/src/entry/probe.rs
@@ -23,7 +23,7 @@
 /// Answers whether the host takes new connections.
 pub async fn serve_readiness(traffic: Rc<TrafficState>, listener: TcpListener) {
     let answer = |traffic: &TrafficState, head: &RequestHead| {
-        let path = traffic.shared.dialects.exchange.readiness_path();
+        let path = traffic.shared.codecs.request.readiness_path();
         let ready = traffic.serves_most_routes() && !traffic.shared.is_stopping();
         match (head.target == path, ready) {
             (false, _) => (404, String::new()),
--- a/crates/gateway/src/entry/refusal.rs
+++ b/crates/gateway/src/entry/refusal.rs
@@ -139,7 +139,7 @@
         outcome: &'static str,
     ) -> (ExchangeEnd, &'static str) {
         let keep = self.keeps_client();
-        let dialect = &*self.traffic.shared.dialects.exchange;
+        let dialect = &*self.traffic.shared.codecs.request;
         let bytes = answer.write(dialect, Some(&self.facts.id), !keep);
         self.status = answer.status;
         let sent = self.client.write(&bytes).await.is_ok();
--- a/crates/gateway/src/host.rs
+++ b/crates/gateway/src/host.rs
@@ -25,7 +25,7 @@
 use tokio::sync::{Notify, watch};
 
 use crate::{
-    border::BorderDialects,
+    codec::Codecs,
     control::run_control,
     demand::{DemandCollector, SharedWork},
     entry::run_entry,
@@ -36,10 +36,10 @@
 };
 
 /// The control thread's stack. Unit: bytes.
-const CONTROL_STACK: usize = 512 * 1024;
+const CONTROL_STACK_BYTES: usize = 512 * 1024;
 
 /// For how long a stopping host begins new requests, until the balancer sends none any more.
-const STOP_SERVES: Duration = Duration::from_millis(2400);
+const STOP_ACCEPT_WINDOW: Duration = Duration::from_millis(2400);
 
 /// What a stopping host leaves between the end of its last request and the operator's grace.
 const STOP_MARGIN: Duration = Duration::from_millis(1500);
@@ -60,7 +60,7 @@
     /// What the host is told about itself.
     pub profile: HostProfile,
     /// What is spoken at its borders.
-    pub dialects: BorderDialects,
+    pub codecs: Codecs,
     /// The host's clock.
     pub clock: Arc<dyn ClockSource>,
     /// What the control thread believes.
@@ -75,12 +75,12 @@
     pub open_requests: AtomicUsize,
     stop_began: OnceLock<ClockMillis>,
     /// Until when requests with keys may arrive. Unit: milliseconds of the host's clock.
-    keys_until: AtomicU64,
+    keys_accepted_until: AtomicU64,
     /// Wakes the control thread when there is something to tell at once.
     pub wake_control: Notify,
     demand: Mutex<DemandCollector>,
     shared_work: Mutex<SharedWork>,
-    reading: Mutex<HashMap<ServiceName, PrefillSpeed>>,
+    prefill_speeds: Mutex<HashMap<ServiceName, PrefillSpeed>>,
     quotas: Mutex<QuotaShare>,
     quarantine: Mutex<QuarantineTracker>,
     limits: Mutex<LimitShare>,
@@ -94,7 +94,7 @@
     /// Starts with nothing known.
     pub fn new(
         profile: HostProfile,
-        dialects: BorderDialects,
+        codecs: Codecs,
         events: EventLog,
         clock: Arc<dyn ClockSource>,
     ) -> Self {
@@ -103,7 +103,7 @@
         let quarantine = QuarantineTracker::new(&profile.name, CRASHES_UNTIL_QUARANTINED);
         Self {
             profile,
-            dialects,
+            codecs,
             clock,
             table: watch::Sender::new(Arc::default()),
             stopping: watch::Sender::new(false),
@@ -111,11 +111,11 @@
             metrics: HostMetrics::default(),
             open_requests: AtomicUsize::new(0),
             stop_began: OnceLock::new(),
-            keys_until: AtomicU64::new(0),
+            keys_accepted_until: AtomicU64::new(0),
             wake_control: Notify::new(),
             demand: Mutex::default(),
             shared_work: Mutex::default(),
-            reading: Mutex::default(),
+            prefill_speeds: Mutex::default(),
             quotas: Mutex::new(quotas),
             quarantine: Mutex::new(quarantine),
             limits: Mutex::default(),
@@ -131,8 +131,8 @@
     }
 
     /// Locks how fast the engines of each service read prompts for a moment.
-    pub fn reading(&self) -> MutexGuard<'_, HashMap<ServiceName, PrefillSpeed>> {
-        self.reading.lock().unwrap_or_else(PoisonError::into_inner)
+    pub fn prefill_speeds(&self) -> MutexGuard<'_, HashMap<ServiceName, PrefillSpeed>> {
+        self.prefill_speeds.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Locks what all hosts have at engines for a moment.
@@ -141,8 +141,8 @@
     }
 
     /// Sets until when requests with keys may arrive and be served.
-    pub fn set_keys_until(&self, until: ClockMillis) {
-        self.keys_until.store(until.as_millis(), Ordering::Release);
+    pub fn accept_keys_until(&self, until: ClockMillis) {
+        self.keys_accepted_until.store(until.as_millis(), Ordering::Release);
     }
 
     /// Returns whether a request with a key that arrived at `arrived` may be served.
@@ -150,7 +150,7 @@
     /// To be asked before the table is looked at: the table that is read then holds whatever was
     /// known when the moment was set.
     pub fn serves_keys(&self, arrived: ClockMillis) -> bool {
-        arrived.as_millis() <= self.keys_until.load(Ordering::Acquire)
+        arrived.as_millis() <= self.keys_accepted_until.load(Ordering::Acquire)
     }
 
     /// Locks this host's part in the organisations' quotas for a moment.
@@ -184,7 +184,7 @@
     }
 
     /// Takes what a response that has just begun announces of its engine; what it responds to was sent at `sent`.
-    pub fn note_announcements(
+    pub fn record_announcements(
         &self,
         entry: &EngineEntry,
         announcements: &EngineAnnouncements,
@@ -192,27 +192,29 @@
         kind: ResponseKind,
     ) {
         let now = self.clock.now();
-        let (engine, born) = (&entry.name, entry.incarnation);
+        let (engine, incarnation) = (&entry.name, entry.incarnation);
         let mut wake = false;
         if let Declared::Present(_) = announcements.departure {
-            wake |= self.departures().record_announced(engine, born, now);
+            wake |= self.departures().record_announced(engine, incarnation, now);
         }
-        if !self.departures().is_departing(engine, born) {
+        if !self.departures().is_departing(engine, incarnation) {
             let absence_is_conclusive = kind == ResponseKind::Accepted;
-            let word = LimitDeclaration {
+            let declaration = LimitDeclaration {
                 limit: announcements.limit,
                 requested_at: sent,
                 absence_is_conclusive,
             };
-            wake |= self.limits().receive_declaration(engine, born, word, now);
+            wake |= self.limits().receive_declaration(engine, incarnation, declaration, now);
         }
         let mut cooldowns = self.cooldowns();
         match announcements.cooldown {
-            Declared::Present(cooldown) => cooldowns.record_cooldown(engine, born, cooldown, now),
+            Declared::Present(cooldown) => {
+                cooldowns.record_cooldown(engine, incarnation, cooldown, now)
+            }
             Declared::Absent | Declared::Unreadable => {
                 let accepted = kind == ResponseKind::Accepted;
                 if kind != ResponseKind::Other
-                    && cooldowns.record_response(engine, born, sent, accepted)
+                    && cooldowns.record_response(engine, incarnation, sent, accepted)
                 {
                     self.permits_changed();
                 }
@@ -243,21 +245,21 @@
 
     /// Returns whether a planned stop has gone so far that a request might not end in time.
     ///
-    /// `longest` is how long the request may take, where that is known to be short.
-    pub fn is_too_late_for(&self, longest: Option<Duration>) -> bool {
+    /// `max_duration` is how long the request may take, where that is known to be short.
+    pub fn is_too_late_for(&self, max_duration: Option<Duration>) -> bool {
         let Some(began) = self.stop_began.get() else { return false };
         let stopping = self.clock.now().since(*began);
-        let until = longest.map_or(STOP_SERVES, |longest| {
+        let until = max_duration.map_or(STOP_ACCEPT_WINDOW, |max_duration| {
             let grace = self.profile.bounds.stop_grace;
-            grace.saturating_sub(longest + STOP_MARGIN).max(STOP_SERVES)
+            grace.saturating_sub(max_duration + STOP_MARGIN).max(STOP_ACCEPT_WINDOW)
         });
         stopping > until
     }
 
     /// Notes that the settings were read anew; what a running host uses of them does not change.
-    pub fn reloaded(&self, mistake: Option<impl std::fmt::Display>) {
-        let mistake = mistake.map(|mistake| mistake.to_string());
-        self.events.write(HostEvent::Reloaded { mistake });
+    pub fn record_reload(&self, error: Option<impl std::fmt::Display>) {
+        let error = error.map(|error| error.to_string());
+        self.events.write(HostEvent::Reloaded { mistake: error });
     }
 
     /// Begins a planned stop.
@@ -281,7 +283,7 @@
     let control = Arc::clone(shared);
     let thread = std::thread::Builder::new()
         .name(String::from("control"))
-        .stack_size(CONTROL_STACK)
+        .stack_size(CONTROL_STACK_BYTES)
         .spawn(move || run_control(&control))?;
     run_entry(shared)?;
     let open = shared.open_requests.load(Ordering::Relaxed);
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -3,9 +3,9 @@
 //! One thread carries the traffic ([`entry`], [`engines`]), one keeps what the host believes
 //! ([`control`], [`store`], [`peers`]). The second publishes a whole [`table::ServingTable`]
 //! whenever something changed; the first decides each request from the newest one. What is spoken
-//! with clients, engines and the store is behind the traits of [`border`].
+//! with clients, engines and the store is behind the traits of [`codec`].
 
-pub mod border;
+pub mod codec;
 pub mod call;
 pub mod control;
 pub mod demand;
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -32,7 +32,7 @@
 
 /// How many organisations have counters of their own: those that are seen first. Others are counted together, so that
 /// what a host serves as text stays short.
-const MOST_ORGANISATIONS: usize = 64;
+const MAX_ORGANISATIONS: usize = 64;
 
 /// What tells counters of organisations apart.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
@@ -113,7 +113,7 @@
     /// Requests by organisation and outcome.
     organisations: Family<OrganisationLabels, Counter>,
     /// The organisations that have counters of their own.
-    counted: Mutex<BTreeSet<String>>,
+    labelled_organisations: Mutex<BTreeSet<String>>,
     /// Time to the first byte of an answer.
     pub first_byte: Histogram,
     /// Time that requests waited for an adapter.
@@ -127,7 +127,7 @@
     /// Streams taken up at another engine.
     pub resumes: Counter,
     /// New connections to engines.
-    pub connects: Counter,
+    pub engine_connects: Counter,
     /// Calls to the store that had no useful answer.
     pub store_failures: Counter,
     /// Calls to the store.
@@ -139,7 +139,7 @@
     /// Up to which offset of the engines' topic this host knows it.
     pub engines_read_to: Gauge,
     /// Bytes of frames sent to other hosts, by kind.
-    pub peer_bytes: Family<FrameLabels, Counter>,
+    pub peer_sent_bytes: Family<FrameLabels, Counter>,
     /// Whether another host reads the store for this one.
     pub following: Gauge,
     /// The hosts that share what is counted over all of them.
@@ -210,20 +210,20 @@
             registry: Mutex::default(),
             requests: Family::default(),
             organisations: Family::default(),
-            counted: Mutex::default(),
+            labelled_organisations: Mutex::default(),
             first_byte: latency_histogram(),
             load_wait: latency_histogram(),
             orders: Family::default(),
             retries: Counter::default(),
             retries_refused: Counter::default(),
             resumes: Counter::default(),
-            connects: Counter::default(),
+            engine_connects: Counter::default(),
             store_failures: Counter::default(),
             store_calls: Counter::default(),
             store_era: Gauge::default(),
             configuration_read_to: Gauge::default(),
             engines_read_to: Gauge::default(),
-            peer_bytes: Family::default(),
+            peer_sent_bytes: Family::default(),
             following: Gauge::default(),
             hosts: Gauge::default(),
             connections: Gauge::default(),
@@ -302,7 +302,11 @@
         let help = "Engines within a cooldown that they have asked this host for";
         registry.register("cooling_engines", help, self.cooling_engines.clone());
         registry.register("resumes", "Streams taken up at another engine", self.resumes.clone());
-        registry.register("engine_connects", "New connections to engines", self.connects.clone());
+        registry.register(
+            "engine_connects",
+            "New connections to engines",
+            self.engine_connects.clone(),
+        );
         let help = "Calls to the store without a useful answer";
         registry.register("store_failures", help, self.store_failures.clone());
         registry.register("store_calls", "Calls to the store", self.store_calls.clone());
@@ -314,7 +318,7 @@
         let help = "Up to which offset of the engines' topic this host knows it";
         registry.register("engines_read_to", help, self.engines_read_to.clone());
         let help = "Bytes of frames sent to other hosts by kind";
-        registry.register("peer_sent_bytes", help, self.peer_bytes.clone());
+        registry.register("peer_sent_bytes", help, self.peer_sent_bytes.clone());
         let help = "Whether another host reads the store for this one";
         registry.register("following", help, self.following.clone());
         let help = "Hosts that share what is counted over all of them";
@@ -329,12 +333,14 @@
 
     /// Counts a request of an organisation.
     pub fn count_organisation(&self, organisation: &str, outcome: &str) {
-        let mut counted = self.counted.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-        let own = counted.contains(organisation) || counted.len() < MOST_ORGANISATIONS;
-        if own && !counted.contains(organisation) {
-            counted.insert(organisation.to_owned());
+        let mut labelled_organisations =
+            self.labelled_organisations.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+        let own = labelled_organisations.contains(organisation)
+            || labelled_organisations.len() < MAX_ORGANISATIONS;
+        if own && !labelled_organisations.contains(organisation) {
+            labelled_organisations.insert(organisation.to_owned());
         }
-        drop(counted);
+        drop(labelled_organisations);
         let organisation = if own { organisation } else { "others" };
         let (organisation, outcome) = (organisation.to_owned(), outcome.to_owned());
         self.organisations.get_or_create(&OrganisationLabels { organisation, outcome }).inc();
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -2,15 +2,15 @@
 //! host that the store turns away can not read itself.
 
 pub mod client;
-pub mod departure_lines;
-pub mod engine_lines;
+pub mod departure_messages;
+pub mod engine_messages;
 pub mod feed;
 pub mod frame;
-pub mod limit_lines;
+pub mod limit_messages;
 pub mod server;
 pub mod state_frames;
-pub mod sum_frames;
-pub mod suspect_lines;
+pub mod aggregate_frames;
+pub mod suspect_messages;
 
 use std::time::Duration;
 
@@ -25,24 +25,24 @@
 use crate::metrics::FrameLabels;
 
 /// The longest frame. Unit: bytes.
-const LONGEST_FRAME: usize = 4 * 1024 * 1024;
+const MAX_FRAME_BYTES: usize = 4 * 1024 * 1024;
 
 /// How long a peer may take a frame: what is buffered on the way is as much as it gets in several seconds.
-const SEND_PATIENCE: Duration = Duration::from_secs(2);
+const SEND_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A connection between two hosts, cut into frames.
 pub struct PeerStream {
     framed: Framed<TcpStream, LengthDelimitedCodec>,
     closed: bool,
-    sent: Family<FrameLabels, Counter>,
+    sent_bytes: Family<FrameLabels, Counter>,
 }
 
 impl PeerStream {
-    /// Wraps a connected socket; `sent` counts the bytes that are sent by kind of frame.
-    pub fn new(socket: TcpStream, sent: Family<FrameLabels, Counter>) -> Self {
+    /// Wraps a connected socket; `sent_bytes` counts the bytes that are sent by kind of frame.
+    pub fn new(socket: TcpStream, sent_bytes: Family<FrameLabels, Counter>) -> Self {
         let _ = socket.set_nodelay(true);
-        let codec = LengthDelimitedCodec::builder().max_frame_length(LONGEST_FRAME).new_codec();
-        Self { framed: Framed::new(socket, codec), closed: false, sent }
+        let codec = LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec();
+        Self { framed: Framed::new(socket, codec), closed: false, sent_bytes }
     }
 
     /// Sends a frame.
@@ -51,8 +51,8 @@
     /// Returns the socket's error, or that the peer does not take the frame in time.
     pub async fn send(&mut self, frame: EncodedFrame) -> std::io::Result<()> {
         let labels = FrameLabels { kind: String::from(frame.kind) };
-        self.sent.get_or_create(&labels).inc_by(frame.bytes.len() as u64);
-        timeout(SEND_PATIENCE, self.framed.send(frame.bytes)).await?
+        self.sent_bytes.get_or_create(&labels).inc_by(frame.bytes.len() as u64);
+        timeout(SEND_TIMEOUT, self.framed.send(frame.bytes)).await?
     }
 
     /// Receives the next frame; `None` when the peer has closed or sent what is none.
--- a/crates/gateway/src/peers/sum_frames.rs
+++ b/crates/gateway/src/peers/aggregate_frames.rs
@@ -5,14 +5,14 @@
 use reelreel_core::organisation::share::{QuotaLevel, QuotaUsage};
 
 use crate::peers::{
-    departure_lines::DepartureLine,
-    limit_lines::{AskLine, GrantLine, LimitLine},
-    suspect_lines::SuspectLine,
+    departure_messages::DepartureMessage,
+    limit_messages::{LimitMessage, PermitDemandMessage, PermitGrantMessage},
+    suspect_messages::SuspectMessage,
 };
 
 /// What a host counts, for the host that adds up.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct CountFrame {
+pub struct HostReportFrame {
     /// The host.
     #[prost(string, tag = "1")]
     pub host: String,
@@ -21,24 +21,24 @@
     pub service: String,
     /// What the host granted of organisations' quotas since the last frame.
     #[prost(message, repeated, tag = "3")]
-    pub usage: Vec<UsageLine>,
+    pub usage: Vec<QuotaUsageMessage>,
     /// Requests under which engines ended.
     #[prost(message, repeated, tag = "4")]
-    pub suspects: Vec<SuspectLine>,
+    pub suspects: Vec<SuspectMessage>,
     /// What engines said of the requests that they take.
     #[prost(message, repeated, tag = "5")]
-    pub limits: Vec<LimitLine>,
+    pub limits: Vec<LimitMessage>,
     /// What the host wants of engines that have named a limit.
     #[prost(message, repeated, tag = "6")]
-    pub asks: Vec<AskLine>,
+    pub permit_demands: Vec<PermitDemandMessage>,
     /// Engines that have announced that they are leaving.
     #[prost(message, repeated, tag = "7")]
-    pub departures: Vec<DepartureLine>,
+    pub departures: Vec<DepartureMessage>,
 }
 
 /// What all hosts counted together, as far as it changed.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct SumFrame {
+pub struct AggregateFrame {
     /// The service whose placer adds up.
     #[prost(string, tag = "1")]
     pub service: String,
@@ -50,24 +50,24 @@
     pub hosts: u32,
     /// The organisations' quotas, where the frame says anything of them.
     #[prost(message, optional, tag = "4")]
-    pub quotas: Option<QuotaFrame>,
+    pub quotas: Option<QuotaLevelsMessage>,
     /// Requests under which engines ended, as all hosts count.
     #[prost(message, repeated, tag = "5")]
-    pub suspects: Vec<SuspectLine>,
+    pub suspects: Vec<SuspectMessage>,
     /// Engines that name a limit, another one, or none any more.
     #[prost(message, repeated, tag = "6")]
-    pub limits: Vec<LimitLine>,
+    pub limits: Vec<LimitMessage>,
     /// What the one host that hears this is granted.
     #[prost(message, repeated, tag = "7")]
-    pub grants: Vec<GrantLine>,
+    pub grants: Vec<PermitGrantMessage>,
     /// Engines that have announced that they are leaving.
     #[prost(message, repeated, tag = "8")]
-    pub departures: Vec<DepartureLine>,
+    pub departures: Vec<DepartureMessage>,
 }
 
 /// What a host granted of an organisation's quota.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct UsageLine {
+pub struct QuotaUsageMessage {
     /// The organisation.
     #[prost(string, tag = "1")]
     pub organisation: String,
@@ -81,15 +81,15 @@
 
 /// Every organisation that has little left of its quota.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct QuotaFrame {
+pub struct QuotaLevelsMessage {
     /// The organisations; all others have most of their burst left.
     #[prost(message, repeated, tag = "1")]
-    pub named: Vec<QuotaLine>,
+    pub levels: Vec<QuotaLevelMessage>,
 }
 
 /// What an organisation has left of its quota.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct QuotaLine {
+pub struct QuotaLevelMessage {
     /// The organisation.
     #[prost(string, tag = "1")]
     pub organisation: String,
@@ -105,46 +105,46 @@
     clippy::cast_possible_truncation,
     reason = "a level in whole tokens or requests is enough"
 )]
-const fn whole(amount: f64) -> i64 {
+const fn round(amount: f64) -> i64 {
     amount.round() as i64
 }
 
-impl From<&QuotaUsage> for UsageLine {
-    fn from(used: &QuotaUsage) -> Self {
+impl From<&QuotaUsage> for QuotaUsageMessage {
+    fn from(usage: &QuotaUsage) -> Self {
         Self {
-            organisation: used.organisation.to_string(),
-            amount: whole(used.amount),
-            level: used.level.map(whole),
+            organisation: usage.organisation.to_string(),
+            amount: round(usage.amount),
+            level: usage.level.map(round),
         }
     }
 }
 
-impl From<&UsageLine> for QuotaUsage {
-    fn from(line: &UsageLine) -> Self {
+impl From<&QuotaUsageMessage> for QuotaUsage {
+    fn from(message: &QuotaUsageMessage) -> Self {
         Self {
-            organisation: Arc::from(line.organisation.as_str()),
-            amount: line.amount as f64,
-            level: line.level.map(|level| level as f64),
+            organisation: Arc::from(message.organisation.as_str()),
+            amount: message.amount as f64,
+            level: message.level.map(|level| level as f64),
         }
     }
 }
 
-impl From<&QuotaLevel> for QuotaLine {
-    fn from(word: &QuotaLevel) -> Self {
+impl From<&QuotaLevel> for QuotaLevelMessage {
+    fn from(level: &QuotaLevel) -> Self {
         Self {
-            organisation: word.organisation.to_string(),
-            level: whole(word.level),
-            used: whole(word.used).unsigned_abs(),
+            organisation: level.organisation.to_string(),
+            level: round(level.level),
+            used: round(level.used).unsigned_abs(),
         }
     }
 }
 
-impl From<&QuotaLine> for QuotaLevel {
-    fn from(line: &QuotaLine) -> Self {
+impl From<&QuotaLevelMessage> for QuotaLevel {
+    fn from(message: &QuotaLevelMessage) -> Self {
         Self {
-            organisation: Arc::from(line.organisation.as_str()),
-            level: line.level as f64,
-            used: line.used as f64,
+            organisation: Arc::from(message.organisation.as_str()),
+            level: message.level as f64,
+            used: message.used as f64,
         }
     }
 }
--- a/crates/gateway/src/peers/client.rs
+++ b/crates/gateway/src/peers/client.rs
@@ -10,106 +10,106 @@
     peers::{
         PeerStream,
         frame::{DemandFrame, EncodedFrame, FrameBody},
-        state_frames::AskFrame,
+        state_frames::StateRequestFrame,
     },
-    timer::reached,
+    timer::sleep_until,
 };
 
 /// How long a placer may be silent: as long as its lease lives, and four times as long as it lets pass between two words.
 /// A connection may go silent for good without a reset, and after a cut the next word would come seconds late.
-const PLACER_SILENCE: Duration = Duration::from_secs(2);
+const PLACER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// How often the placers are looked at.
-const LOOK_INTERVAL: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How long a connection to a peer may take.
-const CONNECT_PATIENCE: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// How long a peer may take to answer.
-const ANSWER_PATIENCE: Duration = Duration::from_millis(700);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// How many looks pass between two asks of a peer for what the store does not tell.
-const LOOKS_PER_ASK: u32 = 4;
+const POLLS_PER_STATE_REQUEST: u32 = 4;
 
 /// How many peers a host that has started asks until one has answered: each takes 0.4 s, and within three seconds a host that starts
 /// is to know what is in force.
-const MOST_FIRST_ASKS: u32 = 8;
+const MAX_INITIAL_STATE_REQUESTS: u32 = 8;
 
 impl ControlState {
     /// Returns whether a peer is to be asked for what it has read from the store, after so many asks.
     ///
     /// A host that has started asks also where the store answers it, if it reads for others or the store ever came back from an older
     /// copy: such a store says less than peers knew before. All others hear it from whom they follow.
-    fn lacks_peers_word(&self, asks: u32) -> bool {
-        let unheard = !self.has_heard_peer() && asks < MOST_FIRST_ASKS;
-        let fell = self.eras().known() > 0;
-        !self.is_complete() || (unheard && (self.reads_for_others() || fell))
+    fn needs_peer_state(&self, requests: u32) -> bool {
+        let initial = !self.has_heard_peer() && requests < MAX_INITIAL_STATE_REQUESTS;
+        let store_was_restored = self.eras().current() > 0;
+        !self.is_complete() || (initial && (self.reads_for_others() || store_was_restored))
     }
 }
 
 /// Keeps one connection to each foreign placer for ever.
 pub async fn run_peer_client(state: SharedControl) {
     let mut tasks: HashMap<ServiceName, (SocketAddr, JoinHandle<()>)> = HashMap::new();
-    let mut looks = 0;
+    let mut polls = 0;
     loop {
         let placers = state.borrow().foreign_placers();
         tasks.retain(|service, (address, task)| {
-            let kept = placers.iter().any(|(name, placer)| name == service && placer == address);
-            if !kept && !task.is_finished() {
+            let current = placers.iter().any(|(name, placer)| name == service && placer == address);
+            if !current && !task.is_finished() {
                 task.abort();
                 state.borrow_mut().placer_lost(service);
             }
-            kept && !task.is_finished()
+            current && !task.is_finished()
         });
         for (service, address) in placers {
             tasks.entry(service.clone()).or_insert_with(|| {
-                let talk = talk_with_placer(Rc::clone(&state), service, address);
-                (address, tokio::task::spawn_local(talk))
+                let exchange = exchange_with_placer(Rc::clone(&state), service, address);
+                (address, tokio::task::spawn_local(exchange))
             });
         }
-        let asks = looks / LOOKS_PER_ASK;
-        if looks % LOOKS_PER_ASK == 0 && state.borrow().lacks_peers_word(asks) {
-            ask_any_peer(&state, asks).await;
+        let requests = polls / POLLS_PER_STATE_REQUEST;
+        if polls % POLLS_PER_STATE_REQUEST == 0 && state.borrow().needs_peer_state(requests) {
+            request_peer_state(&state, requests).await;
         }
-        looks += 1;
-        tokio::time::sleep(LOOK_INTERVAL).await;
+        polls += 1;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
 /// Connects to another host, unless that takes too long.
 pub(super) async fn connect(state: &SharedControl, address: SocketAddr) -> Option<PeerStream> {
     let connecting = TcpStream::connect(address);
-    let socket = tokio::time::timeout(CONNECT_PATIENCE, connecting).await.ok()?.ok()?;
-    let sent = state.borrow().shared().metrics.peer_bytes.clone();
+    let socket = tokio::time::timeout(CONNECT_TIMEOUT, connecting).await.ok()?.ok()?;
+    let sent = state.borrow().shared().metrics.peer_sent_bytes.clone();
     Some(PeerStream::new(socket, sent))
 }
 
 /// Sends demand and receives plans until the connection ends.
-async fn talk_with_placer(state: SharedControl, service: ServiceName, address: SocketAddr) {
+async fn exchange_with_placer(state: SharedControl, service: ServiceName, address: SocketAddr) {
     let Some(mut stream) = connect(&state, address).await else { return };
     let (sender, mut frames) = mpsc::channel(PEER_QUEUE);
-    if !greet(&state, &service, &sender) {
+    if !subscribe(&state, &service, &sender) {
         return;
     }
     let clock = Arc::clone(&state.borrow().shared().clock);
-    let mut heard = clock.now();
+    let mut received_at = clock.now();
     loop {
         let alive = tokio::select! {
             received = stream.receive() => match received.and_then(|frame| frame.body) {
                 Some(FrameBody::Plan(plan)) => {
                     state.borrow_mut().peer_plan(&plan);
-                    heard = clock.now();
+                    received_at = clock.now();
                     true
                 }
-                Some(FrameBody::Sums(sums)) => {
+                Some(FrameBody::Aggregate(sums)) => {
                     state.borrow_mut().sums_received(&sums);
-                    heard = clock.now();
+                    received_at = clock.now();
                     true
                 }
                 Some(_) => true,
                 None => false,
             },
-            () = reached(&*clock, heard + PLACER_SILENCE) => false,
+            () = sleep_until(&*clock, received_at + PLACER_TIMEOUT) => false,
             frame = frames.recv() => match frame {
                 Some(frame) => stream.send(frame).await.is_ok(),
                 None => false,
@@ -123,7 +123,7 @@
 }
 
 /// Opens the way for demand, and tells what waits already.
-fn greet(
+fn subscribe(
     state: &SharedControl,
     service: &ServiceName,
     sender: &mpsc::Sender<EncodedFrame>,
@@ -140,21 +140,24 @@
 }
 
 /// Asks one of the known hosts for what it has read from the store.
-async fn ask_any_peer(state: &SharedControl, turn: u32) {
+async fn request_peer_state(state: &SharedControl, attempt: u32) {
     let mut peers = state.borrow().other_members();
     peers.extend_from_slice(&state.borrow().shared().profile.seeds);
-    let own = state.borrow().shared().profile.peers;
-    peers.retain(|peer| *peer != own);
-    let Some(place) = (turn as usize).checked_rem(peers.len()) else { return };
-    let asked = state.borrow().shared().clock.now().as_millis();
-    let asking = async {
-        let mut stream = connect(state, peers[place]).await?;
-        stream.send(FrameBody::Ask(AskFrame { asked }).encoded()).await.ok()?;
+    let own_address = state.borrow().shared().profile.peer_address;
+    peers.retain(|peer| *peer != own_address);
+    let Some(index) = (attempt as usize).checked_rem(peers.len()) else { return };
+    let requested_at = state.borrow().shared().clock.now().as_millis();
+    let request = async {
+        let mut stream = connect(state, peers[index]).await?;
+        stream
+            .send(FrameBody::StateRequest(StateRequestFrame { requested_at }).encoded())
+            .await
+            .ok()?;
         stream.receive().await?.body
     };
-    let answer = tokio::time::timeout(ANSWER_PATIENCE, asking).await.ok().flatten();
-    if let Some(FrameBody::State(frame)) = answer {
+    let response = tokio::time::timeout(RESPONSE_TIMEOUT, request).await.ok().flatten();
+    if let Some(FrameBody::State(frame)) = response {
         let clock = frame.clock.as_ref().map(PeerClock::from);
-        state.borrow_mut().peer_state(&frame, peers[place], clock);
+        state.borrow_mut().peer_state(&frame, peers[index], clock);
     }
 }
--- a/crates/gateway/src/peers/engine_lines.rs
+++ b/crates/gateway/src/peers/engine_messages.rs
@@ -29,7 +29,7 @@
 
 /// An engine's entry; without an address it is gone.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct EngineRecordLine {
+pub struct EngineEntryMessage {
     /// The engine.
     #[prost(string, tag = "1")]
     pub engine: String,
@@ -59,10 +59,10 @@
     pub sequence: u64,
     /// What it held.
     #[prost(message, repeated, tag = "10")]
-    pub held: Vec<HeldRecordLine>,
+    pub loaded_models: Vec<ListedModelMessage>,
     /// When this life of the engine began, by its own clock; zero where it does not say. Unit: milliseconds since 1970.
     #[prost(uint64, tag = "11")]
-    pub born: u64,
+    pub incarnation: u64,
     /// The era of the store in which the entry was read.
     #[prost(uint64, tag = "12")]
     pub era: u64,
@@ -71,7 +71,7 @@
     pub unlisted: bool,
 }
 
-impl EngineRecordLine {
+impl EngineEntryMessage {
     const fn position(&self) -> StorePosition {
         StorePosition { era: self.era, offset: self.offset }
     }
@@ -79,7 +79,7 @@
 
 /// Something that an engine held.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct HeldRecordLine {
+pub struct ListedModelMessage {
     /// The base model, by its place among the frame's names.
     #[prost(uint32, tag = "1")]
     pub base: u32,
@@ -95,112 +95,112 @@
 #[derive(Debug, Default)]
 struct NameTable {
     names: Vec<String>,
-    places: HashMap<String, u32>,
+    indexes: HashMap<String, u32>,
 }
 
 impl NameTable {
-    fn place(&mut self, name: &str) -> u32 {
-        if let Some(place) = self.places.get(name) {
-            return *place;
+    fn index(&mut self, name: &str) -> u32 {
+        if let Some(index) = self.indexes.get(name) {
+            return *index;
         }
-        let place = u32::try_from(self.names.len()).unwrap_or(u32::MAX);
+        let index = u32::try_from(self.names.len()).unwrap_or(u32::MAX);
         self.names.push(name.to_owned());
-        self.places.insert(name.to_owned(), place);
-        place
+        self.indexes.insert(name.to_owned(), index);
+        index
     }
 }
 
 /// Writes entries; returns the names that they refer to, and their lines.
 ///
 /// An engine at an address that is not of the fourth version of the protocol is left out: engines have none.
-pub fn write_engines(updates: &[EngineUpdate]) -> (Vec<String>, Vec<EngineRecordLine>) {
+pub fn encode_engines(updates: &[EngineUpdate]) -> (Vec<String>, Vec<EngineEntryMessage>) {
     let mut names = NameTable::default();
-    let lines = updates.iter().filter_map(|update| write_engine(update, &mut names)).collect();
-    (names.names, lines)
+    let messages = updates.iter().filter_map(|update| encode_engine(update, &mut names)).collect();
+    (names.names, messages)
 }
 
-fn write_engine(update: &EngineUpdate, names: &mut NameTable) -> Option<EngineRecordLine> {
-    let gone = EngineRecordLine {
+fn encode_engine(update: &EngineUpdate, names: &mut NameTable) -> Option<EngineEntryMessage> {
+    let removed = EngineEntryMessage {
         engine: update.name.to_string(),
         offset: update.position.offset,
         era: update.position.era,
         unlisted: update.unlisted,
-        ..EngineRecordLine::default()
+        ..EngineEntryMessage::default()
     };
-    let Some(entry) = &update.entry else { return Some(gone) };
+    let Some(entry) = &update.entry else { return Some(removed) };
     let SocketAddr::V4(address) = entry.address else {
         log::warn!("engine {} has no address of IPv4; it is not passed on", update.name);
         return None;
     };
-    let held = entry.loaded_models.iter().map(|held| HeldRecordLine {
-        base: names.place(base_model(&held.key)),
-        adapter: adapter_name(&held.key).unwrap_or_default().to_owned(),
-        version: held.version,
+    let loaded_models = entry.loaded_models.iter().map(|model| ListedModelMessage {
+        base: names.index(base_model(&model.key)),
+        adapter: adapter_name(&model.key).unwrap_or_default().to_owned(),
+        version: model.version,
     });
-    let held = held.collect();
-    Some(EngineRecordLine {
+    let loaded_models = loaded_models.collect();
+    Some(EngineEntryMessage {
         address: Some(address.ip().to_bits()),
         port: u32::from(address.port()),
-        service: names.place(&entry.service),
-        hall: names.place(&entry.hall),
+        service: names.index(&entry.service),
+        hall: names.index(&entry.hall),
         slots: entry.slots,
         leaving: entry.leaving,
         sequence: entry.sequence,
-        held,
-        born: entry.incarnation,
-        ..gone
+        loaded_models,
+        incarnation: entry.incarnation,
+        ..removed
     })
 }
 
 /// Reads entries; a line that refers to a name which the frame lacks is passed over.
-pub fn read_engines(names: &[String], lines: &[EngineRecordLine]) -> Vec<EngineUpdate> {
+pub fn decode_engines(names: &[String], messages: &[EngineEntryMessage]) -> Vec<EngineUpdate> {
     let names: Vec<Arc<str>> = names.iter().map(|name| Arc::from(name.as_str())).collect();
-    let read = lines.iter().filter_map(|line| {
-        let update = read_engine(&names, line);
+    let decoded = messages.iter().filter_map(|message| {
+        let update = decode_engine(&names, message);
         if update.is_none() {
             log::warn!(
                 "a peer's entry of engine {} can not be read; it is passed over",
-                line.engine
+                message.engine
             );
         }
         update
     });
-    read.collect()
+    decoded.collect()
 }
 
-fn read_engine(names: &[Arc<str>], line: &EngineRecordLine) -> Option<EngineUpdate> {
-    let name = |place: u32| names.get(usize::try_from(place).ok()?).map(Arc::clone);
-    let engine = EngineName::from(line.engine.as_str());
-    let Some(bits) = line.address else {
-        let (position, unlisted) = (line.position(), line.unlisted);
+fn decode_engine(names: &[Arc<str>], message: &EngineEntryMessage) -> Option<EngineUpdate> {
+    let name = |index: u32| names.get(usize::try_from(index).ok()?).map(Arc::clone);
+    let engine = EngineName::from(message.engine.as_str());
+    let Some(bits) = message.address else {
+        let (position, unlisted) = (message.position(), message.unlisted);
         return Some(EngineUpdate { name: engine, position, entry: None, unlisted });
     };
-    let port = u16::try_from(line.port).ok()?;
-    let held: Option<Vec<LoadedModel>> = line
-        .held
+    let port = u16::try_from(message.port).ok()?;
+    let loaded_models: Option<Vec<LoadedModel>> = message
+        .loaded_models
         .iter()
-        .map(|held| {
-            let base = name(held.base)?;
-            let key = held_key(&base, &held.adapter);
-            Some(LoadedModel { key, version: held.version })
+        .map(|model| {
+            let base = name(model.base)?;
+            let key = model_key(&base, &model.adapter);
+            Some(LoadedModel { key, version: model.version })
         })
         .collect();
     let entry = EngineEntry {
         name: Arc::clone(&engine),
-        incarnation: line.born,
-        service: name(line.service)?,
+        incarnation: message.incarnation,
+        service: name(message.service)?,
         address: SocketAddr::V4(SocketAddrV4::new(Ipv4Addr::from_bits(bits), port)),
-        hall: name(line.hall)?,
-        slots: line.slots,
-        leaving: line.leaving,
-        sequence: line.sequence,
-        loaded_models: held?,
+        hall: name(message.hall)?,
+        slots: message.slots,
+        leaving: message.leaving,
+        sequence: message.sequence,
+        loaded_models: loaded_models?,
     };
-    let (position, entry) = (line.position(), Some(entry));
+    let (position, entry) = (message.position(), Some(entry));
     Some(EngineUpdate { name: engine, position, entry, unlisted: false })
 }
 
-fn held_key(base: &ModelKey, adapter: &str) -> ModelKey {
+fn model_key(base: &ModelKey, adapter: &str) -> ModelKey {
     if adapter.is_empty() {
         return Arc::clone(base);
     }
--- a/crates/gateway/src/peers/frame.rs
+++ b/crates/gateway/src/peers/frame.rs
@@ -12,8 +12,8 @@
 use prost::Message as _;
 
 use crate::peers::{
-    state_frames::{AskFrame, FollowFrame, StateFrame},
-    sum_frames::{CountFrame, SumFrame},
+    aggregate_frames::{AggregateFrame, HostReportFrame},
+    state_frames::{FollowFrame, StateFrame, StateRequestFrame},
 };
 
 /// One frame.
@@ -46,7 +46,7 @@
     Plan(PlanFrame),
     /// Asks for what the peer has read from the store.
     #[prost(message, tag = "3")]
-    Ask(AskFrame),
+    StateRequest(StateRequestFrame),
     /// What a host has read from the store.
     #[prost(message, tag = "4")]
     State(StateFrame),
@@ -55,10 +55,10 @@
     Follow(FollowFrame),
     /// What a host counts, for the host that adds up.
     #[prost(message, tag = "6")]
-    Count(CountFrame),
+    HostReport(HostReportFrame),
     /// What all hosts counted together.
     #[prost(message, tag = "7")]
-    Sums(SumFrame),
+    Aggregate(AggregateFrame),
 }
 
 /// What a host is asked for in one placement domain. Tags 8 and 9 are used up.
@@ -72,24 +72,24 @@
     pub service: String,
     /// What changed since the last frame.
     #[prost(message, repeated, tag = "3")]
-    pub entries: Vec<DemandLine>,
+    pub entries: Vec<DemandMessage>,
     /// The host's work at engines where it changed.
     #[prost(message, repeated, tag = "4")]
-    pub work: Vec<WorkLine>,
+    pub work: Vec<EngineWorkMessage>,
     /// The host's requests at engines by model or adapter where they changed.
     #[prost(message, repeated, tag = "5")]
-    pub runs: Vec<RunLine>,
+    pub open_requests: Vec<OpenRequestsMessage>,
     /// What engines said that they do not hold.
     #[prost(message, repeated, tag = "6")]
-    pub absent: Vec<AbsentLine>,
+    pub absent: Vec<AbsentModelMessage>,
     /// Engines that the host can't use now: no connection came about, or they want no requests from it.
     #[prost(string, repeated, tag = "7")]
-    pub unreached: Vec<String>,
+    pub unreachable: Vec<String>,
 }
 
 /// What an engine has to do.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct WorkLine {
+pub struct EngineWorkMessage {
     /// The engine.
     #[prost(string, tag = "1")]
     pub engine: String,
@@ -98,12 +98,12 @@
     pub open: u32,
     /// Prompts that it has not read yet. Unit: tokens.
     #[prost(uint64, tag = "3")]
-    pub unread: u64,
+    pub pending_prefill_tokens: u64,
 }
 
 /// A host's requests at an engine for one model or adapter.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct RunLine {
+pub struct OpenRequestsMessage {
     /// The engine.
     #[prost(string, tag = "1")]
     pub engine: String,
@@ -117,7 +117,7 @@
 
 /// An engine's word to a host that it does not hold something.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct AbsentLine {
+pub struct AbsentModelMessage {
     /// The engine.
     #[prost(string, tag = "1")]
     pub engine: String,
@@ -126,33 +126,33 @@
     pub key: String,
     /// How long ago it said so. Unit: milliseconds.
     #[prost(uint32, tag = "3")]
-    pub millis: u32,
+    pub age_ms: u32,
 }
 
 /// Demand for one model or adapter.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct DemandLine {
+pub struct DemandMessage {
     /// The model or adapter.
     #[prost(string, tag = "1")]
     pub key: String,
     /// Requests since the last frame.
     #[prost(uint32, tag = "2")]
-    pub asked: u32,
+    pub new_requests: u32,
     /// Requests that wait now.
     #[prost(uint32, tag = "3")]
     pub waiting: u32,
     /// Their worth; the mean request is worth one.
     #[prost(float, tag = "4")]
-    pub waiting_worth: f32,
+    pub waiting_value: f32,
     /// The prompts of the requests since the last frame. Unit: tokens.
     #[prost(uint64, tag = "5")]
-    pub asked_tokens: u64,
+    pub new_prompt_tokens: u64,
     /// The prompts of the requests that wait. Unit: tokens.
     #[prost(uint64, tag = "6")]
-    pub waiting_tokens: u64,
+    pub waiting_prompt_tokens: u64,
     /// Whether every copy is at an engine that takes no requests from the host now.
     #[prost(bool, tag = "7")]
-    pub copies_closed: bool,
+    pub copies_unavailable: bool,
 }
 
 /// What the placer of one domain has decided. Tags 6, 8 and 12 are used up.
@@ -166,22 +166,22 @@
     pub token: u64,
     /// What engines hold whose holdings changed.
     #[prost(message, repeated, tag = "3")]
-    pub engines: Vec<EngineLine>,
+    pub engines: Vec<EngineModelsMessage>,
     /// In what time queued adapters are expected.
     #[prost(message, repeated, tag = "4")]
-    pub estimates: Vec<EstimateLine>,
+    pub estimates: Vec<LoadEstimateMessage>,
     /// How many hosts listen to the placer, itself included.
     #[prost(uint32, tag = "5")]
     pub hosts: u32,
     /// The weight store's pace as the placer has learnt it, for who comes after it.
     #[prost(message, optional, tag = "7")]
-    pub pace: Option<PaceLine>,
+    pub store_throughput: Option<StoreThroughputMessage>,
     /// What engines hold that they did not before, and the other way round.
     #[prost(message, repeated, tag = "9")]
-    pub changes: Vec<ChangeLine>,
+    pub changes: Vec<EngineChangeMessage>,
     /// The numbers of engines in `work`, each told before it is first used.
     #[prost(message, repeated, tag = "10")]
-    pub numbers: Vec<NumberLine>,
+    pub engine_numbers: Vec<EngineNumberMessage>,
     /// The work of all hosts at engines where it changed: an engine's number, the requests that are open
     /// there and the tokens that it has not read yet, again and again.
     #[prost(uint64, repeated, packed = "true", tag = "11")]
@@ -190,21 +190,21 @@
 
 /// How an engine's holdings changed since the last frame that named it.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct ChangeLine {
+pub struct EngineChangeMessage {
     /// The engine.
     #[prost(string, tag = "1")]
     pub engine: String,
     /// What it holds since then, or in another version.
     #[prost(message, repeated, tag = "2")]
-    pub gained: Vec<HeldLine>,
+    pub added: Vec<LoadedModelMessage>,
     /// What it holds no more.
     #[prost(string, repeated, tag = "3")]
-    pub lost: Vec<String>,
+    pub removed: Vec<String>,
 }
 
 /// The number by which a placer's frames name an engine.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct NumberLine {
+pub struct EngineNumberMessage {
     /// The number.
     #[prost(uint32, tag = "1")]
     pub number: u32,
@@ -215,32 +215,32 @@
 
 /// How fast the weight store serves adapters.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct PaceLine {
+pub struct StoreThroughputMessage {
     /// How many come at a time without slowing one another down.
     #[prost(float, tag = "1")]
-    pub full_speed: f32,
+    pub parallel_loads: f32,
     /// How long one of these takes. Unit: milliseconds.
     #[prost(uint32, tag = "2")]
-    pub load_millis: u32,
+    pub load_time_ms: u32,
 }
 
 /// What one engine holds.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct EngineLine {
+pub struct EngineModelsMessage {
     /// The engine.
     #[prost(string, tag = "1")]
     pub engine: String,
     /// Everything that it holds.
     #[prost(message, repeated, tag = "2")]
-    pub held: Vec<HeldLine>,
+    pub loaded_models: Vec<LoadedModelMessage>,
     /// The life of the engine that holds it; zero where it does not say. Unit: milliseconds since 1970.
     #[prost(uint64, tag = "3")]
-    pub born: u64,
+    pub incarnation: u64,
 }
 
 /// Something that an engine holds.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct HeldLine {
+pub struct LoadedModelMessage {
     /// The model or adapter.
     #[prost(string, tag = "1")]
     pub key: String,
@@ -251,13 +251,13 @@
 
 /// When an adapter is expected.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct EstimateLine {
+pub struct LoadEstimateMessage {
     /// The adapter.
     #[prost(string, tag = "1")]
     pub key: String,
     /// In what time it is expected. Unit: milliseconds.
     #[prost(uint32, tag = "2")]
-    pub millis: u32,
+    pub expected_in_ms: u32,
 }
 
 impl PeerFrame {
@@ -275,11 +275,11 @@
         match &self.body {
             Some(FrameBody::Demand(_)) => "demand",
             Some(FrameBody::Plan(_)) => "plan",
-            Some(FrameBody::Ask(_)) => "ask",
+            Some(FrameBody::StateRequest(_)) => "ask",
             Some(FrameBody::State(_)) => "state",
             Some(FrameBody::Follow(_)) => "follow",
-            Some(FrameBody::Count(_)) => "count",
-            Some(FrameBody::Sums(_)) => "sums",
+            Some(FrameBody::HostReport(_)) => "count",
+            Some(FrameBody::Aggregate(_)) => "sums",
             None => "none",
         }
     }
@@ -292,32 +292,32 @@
     }
 }
 
-impl From<&DemandEntry> for DemandLine {
+impl From<&DemandEntry> for DemandMessage {
     fn from(entry: &DemandEntry) -> Self {
         #[expect(clippy::cast_possible_truncation, reason = "a worth needs few digits")]
-        let waiting_worth = entry.waiting_value as f32;
+        let waiting_value = entry.waiting_value as f32;
         Self {
             key: entry.key.to_string(),
-            asked: entry.new_requests,
+            new_requests: entry.new_requests,
             waiting: entry.waiting,
-            waiting_worth,
-            asked_tokens: entry.new_prompt_tokens,
-            waiting_tokens: entry.waiting_prompt_tokens,
-            copies_closed: entry.copies_unavailable,
+            waiting_value,
+            new_prompt_tokens: entry.new_prompt_tokens,
+            waiting_prompt_tokens: entry.waiting_prompt_tokens,
+            copies_unavailable: entry.copies_unavailable,
         }
     }
 }
 
-impl From<&DemandLine> for DemandEntry {
-    fn from(line: &DemandLine) -> Self {
+impl From<&DemandMessage> for DemandEntry {
+    fn from(message: &DemandMessage) -> Self {
         Self {
-            key: Arc::from(line.key.as_str()),
-            new_requests: line.asked,
-            new_prompt_tokens: line.asked_tokens,
-            waiting: line.waiting,
-            waiting_prompt_tokens: line.waiting_tokens,
-            waiting_value: f64::from(line.waiting_worth),
-            copies_unavailable: line.copies_closed,
+            key: Arc::from(message.key.as_str()),
+            new_requests: message.new_requests,
+            new_prompt_tokens: message.new_prompt_tokens,
+            waiting: message.waiting,
+            waiting_prompt_tokens: message.waiting_prompt_tokens,
+            waiting_value: f64::from(message.waiting_value),
+            copies_unavailable: message.copies_unavailable,
         }
     }
 }
@@ -327,84 +327,94 @@
     pub fn work(&self) -> HostWork {
         HostWork {
             engines: self.work.iter().map(Into::into).collect(),
-            open_requests: self.runs.iter().map(Into::into).collect(),
+            open_requests: self.open_requests.iter().map(Into::into).collect(),
             absent: self.absent.iter().map(Into::into).collect(),
-            unreachable: self.unreached.iter().map(|engine| Arc::from(engine.as_str())).collect(),
+            unreachable: self.unreachable.iter().map(|engine| Arc::from(engine.as_str())).collect(),
         }
     }
 }
 
-impl From<&AbsentEntry> for AbsentLine {
+impl From<&AbsentEntry> for AbsentModelMessage {
     fn from(entry: &AbsentEntry) -> Self {
-        let millis = u32::try_from(entry.age.as_millis()).unwrap_or(u32::MAX);
-        Self { engine: entry.engine.to_string(), key: entry.key.to_string(), millis }
+        let age_ms = u32::try_from(entry.age.as_millis()).unwrap_or(u32::MAX);
+        Self { engine: entry.engine.to_string(), key: entry.key.to_string(), age_ms }
     }
 }
 
-impl From<&AbsentLine> for AbsentEntry {
-    fn from(line: &AbsentLine) -> Self {
-        let (engine, key) = (Arc::from(line.engine.as_str()), Arc::from(line.key.as_str()));
-        Self { engine, key, age: Duration::from_millis(u64::from(line.millis)) }
+impl From<&AbsentModelMessage> for AbsentEntry {
+    fn from(message: &AbsentModelMessage) -> Self {
+        let (engine, key) = (Arc::from(message.engine.as_str()), Arc::from(message.key.as_str()));
+        Self { engine, key, age: Duration::from_millis(u64::from(message.age_ms)) }
     }
 }
 
-impl From<StoreThroughput> for PaceLine {
-    fn from(pace: StoreThroughput) -> Self {
+impl From<StoreThroughput> for StoreThroughputMessage {
+    fn from(throughput: StoreThroughput) -> Self {
         #[expect(clippy::cast_possible_truncation, reason = "a pace needs few digits")]
-        let full_speed = pace.parallel_loads as f32;
-        let load_millis = u32::try_from(pace.load_time.as_millis()).unwrap_or(u32::MAX);
-        Self { full_speed, load_millis }
+        let parallel_loads = throughput.parallel_loads as f32;
+        let load_time_ms = u32::try_from(throughput.load_time.as_millis()).unwrap_or(u32::MAX);
+        Self { parallel_loads, load_time_ms }
     }
 }
 
-impl From<&PaceLine> for StoreThroughput {
-    fn from(line: &PaceLine) -> Self {
-        let load_time = Duration::from_millis(u64::from(line.load_millis));
-        Self { parallel_loads: f64::from(line.full_speed), load_time }.clamped()
+impl From<&StoreThroughputMessage> for StoreThroughput {
+    fn from(message: &StoreThroughputMessage) -> Self {
+        let load_time = Duration::from_millis(u64::from(message.load_time_ms));
+        Self { parallel_loads: f64::from(message.parallel_loads), load_time }.clamped()
     }
 }
 
-impl From<&(EngineName, EngineWork)> for WorkLine {
+impl From<&(EngineName, EngineWork)> for EngineWorkMessage {
     fn from((engine, work): &(EngineName, EngineWork)) -> Self {
-        Self { engine: engine.to_string(), open: work.open, unread: work.pending_prefill_tokens }
+        Self {
+            engine: engine.to_string(),
+            open: work.open,
+            pending_prefill_tokens: work.pending_prefill_tokens,
+        }
     }
 }
 
-impl From<&WorkLine> for (EngineName, EngineWork) {
-    fn from(line: &WorkLine) -> Self {
-        let work = EngineWork { open: line.open, pending_prefill_tokens: line.unread };
-        (Arc::from(line.engine.as_str()), work)
+impl From<&EngineWorkMessage> for (EngineName, EngineWork) {
+    fn from(message: &EngineWorkMessage) -> Self {
+        let work = EngineWork {
+            open: message.open,
+            pending_prefill_tokens: message.pending_prefill_tokens,
+        };
+        (Arc::from(message.engine.as_str()), work)
     }
 }
 
-impl From<&OpenRequestsEntry> for RunLine {
-    fn from(run: &OpenRequestsEntry) -> Self {
-        Self { engine: run.engine.to_string(), key: run.key.to_string(), open: run.open }
+impl From<&OpenRequestsEntry> for OpenRequestsMessage {
+    fn from(entry: &OpenRequestsEntry) -> Self {
+        Self { engine: entry.engine.to_string(), key: entry.key.to_string(), open: entry.open }
     }
 }
 
-impl From<&RunLine> for OpenRequestsEntry {
-    fn from(line: &RunLine) -> Self {
-        let engine = Arc::from(line.engine.as_str());
-        Self { engine, key: Arc::from(line.key.as_str()), open: line.open }
+impl From<&OpenRequestsMessage> for OpenRequestsEntry {
+    fn from(message: &OpenRequestsMessage) -> Self {
+        let engine = Arc::from(message.engine.as_str());
+        Self { engine, key: Arc::from(message.key.as_str()), open: message.open }
     }
 }
 
-impl From<&LoadedModel> for HeldLine {
-    fn from(held: &LoadedModel) -> Self {
-        Self { key: held.key.to_string(), version: held.version }
+impl From<&LoadedModel> for LoadedModelMessage {
+    fn from(model: &LoadedModel) -> Self {
+        Self { key: model.key.to_string(), version: model.version }
     }
 }
 
-impl From<&HeldLine> for LoadedModel {
-    fn from(line: &HeldLine) -> Self {
-        Self { key: Arc::from(line.key.as_str()), version: line.version }
+impl From<&LoadedModelMessage> for LoadedModel {
+    fn from(message: &LoadedModelMessage) -> Self {
+        Self { key: Arc::from(message.key.as_str()), version: message.version }
     }
 }
 
-impl EstimateLine {
+impl LoadEstimateMessage {
     /// Writes an estimate.
     pub fn new(key: &ModelKey, time: Duration) -> Self {
-        Self { key: key.to_string(), millis: u32::try_from(time.as_millis()).unwrap_or(u32::MAX) }
+        Self {
+            key: key.to_string(),
+            expected_in_ms: u32::try_from(time.as_millis()).unwrap_or(u32::MAX),
+        }
     }
 }
--- a/crates/gateway/src/peers/server.rs
+++ b/crates/gateway/src/peers/server.rs
@@ -19,17 +19,17 @@
 };
 
 /// How long to wait before listening is tried again.
-const LISTEN_PAUSE: Duration = Duration::from_millis(200);
+const LISTEN_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// Takes connections for ever.
 pub async fn run_peer_server(state: SharedControl) {
-    let address = state.borrow().shared().profile.peers;
+    let address = state.borrow().shared().profile.peer_address;
     let listener = loop {
         match TcpListener::bind(address).await {
             Ok(listener) => break listener,
             Err(error) => {
                 log::warn!("peers can not connect to {address}: {error}");
-                tokio::time::sleep(LISTEN_PAUSE).await;
+                tokio::time::sleep(LISTEN_RETRY_DELAY).await;
             }
         }
     };
@@ -40,7 +40,7 @@
             }
             Err(error) => {
                 log::warn!("a peer could not connect: {error}");
-                tokio::time::sleep(LISTEN_PAUSE).await;
+                tokio::time::sleep(LISTEN_RETRY_DELAY).await;
             }
         }
     }
@@ -48,7 +48,7 @@
 
 /// Serves one peer until it closes, or until it asks for a plan that another host makes.
 async fn serve_peer(state: SharedControl, socket: TcpStream) {
-    let sent = state.borrow().shared().metrics.peer_bytes.clone();
+    let sent = state.borrow().shared().metrics.peer_sent_bytes.clone();
     let mut stream = PeerStream::new(socket, sent);
     let (sender, mut frames) = mpsc::channel(PEER_QUEUE);
     let mut subscribed: Vec<String> = Vec::new();
@@ -57,27 +57,27 @@
             received = stream.receive() => {
                 let Some(frame) = received else {
                     if stream.is_closed() {
-                        forget_subscriber(&state, &sender, &subscribed);
+                        remove_subscriber(&state, &sender, &subscribed);
                     }
                     return;
                 };
                 match frame.body {
                     Some(FrameBody::Demand(demand)) => {
-                        let taken = take_demand(&state, &demand, &sender, &mut subscribed);
-                        if !taken {
+                        let accepted = handle_demand(&state, &demand, &sender, &mut subscribed);
+                        if !accepted {
                             return;
                         }
                     }
-                    Some(FrameBody::Count(count)) => state.borrow_mut().peer_count(&count),
-                    Some(FrameBody::Ask(ask)) => {
-                        let answer = state.borrow().answer_frame(ask.asked);
-                        if stream.send(FrameBody::State(answer).encoded()).await.is_err() {
+                    Some(FrameBody::HostReport(count)) => state.borrow_mut().peer_count(&count),
+                    Some(FrameBody::StateRequest(ask)) => {
+                        let response = state.borrow().answer_frame(ask.requested_at);
+                        if stream.send(FrameBody::State(response).encoded()).await.is_err() {
                             return;
                         }
                     }
                     Some(FrameBody::Follow(follow)) => {
                         // The sender lives with the feed: when it drops it, this task ends.
-                        if state.borrow_mut().add_follower(sender.clone(), follow.asked) {
+                        if state.borrow_mut().add_follower(sender.clone(), follow.requested_at) {
                             feed_follower(&state, stream, sender, frames).await;
                         }
                         return;
@@ -102,17 +102,17 @@
 async fn feed_follower(
     state: &SharedControl,
     mut stream: PeerStream,
-    own: mpsc::Sender<EncodedFrame>,
+    sender: mpsc::Sender<EncodedFrame>,
     mut frames: mpsc::Receiver<EncodedFrame>,
 ) {
-    drop(own);
+    drop(sender);
     loop {
         tokio::select! {
             received = stream.receive() => {
                 let Some(frame) = received else { return };
                 let Some(FrameBody::Follow(follow)) = frame.body else { continue };
-                let answer = state.borrow().clock_frame(follow.asked);
-                if stream.send(FrameBody::State(answer).encoded()).await.is_err() {
+                let response = state.borrow().clock_frame(follow.requested_at);
+                if stream.send(FrameBody::State(response).encoded()).await.is_err() {
                     return;
                 }
             }
@@ -127,27 +127,27 @@
 }
 
 /// Takes demand; returns false when this host makes no plan for the service.
-fn take_demand(
+fn handle_demand(
     state: &SharedControl,
     demand: &DemandFrame,
     sender: &mpsc::Sender<EncodedFrame>,
     subscribed: &mut Vec<String>,
 ) -> bool {
     let new = !subscribed.contains(&demand.service);
-    let listener = new.then(|| PlanSubscriber {
+    let subscriber = new.then(|| PlanSubscriber {
         host: Arc::from(demand.host.as_str()),
         frames: sender.clone(),
         asked: Vec::new(),
     });
-    let taken = state.borrow_mut().peer_demand(demand, listener);
-    if new && taken {
+    let accepted = state.borrow_mut().peer_demand(demand, subscriber);
+    if new && accepted {
         subscribed.push(demand.service.clone());
     }
-    taken
+    accepted
 }
 
 /// Forgets a peer that has closed its connection: it is not cut off.
-fn forget_subscriber(
+fn remove_subscriber(
     state: &SharedControl,
     sender: &mpsc::Sender<EncodedFrame>,
     subscribed: &[String],
@@ -169,8 +169,8 @@
     let mut state = state.borrow_mut();
     subscribed.iter().all(|service| {
         state.domain(service).is_some_and(|domain| {
-            let mut listeners = domain.subscribers.iter();
-            domain.leads && listeners.any(|known| known.frames.same_channel(sender))
+            let mut subscribers = domain.subscribers.iter();
+            domain.leads && subscribers.any(|subscriber| subscriber.frames.same_channel(sender))
         })
     })
 }
--- a/crates/gateway/src/peers/state_frames.rs
+++ b/crates/gateway/src/peers/state_frames.rs
@@ -2,14 +2,14 @@
 
 use reelreel_core::{ClockMillis, StorePosition, fleet::freshness::PeerClock};
 
-use crate::{border::KeyedRecord, peers::engine_lines::EngineRecordLine};
+use crate::{codec::KeyedRecord, peers::engine_messages::EngineEntryMessage};
 
 /// Asks for what the peer has read from the store.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct AskFrame {
+pub struct StateRequestFrame {
     /// What the asking host's clock shows. Unit: milliseconds.
     #[prost(uint64, tag = "1")]
-    pub asked: u64,
+    pub requested_at: u64,
 }
 
 /// Asks for what the peer reads from the store from now on, or, later on, for its clock alone.
@@ -17,15 +17,15 @@
 pub struct FollowFrame {
     /// What the asking host's clock shows. Unit: milliseconds.
     #[prost(uint64, tag = "1")]
-    pub asked: u64,
+    pub requested_at: u64,
 }
 
 /// What a host's clock shows, as an answer.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct ClockLine {
+pub struct ClockMessage {
     /// What the asking host's clock showed when it asked. Unit: milliseconds.
     #[prost(uint64, tag = "1")]
-    pub asked: u64,
+    pub requested_at: u64,
     /// What the answering host's clock shows. Unit: milliseconds.
     #[prost(uint64, tag = "2")]
     pub now: u64,
@@ -36,29 +36,29 @@
 pub struct StateFrame {
     /// Newest records of the configuration topic.
     #[prost(message, repeated, tag = "1")]
-    pub configuration: Vec<RecordLine>,
+    pub configuration: Vec<KeyedRecordMessage>,
     /// Who holds which partition of the group; empty when that did not change.
     #[prost(message, repeated, tag = "4")]
-    pub owners: Vec<OwnerLine>,
+    pub owners: Vec<PartitionOwnerMessage>,
     /// Whether this is everything.
     #[prost(bool, tag = "5")]
-    pub whole: bool,
+    pub complete: bool,
     /// How far the engines' topic was read, where this is everything.
     #[prost(uint64, tag = "6")]
     pub engines_end: u64,
     /// At which moment of the sender's clock all that it has passed on was the newest configuration; zero
     /// where it does not know. Unit: milliseconds.
     #[prost(uint64, tag = "7")]
-    pub confirmed: u64,
+    pub confirmed_at: u64,
     /// The sender's clock, in an answer.
     #[prost(message, optional, tag = "8")]
-    pub clock: Option<ClockLine>,
+    pub clock: Option<ClockMessage>,
     /// The names that the lines of `engines` refer to.
     #[prost(string, repeated, tag = "9")]
     pub names: Vec<String>,
     /// The engines' entries.
     #[prost(message, repeated, tag = "10")]
-    pub engines: Vec<EngineRecordLine>,
+    pub engines: Vec<EngineEntryMessage>,
     /// The newest era of the store that the sender has heard of.
     #[prost(uint64, tag = "11")]
     pub era: u64,
@@ -74,28 +74,28 @@
     }
 }
 
-impl From<&ClockLine> for PeerClock {
-    fn from(line: &ClockLine) -> Self {
-        let (own, peer) =
-            (ClockMillis::from_millis(line.asked), ClockMillis::from_millis(line.now));
-        Self { local: own, peer }
+impl From<&ClockMessage> for PeerClock {
+    fn from(message: &ClockMessage) -> Self {
+        let (local, peer) =
+            (ClockMillis::from_millis(message.requested_at), ClockMillis::from_millis(message.now));
+        Self { local: local, peer }
     }
 }
 
 /// Who holds a partition of the group.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct OwnerLine {
+pub struct PartitionOwnerMessage {
     /// The partition.
     #[prost(uint32, tag = "1")]
     pub partition: u32,
     /// The name of the member that holds it.
     #[prost(string, tag = "2")]
-    pub host: String,
+    pub member: String,
 }
 
 /// A record of a keyed topic.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct RecordLine {
+pub struct KeyedRecordMessage {
     /// Its key.
     #[prost(string, tag = "1")]
     pub key: String,
@@ -110,15 +110,15 @@
     pub era: u64,
 }
 
-impl From<&RecordLine> for KeyedRecord {
-    fn from(line: &RecordLine) -> Self {
-        let (key, value) = (line.key.clone(), line.value.clone());
-        let position = StorePosition { era: line.era, offset: line.offset };
+impl From<&KeyedRecordMessage> for KeyedRecord {
+    fn from(message: &KeyedRecordMessage) -> Self {
+        let (key, value) = (message.key.clone(), message.value.clone());
+        let position = StorePosition { era: message.era, offset: message.offset };
         Self { key, value, position }
     }
 }
 
-impl From<&KeyedRecord> for RecordLine {
+impl From<&KeyedRecord> for KeyedRecordMessage {
     fn from(record: &KeyedRecord) -> Self {
         let (key, value) = (record.key.clone(), record.value.clone());
         let StorePosition { era, offset } = record.position;
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -1,6 +1,6 @@
 //! Following the platform's store: configuration, engines, and the lease of placement domains.
 
-pub mod eras;
+pub mod era;
 pub mod follow;
 pub mod health;
 pub mod membership;
@@ -12,32 +12,32 @@
 use tokio::{sync::watch, time::Instant};
 
 use crate::{
-    border::{BorderError, CallAnswer, CallRequest, StoreDialect},
     call::{CallClient, CallError},
-    store::eras::{EraWord, StoreEras},
+    codec::{CallRequest, CallResponse, CodecError, StoreCodec},
+    store::era::{EraStatus, EraTracker},
 };
 
 /// The first pause after a call that failed.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
 
 /// The longest pause between calls that fail: a host must have heard from a store that is back within the least
 /// time that its users give, three seconds.
-pub(crate) const LONGEST_PAUSE: Duration = Duration::from_secs(2);
+pub(crate) const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
 /// How many times longer a task pauses that leaves it to another one to find out that the store is back.
-const WOKEN_STRETCH: u32 = 4;
+const PASSIVE_DELAY_FACTOR: u32 = 4;
 
 /// The longest pause of a task that is woken.
-const LONGEST_WOKEN_PAUSE: Duration = Duration::from_secs(6);
+const MAX_PASSIVE_DELAY: Duration = Duration::from_secs(6);
 
 /// The longest cooldown of the store that is honoured at a time: a lease that is not renewed for longer passes on.
-const LONGEST_COOLDOWN: Duration = Duration::from_secs(1);
+const MAX_COOLDOWN: Duration = Duration::from_secs(1);
 
-/// How logs name the store where it told of its era itself.
-const STORE_TELLS: &str = "store";
+/// How logs name the store where it received of its era itself.
+const STORE_SOURCE: &str = "store";
 
 /// Says how often the store has answered again after a failure.
-pub type StoreReturns = watch::Receiver<u32>;
+pub type StoreRecoveries = watch::Receiver<u32>;
 
 /// Why the store gave no useful answer.
 #[derive(Debug, thiserror::Error)]
@@ -47,25 +47,25 @@
     Call(#[from] CallError),
     /// The answer was a refusal or none that can be read.
     #[error(transparent)]
-    Answer(#[from] BorderError),
+    Response(#[from] CodecError),
     /// The answer is of a store that is gone: an older copy of it has taken its place since.
     #[error(
-        "the answer is of the store's era {told}, and its era is {known}; the call is repeated on a new connection"
+        "the answer is of the store's era {received}, and its era is {current}; the call is repeated on a new connection"
     )]
-    EarlierEra {
+    StaleEra {
         /// The era of the answer.
-        told: StoreEra,
-        /// The newest era that is known.
-        known: StoreEra,
+        received: StoreEra,
+        /// The newest era that is current.
+        current: StoreEra,
     },
 }
 
 /// Calls the store over one kept connection.
 pub struct StoreClient {
-    dialect: Arc<dyn StoreDialect>,
+    codec: Arc<dyn StoreCodec>,
     client: CallClient,
     calls: Counter,
-    eras: StoreEras,
+    eras: EraTracker,
     /// Before which moment the store wants no call.
     not_before: Option<Instant>,
 }
@@ -73,47 +73,47 @@
 impl StoreClient {
     /// Starts without a connection; `calls` counts the calls, and `eras` hears the era of each answer.
     pub fn new(
-        dialect: Arc<dyn StoreDialect>,
+        codec: Arc<dyn StoreCodec>,
         address: SocketAddr,
         calls: Counter,
-        eras: StoreEras,
+        eras: EraTracker,
     ) -> Self {
-        Self { dialect, client: CallClient::new(address), calls, eras, not_before: None }
+        Self { codec, client: CallClient::new(address), calls, eras, not_before: None }
     }
 
     /// Returns what translates the calls.
-    pub fn dialect(&self) -> &dyn StoreDialect {
-        &*self.dialect
+    pub fn codec(&self) -> &dyn StoreCodec {
+        &*self.codec
     }
 
     async fn call(
         &mut self,
         request: &CallRequest,
-        patience: Duration,
-    ) -> Result<CallAnswer, StoreError> {
+        timeout: Duration,
+    ) -> Result<CallResponse, StoreError> {
         if let Some(moment) = self.not_before.take() {
             tokio::time::sleep_until(moment).await;
         }
         self.calls.inc();
-        let answer = self.client.call(request, patience).await?;
-        let cooldown = self.dialect.cooldown(&answer);
+        let response = self.client.call(request, timeout).await?;
+        let cooldown = self.codec.decode_cooldown(&response);
         self.not_before =
-            cooldown.map(|cooldown| Instant::now() + cooldown.duration().min(LONGEST_COOLDOWN));
-        let told = self.dialect.era(&answer);
-        match self.eras.hear(told, STORE_TELLS) {
-            EraWord::Newest => Ok(answer),
-            EraWord::Earlier(known) => {
+            cooldown.map(|cooldown| Instant::now() + cooldown.duration().min(MAX_COOLDOWN));
+        let received = self.codec.decode_era(&response);
+        match self.eras.observe(received, STORE_SOURCE) {
+            EraStatus::Current => Ok(response),
+            EraStatus::Stale(current) => {
                 self.client.close();
                 log::warn!(
-                    "an answer of the store's era {told} came in its era {known}; it is dropped"
+                    "an answer of the store's era {received} came in its era {current}; it is dropped"
                 );
-                Err(StoreError::EarlierEra { told, known })
+                Err(StoreError::StaleEra { received, current })
             }
         }
     }
 
     /// Returns the newest era of the store that this host has heard of.
-    pub const fn eras(&self) -> &StoreEras {
+    pub const fn eras(&self) -> &EraTracker {
         &self.eras
     }
 }
@@ -123,35 +123,35 @@
 pub struct Backoff {
     failures: u32,
     random: u64,
-    longest: Duration,
+    max_delay: Duration,
 }
 
 impl Backoff {
     /// Starts with a number that differs between hosts.
     pub const fn new(seed: u64) -> Self {
-        Self { failures: 0, random: seed | 1, longest: LONGEST_PAUSE }
+        Self { failures: 0, random: seed | 1, max_delay: MAX_BACKOFF }
     }
 
     /// Sets the longest pause.
     #[must_use]
-    pub const fn longest(self, longest: Duration) -> Self {
-        Self { longest, ..self }
+    pub const fn with_max_delay(self, max_delay: Duration) -> Self {
+        Self { max_delay, ..self }
     }
 
     /// Takes a success: the next failure begins with the shortest pause.
-    pub const fn succeeded(&mut self) {
+    pub const fn reset(&mut self) {
         self.failures = 0;
     }
 
     /// Takes a failure and returns how long to pause.
-    pub fn failed(&mut self) -> Duration {
-        let pause = FIRST_PAUSE.saturating_mul(1 << self.failures.min(6)).min(self.longest);
+    pub fn next_delay(&mut self) -> Duration {
+        let pause = INITIAL_BACKOFF.saturating_mul(1 << self.failures.min(6)).min(self.max_delay);
         self.failures += 1;
-        self.spread(pause)
+        self.jitter(pause)
     }
 
     /// Returns a time between three quarters and five quarters of `pause`.
-    pub fn spread(&mut self, pause: Duration) -> Duration {
+    pub fn jitter(&mut self, pause: Duration) -> Duration {
         self.random ^= self.random << 13;
         self.random ^= self.random >> 7;
         self.random ^= self.random << 17;
@@ -162,40 +162,40 @@
 
 /// The pauses of one task among several that call the store.
 ///
-/// Each is woken by the first answer to any of them. One of them finds out that the store is back; the others call
+/// Each is woken by the first answer to any of them. One of them probes out that the store is back; the others call
 /// seldom by themselves, so that many hosts do not press on a store in trouble.
 #[derive(Debug, Clone)]
-pub struct StorePause {
+pub struct StoreBackoff {
     backoff: Backoff,
-    returns: StoreReturns,
-    finds: bool,
+    recoveries: StoreRecoveries,
+    probes: bool,
 }
 
-impl StorePause {
-    /// Pauses for the task that finds out.
-    pub const fn finding(backoff: Backoff, returns: StoreReturns) -> Self {
-        Self { backoff, returns, finds: true }
+impl StoreBackoff {
+    /// Pauses for the task that probes out.
+    pub const fn probing(backoff: Backoff, recoveries: StoreRecoveries) -> Self {
+        Self { backoff, recoveries, probes: true }
     }
 
     /// Pauses for a task that leaves that to another one.
-    pub const fn woken(backoff: Backoff, returns: StoreReturns) -> Self {
-        Self { backoff, returns, finds: false }
+    pub const fn passive(backoff: Backoff, recoveries: StoreRecoveries) -> Self {
+        Self { backoff, recoveries, probes: false }
     }
 
     /// Takes a success: the next failure begins with the shortest pause.
-    pub const fn succeeded(&mut self) {
-        self.backoff.succeeded();
+    pub const fn reset(&mut self) {
+        self.backoff.reset();
     }
 
-    /// Waits after a call that failed until another task's call is answered; for the task that finds out, `longest`
+    /// Waits after a call that failed until another task's call is answered; for the task that probes out, `longest`
     /// at most.
-    pub async fn after_failure(&mut self, longest: Duration) {
-        let mut pause = self.backoff.failed().min(longest);
-        if !self.finds {
-            pause = (pause * WOKEN_STRETCH).min(LONGEST_WOKEN_PAUSE);
+    pub async fn wait_after_failure(&mut self, max_delay: Duration) {
+        let mut pause = self.backoff.next_delay().min(max_delay);
+        if !self.probes {
+            pause = (pause * PASSIVE_DELAY_FACTOR).min(MAX_PASSIVE_DELAY);
         }
-        self.returns.mark_unchanged();
+        self.recoveries.mark_unchanged();
         // Either way the call is tried again; the sender is gone only when the process ends.
-        let _ = tokio::time::timeout(pause, self.returns.changed()).await;
+        let _ = tokio::time::timeout(pause, self.recoveries.changed()).await;
     }
 }
--- a/crates/gateway/src/store/eras.rs
+++ b/crates/gateway/src/store/era.rs
@@ -10,57 +10,57 @@
 
 /// The newest era that was heard of, and who told it.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct HeardEra {
+pub struct ObservedEra {
     /// The era.
     pub era: StoreEra,
     /// Who told it first: the store, or the address of a peer.
-    pub teller: Cow<'static, str>,
+    pub source: Cow<'static, str>,
 }
 
 /// How an era that was told compares with the newest one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum EraWord {
+pub enum EraStatus {
     /// The one that is known, or a newer one, which is known from now on.
-    Newest,
+    Current,
     /// An earlier one than this: whoever told it speaks of a store that is gone.
-    Earlier(StoreEra),
+    Stale(StoreEra),
 }
 
 /// The newest era of the store, as all tasks of a host know it.
 #[derive(Debug, Clone)]
-pub struct StoreEras(watch::Sender<HeardEra>);
+pub struct EraTracker(watch::Sender<ObservedEra>);
 
-impl Default for StoreEras {
+impl Default for EraTracker {
     fn default() -> Self {
-        Self(watch::Sender::new(HeardEra::default()))
+        Self(watch::Sender::new(ObservedEra::default()))
     }
 }
 
-impl StoreEras {
-    /// Takes an era that `teller` has told.
-    pub fn hear(&self, era: StoreEra, teller: impl Into<Cow<'static, str>>) -> EraWord {
-        let known = self.known();
+impl EraTracker {
+    /// Takes an era that `source` has told.
+    pub fn observe(&self, era: StoreEra, source: impl Into<Cow<'static, str>>) -> EraStatus {
+        let known = self.current();
         if era < known {
-            return EraWord::Earlier(known);
+            return EraStatus::Stale(known);
         }
         if era > known {
-            self.0.send_replace(HeardEra { era, teller: teller.into() });
+            self.0.send_replace(ObservedEra { era, source: source.into() });
         }
-        EraWord::Newest
+        EraStatus::Current
     }
 
     /// Returns the newest era.
-    pub fn known(&self) -> StoreEra {
+    pub fn current(&self) -> StoreEra {
         self.0.borrow().era
     }
 
     /// Returns the newest era with who told it.
-    pub fn newest(&self) -> HeardEra {
+    pub fn current_with_source(&self) -> ObservedEra {
         self.0.borrow().clone()
     }
 
     /// Waits until an era later than `era` is heard of.
-    pub async fn later_than(&self, era: StoreEra) {
+    pub async fn wait_until_later(&self, era: StoreEra) {
         // Waiting fails only when all senders are gone, and this is one.
         let _ = self.0.subscribe().wait_for(|heard| heard.era > era).await;
     }
--- a/crates/gateway/src/store/follow.rs
+++ b/crates/gateway/src/store/follow.rs
@@ -6,59 +6,59 @@
 use tokio::sync::watch;
 
 use crate::{
-    border::{BorderError, KeyedRecord, KeyedTopic, RecordBatch},
-    store::{StoreClient, StoreError, StorePause},
+    codec::{CodecError, KeyedRecord, KeyedTopic, RecordBatch},
+    store::{StoreBackoff, StoreClient, StoreError},
 };
 
 /// How long a call that is not held may take.
-const CALL_PATIENCE: Duration = Duration::from_millis(1500);
+const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// How long a call may take that finds out whether the store is back: a call that the store does not answer must not
 /// hide that it answers others.
-const PROBE_PATIENCE: Duration = Duration::from_millis(400);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// How long the store holds a call for which there is no record yet, where nobody asks for less.
-pub const READ_WAIT: Duration = Duration::from_secs(2);
+pub const LONG_POLL_WAIT: Duration = Duration::from_secs(2);
 
 /// How long a held call may take beyond its wait: twice what a store takes whose answers take fifty times as long as
 /// usual (4 ms).
-const READ_PATIENCE: Duration = Duration::from_millis(400);
+const LONG_POLL_MARGIN: Duration = Duration::from_millis(400);
 
 /// What was learned of a topic.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TopicUpdate {
     /// The newest record of every key, up to an end of the topic.
-    Whole {
+    Snapshot {
         /// The records.
         records: Vec<KeyedRecord>,
         /// The end of the topic.
         end: StorePosition,
         /// When the store was asked: whatever it had taken by then is among the records.
-        asked: ClockMillis,
+        requested_at: ClockMillis,
     },
     /// Records that followed.
     Records {
         /// The records.
         records: Vec<KeyedRecord>,
         /// When the store was asked, where the records are all that it had taken by then.
-        asked: Option<ClockMillis>,
+        requested_at: Option<ClockMillis>,
     },
     /// The store gave no useful answer.
-    Away,
+    Unavailable,
 }
 
 /// How a topic is followed.
-pub struct FollowTerms {
+pub struct FollowOptions {
     /// The topic.
     pub topic: KeyedTopic,
     /// The least time between two calls, so that a busy topic is read in batches.
-    pub rest: Duration,
+    pub min_interval: Duration,
     /// How long the store holds a call for which there is no record yet.
-    pub wait: Duration,
+    pub poll_wait: Duration,
     /// Tells when the store was asked.
     pub clock: Arc<dyn ClockSource>,
     /// The longest pause between calls that fail, at the moment.
-    pub longest_pause: Box<dyn Fn() -> Duration>,
+    pub max_backoff: Box<dyn Fn() -> Duration>,
 }
 
 /// Follows a topic for ever and hands every update to `sink`.
@@ -66,8 +66,8 @@
 /// While `gate` holds true another host reads the topic for this one.
 pub async fn follow_topic(
     mut client: StoreClient,
-    terms: FollowTerms,
-    mut pause: StorePause,
+    options: FollowOptions,
+    mut backoff: StoreBackoff,
     mut gate: watch::Receiver<bool>,
     sink: impl Fn(TopicUpdate),
 ) {
@@ -76,27 +76,27 @@
         if gate.wait_for(|follows| !*follows).await.is_err() {
             return;
         }
-        let (topic, asked) = (terms.topic, terms.clock.now());
-        let from = match read_whole(&mut client, topic).await {
+        let (topic, requested_at) = (options.topic, options.clock.now());
+        let from = match read_snapshot(&mut client, topic).await {
             Ok((records, end)) => {
-                pause.succeeded();
-                sink(TopicUpdate::Whole { records, end, asked });
+                backoff.reset();
+                sink(TopicUpdate::Snapshot { records, end, requested_at });
                 end
             }
             Err(error) => {
                 log::debug!("{topic:?}: {error}");
-                sink(TopicUpdate::Away);
-                pause.after_failure((terms.longest_pause)()).await;
+                sink(TopicUpdate::Unavailable);
+                backoff.wait_after_failure((options.max_backoff)()).await;
                 continue;
             }
         };
         let eras = client.eras().clone();
-        let reading = follow_records(&mut client, &terms, &mut pause, from, &sink);
+        let reading = follow_records(&mut client, &options, &mut backoff, from, &sink);
         tokio::select! {
             () = reading => {}
             follows = gate.wait_for(|follows| *follows) => drop(follows),
             // What was read belongs to a store that is gone; a call that it holds may never be answered.
-            () = eras.later_than(from.era) => {}
+            () = eras.wait_until_later(from.era) => {}
         }
     }
 }
@@ -105,42 +105,49 @@
 /// again.
 async fn follow_records(
     client: &mut StoreClient,
-    terms: &FollowTerms,
-    pause: &mut StorePause,
+    options: &FollowOptions,
+    backoff: &mut StoreBackoff,
     mut from: StorePosition,
     sink: &impl Fn(TopicUpdate),
 ) {
-    let topic = terms.topic;
-    let mut away = false;
+    let topic = options.topic;
+    let mut unavailable = false;
     loop {
-        if !away {
-            tokio::time::sleep(terms.rest).await;
+        if !unavailable {
+            tokio::time::sleep(options.min_interval).await;
         }
-        let asked = terms.clock.now();
-        let read = if away {
-            read_on(client, topic, from, Duration::ZERO, PROBE_PATIENCE).await
+        let requested_at = options.clock.now();
+        let read = if unavailable {
+            read_records(client, topic, from, Duration::ZERO, PROBE_TIMEOUT).await
         } else {
-            read_on(client, topic, from, terms.wait, terms.wait + READ_PATIENCE).await
+            read_records(
+                client,
+                topic,
+                from,
+                options.poll_wait,
+                options.poll_wait + LONG_POLL_MARGIN,
+            )
+            .await
         };
         match read {
             Ok(batch) => {
-                pause.succeeded();
+                backoff.reset();
                 // The records between the end of the copy and this position were never read.
                 if batch.next.era != from.era {
                     return;
                 }
-                away = false;
+                unavailable = false;
                 from = batch.next;
                 // A batch may be cut at the most that one read returns.
-                let asked = (from >= batch.end).then_some(asked);
-                sink(TopicUpdate::Records { records: batch.records, asked });
+                let requested_at = (from >= batch.end).then_some(requested_at);
+                sink(TopicUpdate::Records { records: batch.records, requested_at });
             }
-            Err(StoreError::Answer(BorderError::Gone)) => return,
+            Err(StoreError::Response(CodecError::Gone)) => return,
             Err(error) => {
                 log::debug!("{topic:?} from {from:?}: {error}");
-                away = true;
-                sink(TopicUpdate::Away);
-                pause.after_failure((terms.longest_pause)()).await;
+                unavailable = true;
+                sink(TopicUpdate::Unavailable);
+                backoff.wait_after_failure((options.max_backoff)()).await;
             }
         }
     }
@@ -151,7 +158,7 @@
 /// That is the end as the first page tells it: records that came while later pages were made may belong to keys of
 /// earlier ones, and would be missed for good from the last page's end on. Pages of two eras do not go together: the first
 /// pages are read again.
-async fn read_whole(
+async fn read_snapshot(
     client: &mut StoreClient,
     topic: KeyedTopic,
 ) -> Result<(Vec<KeyedRecord>, StorePosition), StoreError> {
@@ -159,9 +166,9 @@
     let mut first_end: Option<StorePosition> = None;
     loop {
         let after = records.last().map(|record| record.key.as_str());
-        let call = client.dialect().newest(topic, after);
-        let answer = client.call(&call, CALL_PATIENCE).await?;
-        let page = client.dialect().newest_answer(&answer)?;
+        let call = client.codec().encode_snapshot_request(topic, after);
+        let response = client.call(&call, CALL_TIMEOUT).await?;
+        let page = client.codec().decode_snapshot_page(&response)?;
         let end = *first_end.get_or_insert(page.end);
         if end.era != page.end.era {
             records.clear();
@@ -176,14 +183,14 @@
     }
 }
 
-async fn read_on(
+async fn read_records(
     client: &mut StoreClient,
     topic: KeyedTopic,
     from: StorePosition,
     wait: Duration,
-    patience: Duration,
+    timeout: Duration,
 ) -> Result<RecordBatch, StoreError> {
-    let call = client.dialect().read(topic, from, wait);
-    let answer = client.call(&call, patience).await?;
-    Ok(client.dialect().read_answer(from, &answer)?)
+    let call = client.codec().encode_read_request(topic, from, wait);
+    let response = client.call(&call, timeout).await?;
+    Ok(client.codec().decode_records(from, &response)?)
 }
--- a/crates/gateway/src/store/membership.rs
+++ b/crates/gateway/src/store/membership.rs
@@ -8,33 +8,33 @@
 };
 
 use crate::{
-    border::GroupShare,
+    codec::GroupAssignment,
     store::{Backoff, StoreClient, StoreError},
 };
 
 /// How long a join may take; a later answer would confirm a lease that has run out.
-const JOIN_PATIENCE: Duration = Duration::from_millis(700);
+const JOIN_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// How many joins go into one time to live.
-const JOINS_PER_LIFE: u32 = 3;
+const JOINS_PER_TTL: u32 = 3;
 
 /// The pause before the next join while the group changes: a partition passes on only when the member that had it has
 /// joined again, and a fleet that starts changes with every member. At a third of the time to live three such steps
 /// take two seconds in which nobody places; at this pause a third of a second (the store answers within a few
 /// milliseconds, and a join costs it a tenth of a call).
-const CHANGE_PAUSE: Duration = Duration::from_millis(100);
+const REBALANCE_JOIN_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How many such joins may follow one another, so that a group that never settles is not joined ever faster.
-const MOST_CHANGE_JOINS: u32 = 12;
+const MAX_REBALANCE_JOINS: u32 = 12;
 
 /// How many times the holders of the partitions are asked for within one time to live after a change.
-const OWNERS_ASKS: u32 = 2;
+const OWNER_QUERIES_PER_TTL: u32 = 2;
 
 /// How many looks in a row show a member that the group does not need it.
-const UNNEEDED_LOOKS: u32 = 4;
+const UNNEEDED_CHECKS: u32 = 4;
 
 /// What stands behind the address in the name of a weak member.
-const WEAK_MARK: &str = "/weak";
+const WEAK_SUFFIX: &str = "/weak";
 
 /// A member of the group, as its name tells.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -47,8 +47,8 @@
 
 impl fmt::Display for GroupMember {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let mark = if self.strong { "" } else { WEAK_MARK };
-        write!(formatter, "{}{mark}", self.address)
+        let suffix = if self.strong { "" } else { WEAK_SUFFIX };
+        write!(formatter, "{}{suffix}", self.address)
     }
 }
 
@@ -56,7 +56,7 @@
     type Err = std::net::AddrParseError;
 
     fn from_str(name: &str) -> Result<Self, Self::Err> {
-        let address = name.strip_suffix(WEAK_MARK);
+        let address = name.strip_suffix(WEAK_SUFFIX);
         let strong = address.is_none();
         Ok(Self { address: address.unwrap_or(name).parse()?, strong })
     }
@@ -68,7 +68,7 @@
     /// The store dealt the host its share.
     Joined {
         /// What was dealt.
-        share: GroupShare,
+        assignment: GroupAssignment,
         /// When the join was sent.
         sent: ClockMillis,
     },
@@ -87,79 +87,80 @@
 struct OwnersWatch {
     time_to_live: Duration,
     /// What was last dealt, and when it changed.
-    share: GroupShare,
-    changed: ClockMillis,
+    assignment: GroupAssignment,
+    changed_at: ClockMillis,
     /// When the holders were last told.
-    told: Option<ClockMillis>,
+    queried_at: Option<ClockMillis>,
 }
 
 impl OwnersWatch {
     fn new(time_to_live: Duration) -> Self {
-        let share = GroupShare { era: 0, generation: 0, partitions: Vec::new() };
-        Self { time_to_live, share, changed: ClockMillis::default(), told: None }
+        let assignment = GroupAssignment { era: 0, generation: 0, partitions: Vec::new() };
+        Self { time_to_live, assignment, changed_at: ClockMillis::default(), queried_at: None }
     }
 
     /// Takes what a join dealt; returns whether the holders are to be asked for.
-    fn is_due(&mut self, share: &GroupShare, now: ClockMillis) -> bool {
-        let mut share = share.clone();
-        share.partitions.sort_unstable();
-        if self.share != share {
-            self.share = share;
-            self.changed = now;
-            self.told = None;
+    fn is_due(&mut self, assignment: &GroupAssignment, now: ClockMillis) -> bool {
+        let mut assignment = assignment.clone();
+        assignment.partitions.sort_unstable();
+        if self.assignment != assignment {
+            self.assignment = assignment;
+            self.changed_at = now;
+            self.queried_at = None;
         }
-        let Some(told) = self.told else { return true };
-        let settled = told.since(self.changed) >= self.time_to_live;
-        !settled && now.since(told) >= self.time_to_live / OWNERS_ASKS
+        let Some(queried_at) = self.queried_at else { return true };
+        let settled = queried_at.since(self.changed_at) >= self.time_to_live;
+        !settled && now.since(queried_at) >= self.time_to_live / OWNER_QUERIES_PER_TTL
     }
 }
 
 /// Stays in the group until `unneeded` has held for some looks, and hands every update to `sink`.
-pub async fn stay_member(
+pub async fn run_membership(
     client: &mut StoreClient,
     member: GroupMember,
     time_to_live: Duration,
     clock: Arc<dyn ClockSource>,
     mut backoff: Backoff,
-    unneeded: impl Fn() -> bool,
+    is_unneeded: impl Fn() -> bool,
     sink: impl Fn(MembershipUpdate),
 ) {
-    let mut unneeded_looks = 0;
-    let mut heard: (StoreEra, GroupGeneration) = (0, 0);
-    let mut watch = OwnersWatch::new(time_to_live);
-    let mut change_joins = 0;
+    let mut unneeded_checks = 0;
+    let mut last_seen: (StoreEra, GroupGeneration) = (0, 0);
+    let mut owner_queries = OwnersWatch::new(time_to_live);
+    let mut rebalance_joins = 0;
     let name = member.to_string();
     loop {
         let sent = clock.now();
-        unneeded_looks = if unneeded() { unneeded_looks + 1 } else { 0 };
-        if unneeded_looks >= UNNEEDED_LOOKS {
+        unneeded_checks = if is_unneeded() { unneeded_checks + 1 } else { 0 };
+        if unneeded_checks >= UNNEEDED_CHECKS {
             return;
         }
         // A store that came back older counts again: a generation heard before would give up what was never taken from this host.
-        let generation = if heard.0 == client.eras().known() { heard.1 } else { 0 };
+        let generation = if last_seen.0 == client.eras().current() { last_seen.1 } else { 0 };
         match join(client, &name, time_to_live, generation).await {
-            Ok(share) => {
-                backoff.succeeded();
-                let changed = (share.era, share.generation) != heard;
-                change_joins = if changed { change_joins + 1 } else { 0 };
-                heard = (share.era, share.generation);
-                let due = watch.is_due(&share, sent);
-                sink(MembershipUpdate::Joined { share, sent });
+            Ok(assignment) => {
+                backoff.reset();
+                let changed = (assignment.era, assignment.generation) != last_seen;
+                rebalance_joins = if changed { rebalance_joins + 1 } else { 0 };
+                last_seen = (assignment.era, assignment.generation);
+                let due = owner_queries.is_due(&assignment, sent);
+                sink(MembershipUpdate::Joined { assignment, sent });
                 if due && let Ok(owners) = owners(client).await {
-                    watch.told = Some(sent);
+                    owner_queries.queried_at = Some(sent);
                     sink(MembershipUpdate::Owners(owners));
                 }
             }
             Err(error) => {
                 log::debug!("join: {error}");
                 sink(MembershipUpdate::Failed);
-                tokio::time::sleep(backoff.failed()).await;
+                tokio::time::sleep(backoff.next_delay()).await;
                 continue;
             }
         }
-        let changes = (1..=MOST_CHANGE_JOINS).contains(&change_joins);
-        let usual = if changes { CHANGE_PAUSE } else { time_to_live / JOINS_PER_LIFE };
-        let pause = backoff.spread(usual);
+        let rebalancing = (1..=MAX_REBALANCE_JOINS).contains(&rebalance_joins);
+        let interval =
+            if rebalancing { REBALANCE_JOIN_INTERVAL } else { time_to_live / JOINS_PER_TTL };
+        let pause = backoff.jitter(interval);
         tokio::time::sleep(pause).await;
     }
 }
@@ -169,10 +170,10 @@
     member: &str,
     time_to_live: Duration,
     generation: GroupGeneration,
-) -> Result<GroupShare, StoreError> {
-    let call = client.dialect().join(member, time_to_live, generation);
-    let answer = client.call(&call, JOIN_PATIENCE).await?;
-    Ok(client.dialect().join_answer(&answer)?)
+) -> Result<GroupAssignment, StoreError> {
+    let call = client.codec().encode_join(member, time_to_live, generation);
+    let response = client.call(&call, JOIN_TIMEOUT).await?;
+    Ok(client.codec().decode_assignment(&response)?)
 }
 
 /// Asks who holds which partition.
@@ -180,11 +181,11 @@
 /// # Errors
 /// Returns that the store gave no useful answer.
 pub async fn owners(client: &mut StoreClient) -> Result<HashMap<u32, GroupMember>, StoreError> {
-    let call = client.dialect().owners();
-    let answer = client.call(&call, JOIN_PATIENCE).await?;
-    let owners = client.dialect().owners_answer(&answer)?;
-    let known = owners.into_iter().filter_map(|(part, name)| Some((part, name.parse().ok()?)));
-    Ok(known.collect())
+    let call = client.codec().encode_owners_request();
+    let response = client.call(&call, JOIN_TIMEOUT).await?;
+    let owners = client.codec().decode_owners(&response)?;
+    let members = owners.into_iter().filter_map(|(part, name)| Some((part, name.parse().ok()?)));
+    Ok(members.collect())
 }
 
 /// Leaves the group, so that the leases pass on at once.
@@ -192,7 +193,7 @@
 /// # Errors
 /// Returns that the store gave no answer; the membership then ends with its time to live.
 pub async fn leave(client: &mut StoreClient, member: GroupMember) -> Result<(), StoreError> {
-    let call = client.dialect().leave(&member.to_string());
-    client.call(&call, JOIN_PATIENCE).await?;
+    let call = client.codec().encode_leave(&member.to_string());
+    client.call(&call, JOIN_TIMEOUT).await?;
     Ok(())
 }
--- a/crates/gateway/src/timer.rs
+++ b/crates/gateway/src/timer.rs
@@ -8,15 +8,15 @@
 use reelreel_core::{ClockMillis, ClockSource};
 
 /// How often a wait looks at the clock: a quarter of the second after which most who wait would do something else.
-const LOOK_INTERVAL: Duration = Duration::from_millis(250);
+const CLOCK_POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Waits until the clock has reached a moment.
-pub async fn reached(clock: &dyn ClockSource, moment: ClockMillis) {
+pub async fn sleep_until(clock: &dyn ClockSource, deadline: ClockMillis) {
     loop {
-        let left = moment.since(clock.now());
-        if left.is_zero() {
+        let remaining = deadline.since(clock.now());
+        if remaining.is_zero() {
             return;
         }
-        tokio::time::sleep(left.min(LOOK_INTERVAL)).await;
+        tokio::time::sleep(remaining.min(CLOCK_POLL_INTERVAL)).await;
     }
 }
--- a/crates/gateway/tests/engine_lines.rs
+++ b/crates/gateway/tests/engine_messages.rs
@@ -10,17 +10,19 @@
     fleet::{EngineEntry, LoadedModel},
 };
 use reelreel_gateway::peers::{
-    engine_lines::{EngineRecordLine, EngineUpdate, HeldRecordLine, read_engines, write_engines},
+    engine_messages::{
+        EngineEntryMessage, EngineUpdate, ListedModelMessage, decode_engines, encode_engines,
+    },
     state_frames::StateFrame,
 };
 
 fn any_update() -> impl Strategy<Value = EngineUpdate> {
-    let held = ("[a-z]{1,4}[0-9]{2}", proptest::option::of("a[0-9]{1,4}"), 0..9_u64);
-    let held = held.prop_map(|(base, adapter, version)| {
+    let model = ("[a-z]{1,4}[0-9]{2}", proptest::option::of("a[0-9]{1,4}"), 0..9_u64);
+    let model = model.prop_map(|(base, adapter, version)| {
         let key = adapter.map_or_else(|| base.clone(), |adapter| format!("{base}/{adapter}"));
         LoadedModel { key: Arc::from(key), version }
     });
-    let held = proptest::collection::vec(held, 0..9);
+    let loaded_models = proptest::collection::vec(model, 0..9);
     let entry = (
         "[a-z]{1,8}",
         any::<[u8; 4]>(),
@@ -29,24 +31,25 @@
         1..99_u32,
         any::<bool>(),
         any::<u64>(),
-        held,
+        loaded_models,
     );
     ("i-[0-9a-f]{4}", any::<u64>(), proptest::option::of(entry)).prop_map(
         |(name, offset, entry)| {
             let name: Arc<str> = Arc::from(name);
-            let entry = entry.map(|(service, ip, port, hall, slots, leaving, sequence, held)| {
-                EngineEntry {
-                    name: Arc::clone(&name),
-                    incarnation: offset,
-                    service: Arc::from(service),
-                    address: SocketAddr::from((ip, port)),
-                    hall: Arc::from(hall),
-                    slots,
-                    leaving,
-                    sequence,
-                    loaded_models: held,
-                }
-            });
+            let entry =
+                entry.map(|(service, ip, port, hall, slots, leaving, sequence, loaded_models)| {
+                    EngineEntry {
+                        name: Arc::clone(&name),
+                        incarnation: offset,
+                        service: Arc::from(service),
+                        address: SocketAddr::from((ip, port)),
+                        hall: Arc::from(hall),
+                        slots,
+                        leaving,
+                        sequence,
+                        loaded_models,
+                    }
+                });
             let unlisted = entry.is_none() && offset % 2 == 0;
             let position = StorePosition { era: offset % 5, offset };
             EngineUpdate { name, position, entry, unlisted }
@@ -54,22 +57,22 @@
     )
 }
 
-fn any_line() -> impl Strategy<Value = EngineRecordLine> {
-    let held = (0..6_u32, "[a-z]{0,3}", any::<u64>())
-        .prop_map(|(base, adapter, version)| HeldRecordLine { base, adapter, version });
+fn any_message() -> impl Strategy<Value = EngineEntryMessage> {
+    let model = (0..6_u32, "[a-z]{0,3}", any::<u64>())
+        .prop_map(|(base, adapter, version)| ListedModelMessage { base, adapter, version });
     let numbers = (any::<u64>(), proptest::option::of(any::<u32>()), any::<u32>());
-    (numbers, 0..6_u32, 0..6_u32, proptest::collection::vec(held, 0..4)).prop_map(
-        |((offset, address, port), service, hall, held)| EngineRecordLine {
+    (numbers, 0..6_u32, 0..6_u32, proptest::collection::vec(model, 0..4)).prop_map(
+        |((offset, address, port), service, hall, loaded_models)| EngineEntryMessage {
             engine: String::from("i-1"),
             offset,
             era: offset % 5,
-            born: offset,
+            incarnation: offset,
             address,
             port,
             service,
             hall,
-            held,
-            ..EngineRecordLine::default()
+            loaded_models,
+            ..EngineEntryMessage::default()
         },
     )
 }
@@ -83,17 +86,17 @@
     })]
 
     #[test]
-    fn entries_are_read_as_they_were_written(updates in proptest::collection::vec(any_update(), 0..20)) {
-        let (names, lines) = write_engines(&updates);
-        prop_assert_eq!(read_engines(&names, &lines), updates);
+    fn entries_round_trip(updates in proptest::collection::vec(any_update(), 0..20)) {
+        let (names, messages) = encode_engines(&updates);
+        prop_assert_eq!(decode_engines(&names, &messages), updates);
     }
 
     #[test]
-    fn lines_of_any_making_never_panic_and_name_only_what_the_frame_has(
+    fn arbitrary_messages_never_panic_and_use_only_names_in_the_frame(
         names in proptest::collection::vec("[a-z]{1,3}", 0..4),
-        lines in proptest::collection::vec(any_line(), 0..10),
+        messages in proptest::collection::vec(any_message(), 0..10),
     ) {
-        for update in read_engines(&names, &lines) {
+        for update in decode_engines(&names, &messages) {
             let Some(entry) = update.entry else { continue };
             prop_assert!(names.iter().any(|name| **name == *entry.service));
             prop_assert!(names.iter().any(|name| **name == *entry.hall));
@@ -103,7 +106,7 @@
 
 /// An engine's own words of itself have some 300 bytes; 3,000 of them go to each of 300 hosts when a fleet starts.
 #[test]
-fn an_entry_takes_less_than_fifty_bytes() {
+fn an_encoded_entry_is_shorter_than_fifty_bytes() {
     let update = |number: u16| EngineUpdate {
         unlisted: false,
         name: Arc::from(format!("i-{:010x}", u64::from(number) * 0x9e37_79b9)),
@@ -121,7 +124,7 @@
         }),
     };
     let updates: Vec<EngineUpdate> = (0..1000).map(update).collect();
-    let (names, engines) = write_engines(&updates);
+    let (names, engines) = encode_engines(&updates);
     let frame = StateFrame { names, engines, ..StateFrame::default() };
     let bytes = frame.encoded_len() / updates.len();
     assert!(bytes < 50, "{bytes} bytes an engine");
--- a/crates/gateway/tests/host/announcements.rs
+++ b/crates/gateway/tests/host/announcements.rs
@@ -72,7 +72,7 @@
     fleet.engines[0].announce_departure("yes");
     fleet.load(20, Duration::from_secs(1));
     assert!(fleet.engines[0].departure_told().is_some(), "a host was told");
-    let seeds = fleet.hosts.iter().map(|host| host.shared.profile.peers).collect();
+    let seeds = fleet.hosts.iter().map(|host| host.shared.profile.peer_address).collect();
     let late = fleet.site.cold_host("late", seeds);
     late.wait_ready();
     fleet.hosts = vec![late];
--- a/crates/gateway/tests/host/configuration.rs
+++ b/crates/gateway/tests/host/configuration.rs
@@ -75,7 +75,7 @@
 fn a_host_that_the_store_refuses_learns_from_a_peer() {
     let site = TestSite::start();
     let first = site.host("first");
-    let seed = first.shared.profile.peers;
+    let seed = first.shared.profile.peer_address;
     site.store.refuse(true);
     let second = site.cold_host("second", vec![seed]);
     second.wait_ready();
