--- a/crates/gateway/tests/host/dialect.rs
+++ b/crates/gateway/tests/host/dialect.rs
@@ -16,10 +16,10 @@
     organisation::key::PresentedKey,
     placement::{EngineReport, OrderAnswer, OrderKind, PlannedOrder},
 };
-use reelreel_gateway::border::{
-    AnswerFacts, BorderDialects, BorderError, CallAnswer, CallRequest, ConfigurationRecord,
-    EngineDialect, ExchangeDialect, FactError, GroupShare, KeyedRecord, KeyedTopic, NewestPage,
-    RecordBatch, RequestFacts, SendTerms, StoreDialect,
+use reelreel_gateway::codec::{
+    CallRequest, CallResponse, CodecError, Codecs, ConfigurationRecord, EngineCodec,
+    ForwardMetadata, GroupAssignment, KeyedRecord, KeyedTopic, RecordBatch, RequestCodec,
+    RequestError, RequestMetadata, ResponseMetadata, SnapshotPage, StoreCodec,
 };
 use reelreel_http::{HeaderFields, RequestHead, ResponseHead};
 use serde_json::{Value, json};
@@ -50,14 +50,14 @@
 
 pub(crate) struct PlainExchange;
 
-impl ExchangeDialect for PlainExchange {
-    fn request_facts(&self, head: &RequestHead) -> Result<RequestFacts, FactError> {
+impl RequestCodec for PlainExchange {
+    fn decode_request(&self, head: &RequestHead) -> Result<RequestMetadata, RequestError> {
         let deadline = match head.fields.text(DEADLINE) {
-            Some(text) => Some(text.parse().map_err(|_| FactError::Number)?),
+            Some(text) => Some(text.parse().map_err(|_| RequestError::InvalidNumber)?),
             None => None,
         };
-        Ok(RequestFacts {
-            id: head.fields.text(REQUEST).ok_or(FactError::Id)?.to_owned(),
+        Ok(RequestMetadata {
+            id: head.fields.text(REQUEST).ok_or(RequestError::MissingId)?.to_owned(),
             deadline: deadline.map(Duration::from_millis),
             model: head.fields.text(MODEL).map(ModelKey::from),
             prompt: PromptMetadata::default(),
@@ -66,11 +66,11 @@
         })
     }
 
-    fn system_fields(&self) -> &'static [&'static str] {
+    fn reserved_fields(&self) -> &'static [&'static str] {
         &[DEADLINE, ENGINE, HOLD, PIN, RANK, KEY, ORGANISATION]
     }
 
-    fn set_terms(&self, fields: &mut HeaderFields, terms: &SendTerms<'_>) {
+    fn set_forward_metadata(&self, fields: &mut HeaderFields, terms: &ForwardMetadata<'_>) {
         fields.push(DEADLINE, terms.remaining.as_millis().to_string());
         fields.push(ENGINE, terms.engine);
         fields.push(RANK, terms.priority.to_string());
@@ -82,18 +82,18 @@
         }
     }
 
-    fn answer_facts(&self, head: &ResponseHead) -> AnswerFacts {
-        AnswerFacts {
+    fn decode_response(&self, head: &ResponseHead) -> ResponseMetadata {
+        ResponseMetadata {
             id: head.fields.text(REQUEST).map(ToOwned::to_owned),
             not_run: head.fields.text(NOT_RUN).is_some(),
             misdirected: head.status == 421,
             signed: head.fields.text(RUN_BY).is_some(),
             version: declared(head, VERSION, |text| text.parse().ok()),
-            announcements: self.announcements(head),
+            announcements: self.decode_announcements(head),
         }
     }
 
-    fn announcements(&self, head: &ResponseHead) -> EngineAnnouncements {
+    fn decode_announcements(&self, head: &ResponseHead) -> EngineAnnouncements {
         if head.status == 421 {
             return EngineAnnouncements::default();
         }
@@ -104,7 +104,7 @@
         }
     }
 
-    fn mark_own_answer(&self, fields: &mut HeaderFields, id: &str) {
+    fn set_response_id(&self, fields: &mut HeaderFields, id: &str) {
         fields.push(REQUEST, id);
     }
 
@@ -133,12 +133,12 @@
     CallRequest { head, body: Bytes::from(body) }
 }
 
-fn read(answer: &CallAnswer) -> Result<Value, BorderError> {
+fn read(answer: &CallResponse) -> Result<Value, CodecError> {
     match answer.head.status {
         200 => serde_json::from_slice(&answer.body)
-            .map_err(|error| BorderError::Malformed(error.to_string())),
-        410 => Err(BorderError::Gone),
-        status => Err(BorderError::Refused(status)),
+            .map_err(|error| CodecError::Malformed(error.to_string())),
+        410 => Err(CodecError::Gone),
+        status => Err(CodecError::Refused(status)),
     }
 }
 
@@ -149,8 +149,8 @@
     keys.map(|key| LoadedModel { key: Arc::from(key), version: 1 }).collect()
 }
 
-impl EngineDialect for PlainEngines {
-    fn order(&self, order: &PlannedOrder, holder: &str, token: FenceToken) -> CallRequest {
+impl EngineCodec for PlainEngines {
+    fn encode_order(&self, order: &PlannedOrder, holder: &str, token: FenceToken) -> CallRequest {
         let load = matches!(order.kind, OrderKind::Load { .. });
         let body = json!({
             "load": load, "key": &*order.key, "sequence": order.expected_sequence,
@@ -159,7 +159,7 @@
         call("POST", String::from("/orders"), &body)
     }
 
-    fn order_answer(&self, answer: &CallAnswer) -> OrderAnswer {
+    fn decode_order_response(&self, answer: &CallResponse) -> OrderAnswer {
         match answer.head.status {
             202 => OrderAnswer::Accepted,
             200 => OrderAnswer::Done,
@@ -169,11 +169,11 @@
         }
     }
 
-    fn report(&self, _engine: &str) -> CallRequest {
+    fn encode_report_request(&self, _engine: &str) -> CallRequest {
         call("GET", String::from("/state"), &Value::Null)
     }
 
-    fn report_answer(&self, answer: &CallAnswer) -> Result<EngineReport, BorderError> {
+    fn decode_report(&self, answer: &CallResponse) -> Result<EngineReport, CodecError> {
         let body = read(answer)?;
         Ok(EngineReport {
             born: body["born"].as_u64().unwrap_or_default(),
@@ -209,48 +209,53 @@
     value["records"].as_array().into_iter().flatten().map(record).collect()
 }
 
-impl StoreDialect for PlainStore {
-    fn era(&self, answer: &CallAnswer) -> StoreEra {
+impl StoreCodec for PlainStore {
+    fn decode_era(&self, answer: &CallResponse) -> StoreEra {
         let told = answer.head.fields.text(ERA);
         told.and_then(|era| era.parse().ok()).unwrap_or_default()
     }
 
-    fn cooldown(&self, answer: &CallAnswer) -> Option<Cooldown> {
+    fn decode_cooldown(&self, answer: &CallResponse) -> Option<Cooldown> {
         declared(&answer.head, COOLDOWN, |text| Cooldown::from_seconds(text.parse().ok()?)).value()
     }
 
-    fn newest(&self, topic: KeyedTopic, after: Option<&str>) -> CallRequest {
+    fn encode_snapshot_request(&self, topic: KeyedTopic, after: Option<&str>) -> CallRequest {
         let target = format!("/newest/{}/{}", topic_name(topic), after.unwrap_or_default());
         call("GET", target, &Value::Null)
     }
 
-    fn newest_answer(&self, answer: &CallAnswer) -> Result<NewestPage, BorderError> {
+    fn decode_snapshot_page(&self, answer: &CallResponse) -> Result<SnapshotPage, CodecError> {
         let body = read(answer)?;
-        let era = self.era(answer);
+        let era = self.decode_era(answer);
         let more = body["more"].as_bool().unwrap_or_default();
-        Ok(NewestPage { records: records(era, &body), more, end: position(era, &body["end"]) })
+        Ok(SnapshotPage { records: records(era, &body), more, end: position(era, &body["end"]) })
     }
 
-    fn read(&self, topic: KeyedTopic, from: StorePosition, wait: Duration) -> CallRequest {
+    fn encode_read_request(
+        &self,
+        topic: KeyedTopic,
+        from: StorePosition,
+        wait: Duration,
+    ) -> CallRequest {
         let (topic, wait) = (topic_name(topic), wait.as_millis());
         let target = format!("/read/{topic}/{}/{wait}", from.offset);
         call("GET", target, &Value::Null)
     }
 
-    fn read_answer(
+    fn decode_records(
         &self,
         from: StorePosition,
-        answer: &CallAnswer,
-    ) -> Result<RecordBatch, BorderError> {
+        answer: &CallResponse,
+    ) -> Result<RecordBatch, CodecError> {
         let body = read(answer)?;
-        let era = self.era(answer);
+        let era = self.decode_era(answer);
         let records = records(era, &body);
         let last = records.last().map(|record| record.position.next());
         let next = last.unwrap_or(StorePosition { era, ..from });
         Ok(RecordBatch { records, next, end: position(era, &body["end"]) })
     }
 
-    fn join(
+    fn encode_join(
         &self,
         member: &str,
         time_to_live: Duration,
@@ -262,25 +267,25 @@
         call("POST", String::from("/join"), &body)
     }
 
-    fn join_answer(&self, answer: &CallAnswer) -> Result<GroupShare, BorderError> {
+    fn decode_assignment(&self, answer: &CallResponse) -> Result<GroupAssignment, CodecError> {
         let body = read(answer)?;
         let parts = body["partitions"].as_array().into_iter().flatten().filter_map(Value::as_u64);
-        Ok(GroupShare {
-            era: self.era(answer),
+        Ok(GroupAssignment {
+            era: self.decode_era(answer),
             generation: body["generation"].as_u64().unwrap_or_default(),
             partitions: parts.filter_map(|part| u32::try_from(part).ok()).collect(),
         })
     }
 
-    fn leave(&self, member: &str) -> CallRequest {
+    fn encode_leave(&self, member: &str) -> CallRequest {
         call("POST", String::from("/leave"), &json!({ "member": member }))
     }
 
-    fn owners(&self) -> CallRequest {
+    fn encode_owners_request(&self) -> CallRequest {
         call("GET", String::from("/owners"), &Value::Null)
     }
 
-    fn owners_answer(&self, answer: &CallAnswer) -> Result<HashMap<u32, String>, BorderError> {
+    fn decode_owners(&self, answer: &CallResponse) -> Result<HashMap<u32, String>, CodecError> {
         let body = read(answer)?;
         let owners =
             body.as_object().into_iter().flatten().filter_map(|(part, member)| {
@@ -289,8 +294,11 @@
         Ok(owners.collect())
     }
 
-    fn configuration(&self, record: &KeyedRecord) -> Result<ConfigurationRecord, BorderError> {
-        let malformed = || BorderError::Configuration(record.key.clone());
+    fn decode_configuration(
+        &self,
+        record: &KeyedRecord,
+    ) -> Result<ConfigurationRecord, CodecError> {
+        let malformed = || CodecError::Configuration(record.key.clone());
         let text = std::str::from_utf8(&record.value).map_err(|_| malformed())?;
         let revision: u64 = text.parse().map_err(|_| malformed())?;
         if let Some(key) = record.key.strip_prefix("version:") {
@@ -300,9 +308,9 @@
         Ok(ConfigurationRecord::Routes(Arc::clone(routes)))
     }
 
-    fn engine(&self, record: &KeyedRecord) -> Result<EngineEntry, BorderError> {
+    fn decode_engine(&self, record: &KeyedRecord) -> Result<EngineEntry, CodecError> {
         let body: Value = serde_json::from_slice(&record.value)
-            .map_err(|error| BorderError::Malformed(error.to_string()))?;
+            .map_err(|error| CodecError::Malformed(error.to_string()))?;
         let text = |name: &str| body[name].as_str().unwrap_or_default().to_owned();
         Ok(EngineEntry {
             name: Arc::from(record.key.as_str()),
@@ -310,7 +318,7 @@
             service: Arc::from(text("service")),
             address: text("address")
                 .parse()
-                .map_err(|_| BorderError::Malformed(record.key.clone()))?,
+                .map_err(|_| CodecError::Malformed(record.key.clone()))?,
             hall: Arc::from("hall"),
             slots: 16,
             leaving: body["leaving"].as_bool().unwrap_or_default(),
@@ -320,9 +328,9 @@
     }
 }
 
-pub(crate) fn dialects(routes: KnownRoutes) -> BorderDialects {
-    BorderDialects {
-        exchange: Arc::new(PlainExchange),
+pub(crate) fn dialects(routes: KnownRoutes) -> Codecs {
+    Codecs {
+        request: Arc::new(PlainExchange),
         engine: Arc::new(PlainEngines),
         store: Arc::new(PlainStore { routes }),
     }
--- a/crates/gateway/tests/host/following.rs
+++ b/crates/gateway/tests/host/following.rs
@@ -173,15 +173,15 @@
         for (at, answered) in case.calls {
             let now = ClockMillis::from_millis(*at);
             if *answered {
-                health.answered(now);
+                health.record_response(now);
             } else {
-                health.failed(now);
+                health.record_failure(now);
             }
         }
         let now = ClockMillis::from_millis(case.at);
         assert_eq!(health.is_fresh(now), case.fresh, "{}", case.name);
         let until = case.relisting_until.map(ClockMillis::from_millis);
-        assert_eq!(health.relisting_until(now), until, "{}", case.name);
+        assert_eq!(health.reregistration_until(now), until, "{}", case.name);
     }
 }
 
@@ -312,12 +312,12 @@
             now = ClockMillis::from_millis(*at);
             match sign {
                 StoreSign::Answered => {
-                    health.answered(now);
+                    health.record_response(now);
                 }
-                StoreSign::Failed => health.failed(now),
-                StoreSign::Told => health.told_by_reader(now),
+                StoreSign::Failed => health.record_failure(now),
+                StoreSign::Told => health.record_reader_update(now),
             }
         }
-        assert_eq!(health.relisting_until(now).is_some(), case.outage, "{}", case.name);
+        assert_eq!(health.reregistration_until(now).is_some(), case.outage, "{}", case.name);
     }
 }
--- a/crates/gateway/tests/host/older_copy.rs
+++ b/crates/gateway/tests/host/older_copy.rs
@@ -11,11 +11,11 @@
 use prometheus_client::metrics::counter::Counter;
 use reelreel_core::{MonotonicClock, StorePosition, placement::HostCapacity};
 use reelreel_gateway::{
-    border::KeyedTopic,
+    codec::KeyedTopic,
     store::{
-        Backoff, StoreClient, StorePause,
-        eras::StoreEras,
-        follow::{FollowTerms, TopicUpdate, follow_topic},
+        Backoff, StoreBackoff, StoreClient,
+        era::EraTracker,
+        follow::{FollowOptions, TopicUpdate, follow_topic},
     },
 };
 use tokio::sync::watch;
@@ -115,7 +115,7 @@
     site.store.come_back(&copy);
     wait_until("the first hears of it", || knows_era(&first, 1));
     for capacity in [WEAK, HostCapacity { cpu_share: 0.25, bandwidth_mbps: 1000.0 }] {
-        let late = site.host_with("late", vec![first.shared.profile.peers], capacity);
+        let late = site.host_with("late", vec![first.shared.profile.peer_address], capacity);
         late.wait_ready();
         let time = time_until("the late host knows it", || serves_the_late_route(&late));
         assert!(time <= IN_FORCE, "known only after {time:?}");
@@ -337,20 +337,20 @@
 /// Follows the configuration of a site with a task alone, until `enough` holds or the patience is over; `eras` was heard of before.
 fn follow_alone(
     site: &TestSite,
-    eras: &StoreEras,
+    eras: &EraTracker,
     enough: impl Fn(&[TopicUpdate]) -> bool,
 ) -> Vec<TopicUpdate> {
     let dialect = Arc::new(PlainStore { routes: Arc::default() });
     let client = StoreClient::new(dialect, site.store.address, Counter::default(), eras.clone());
-    let terms = FollowTerms {
+    let terms = FollowOptions {
         topic: KeyedTopic::Configuration,
-        rest: Duration::from_millis(5),
-        wait: Duration::from_millis(200),
+        min_interval: Duration::from_millis(5),
+        poll_wait: Duration::from_millis(200),
         clock: Arc::new(MonotonicClock::new()),
-        longest_pause: Box::new(|| Duration::from_millis(50)),
+        max_backoff: Box::new(|| Duration::from_millis(50)),
     };
     let returns = watch::Sender::new(0);
-    let pause = StorePause::finding(Backoff::new(1), returns.subscribe());
+    let pause = StoreBackoff::probing(Backoff::new(1), returns.subscribe());
     let gate = watch::Sender::new(false);
     let updates = Updates::default();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
@@ -374,12 +374,12 @@
 #[test]
 fn an_answer_of_an_earlier_era_is_dropped() {
     let site = TestSite::start();
-    let eras = StoreEras::default();
-    eras.hear(3, "a peer");
+    let eras = EraTracker::default();
+    eras.observe(3, "a peer");
     let updates = follow_alone(&site, &eras, |updates| updates.len() >= 3);
     assert!(updates.len() >= 3);
-    assert!(updates.iter().all(|update| *update == TopicUpdate::Away), "{updates:?}");
-    assert_eq!(eras.known(), 3);
+    assert!(updates.iter().all(|update| *update == TopicUpdate::Unavailable), "{updates:?}");
+    assert_eq!(eras.current(), 3);
 }
 
 #[test]
@@ -390,9 +390,10 @@
     }
     // Read at once, the first page tells "a" as it was before the fall.
     site.store.fall_between_pages("configuration", 1, ("b", "3"));
-    let whole = |update: &TopicUpdate| matches!(update, TopicUpdate::Whole { .. });
-    let updates = follow_alone(&site, &StoreEras::default(), |updates| updates.iter().any(whole));
-    let Some(TopicUpdate::Whole { records, end, .. }) = updates.iter().find(|update| whole(update))
+    let whole = |update: &TopicUpdate| matches!(update, TopicUpdate::Snapshot { .. });
+    let updates = follow_alone(&site, &EraTracker::default(), |updates| updates.iter().any(whole));
+    let Some(TopicUpdate::Snapshot { records, end, .. }) =
+        updates.iter().find(|update| whole(update))
     else {
         panic!("no whole reading: {updates:?}")
     };
--- a/crates/gateway/tests/host/site.rs
+++ b/crates/gateway/tests/host/site.rs
@@ -74,30 +74,38 @@
         HostProfile {
             name: Arc::from(name),
             hall: Arc::from("hall"),
-            clients: free_address(),
-            readiness: free_address(),
-            peers: free_address(),
-            metrics: free_address(),
+            client_address: free_address(),
+            readiness_address: free_address(),
+            peer_address: free_address(),
+            metrics_address: free_address(),
             seeds,
-            most_connections: 2500,
-            most_body_bytes: 8 * 1024 * 1024,
-            store,
+            max_connections: 2500,
+            max_body_bytes: 8 * 1024 * 1024,
+            store_address: store,
             partitions: 4,
-            shortest_membership: Duration::from_millis(500),
+            min_membership_ttl: Duration::from_millis(500),
             capacity,
             first_start: true,
             bounds: OperatorBounds {
                 stop_grace: Duration::from_secs(6),
-                configuration_apply: Duration::from_secs(2),
-                leaving_apply: Duration::from_secs(2),
-                lease: Duration::from_millis(600),
-                engines_check_fences: true,
-                version_apply: Duration::from_secs(2),
-                retries: RetryPolicy { ratio: 0.2, burst: 50.0, window: Duration::from_secs(10) },
+                max_configuration_delay: Duration::from_secs(2),
+                max_leaving_delay: Duration::from_secs(2),
+                handover_wait: Duration::from_millis(600),
+                engines_enforce_fencing: true,
+                max_version_delay: Duration::from_secs(2),
+                retry_policy: RetryPolicy {
+                    ratio: 0.2,
+                    burst: 50.0,
+                    window: Duration::from_secs(10),
+                },
                 load_window: Duration::from_secs(5),
                 load_overage: 1.1,
-                revocation,
-                quota: QuotaTolerance { window: Duration::from_secs(8), overage: 0.1, extra: 20.0 },
+                max_revocation_delay: revocation,
+                quota_tolerance: QuotaTolerance {
+                    window: Duration::from_secs(8),
+                    overage: 0.1,
+                    extra: 20.0,
+                },
             },
         }
     }
@@ -302,7 +310,7 @@
         ]);
         let clock = Arc::clone(&profile.clock);
         let profile = profile.profile(name);
-        let (clients, readiness) = (profile.clients, profile.readiness);
+        let (clients, readiness) = (profile.client_address, profile.readiness_address);
         let events = EventLog::start(Arc::from(name)).expect("a thread for log lines");
         let shared = Arc::new(SharedState::new(profile, dialects(Arc::new(known)), events, clock));
         let run = Arc::clone(&shared);
--- a/crates/gateway/tests/host/store_falls/world.rs
+++ b/crates/gateway/tests/host/store_falls/world.rs
@@ -16,7 +16,7 @@
     id::StoreEra,
 };
 use reelreel_gateway::{
-    border::{GroupShare, KeyedRecord},
+    codec::{GroupAssignment, KeyedRecord},
     control::state::ControlState,
     events::EventLog,
     host::SharedState,
@@ -281,19 +281,19 @@
         let offsets = first..self.store.topics[topic].len();
         let records = offsets.map(|offset| self.store.record(topic, offset)).collect();
         let asked = Some(self.clock.now());
-        self.update(host, topic, TopicUpdate::Records { records, asked }, end);
+        self.update(host, topic, TopicUpdate::Records { records, requested_at: asked }, end);
     }
 
     fn read_whole(&mut self, host: usize, topic: usize) {
         self.hear(host);
         let (records, end, asked) =
             (self.store.newest(topic), self.store.end(topic), self.clock.now());
-        self.update(host, topic, TopicUpdate::Whole { records, end, asked }, end);
+        self.update(host, topic, TopicUpdate::Snapshot { records, end, requested_at: asked }, end);
     }
 
     /// Hears the era that each answer of the store carries.
     fn hear(&self, host: usize) {
-        self.hosts[host].state.borrow().eras().hear(self.store.era, "store");
+        self.hosts[host].state.borrow().eras().observe(self.store.era, "store");
     }
 
     fn update(&mut self, host: usize, topic: usize, update: TopicUpdate, end: StorePosition) {
@@ -312,12 +312,13 @@
             return;
         }
         // The group makes it one.
-        let share = GroupShare { era: self.store.era, generation: 1, partitions: vec![0, 1, 2, 3] };
+        let share =
+            GroupAssignment { era: self.store.era, generation: 1, partitions: vec![0, 1, 2, 3] };
         let sent = self.clock.now();
         let (sender, frames) = mpsc::channel(64);
         let mut source = self.hosts[reader].state.borrow_mut();
-        source.eras().hear(self.store.era, "store");
-        source.membership_updated(MembershipUpdate::Joined { share, sent });
+        source.eras().observe(self.store.era, "store");
+        source.membership_updated(MembershipUpdate::Joined { assignment: share, sent });
         let taken = source.add_follower(sender, 0);
         drop(source);
         if taken {
--- a/crates/gateway/tests/suspect_lines.rs
+++ b/crates/gateway/tests/suspect_messages.rs
@@ -6,26 +6,26 @@
 use prost::Message as _;
 use reelreel_core::fleet::quarantine::{ReportedCrash, RequestMark, SuspectReport};
 use reelreel_gateway::peers::{
+    aggregate_frames::HostReportFrame,
     frame::PeerFrame,
-    sum_frames::CountFrame,
-    suspect_lines::{SuspectLine, read_suspects, write_suspects},
+    suspect_messages::{SuspectMessage, decode_suspects, encode_suspects},
 };
 
-fn any_word() -> impl Strategy<Value = SuspectReport> {
+fn any_report() -> impl Strategy<Value = SuspectReport> {
     let millis = || (0..u64::from(u32::MAX)).prop_map(Duration::from_millis);
-    let end =
+    let crash =
         (any::<u64>(), millis(), millis()).prop_map(|(incarnation, began_ago, crashed_ago)| {
             ReportedCrash { incarnation, began_ago, crashed_ago }
         });
     let times = (proptest::option::of(millis()), proptest::option::of(millis()));
-    let ends = proptest::collection::vec(end, 0..8);
+    let crashes = proptest::collection::vec(crash, 0..8);
     let organisation = proptest::option::of("[a-z]{1,8}");
-    (any::<RequestMark>(), organisation, any::<u64>(), ends, times).prop_map(
-        |(mark, organisation, version, ends, (cleared_ago, probed_ago))| SuspectReport {
+    (any::<RequestMark>(), organisation, any::<u64>(), crashes, times).prop_map(
+        |(mark, organisation, version, crashes, (cleared_ago, probed_ago))| SuspectReport {
             mark,
             organisation: organisation.map(Arc::from),
             version,
-            crashes: ends,
+            crashes,
             cleared_ago,
             probed_ago,
         },
@@ -41,38 +41,38 @@
     })]
 
     #[test]
-    fn words_are_read_as_they_were_written(words in proptest::collection::vec(any_word(), 0..6)) {
-        let frame = CountFrame { suspects: write_suspects(&words), ..CountFrame::default() };
-        let frame = CountFrame::decode(&frame.encode_to_vec()[..]).expect("a frame");
-        prop_assert_eq!(read_suspects(&frame.suspects), words);
+    fn reports_round_trip(reports in proptest::collection::vec(any_report(), 0..6)) {
+        let frame = HostReportFrame { suspects: encode_suspects(&reports), ..HostReportFrame::default() };
+        let frame = HostReportFrame::decode(&frame.encode_to_vec()[..]).expect("a frame");
+        prop_assert_eq!(decode_suspects(&frame.suspects), reports);
     }
 
     #[test]
-    fn no_bytes_end_who_reads_a_frame(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_never_panic_the_decoders(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         if let Ok(frame) = PeerFrame::decode(&bytes[..]) {
             let _ = frame.encoded();
         }
-        let line = SuspectLine { mark: bytes.clone().into(), ..SuspectLine::default() };
-        prop_assert_eq!(read_suspects(&[line]).len(), usize::from(bytes.len() == 16));
+        let message = SuspectMessage { mark: bytes.clone().into(), ..SuspectMessage::default() };
+        prop_assert_eq!(decode_suspects(&[message]).len(), usize::from(bytes.len() == 16));
     }
 }
 
 /// What a host is told of one request is less than a hundredth of what it may hear for control in a second.
 #[test]
-fn a_word_takes_less_than_a_hundred_bytes() {
-    let end = ReportedCrash {
+fn an_encoded_report_is_shorter_than_a_hundred_bytes() {
+    let crash = ReportedCrash {
         incarnation: u64::MAX,
         began_ago: Duration::from_mins(15),
         crashed_ago: Duration::from_mins(15),
     };
-    let word = SuspectReport {
+    let report = SuspectReport {
         mark: RequestMark::MAX,
         organisation: Some(Arc::from("hule930")),
         version: 4,
-        crashes: vec![end; 3],
+        crashes: vec![crash; 3],
         cleared_ago: None,
         probed_ago: Some(Duration::from_mins(15)),
     };
-    let bytes = write_suspects(&[word])[0].encoded_len();
+    let bytes = encode_suspects(&[report])[0].encoded_len();
     assert!(bytes < 100, "{bytes} bytes");
 }
