--- a/crates/gateway/src/codec.rs
+++ b/crates/gateway/src/codec.rs
@@ -1,7 +1,7 @@
-//! What the host needs from whatever it speaks with, as traits that only translate.
+//! Codecs between the host's types and the HTTP messages of clients, engines and the store.
 //!
-//! An implementation writes calls and reads answers. It holds names and formats and decides
-//! nothing: no timer, no retry, no state. Sockets, patience and repeats are this crate's own.
+//! An implementation encodes requests and decodes responses. It knows names and formats and makes
+//! no decisions: no timers, no retries, no state. This crate does connections, timeouts and retries.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -20,234 +20,234 @@
 };
 use reelreel_http::{HeaderFields, RequestHead, ResponseHead};
 
-/// A call as a head and a whole body; the body's length is added when it is sent.
+/// An HTTP request with a complete body.
 #[derive(Debug, Clone)]
 pub struct CallRequest {
-    /// The head, without `Host` and `Content-Length`.
+    /// The head, without `Host` and `Content-Length`, which are added when the request is sent.
     pub head: RequestHead,
     /// The body.
     pub body: Bytes,
 }
 
-/// The answer to a call.
+/// The response to a [`CallRequest`].
 #[derive(Debug, Clone)]
 pub struct CallResponse {
     /// The head.
     pub head: ResponseHead,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
 }
 
-/// Why an answer could not be read.
+/// Why a message was not decoded.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum CodecError {
-    /// The peer refused the call and did nothing.
-    #[error("the call was refused with status {0}; it is repeated later")]
+    /// The server rejected the request and had no side effects.
+    #[error("request rejected with status {0}; it is retried later")]
     Refused(u16),
-    /// There is no record at the asked offset: what was there is gone, or it lies beyond the end of a topic that has come back
-    /// shorter.
-    #[error("the records asked for are gone; the newest values must be read anew")]
+    /// No record exists at the requested offset: it was removed, or the offset is beyond the end of a topic that was restored
+    /// from an older copy.
+    #[error("requested records no longer exist; the topic must be read again from a snapshot")]
     Gone,
-    /// A configuration exists that can not be used.
-    #[error("the configuration can not be used: {0}")]
+    /// The configuration is invalid.
+    #[error("invalid configuration: {0}")]
     Configuration(String),
-    /// The answer is not what was asked for.
-    #[error("the answer can not be read: {0}")]
+    /// The message does not have the expected format.
+    #[error("malformed message: {0}")]
     Malformed(String),
 }
 
-/// What a client's request says beside its route.
+/// Metadata of a client's request, apart from its route.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RequestMetadata {
-    /// The attempt's own id.
+    /// Unique id of this attempt.
     pub id: String,
-    /// How long the client will wait.
+    /// How long the client waits for the response.
     pub deadline: Option<Duration>,
-    /// The base model or adapter that it names.
+    /// The requested base model or adapter.
     pub model: Option<ModelKey>,
-    /// What its prompt and answer are made of, as far as it says.
+    /// Metadata of the prompt and of the expected output, as far as the request declares it.
     pub prompt: PromptMetadata,
-    /// What it counts against a quota in tokens, where it says so.
+    /// Declared cost against a token quota.
     pub tokens: Option<u64>,
-    /// What it shows as its organisation's key.
+    /// The API key that the request presents.
     pub key: PresentedKey,
 }
 
-/// Why a client's request is refused at once.
+/// Why a client's request is rejected without being forwarded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
-    /// It carries no id.
+    /// The request has no id.
     #[error("the request carries no id; send one that no other attempt carries")]
     MissingId,
-    /// A field is not a number where one is due.
+    /// A header field that must be a number is not one.
     #[error("a header field is not the number that it should be; write it in decimal digits")]
     InvalidNumber,
 }
 
-/// What the host adds to a request that it sends to an engine.
+/// What the host adds to a request that it forwards to an engine.
 #[derive(Debug, Clone)]
 pub struct ForwardMetadata<'send> {
-    /// The life of the engine that must run it, no other.
+    /// The engine incarnation that must run the request; any other rejects it.
     pub engine: &'send str,
-    /// What is left of the time.
+    /// Time until the request's deadline.
     pub remaining: Duration,
-    /// The rank of the request; zero is the most urgent.
+    /// Priority of the request; zero is the most urgent.
     pub priority: u8,
-    /// The organisation that asks, where keys tell.
+    /// The requesting organisation, where keys identify one.
     pub organisation: Option<&'send str>,
-    /// The version of the weights that it must run on.
+    /// The required version of the weights.
     pub version: Option<WeightVersion>,
-    /// The event after which the stream goes on, when it does not begin anew.
+    /// Id of the last event received, when a stream is resumed.
     pub resume_after: Option<&'send str>,
 }
 
-/// What an engine's answer says beside its body.
+/// Metadata of an engine's response.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ResponseMetadata {
-    /// The id of the request that it answers.
+    /// Id of the request that it belongs to.
     pub id: Option<String>,
-    /// Whether the engine promises that the request has not run and will not.
+    /// Whether the engine guarantees that the request has not run and will not run.
     pub not_run: bool,
-    /// Whether the answer says that something else is at this address, or not held there.
+    /// Whether the response says that another server is at this address, or that the model is not loaded there.
     pub misdirected: bool,
-    /// Whether the engine itself made the answer.
+    /// Whether the engine itself, not an intermediary, sent the response.
     pub signed: bool,
-    /// The version of the base model that the engine ran the request on; it says nothing of an adapter's.
+    /// The version of the base model that ran the request; it does not cover the adapter's version.
     pub version: Declared<WeightVersion>,
-    /// What the engine announces about itself.
+    /// What the engine announces about itself: its limit, departure or cooldown.
     pub announcements: EngineAnnouncements,
 }
 
-/// Translates between the host and its clients and engines.
+/// Decodes clients' requests and encodes them for engines.
 pub trait RequestCodec: Send + Sync {
-    /// Reads what a client's request says.
+    /// Decodes the metadata of a client's request.
     ///
     /// # Errors
-    /// Returns why the request is refused.
+    /// Returns why the request is rejected.
     fn decode_request(&self, head: &RequestHead) -> Result<RequestMetadata, RequestError>;
 
-    /// Returns the fields of a request that only this system sets: what a client wrote there is
-    /// taken out before a request goes to an engine.
+    /// Returns the header fields that only the host may set. They are removed from clients'
+    /// requests before these are forwarded to an engine.
     fn reserved_fields(&self) -> &'static [&'static str];
 
-    /// Puts the terms into the header fields of a request that goes to an engine.
+    /// Sets the header fields for `terms` on a request to an engine.
     ///
-    /// The fields of [`Self::reserved_fields`] have been taken out before.
+    /// The caller has removed [`Self::reserved_fields`].
     fn set_forward_metadata(&self, fields: &mut HeaderFields, terms: &ForwardMetadata<'_>);
 
-    /// Reads what an engine's answer says.
+    /// Decodes the metadata of an engine's response.
     fn decode_response(&self, head: &ResponseHead) -> ResponseMetadata;
 
-    /// Reads what any response of an engine, also to an order or for a report, announces about it.
+    /// Decodes what any response of an engine, also to an order or a report request, announces about it.
     fn decode_announcements(&self, head: &ResponseHead) -> EngineAnnouncements;
 
-    /// Marks an answer of the host's own as belonging to a request.
+    /// Sets the request id on a response that the host itself generates.
     fn set_response_id(&self, fields: &mut HeaderFields, id: &str);
 
-    /// Returns the path that asks whether the host takes requests.
+    /// Returns the path of the host's readiness check.
     fn readiness_path(&self) -> &'static str;
 }
 
-/// Translates between the host and an engine's control side.
+/// Encodes and decodes the messages of an engine's control interface.
 pub trait EngineCodec: Send + Sync {
-    /// Writes an order.
+    /// Encodes an order.
     fn encode_order(&self, order: &PlannedOrder, holder: &str, token: FenceToken) -> CallRequest;
 
-    /// Reads the answer to an order.
+    /// Decodes the response to an order.
     fn decode_order_response(&self, response: &CallResponse) -> OrderAnswer;
 
-    /// Writes a call for a report.
+    /// Encodes a request for a report.
     fn encode_report_request(&self, engine: &str) -> CallRequest;
 
-    /// Reads a report.
+    /// Decodes a report.
     ///
     /// # Errors
-    /// Returns that it is none.
+    /// Returns why the response is not a report.
     fn decode_report(&self, response: &CallResponse) -> Result<EngineReport, CodecError>;
 }
 
 /// A record of a keyed topic.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KeyedRecord {
-    /// Its key.
+    /// The key.
     pub key: String,
-    /// Its value; empty where the key was dropped.
+    /// The value; empty when the key was deleted.
     pub value: Bytes,
-    /// Its place in the topic.
+    /// Position in the topic.
     pub position: StorePosition,
 }
 
-/// A page of the newest record of each key.
+/// A page of a topic snapshot, which has the latest record of each key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SnapshotPage {
     /// The records of this page.
     pub records: Vec<KeyedRecord>,
-    /// Whether more keys follow after the last one.
+    /// Whether more pages follow.
     pub more: bool,
     /// The end of the topic.
     pub end: StorePosition,
 }
 
-/// Records of a topic in order.
+/// Consecutive records of a topic.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RecordBatch {
     /// The records.
     pub records: Vec<KeyedRecord>,
-    /// Where reading goes on: behind the last record, also one that could not be read.
+    /// Position after the last record, including records that could not be decoded.
     pub next: StorePosition,
     /// The end of the topic.
     pub end: StorePosition,
 }
 
-/// What the platform deals to a member of a group.
+/// What the platform assigns to a group member.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct GroupAssignment {
-    /// The era of the store in which this holds.
+    /// The era of the store in which the assignment is valid.
     pub era: StoreEra,
-    /// Rises with every change of the group within an era.
+    /// Increases with every change of the group within an era.
     pub generation: GroupGeneration,
-    /// The partitions that belong to the member.
+    /// The member's partitions.
     pub partitions: Vec<u32>,
 }
 
-/// The topics that the operator and the engines write.
+/// Topics of the store that hosts read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum KeyedTopic {
-    /// Configurations and named versions.
+    /// Configurations and weight versions, written by the operator.
     Configuration,
-    /// The engines' own entries.
+    /// Engine entries, written by the engines.
     Engines,
 }
 
-/// What a record of the configuration topic says.
+/// A decoded record of the configuration topic.
 #[derive(Debug, Clone)]
 pub enum ConfigurationRecord {
-    /// A whole configuration.
+    /// A complete configuration.
     Routes(Arc<RouteTable>),
-    /// A version of a model's or adapter's weights.
+    /// The current version of a model's or adapter's weights.
     Version(ModelKey, WeightVersion),
-    /// Something that concerns nobody here.
+    /// A record that hosts do not use.
     Other,
 }
 
-/// Translates between the host and the platform's store.
+/// Encodes and decodes the messages of the platform's store.
 pub trait StoreCodec: Send + Sync {
-    /// Reads how long the store wants no calls from this host, where a refusal says so.
+    /// Decodes the cooldown that the store requests in a rejection.
     fn decode_cooldown(&self, response: &CallResponse) -> Option<Cooldown>;
 
-    /// Reads the era of the store that every answer of it carries, refusals too; zero where it carries none.
+    /// Decodes the store's era, which every response carries, also a rejection; zero without one.
     fn decode_era(&self, response: &CallResponse) -> StoreEra;
 
-    /// Writes a call for a page of the newest records of a topic.
+    /// Encodes a request for a page of a topic snapshot, from the key after `after` on.
     fn encode_snapshot_request(&self, topic: KeyedTopic, after: Option<&str>) -> CallRequest;
 
-    /// Reads a page of newest records.
+    /// Decodes a page of a snapshot.
     ///
     /// # Errors
-    /// Returns that the store refused, or that the answer is none.
+    /// Returns that the store rejected the request, or that the response is malformed.
     fn decode_snapshot_page(&self, response: &CallResponse) -> Result<SnapshotPage, CodecError>;
 
-    /// Writes a call for the records from a position on, held until there are some.
+    /// Encodes a long poll for the records from a position on, held for up to `wait`.
     fn encode_read_request(
         &self,
         topic: KeyedTopic,
@@ -255,17 +255,18 @@
         wait: Duration,
     ) -> CallRequest;
 
-    /// Reads records.
+    /// Decodes records.
     ///
     /// # Errors
-    /// Returns that the store refused, that the records are gone, or that the answer is none.
+    /// Returns that the store rejected the request, that the records are gone, or that the response is malformed.
     fn decode_records(
         &self,
         from: StorePosition,
         response: &CallResponse,
     ) -> Result<RecordBatch, CodecError>;
 
-    /// Writes a call that joins the group of hosts, or stays in it; `generation` is the last one heard in this era.
+    /// Encodes a request that joins the group of hosts or renews the membership; `generation` is the last one received in this
+    /// era.
     fn encode_join(
         &self,
         member: &str,
@@ -273,45 +274,45 @@
         generation: GroupGeneration,
     ) -> CallRequest;
 
-    /// Reads what was dealt to the member.
+    /// Decodes the partitions assigned to the member.
     ///
     /// # Errors
-    /// Returns that the store refused, or that the answer is none.
+    /// Returns that the store rejected the request, or that the response is malformed.
     fn decode_assignment(&self, response: &CallResponse) -> Result<GroupAssignment, CodecError>;
 
-    /// Writes a call that leaves the group.
+    /// Encodes a request that leaves the group.
     fn encode_leave(&self, member: &str) -> CallRequest;
 
-    /// Writes a call for the holders of all partitions.
+    /// Encodes a request for the owners of all partitions.
     fn encode_owners_request(&self) -> CallRequest;
 
-    /// Reads the holders, by partition.
+    /// Decodes the owners, by partition.
     ///
     /// # Errors
-    /// Returns that the store refused, or that the answer is none.
+    /// Returns that the store rejected the request, or that the response is malformed.
     fn decode_owners(&self, response: &CallResponse) -> Result<HashMap<u32, String>, CodecError>;
 
-    /// Reads a record of the configuration topic.
+    /// Decodes a record of the configuration topic.
     ///
     /// # Errors
-    /// Returns that the record can not be read.
+    /// Returns why the record is invalid.
     fn decode_configuration(&self, record: &KeyedRecord)
     -> Result<ConfigurationRecord, CodecError>;
 
-    /// Reads an engine's entry.
+    /// Decodes an engine's entry.
     ///
     /// # Errors
-    /// Returns that the record can not be read.
+    /// Returns why the record is invalid.
     fn decode_engine(&self, record: &KeyedRecord) -> Result<EngineEntry, CodecError>;
 }
 
-/// Everything that is spoken at the host's borders.
+/// The codecs that a host uses.
 #[derive(Clone)]
 pub struct Codecs {
-    /// With clients, and with engines about requests.
+    /// For clients' requests, also towards engines.
     pub request: Arc<dyn RequestCodec>,
-    /// With engines about what they hold.
+    /// For orders to engines and their reports.
     pub engine: Arc<dyn EngineCodec>,
-    /// With the platform's store.
+    /// For the platform's store.
     pub store: Arc<dyn StoreCodec>,
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,9 +1,9 @@
-//! One host of reelreel on a platform whose engines admit requests by themselves.
+//! One reelreel host on a platform whose engines do their own admission control.
 //!
-//! One thread carries the traffic ([`entry`], [`engines`]), one keeps what the host believes
-//! ([`control`], [`store`], [`peers`]). The second publishes a whole [`table::ServingTable`]
-//! whenever something changed; the first decides each request from the newest one. What is spoken
-//! with clients, engines and the store is behind the traits of [`codec`].
+//! The traffic thread ([`entry`], [`engines`]) serves requests; the control thread ([`control`],
+//! [`store`], [`peers`]) maintains the host's state. On every change the control thread publishes a
+//! complete [`table::ServingTable`], and the traffic thread routes each request by the latest one.
+//! The message formats of clients, engines and the store are behind the traits of [`codec`].
 
 pub mod codec;
 pub mod call;
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -1,5 +1,5 @@
-//! What hosts of the system tell each other: demand to the placer, its plan back, and what a
-//! host that the store turns away can not read itself.
+//! The protocol between hosts: demand reports to the placer, its plans in return, and store data
+//! for hosts that do not read the store themselves.
 
 pub mod client;
 pub mod departure_messages;
@@ -24,13 +24,13 @@
 
 use crate::metrics::FrameLabels;
 
-/// The longest frame. Unit: bytes.
+/// Maximum length of a frame.
 const MAX_FRAME_BYTES: usize = 4 * 1024 * 1024;
 
-/// How long a peer may take a frame: what is buffered on the way is as much as it gets in several seconds.
+/// Timeout for sending a frame. It passes only when the buffers on the way are full, so the peer is several seconds behind.
 const SEND_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A connection between two hosts, cut into frames.
+/// A framed connection between two hosts.
 pub struct PeerStream {
     framed: Framed<TcpStream, LengthDelimitedCodec>,
     closed: bool,
@@ -38,7 +38,7 @@
 }
 
 impl PeerStream {
-    /// Wraps a connected socket; `sent_bytes` counts the bytes that are sent by kind of frame.
+    /// Wraps a connected socket; `sent_bytes` counts sent bytes by kind of frame.
     pub fn new(socket: TcpStream, sent_bytes: Family<FrameLabels, Counter>) -> Self {
         let _ = socket.set_nodelay(true);
         let codec = LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec();
@@ -48,14 +48,14 @@
     /// Sends a frame.
     ///
     /// # Errors
-    /// Returns the socket's error, or that the peer does not take the frame in time.
+    /// Returns the socket's error, or a timeout.
     pub async fn send(&mut self, frame: EncodedFrame) -> std::io::Result<()> {
         let labels = FrameLabels { kind: String::from(frame.kind) };
         self.sent_bytes.get_or_create(&labels).inc_by(frame.bytes.len() as u64);
         timeout(SEND_TIMEOUT, self.framed.send(frame.bytes)).await?
     }
 
-    /// Receives the next frame; `None` when the peer has closed or sent what is none.
+    /// Receives the next frame; `None` when the connection ended or the frame is malformed.
     pub async fn receive(&mut self) -> Option<PeerFrame> {
         let next = self.framed.next().await;
         self.closed = next.is_none();
@@ -63,7 +63,7 @@
         PeerFrame::decode(bytes).ok()
     }
 
-    /// Returns whether the peer has closed the connection in order, rather than that it broke.
+    /// Returns whether the peer closed the connection cleanly, as opposed to a connection error.
     pub const fn is_closed(&self) -> bool {
         self.closed
     }
--- a/crates/gateway/src/peers/aggregate_frames.rs
+++ b/crates/gateway/src/peers/aggregate_frames.rs
@@ -1,4 +1,4 @@
-//! The frames of what all hosts count and one adds up.
+//! Frames for values that hosts report and a placer aggregates.
 
 use std::sync::Arc;
 
@@ -10,101 +10,98 @@
     suspect_messages::SuspectMessage,
 };
 
-/// What a host counts, for the host that adds up.
+/// A host's values for the aggregating placer.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct HostReportFrame {
     /// The host.
     #[prost(string, tag = "1")]
     pub host: String,
-    /// The service whose placer adds up.
+    /// The service whose placer aggregates.
     #[prost(string, tag = "2")]
     pub service: String,
-    /// What the host granted of organisations' quotas since the last frame.
+    /// The host's usage of organisations' quotas since the last frame.
     #[prost(message, repeated, tag = "3")]
     pub usage: Vec<QuotaUsageMessage>,
-    /// Requests under which engines ended.
+    /// Requests during which engines crashed.
     #[prost(message, repeated, tag = "4")]
     pub suspects: Vec<SuspectMessage>,
-    /// What engines said of the requests that they take.
+    /// Limits that engines declared.
     #[prost(message, repeated, tag = "5")]
     pub limits: Vec<LimitMessage>,
-    /// What the host wants of engines that have named a limit.
+    /// The host's demand for permits at engines with a limit.
     #[prost(message, repeated, tag = "6")]
     pub permit_demands: Vec<PermitDemandMessage>,
-    /// Engines that have announced that they are leaving.
+    /// Announced departures of engines.
     #[prost(message, repeated, tag = "7")]
     pub departures: Vec<DepartureMessage>,
 }
 
-/// What all hosts counted together, as far as it changed.
+/// The aggregate of all hosts' values, where it changed.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct AggregateFrame {
-    /// The service whose placer adds up.
+    /// The service whose placer aggregates.
     #[prost(string, tag = "1")]
     pub service: String,
-    /// That placer's token; a frame of an earlier one is passed over.
+    /// The placer's fencing token; receivers ignore frames with an earlier one.
     #[prost(uint64, tag = "2")]
     pub token: u64,
-    /// How many hosts listen to it, itself included.
+    /// Number of hosts subscribed to the placer, itself included.
     #[prost(uint32, tag = "3")]
     pub hosts: u32,
-    /// The organisations' quotas, where the frame says anything of them.
+    /// Levels of the organisations' quotas, if the frame updates them.
     #[prost(message, optional, tag = "4")]
     pub quotas: Option<QuotaLevelsMessage>,
-    /// Requests under which engines ended, as all hosts count.
+    /// Requests during which engines crashed, over all hosts.
     #[prost(message, repeated, tag = "5")]
     pub suspects: Vec<SuspectMessage>,
-    /// Engines that name a limit, another one, or none any more.
+    /// Limits of engines that were declared, changed or withdrawn.
     #[prost(message, repeated, tag = "6")]
     pub limits: Vec<LimitMessage>,
-    /// What the one host that hears this is granted.
+    /// Permits for the receiving host.
     #[prost(message, repeated, tag = "7")]
     pub grants: Vec<PermitGrantMessage>,
-    /// Engines that have announced that they are leaving.
+    /// Announced departures of engines.
     #[prost(message, repeated, tag = "8")]
     pub departures: Vec<DepartureMessage>,
 }
 
-/// What a host granted of an organisation's quota.
+/// A host's usage of an organisation's quota.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct QuotaUsageMessage {
     /// The organisation.
     #[prost(string, tag = "1")]
     pub organisation: String,
-    /// What was granted less what was given back. Unit: as the organisation's limit counts.
+    /// The amount granted, less the amount returned. Unit: that of the organisation's limit.
     #[prost(sint64, tag = "2")]
     pub amount: i64,
-    /// What the organisation has left, as the host heard last.
+    /// The remaining quota, as the host last received it.
     #[prost(sint64, optional, tag = "3")]
     pub level: Option<i64>,
 }
 
-/// Every organisation that has little left of its quota.
+/// The organisations with a low remaining quota.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct QuotaLevelsMessage {
-    /// The organisations; all others have most of their burst left.
+    /// The levels; organisations not listed have most of their burst left.
     #[prost(message, repeated, tag = "1")]
     pub levels: Vec<QuotaLevelMessage>,
 }
 
-/// What an organisation has left of its quota.
+/// The remaining quota of an organisation.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct QuotaLevelMessage {
     /// The organisation.
     #[prost(string, tag = "1")]
     pub organisation: String,
-    /// What it has left; below zero when hosts granted too much. Unit: as the organisation's limit counts.
+    /// The remaining amount; negative when hosts granted too much. Unit: that of the organisation's limit.
     #[prost(sint64, tag = "2")]
     pub level: i64,
-    /// What all hosts granted lately. Unit: as the organisation's limit counts.
+    /// The amount that all hosts granted recently. Unit: that of the organisation's limit.
     #[prost(uint64, tag = "3")]
     pub used: u64,
 }
 
-#[expect(
-    clippy::cast_possible_truncation,
-    reason = "a level in whole tokens or requests is enough"
-)]
+#[expect(clippy::cast_possible_truncation, reason = "levels are sent in whole tokens or requests")]
 const fn round(amount: f64) -> i64 {
     amount.round() as i64
 }
--- a/crates/gateway/src/peers/client.rs
+++ b/crates/gateway/src/peers/client.rs
@@ -1,4 +1,4 @@
-//! Connects to the placers of other hosts, and to any host while the store can not be read.
+//! Connections to remote placers, and to any host for store data that this host can not read itself.
 
 use std::{collections::HashMap, net::SocketAddr, rc::Rc, sync::Arc, time::Duration};
 
@@ -15,31 +15,33 @@
     timer::sleep_until,
 };
 
-/// How long a placer may be silent: as long as its lease lives, and four times as long as it lets pass between two words.
-/// A connection may go silent for good without a reset, and after a cut the next word would come seconds late.
+/// Timeout for frames from a placer: its lease's time to live, four times its keep-alive interval.
+///
+/// It detects connections that broke without a reset.
 const PLACER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How often the placers are looked at.
+/// Interval at which the set of placers is checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long a connection to a peer may take.
+/// Timeout for connecting to a peer.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long a peer may take to answer.
+/// Timeout for a peer's response to a state request.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// How many looks pass between two asks of a peer for what the store does not tell.
+/// Number of polls between two state requests.
 const POLLS_PER_STATE_REQUEST: u32 = 4;
 
-/// How many peers a host that has started asks until one has answered: each takes 0.4 s, and within three seconds a host that starts
-/// is to know what is in force.
+/// Maximum number of state requests that a starting host sends until a peer responds.
+///
+/// One is sent every 0.4 s, and a starting host must know the configuration in force within three seconds.
 const MAX_INITIAL_STATE_REQUESTS: u32 = 8;
 
 impl ControlState {
-    /// Returns whether a peer is to be asked for what it has read from the store, after so many asks.
+    /// Returns whether to request a peer's store data, after `requests` state requests.
     ///
-    /// A host that has started asks also where the store answers it, if it reads for others or the store ever came back from an older
-    /// copy: such a store says less than peers knew before. All others hear it from whom they follow.
+    /// A starting host also requests it while the store responds, if the host reads for others or the store was ever restored from
+    /// an older copy: such a store may lack records that peers have. Other hosts get these from the reader that they follow.
     fn needs_peer_state(&self, requests: u32) -> bool {
         let initial = !self.has_heard_peer() && requests < MAX_INITIAL_STATE_REQUESTS;
         let store_was_restored = self.eras().current() > 0;
@@ -47,7 +49,7 @@
     }
 }
 
-/// Keeps one connection to each foreign placer for ever.
+/// Maintains one connection to each remote placer. Never returns.
 pub async fn run_peer_client(state: SharedControl) {
     let mut tasks: HashMap<ServiceName, (SocketAddr, JoinHandle<()>)> = HashMap::new();
     let mut polls = 0;
@@ -76,7 +78,7 @@
     }
 }
 
-/// Connects to another host, unless that takes too long.
+/// Connects to another host; `None` on an error or a timeout.
 pub(super) async fn connect(state: &SharedControl, address: SocketAddr) -> Option<PeerStream> {
     let connecting = TcpStream::connect(address);
     let socket = tokio::time::timeout(CONNECT_TIMEOUT, connecting).await.ok()?.ok()?;
@@ -84,7 +86,7 @@
     Some(PeerStream::new(socket, sent))
 }
 
-/// Sends demand and receives plans until the connection ends.
+/// Sends demand to a placer and receives its plans until the connection ends.
 async fn exchange_with_placer(state: SharedControl, service: ServiceName, address: SocketAddr) {
     let Some(mut stream) = connect(&state, address).await else { return };
     let (sender, mut frames) = mpsc::channel(PEER_QUEUE);
@@ -122,7 +124,7 @@
     state.borrow_mut().placer_lost(&service);
 }
 
-/// Opens the way for demand, and tells what waits already.
+/// Subscribes to a placer's plans and queues the current demand for it.
 fn subscribe(
     state: &SharedControl,
     service: &ServiceName,
@@ -139,7 +141,7 @@
     sent
 }
 
-/// Asks one of the known hosts for what it has read from the store.
+/// Requests store data from one of the known hosts, a different one on each attempt.
 async fn request_peer_state(state: &SharedControl, attempt: u32) {
     let mut peers = state.borrow().other_members();
     peers.extend_from_slice(&state.borrow().shared().profile.seeds);
--- a/crates/gateway/src/peers/departure_messages.rs
+++ b/crates/gateway/src/peers/departure_messages.rs
@@ -1,19 +1,19 @@
-//! Departures of engines as hosts report and publish them.
+//! Messages for announced departures of engines.
 
 use std::{sync::Arc, time::Duration};
 
 use reelreel_core::{clock::duration_millis, fleet::departures::DepartureReport};
 
-/// One engine that is leaving.
+/// An engine that is leaving.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct DepartureMessage {
     /// The engine.
     #[prost(string, tag = "1")]
     pub engine: String,
-    /// Its incarnation.
+    /// The engine's incarnation.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
-    /// How long ago it was announced. Unit: milliseconds.
+    /// Time since the announcement. Unit: milliseconds.
     #[prost(uint64, tag = "3")]
     pub age_ms: u64,
 }
--- a/crates/gateway/src/peers/engine_messages.rs
+++ b/crates/gateway/src/peers/engine_messages.rs
@@ -1,7 +1,7 @@
-//! Engines' entries as hosts pass them on: a seventh of the bytes that an engine writes of itself.
+//! Compact messages for engine entries that hosts relay.
 //!
-//! Services, data halls and base models are the same for hundreds of engines, so a frame names each once
-//! and its lines refer to them by place.
+//! Hundreds of engines share services, data halls and base models, so a frame has each name once
+//! and its messages refer to them by index.
 
 use std::{
     collections::HashMap,
@@ -14,59 +14,59 @@
     ADAPTER_SEPARATOR, EngineEntry, EngineName, LoadedModel, ModelKey, adapter_name, base_model,
 };
 
-/// What became of an engine's entry.
+/// A change of an engine's entry.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineUpdate {
     /// The engine.
     pub name: EngineName,
-    /// The place of the entry in its topic.
+    /// Position of the change in the topic.
     pub position: StorePosition,
-    /// The entry; absent when it is gone.
+    /// The entry; absent when it was removed.
     pub entry: Option<EngineEntry>,
-    /// Whether it is gone since everything up to `position` was read and lacks it; otherwise its key was dropped there.
+    /// Whether it was removed because a snapshot up to `position` lacks it, as opposed to a deletion of its key there.
     pub unlisted: bool,
 }
 
-/// An engine's entry; without an address it is gone.
+/// An engine's entry; without an address, its removal.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct EngineEntryMessage {
     /// The engine.
     #[prost(string, tag = "1")]
     pub engine: String,
-    /// The place of the entry in its topic.
+    /// Position of the change in the topic.
     #[prost(uint64, tag = "2")]
     pub offset: u64,
-    /// The address where the engine takes requests and orders.
+    /// The IPv4 address for requests and orders.
     #[prost(fixed32, optional, tag = "3")]
     pub address: Option<u32>,
-    /// The port of that address.
+    /// The port for requests and orders.
     #[prost(uint32, tag = "4")]
     pub port: u32,
-    /// The service, by its place among the frame's names.
+    /// The service, as an index into the frame's names.
     #[prost(uint32, tag = "5")]
     pub service: u32,
-    /// The data hall, by its place among the frame's names.
+    /// The data hall, as an index into the frame's names.
     #[prost(uint32, tag = "6")]
     pub hall: u32,
-    /// How many requests it runs at a time.
+    /// Maximum number of concurrent requests.
     #[prost(uint32, tag = "7")]
     pub slots: u32,
-    /// Whether it is leaving.
+    /// Whether the engine is leaving.
     #[prost(bool, tag = "8")]
     pub leaving: bool,
-    /// How many orders it had taken.
+    /// Number of orders that the engine has accepted.
     #[prost(uint64, tag = "9")]
     pub sequence: u64,
-    /// What it held.
+    /// The models that the engine has loaded.
     #[prost(message, repeated, tag = "10")]
     pub loaded_models: Vec<ListedModelMessage>,
-    /// When this life of the engine began, by its own clock; zero where it does not say. Unit: milliseconds since 1970.
+    /// The engine's incarnation: its start time by its own clock; zero if unknown. Unit: milliseconds since the Unix epoch.
     #[prost(uint64, tag = "11")]
     pub incarnation: u64,
     /// The era of the store in which the entry was read.
     #[prost(uint64, tag = "12")]
     pub era: u64,
-    /// Whether the entry is gone since everything up to its place was read and lacks it.
+    /// Whether the entry was removed because a snapshot up to `offset` lacks it.
     #[prost(bool, tag = "13")]
     pub unlisted: bool,
 }
@@ -77,21 +77,21 @@
     }
 }
 
-/// Something that an engine held.
+/// A model or adapter that an engine has loaded.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ListedModelMessage {
-    /// The base model, by its place among the frame's names.
+    /// The base model, as an index into the frame's names.
     #[prost(uint32, tag = "1")]
     pub base: u32,
     /// The adapter; empty for the base model itself.
     #[prost(string, tag = "2")]
     pub adapter: String,
-    /// Its version.
+    /// The version of the weights.
     #[prost(uint64, tag = "3")]
     pub version: u64,
 }
 
-/// The names of a frame in the order in which they were first needed.
+/// The names of a frame, in order of their first use.
 #[derive(Debug, Default)]
 struct NameTable {
     names: Vec<String>,
@@ -110,9 +110,9 @@
     }
 }
 
-/// Writes entries; returns the names that they refer to, and their lines.
+/// Encodes entries; returns the names that they refer to, and their messages.
 ///
-/// An engine at an address that is not of the fourth version of the protocol is left out: engines have none.
+/// Engines without an IPv4 address are skipped.
 pub fn encode_engines(updates: &[EngineUpdate]) -> (Vec<String>, Vec<EngineEntryMessage>) {
     let mut names = NameTable::default();
     let messages = updates.iter().filter_map(|update| encode_engine(update, &mut names)).collect();
@@ -129,7 +129,7 @@
     };
     let Some(entry) = &update.entry else { return Some(removed) };
     let SocketAddr::V4(address) = entry.address else {
-        log::warn!("engine {} has no address of IPv4; it is not passed on", update.name);
+        log::warn!("engine {} has no IPv4 address; its entry is not relayed", update.name);
         return None;
     };
     let loaded_models = entry.loaded_models.iter().map(|model| ListedModelMessage {
@@ -152,16 +152,13 @@
     })
 }
 
-/// Reads entries; a line that refers to a name which the frame lacks is passed over.
+/// Decodes entries; a message that is malformed or refers to a name which the frame lacks is skipped.
 pub fn decode_engines(names: &[String], messages: &[EngineEntryMessage]) -> Vec<EngineUpdate> {
     let names: Vec<Arc<str>> = names.iter().map(|name| Arc::from(name.as_str())).collect();
     let decoded = messages.iter().filter_map(|message| {
         let update = decode_engine(&names, message);
         if update.is_none() {
-            log::warn!(
-                "a peer's entry of engine {} can not be read; it is passed over",
-                message.engine
-            );
+            log::warn!("skipping malformed entry of engine {} from a peer", message.engine);
         }
         update
     });
--- a/crates/gateway/src/peers/feed.rs
+++ b/crates/gateway/src/peers/feed.rs
@@ -1,4 +1,4 @@
-//! Follows a host that reads the store, instead of reading it.
+//! Follows a host that reads the store, in place of reading the store itself.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -11,17 +11,17 @@
     peers::{PeerStream, client::connect, frame::FrameBody, state_frames::FollowFrame},
 };
 
-/// How long a reader may be silent before it is left.
+/// Timeout for frames from a reader.
 const READER_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// How often the reader's clock is asked for anew: clocks that run 100 parts in a million apart, the most that
-/// common hosts do, are three milliseconds apart by then.
+/// Interval at which the reader's clock is requested again, so that a drift of 100 ppm adds up to at most three
+/// milliseconds.
 const CLOCK_INTERVAL: Duration = Duration::from_secs(30);
 
-/// The pause before readers are looked for again.
+/// Delay before readers are tried again.
 const RETRY_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Follows one reader after the other for ever, while this host is none itself.
+/// Follows readers, one at a time, while this host is not a reader itself. Never returns.
 pub async fn run_feed_client(state: SharedControl) {
     loop {
         let readers =
@@ -36,8 +36,7 @@
     }
 }
 
-/// Follows one reader until it falls silent or lets this host go; returns whether it ever followed
-/// anything.
+/// Follows one reader until it times out or ends the feed; returns whether this host followed it.
 async fn follow(state: &SharedControl, reader: SocketAddr) -> bool {
     let Some(mut stream) = connect(state, reader).await else { return false };
     let Some(mut requested_at) = request_feed(state, &mut stream).await else { return false };
@@ -60,7 +59,7 @@
         if !state.is_complete() {
             continue;
         }
-        // A reader that still reads a store which is gone tells of no change.
+        // The reader still reads an earlier era of the store and would miss all changes.
         if frame.era < state.eras().current() {
             state.set_following(false);
             continue;
@@ -79,7 +78,7 @@
     followed
 }
 
-/// Asks a reader for its feed, or for its clock where it feeds already; returns when.
+/// Requests a reader's feed, or its clock where the feed is active; returns when the request was sent.
 async fn request_feed(state: &SharedControl, stream: &mut PeerStream) -> Option<ClockMillis> {
     let now = state.borrow().shared().clock.now();
     let request = FrameBody::Follow(FollowFrame { requested_at: now.as_millis() });
--- a/crates/gateway/src/peers/frame.rs
+++ b/crates/gateway/src/peers/frame.rs
@@ -1,6 +1,6 @@
-//! The frames between hosts of the system.
+//! The frames between hosts.
 //!
-//! Field numbers are never used again; a frame kind that a host does not know is passed over.
+//! Field numbers are never reused; a host ignores frames of an unknown kind.
 
 use std::{sync::Arc, time::Duration};
 
@@ -16,52 +16,52 @@
     state_frames::{FollowFrame, StateFrame, StateRequestFrame},
 };
 
-/// One frame.
+/// A frame between hosts.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct PeerFrame {
-    /// What it says.
+    /// The content.
     #[prost(oneof = "FrameBody", tags = "1, 2, 3, 4, 5, 6, 7")]
     pub body: Option<FrameBody>,
 }
 
-/// A frame as it goes over a connection: encoded once, however many hosts get it.
+/// An encoded frame.
 ///
-/// A queue for each of hundreds of listeners holds references to the same bytes.
+/// The send queues of hundreds of subscribers share the same bytes.
 #[derive(Debug, Clone)]
 pub struct EncodedFrame {
-    /// What kind of frame it is, for metrics.
+    /// The kind of frame, for metrics.
     pub kind: &'static str,
-    /// Its bytes, without their length.
+    /// The bytes, without the length prefix.
     pub bytes: bytes::Bytes,
 }
 
-/// What a frame says.
+/// The content of a frame.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum FrameBody {
-    /// What a host is asked for.
+    /// A host's demand in one placement domain.
     #[prost(message, tag = "1")]
     Demand(DemandFrame),
-    /// What the placer has decided.
+    /// The placer's plan for one placement domain.
     #[prost(message, tag = "2")]
     Plan(PlanFrame),
-    /// Asks for what the peer has read from the store.
+    /// Requests the peer's store data.
     #[prost(message, tag = "3")]
     StateRequest(StateRequestFrame),
-    /// What a host has read from the store.
+    /// A host's store data.
     #[prost(message, tag = "4")]
     State(StateFrame),
-    /// Asks for what the peer reads from the store from now on.
+    /// Subscribes to the peer's store data.
     #[prost(message, tag = "5")]
     Follow(FollowFrame),
-    /// What a host counts, for the host that adds up.
+    /// A host's values for the aggregating host.
     #[prost(message, tag = "6")]
     HostReport(HostReportFrame),
-    /// What all hosts counted together.
+    /// The aggregate of all hosts' values.
     #[prost(message, tag = "7")]
     Aggregate(AggregateFrame),
 }
 
-/// What a host is asked for in one placement domain. Tags 8 and 9 are used up.
+/// A host's demand in one placement domain. Tags 8 and 9 are retired.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct DemandFrame {
     /// The host.
@@ -70,38 +70,38 @@
     /// The domain's service.
     #[prost(string, tag = "2")]
     pub service: String,
-    /// What changed since the last frame.
+    /// Demand for models and adapters that changed since the last frame.
     #[prost(message, repeated, tag = "3")]
     pub entries: Vec<DemandMessage>,
-    /// The host's work at engines where it changed.
+    /// The host's work at engines, where it changed.
     #[prost(message, repeated, tag = "4")]
     pub work: Vec<EngineWorkMessage>,
-    /// The host's requests at engines by model or adapter where they changed.
+    /// The host's open requests by engine and model or adapter, where they changed.
     #[prost(message, repeated, tag = "5")]
     pub open_requests: Vec<OpenRequestsMessage>,
-    /// What engines said that they do not hold.
+    /// Models and adapters that engines reported as not loaded.
     #[prost(message, repeated, tag = "6")]
     pub absent: Vec<AbsentModelMessage>,
-    /// Engines that the host can't use now: no connection came about, or they want no requests from it.
+    /// Engines that the host can't use now: connecting failed, or they are in a cooldown for this host.
     #[prost(string, repeated, tag = "7")]
     pub unreachable: Vec<String>,
 }
 
-/// What an engine has to do.
+/// A host's work at an engine.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct EngineWorkMessage {
     /// The engine.
     #[prost(string, tag = "1")]
     pub engine: String,
-    /// Requests that are open there.
+    /// Number of open requests.
     #[prost(uint32, tag = "2")]
     pub open: u32,
-    /// Prompts that it has not read yet. Unit: tokens.
+    /// Prompt tokens that are not yet prefilled.
     #[prost(uint64, tag = "3")]
     pub pending_prefill_tokens: u64,
 }
 
-/// A host's requests at an engine for one model or adapter.
+/// A host's open requests at an engine for one model or adapter.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct OpenRequestsMessage {
     /// The engine.
@@ -110,12 +110,12 @@
     /// The model or adapter.
     #[prost(string, tag = "2")]
     pub key: String,
-    /// Requests that are open; none ends an earlier word.
+    /// Number of open requests; zero clears an earlier value.
     #[prost(uint32, tag = "3")]
     pub open: u32,
 }
 
-/// An engine's word to a host that it does not hold something.
+/// An engine's report that a model or adapter is not loaded.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct AbsentModelMessage {
     /// The engine.
@@ -124,7 +124,7 @@
     /// The model or adapter.
     #[prost(string, tag = "2")]
     pub key: String,
-    /// How long ago it said so. Unit: milliseconds.
+    /// Time since the report. Unit: milliseconds.
     #[prost(uint32, tag = "3")]
     pub age_ms: u32,
 }
@@ -135,74 +135,74 @@
     /// The model or adapter.
     #[prost(string, tag = "1")]
     pub key: String,
-    /// Requests since the last frame.
+    /// Number of new requests since the last frame.
     #[prost(uint32, tag = "2")]
     pub new_requests: u32,
-    /// Requests that wait now.
+    /// Number of waiting requests.
     #[prost(uint32, tag = "3")]
     pub waiting: u32,
-    /// Their worth; the mean request is worth one.
+    /// Total value of the waiting requests; an average request has the value one.
     #[prost(float, tag = "4")]
     pub waiting_value: f32,
-    /// The prompts of the requests since the last frame. Unit: tokens.
+    /// Prompt tokens of the new requests.
     #[prost(uint64, tag = "5")]
     pub new_prompt_tokens: u64,
-    /// The prompts of the requests that wait. Unit: tokens.
+    /// Prompt tokens of the waiting requests.
     #[prost(uint64, tag = "6")]
     pub waiting_prompt_tokens: u64,
-    /// Whether every copy is at an engine that takes no requests from the host now.
+    /// Whether every copy is at an engine that currently accepts no requests from the host.
     #[prost(bool, tag = "7")]
     pub copies_unavailable: bool,
 }
 
-/// What the placer of one domain has decided. Tags 6, 8 and 12 are used up.
+/// The placer's plan for one placement domain. Tags 6, 8 and 12 are retired.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct PlanFrame {
     /// The domain's service.
     #[prost(string, tag = "1")]
     pub service: String,
-    /// The placer's token; a frame of an earlier one is passed over.
+    /// The placer's fencing token; receivers ignore frames with an earlier one.
     #[prost(uint64, tag = "2")]
     pub token: u64,
-    /// What engines hold whose holdings changed.
+    /// The complete set of loaded models of engines where it changed.
     #[prost(message, repeated, tag = "3")]
     pub engines: Vec<EngineModelsMessage>,
-    /// In what time queued adapters are expected.
+    /// Estimated load times of queued adapters.
     #[prost(message, repeated, tag = "4")]
     pub estimates: Vec<LoadEstimateMessage>,
-    /// How many hosts listen to the placer, itself included.
+    /// Number of hosts subscribed to the placer, itself included.
     #[prost(uint32, tag = "5")]
     pub hosts: u32,
-    /// The weight store's pace as the placer has learnt it, for who comes after it.
+    /// The weight store's throughput as estimated by the placer, for the next placer.
     #[prost(message, optional, tag = "7")]
     pub store_throughput: Option<StoreThroughputMessage>,
-    /// What engines hold that they did not before, and the other way round.
+    /// Models that engines have loaded or unloaded.
     #[prost(message, repeated, tag = "9")]
     pub changes: Vec<EngineChangeMessage>,
-    /// The numbers of engines in `work`, each told before it is first used.
+    /// Numbers of the engines in `work`, each sent before its first use.
     #[prost(message, repeated, tag = "10")]
     pub engine_numbers: Vec<EngineNumberMessage>,
-    /// The work of all hosts at engines where it changed: an engine's number, the requests that are open
-    /// there and the tokens that it has not read yet, again and again.
+    /// The work of all hosts at engines, where it changed, as triples: the engine's number, the number of
+    /// open requests and the pending prefill tokens.
     #[prost(uint64, repeated, packed = "true", tag = "11")]
     pub work: Vec<u64>,
 }
 
-/// How an engine's holdings changed since the last frame that named it.
+/// The change of an engine's loaded models since the last frame with this engine.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct EngineChangeMessage {
     /// The engine.
     #[prost(string, tag = "1")]
     pub engine: String,
-    /// What it holds since then, or in another version.
+    /// Models that were loaded, or whose version changed.
     #[prost(message, repeated, tag = "2")]
     pub added: Vec<LoadedModelMessage>,
-    /// What it holds no more.
+    /// Keys of models that were unloaded.
     #[prost(string, repeated, tag = "3")]
     pub removed: Vec<String>,
 }
 
-/// The number by which a placer's frames name an engine.
+/// The number that stands for an engine in a placer's frames.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct EngineNumberMessage {
     /// The number.
@@ -213,55 +213,55 @@
     pub engine: String,
 }
 
-/// How fast the weight store serves adapters.
+/// The throughput of the weight store.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct StoreThroughputMessage {
-    /// How many come at a time without slowing one another down.
+    /// Number of parallel loads that do not slow each other down.
     #[prost(float, tag = "1")]
     pub parallel_loads: f32,
-    /// How long one of these takes. Unit: milliseconds.
+    /// Duration of one such load. Unit: milliseconds.
     #[prost(uint32, tag = "2")]
     pub load_time_ms: u32,
 }
 
-/// What one engine holds.
+/// The loaded models of one engine.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct EngineModelsMessage {
     /// The engine.
     #[prost(string, tag = "1")]
     pub engine: String,
-    /// Everything that it holds.
+    /// All loaded models and adapters.
     #[prost(message, repeated, tag = "2")]
     pub loaded_models: Vec<LoadedModelMessage>,
-    /// The life of the engine that holds it; zero where it does not say. Unit: milliseconds since 1970.
+    /// The engine's incarnation; zero if unknown. Unit: milliseconds since the Unix epoch.
     #[prost(uint64, tag = "3")]
     pub incarnation: u64,
 }
 
-/// Something that an engine holds.
+/// A loaded model or adapter.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct LoadedModelMessage {
     /// The model or adapter.
     #[prost(string, tag = "1")]
     pub key: String,
-    /// Its version.
+    /// The version of the weights.
     #[prost(uint64, tag = "2")]
     pub version: u64,
 }
 
-/// When an adapter is expected.
+/// The estimated load time of an adapter.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct LoadEstimateMessage {
     /// The adapter.
     #[prost(string, tag = "1")]
     pub key: String,
-    /// In what time it is expected. Unit: milliseconds.
+    /// Time until the adapter is expected to be loaded. Unit: milliseconds.
     #[prost(uint32, tag = "2")]
     pub expected_in_ms: u32,
 }
 
 impl PeerFrame {
-    /// Wraps what a frame says.
+    /// Creates a frame.
     pub const fn new(body: FrameBody) -> Self {
         Self { body: Some(body) }
     }
@@ -286,7 +286,7 @@
 }
 
 impl FrameBody {
-    /// Encodes a frame that says this.
+    /// Encodes a frame with this content.
     pub fn encoded(self) -> EncodedFrame {
         PeerFrame::new(self).encoded()
     }
@@ -294,7 +294,7 @@
 
 impl From<&DemandEntry> for DemandMessage {
     fn from(entry: &DemandEntry) -> Self {
-        #[expect(clippy::cast_possible_truncation, reason = "a worth needs few digits")]
+        #[expect(clippy::cast_possible_truncation, reason = "f32 is precise enough for a value")]
         let waiting_value = entry.waiting_value as f32;
         Self {
             key: entry.key.to_string(),
@@ -323,7 +323,7 @@
 }
 
 impl DemandFrame {
-    /// Returns what the host has at engines.
+    /// Returns the host's work at engines.
     pub fn work(&self) -> HostWork {
         HostWork {
             engines: self.work.iter().map(Into::into).collect(),
@@ -350,7 +350,10 @@
 
 impl From<StoreThroughput> for StoreThroughputMessage {
     fn from(throughput: StoreThroughput) -> Self {
-        #[expect(clippy::cast_possible_truncation, reason = "a pace needs few digits")]
+        #[expect(
+            clippy::cast_possible_truncation,
+            reason = "f32 is precise enough for an estimate"
+        )]
         let parallel_loads = throughput.parallel_loads as f32;
         let load_time_ms = u32::try_from(throughput.load_time.as_millis()).unwrap_or(u32::MAX);
         Self { parallel_loads, load_time_ms }
@@ -410,7 +413,7 @@
 }
 
 impl LoadEstimateMessage {
-    /// Writes an estimate.
+    /// Creates a message from an estimate.
     pub fn new(key: &ModelKey, time: Duration) -> Self {
         Self {
             key: key.to_string(),
--- a/crates/gateway/src/peers/limit_messages.rs
+++ b/crates/gateway/src/peers/limit_messages.rs
@@ -1,4 +1,4 @@
-//! What hosts tell each other of the limits that engines name, as it goes in frames.
+//! Messages for the request limits that engines declare, and for permits under these limits.
 
 use std::{sync::Arc, time::Duration};
 
@@ -13,71 +13,71 @@
     },
 };
 
-/// The last word on one engine's limit.
+/// The latest state of one engine's limit.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct LimitMessage {
     /// The engine.
     #[prost(string, tag = "1")]
     pub engine: String,
-    /// The life that said it.
+    /// The engine's incarnation.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
-    /// What it named last. Unit: requests a second.
+    /// The last declared limit. Unit: requests per second.
     #[prost(double, tag = "3")]
     pub limit: f64,
-    /// How long ago the answer began that said so. Unit: milliseconds.
+    /// Time since the start of the response that declared it. Unit: milliseconds.
     #[prost(uint64, tag = "4")]
     pub responded_ago: u64,
-    /// How long ago what it answered had been sent. Unit: milliseconds.
+    /// Time since the corresponding request was sent. Unit: milliseconds.
     #[prost(uint64, tag = "5")]
     pub requested_ago: u64,
-    /// Whether it has named none since.
+    /// Whether the engine has stopped declaring a limit.
     #[prost(bool, tag = "6")]
     pub withdrawn: bool,
-    /// Whether it counts as any other engine again.
+    /// Whether the engine counts as unlimited again.
     #[prost(bool, tag = "7")]
     pub lifted: bool,
 }
 
-/// What a host wants of one engine that has named a limit.
+/// A host's demand for permits at one engine with a limit.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct PermitDemandMessage {
     /// The engine.
     #[prost(string, tag = "1")]
     pub engine: String,
-    /// Streams that broke off and wait for a permit.
+    /// Number of interrupted streams that wait for a permit to resume.
     #[prost(uint32, tag = "2")]
     pub resumed: u32,
-    /// Other requests that wait for a permit.
+    /// Number of other requests that wait for a permit.
     #[prost(uint32, tag = "3")]
     pub waiting: u32,
-    /// Whether a request would have gone there, had there been a permit.
+    /// Whether a request was diverted from this engine for lack of a permit.
     #[prost(bool, tag = "4")]
     pub diverted: bool,
-    /// How many permits the host has got since it listens.
+    /// Number of permits received since the host subscribed.
     #[prost(uint64, tag = "5")]
     pub received: u64,
-    /// How many of them it has let go unused.
+    /// Number of these that expired unused.
     #[prost(uint64, tag = "6")]
     pub unused: u64,
-    /// How many calls it has made without one since it last told.
+    /// Number of calls without a permit since the last report.
     #[prost(uint64, tag = "7")]
     pub unpermitted: u64,
 }
 
-/// What one host is granted at one engine.
+/// A host's permits at one engine.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct PermitGrantMessage {
     /// The engine.
     #[prost(string, tag = "1")]
     pub engine: String,
-    /// Calls that the host may make.
+    /// Number of calls granted.
     #[prost(uint32, tag = "2")]
     pub permits: u32,
-    /// In what time a permit is expected for the last one that waits there, where some wait on. Unit: milliseconds.
+    /// Expected wait of the last queued request for a permit, if any request is queued. Unit: milliseconds.
     #[prost(uint64, optional, tag = "3")]
     pub wait_ms: Option<u64>,
-    /// Whether no limit of the engine is known there: the host tells its word again.
+    /// Whether the sender knows no limit of the engine, so that the host must report it again.
     #[prost(bool, tag = "4")]
     pub unknown: bool,
 }
@@ -96,11 +96,11 @@
     }
 }
 
-/// Reads words; one whose limit is none is passed over.
+/// Decodes reports; one with an invalid limit is skipped.
 pub fn decode_limits(messages: &[LimitMessage]) -> Vec<LimitReport> {
     let decoded = messages.iter().filter_map(|message| {
         let Some(limit) = RequestLimit::new(message.limit) else {
-            log::warn!("a peer's limit of engine {} is none; it is passed over", message.engine);
+            log::warn!("skipping invalid limit of engine {} from a peer", message.engine);
             return None;
         };
         Some(LimitReport {
--- a/crates/gateway/src/peers/server.rs
+++ b/crates/gateway/src/peers/server.rs
@@ -1,4 +1,4 @@
-//! Takes connections from other hosts.
+//! Accepts connections from other hosts.
 
 use std::{rc::Rc, sync::Arc, time::Duration};
 
@@ -18,17 +18,17 @@
     },
 };
 
-/// How long to wait before listening is tried again.
+/// Delay after a failed bind or accept.
 const LISTEN_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Takes connections for ever.
+/// Accepts and serves connections. Never returns.
 pub async fn run_peer_server(state: SharedControl) {
     let address = state.borrow().shared().profile.peer_address;
     let listener = loop {
         match TcpListener::bind(address).await {
             Ok(listener) => break listener,
             Err(error) => {
-                log::warn!("peers can not connect to {address}: {error}");
+                log::warn!("failed to listen for peers on {address}: {error}");
                 tokio::time::sleep(LISTEN_RETRY_DELAY).await;
             }
         }
@@ -39,14 +39,14 @@
                 tokio::task::spawn_local(serve_peer(Rc::clone(&state), socket));
             }
             Err(error) => {
-                log::warn!("a peer could not connect: {error}");
+                log::warn!("failed to accept a peer connection: {error}");
                 tokio::time::sleep(LISTEN_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Serves one peer until it closes, or until it asks for a plan that another host makes.
+/// Serves one peer until it disconnects, or until this host is not the placer of a service that it subscribed to.
 async fn serve_peer(state: SharedControl, socket: TcpStream) {
     let sent = state.borrow().shared().metrics.peer_sent_bytes.clone();
     let mut stream = PeerStream::new(socket, sent);
@@ -76,7 +76,7 @@
                         }
                     }
                     Some(FrameBody::Follow(follow)) => {
-                        // The sender lives with the feed: when it drops it, this task ends.
+                        // The feed owns the sender; dropping it there ends this task.
                         if state.borrow_mut().add_follower(sender.clone(), follow.requested_at) {
                             feed_follower(&state, stream, sender, frames).await;
                         }
@@ -98,7 +98,7 @@
     }
 }
 
-/// Passes the feed on until this host lets the follower go or the follower closes.
+/// Sends the feed until this host drops the follower or the follower disconnects.
 async fn feed_follower(
     state: &SharedControl,
     mut stream: PeerStream,
@@ -126,7 +126,7 @@
     }
 }
 
-/// Takes demand; returns false when this host makes no plan for the service.
+/// Processes demand; returns false when this host is not the placer of the service.
 fn handle_demand(
     state: &SharedControl,
     demand: &DemandFrame,
@@ -146,7 +146,7 @@
     accepted
 }
 
-/// Forgets a peer that has closed its connection: it is not cut off.
+/// Removes a peer that closed its connection cleanly, so that it does not count as unreachable.
 fn remove_subscriber(
     state: &SharedControl,
     sender: &mpsc::Sender<EncodedFrame>,
@@ -160,7 +160,7 @@
     }
 }
 
-/// Returns whether the host still makes the plans that the peer listens to.
+/// Returns whether this host is still the placer of all services that the peer subscribed to.
 fn is_subscribed(
     state: &SharedControl,
     sender: &mpsc::Sender<EncodedFrame>,
--- a/crates/gateway/src/peers/state_frames.rs
+++ b/crates/gateway/src/peers/state_frames.rs
@@ -1,74 +1,74 @@
-//! Frames in which hosts pass on what they have read from the store, and ask for it.
+//! Frames with which hosts relay store data, and request it.
 
 use reelreel_core::{ClockMillis, StorePosition, fleet::freshness::PeerClock};
 
 use crate::{codec::KeyedRecord, peers::engine_messages::EngineEntryMessage};
 
-/// Asks for what the peer has read from the store.
+/// Requests the peer's store data.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct StateRequestFrame {
-    /// What the asking host's clock shows. Unit: milliseconds.
+    /// The requesting host's clock. Unit: milliseconds.
     #[prost(uint64, tag = "1")]
     pub requested_at: u64,
 }
 
-/// Asks for what the peer reads from the store from now on, or, later on, for its clock alone.
+/// Subscribes to the peer's store data, or, on an active feed, requests just its clock.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct FollowFrame {
-    /// What the asking host's clock shows. Unit: milliseconds.
+    /// The requesting host's clock. Unit: milliseconds.
     #[prost(uint64, tag = "1")]
     pub requested_at: u64,
 }
 
-/// What a host's clock shows, as an answer.
+/// The clock of the responding host.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ClockMessage {
-    /// What the asking host's clock showed when it asked. Unit: milliseconds.
+    /// The requesting host's clock at the time of the request. Unit: milliseconds.
     #[prost(uint64, tag = "1")]
     pub requested_at: u64,
-    /// What the answering host's clock shows. Unit: milliseconds.
+    /// The responding host's clock. Unit: milliseconds.
     #[prost(uint64, tag = "2")]
     pub now: u64,
 }
 
-/// What a host has read from the store: everything, or what has changed since the last frame.
+/// A host's store data: all of it, or the changes since the last frame.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct StateFrame {
-    /// Newest records of the configuration topic.
+    /// Latest records of the configuration topic.
     #[prost(message, repeated, tag = "1")]
     pub configuration: Vec<KeyedRecordMessage>,
-    /// Who holds which partition of the group; empty when that did not change.
+    /// Owners of the group's partitions; empty when unchanged.
     #[prost(message, repeated, tag = "4")]
     pub owners: Vec<PartitionOwnerMessage>,
-    /// Whether this is everything.
+    /// Whether the frame has all store data.
     #[prost(bool, tag = "5")]
     pub complete: bool,
-    /// How far the engines' topic was read, where this is everything.
+    /// Offset up to which the engines' topic was read, in a complete frame.
     #[prost(uint64, tag = "6")]
     pub engines_end: u64,
-    /// At which moment of the sender's clock all that it has passed on was the newest configuration; zero
-    /// where it does not know. Unit: milliseconds.
+    /// Time, by the sender's clock, at which the relayed configuration was confirmed as the latest; zero if
+    /// unknown. Unit: milliseconds.
     #[prost(uint64, tag = "7")]
     pub confirmed_at: u64,
-    /// The sender's clock, in an answer.
+    /// The sender's clock, in a response.
     #[prost(message, optional, tag = "8")]
     pub clock: Option<ClockMessage>,
-    /// The names that the lines of `engines` refer to.
+    /// The names that `engines` refers to by index.
     #[prost(string, repeated, tag = "9")]
     pub names: Vec<String>,
-    /// The engines' entries.
+    /// Engine entries.
     #[prost(message, repeated, tag = "10")]
     pub engines: Vec<EngineEntryMessage>,
-    /// The newest era of the store that the sender has heard of.
+    /// The latest era of the store that the sender knows.
     #[prost(uint64, tag = "11")]
     pub era: u64,
-    /// The era of the store to which `engines_end` belongs.
+    /// The era of `engines_end`.
     #[prost(uint64, tag = "12")]
     pub engines_era: u64,
 }
 
 impl StateFrame {
-    /// Returns how far the engines' topic was read, where this is everything.
+    /// Returns the position up to which the engines' topic was read, in a complete frame.
     pub const fn engines_read_to(&self) -> StorePosition {
         StorePosition { era: self.engines_era, offset: self.engines_end }
     }
@@ -82,13 +82,13 @@
     }
 }
 
-/// Who holds a partition of the group.
+/// The owner of a partition of the group.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct PartitionOwnerMessage {
     /// The partition.
     #[prost(uint32, tag = "1")]
     pub partition: u32,
-    /// The name of the member that holds it.
+    /// The name of the member that owns it.
     #[prost(string, tag = "2")]
     pub member: String,
 }
@@ -96,13 +96,13 @@
 /// A record of a keyed topic.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct KeyedRecordMessage {
-    /// Its key.
+    /// The key.
     #[prost(string, tag = "1")]
     pub key: String,
-    /// Its value as the store gave it.
+    /// The encoded value, as in the store.
     #[prost(bytes = "bytes", tag = "2")]
     pub value: bytes::Bytes,
-    /// Its place in the topic.
+    /// Offset in the topic.
     #[prost(uint64, tag = "3")]
     pub offset: u64,
     /// The era of the store in which it was read.
--- a/crates/gateway/src/peers/suspect_messages.rs
+++ b/crates/gateway/src/peers/suspect_messages.rs
@@ -1,4 +1,4 @@
-//! What hosts tell each other of requests under which engines ended, as it goes in frames.
+//! Messages for requests during which engines crashed.
 
 use std::{sync::Arc, time::Duration};
 
@@ -7,44 +7,44 @@
     fleet::quarantine::{ReportedCrash, RequestMark, SuspectReport},
 };
 
-/// What a host knows of one request under which engines ended.
+/// The crash history of one request.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct SuspectMessage {
-    /// The request's mark, least byte first.
+    /// The request's mark, in little-endian byte order.
     #[prost(bytes = "bytes", tag = "1")]
     pub mark: bytes::Bytes,
-    /// Who sends it, where keys tell.
+    /// The sending organisation, where keys identify one.
     #[prost(string, optional, tag = "2")]
     pub organisation: Option<String>,
-    /// The newest version of what it names at any of the ends.
+    /// The latest version of the requested model at any of the crashes.
     #[prost(uint64, tag = "3")]
     pub version: u64,
-    /// The ends since it last ran whole.
+    /// Crashes since the request last completed.
     #[prost(message, repeated, tag = "4")]
     pub crashes: Vec<CrashMessage>,
-    /// How long ago it last ran whole, if it did. Unit: milliseconds.
+    /// Time since the request last completed, if ever. Unit: milliseconds.
     #[prost(uint64, optional, tag = "5")]
     pub cleared_ago: Option<u64>,
-    /// How long ago it was last tried after it had been held back. Unit: milliseconds.
+    /// Time since the last probe in quarantine. Unit: milliseconds.
     #[prost(uint64, optional, tag = "6")]
     pub probed_ago: Option<u64>,
 }
 
-/// An engine's end while it ran a request.
+/// An engine's crash during a request.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct CrashMessage {
-    /// The life that ended.
+    /// The incarnation that crashed.
     #[prost(fixed64, tag = "1")]
     pub incarnation: u64,
-    /// How long ago the request was sent there. Unit: milliseconds.
+    /// Time since the request was sent to it. Unit: milliseconds.
     #[prost(uint64, tag = "2")]
     pub began_ago: u64,
-    /// How long ago the life ended. Unit: milliseconds.
+    /// Time since the crash. Unit: milliseconds.
     #[prost(uint64, tag = "3")]
     pub crashed_ago: u64,
 }
 
-/// Writes what is known of requests.
+/// Encodes reports of suspect requests.
 pub fn encode_suspects(reports: &[SuspectReport]) -> Vec<SuspectMessage> {
     reports.iter().map(encode_suspect).collect()
 }
@@ -65,12 +65,15 @@
     }
 }
 
-/// Reads what a peer knows; a line whose mark is none is passed over.
+/// Decodes reports; one with a mark of the wrong length is skipped.
 pub fn decode_suspects(messages: &[SuspectMessage]) -> Vec<SuspectReport> {
     let decoded = messages.iter().filter_map(|message| {
         let report = decode_suspect(message);
         if report.is_none() {
-            log::warn!("a peer's mark of {} bytes is none; it is passed over", message.mark.len());
+            log::warn!(
+                "skipping suspect request from a peer: the mark has {} bytes",
+                message.mark.len()
+            );
         }
         report
     });
--- a/crates/gateway/src/profile.rs
+++ b/crates/gateway/src/profile.rs
@@ -1,4 +1,4 @@
-//! What a host is told about itself when it starts.
+//! The configuration with which a host starts.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -8,65 +8,65 @@
     placement::HostCapacity,
 };
 
-/// Times and amounts that the operator binds the host to.
+/// Limits that the operator sets for the host.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct OperatorBounds {
-    /// How long a stopped host has before it is killed.
+    /// Grace period of a planned stop, after which the host is killed.
     pub stop_grace: Duration,
-    /// Within which time a configuration that the store has taken is in force.
+    /// Maximum time from the store's acceptance of a configuration until it is in force.
     pub max_configuration_delay: Duration,
-    /// Within which time after the store has taken that an engine leaves it gets nothing new.
+    /// Maximum time from the store's acceptance of an engine's departure until the engine gets no new requests.
     pub max_leaving_delay: Duration,
-    /// How long a holder of a lease waits out the holder before.
+    /// How long a new lease holder waits for the previous holder to stop.
     pub handover_wait: Duration,
-    /// Whether engines refuse the orders of earlier holders.
+    /// Whether engines reject orders with the fencing token of an earlier lease holder.
     pub engines_enforce_fencing: bool,
-    /// Within which time nothing may begin on an older version of an adapter.
+    /// Maximum time from the publication of an adapter version until no request starts on an older one.
     pub max_version_delay: Duration,
-    /// Further sends over all hosts.
+    /// Retry budget, shared by all hosts.
     pub retry_policy: RetryPolicy,
-    /// The window over which loads from the weight store are counted.
+    /// Window over which loads from the weight store are counted.
     pub load_window: Duration,
-    /// How far loads may exceed the store's rate within a window.
+    /// How far loads may exceed the weight store's rate within a window.
     pub load_overage: f64,
-    /// How long after its withdrawal a key may be served, also by a host that can not hear of it; absent where
-    /// nothing bounds it.
+    /// Maximum time that a revoked key is still served, also by a host that is cut off from updates; absent for no
+    /// bound.
     pub max_revocation_delay: Option<Duration>,
-    /// How far the sum of what all hosts grant may exceed an organisation's quota.
+    /// How far the sum of all hosts' grants may exceed an organisation's quota.
     pub quota_tolerance: QuotaTolerance,
 }
 
-/// What a host is told about itself when it starts.
+/// The configuration with which a host starts.
 #[derive(Debug, Clone)]
 pub struct HostProfile {
     /// The host's name.
     pub name: Arc<str>,
-    /// The data hall that it stands in.
+    /// The host's data hall.
     pub hall: HallName,
-    /// Where clients connect.
+    /// Listening address for clients.
     pub client_address: SocketAddr,
-    /// Where the balancer asks whether the host takes requests.
+    /// Listening address for the load balancer's readiness checks.
     pub readiness_address: SocketAddr,
-    /// Where other hosts of the system connect.
+    /// Listening address for other hosts.
     pub peer_address: SocketAddr,
-    /// Where metrics are served.
+    /// Listening address for metrics.
     pub metrics_address: SocketAddr,
-    /// Addresses at which other hosts of the system may be found.
+    /// Peer addresses of hosts to contact first.
     pub seeds: Vec<SocketAddr>,
-    /// The most client connections at a time.
+    /// Maximum number of concurrent client connections.
     pub max_connections: usize,
-    /// The most bytes of request bodies held at a time.
+    /// Maximum total size of buffered request bodies. Unit: bytes.
     pub max_body_bytes: usize,
-    /// Where the platform's store is.
+    /// Address of the platform's store.
     pub store_address: SocketAddr,
-    /// How many partitions the store deals to a group.
+    /// Number of partitions that the store assigns to the members of a group.
     pub partitions: u32,
-    /// The shortest time to live that the store takes for a member of a group.
+    /// Minimum time to live that the store accepts for a group member.
     pub min_membership_ttl: Duration,
-    /// What the host has to work with.
+    /// CPU and network capacity of the host.
     pub capacity: HostCapacity,
-    /// Whether this is the very first start of the whole system, before which nothing was spent of any budget.
+    /// Whether this is the first start of the whole system, so that all quotas are unspent.
     pub first_start: bool,
-    /// Times and amounts that the operator binds the host to.
+    /// Limits that the operator sets for the host.
     pub bounds: OperatorBounds,
 }
