--- a/crates/gateway/examples/path_cost.rs
+++ b/crates/gateway/examples/path_cost.rs
@@ -57,7 +57,7 @@
 
 fn report(kind: &RequestKind, endpoint: &str, address: SocketAddr, engine: &str) {
     let mut times: Vec<Duration> = (0..WARM_UP + ROUNDS)
-        .map(|number| first_byte(kind, address, engine, &format!("{endpoint}-{number}")))
+        .map(|number| time_to_first_byte(kind, address, engine, &format!("{endpoint}-{number}")))
         .skip(WARM_UP)
         .collect();
     times.sort_unstable();
@@ -67,7 +67,7 @@
 }
 
 /// Sends one request on a new connection and returns the time to the first byte of its answer.
-fn first_byte(kind: &RequestKind, address: SocketAddr, engine: &str, id: &str) -> Duration {
+fn time_to_first_byte(kind: &RequestKind, address: SocketAddr, engine: &str, id: &str) -> Duration {
     let mut socket = TcpStream::connect(address).expect("a connection");
     socket.set_nodelay(true).expect("no delay");
     let model = kind.model.map(|model| format!("X-Model: {model}\r\n")).unwrap_or_default();
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -111,7 +111,7 @@
     /// Requests by route and outcome.
     pub requests: Family<RequestLabels, Counter>,
     /// Requests by organisation and outcome.
-    organisations: Family<OrganisationLabels, Counter>,
+    organisation_requests: Family<OrganisationLabels, Counter>,
     /// The organisations that have counters of their own.
     labelled_organisations: Mutex<BTreeSet<String>>,
     /// Time to the first byte of an answer.
@@ -209,7 +209,7 @@
         let metrics = Self {
             registry: Mutex::default(),
             requests: Family::default(),
-            organisations: Family::default(),
+            organisation_requests: Family::default(),
             labelled_organisations: Mutex::default(),
             first_byte: latency_histogram(),
             load_wait: latency_histogram(),
@@ -258,7 +258,7 @@
         let mut registry = Registry::with_prefix("reelreel");
         registry.register("requests", "Requests by route and outcome", self.requests.clone());
         let help = "Requests by organisation and outcome";
-        registry.register("organisation_requests", help, self.organisations.clone());
+        registry.register("organisation_requests", help, self.organisation_requests.clone());
         let help = "Time to the first byte of an answer, in seconds";
         registry.register("first_byte_seconds", help, self.first_byte.clone());
         let help = "Time that requests waited for an adapter, in seconds";
@@ -335,15 +335,17 @@
     pub fn count_organisation(&self, organisation: &str, outcome: &str) {
         let mut labelled_organisations =
             self.labelled_organisations.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-        let own = labelled_organisations.contains(organisation)
+        let has_own_counters = labelled_organisations.contains(organisation)
             || labelled_organisations.len() < MAX_ORGANISATIONS;
-        if own && !labelled_organisations.contains(organisation) {
+        if has_own_counters && !labelled_organisations.contains(organisation) {
             labelled_organisations.insert(organisation.to_owned());
         }
         drop(labelled_organisations);
-        let organisation = if own { organisation } else { "others" };
+        let organisation = if has_own_counters { organisation } else { "others" };
         let (organisation, outcome) = (organisation.to_owned(), outcome.to_owned());
-        self.organisations.get_or_create(&OrganisationLabels { organisation, outcome }).inc();
+        self.organisation_requests
+            .get_or_create(&OrganisationLabels { organisation, outcome })
+            .inc();
     }
 
     /// Counts a call to an engine.
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -91,8 +91,8 @@
         request: &CallRequest,
         timeout: Duration,
     ) -> Result<CallResponse, StoreError> {
-        if let Some(moment) = self.not_before.take() {
-            tokio::time::sleep_until(moment).await;
+        if let Some(instant) = self.not_before.take() {
+            tokio::time::sleep_until(instant).await;
         }
         self.calls.inc();
         let response = self.client.call(request, timeout).await?;
@@ -122,14 +122,14 @@
 #[derive(Debug, Clone)]
 pub struct Backoff {
     failures: u32,
-    random: u64,
+    rng_state: u64,
     max_delay: Duration,
 }
 
 impl Backoff {
     /// Starts with a number that differs between hosts.
     pub const fn new(seed: u64) -> Self {
-        Self { failures: 0, random: seed | 1, max_delay: MAX_BACKOFF }
+        Self { failures: 0, rng_state: seed | 1, max_delay: MAX_BACKOFF }
     }
 
     /// Sets the longest pause.
@@ -145,18 +145,18 @@
 
     /// Takes a failure and returns how long to pause.
     pub fn next_delay(&mut self) -> Duration {
-        let pause = INITIAL_BACKOFF.saturating_mul(1 << self.failures.min(6)).min(self.max_delay);
+        let delay = INITIAL_BACKOFF.saturating_mul(1 << self.failures.min(6)).min(self.max_delay);
         self.failures += 1;
-        self.jitter(pause)
+        self.jitter(delay)
     }
 
-    /// Returns a time between three quarters and five quarters of `pause`.
-    pub fn jitter(&mut self, pause: Duration) -> Duration {
-        self.random ^= self.random << 13;
-        self.random ^= self.random >> 7;
-        self.random ^= self.random << 17;
-        let part = (self.random % 1024) as f64 / 2048.0;
-        pause.mul_f64(0.75 + part)
+    /// Returns a time between three quarters and five quarters of `delay`.
+    pub fn jitter(&mut self, delay: Duration) -> Duration {
+        self.rng_state ^= self.rng_state << 13;
+        self.rng_state ^= self.rng_state >> 7;
+        self.rng_state ^= self.rng_state << 17;
+        let fraction = (self.rng_state % 1024) as f64 / 2048.0;
+        delay.mul_f64(0.75 + fraction)
     }
 }
 
@@ -190,12 +190,12 @@
     /// Waits after a call that failed until another task's call is answered; for the task that probes out, `longest`
     /// at most.
     pub async fn wait_after_failure(&mut self, max_delay: Duration) {
-        let mut pause = self.backoff.next_delay().min(max_delay);
+        let mut delay = self.backoff.next_delay().min(max_delay);
         if !self.probes {
-            pause = (pause * PASSIVE_DELAY_FACTOR).min(MAX_PASSIVE_DELAY);
+            delay = (delay * PASSIVE_DELAY_FACTOR).min(MAX_PASSIVE_DELAY);
         }
         self.recoveries.mark_unchanged();
         // Either way the call is tried again; the sender is gone only when the process ends.
-        let _ = tokio::time::timeout(pause, self.recoveries.changed()).await;
+        let _ = tokio::time::timeout(delay, self.recoveries.changed()).await;
     }
 }
--- a/crates/gateway/src/store/follow.rs
+++ b/crates/gateway/src/store/follow.rs
@@ -63,17 +63,17 @@
 
 /// Follows a topic for ever and hands every update to `sink`.
 ///
-/// While `gate` holds true another host reads the topic for this one.
+/// While `following` holds true another host reads the topic for this one.
 pub async fn follow_topic(
     mut client: StoreClient,
     options: FollowOptions,
     mut backoff: StoreBackoff,
-    mut gate: watch::Receiver<bool>,
+    mut following: watch::Receiver<bool>,
     sink: impl Fn(TopicUpdate),
 ) {
     loop {
         // Waiting fails only when the control state is gone, and with it this task.
-        if gate.wait_for(|follows| !*follows).await.is_err() {
+        if following.wait_for(|is_following| !*is_following).await.is_err() {
             return;
         }
         let (topic, requested_at) = (options.topic, options.clock.now());
@@ -94,7 +94,7 @@
         let reading = follow_records(&mut client, &options, &mut backoff, from, &sink);
         tokio::select! {
             () = reading => {}
-            follows = gate.wait_for(|follows| *follows) => drop(follows),
+            is_following = following.wait_for(|is_following| *is_following) => drop(is_following),
             // What was read belongs to a store that is gone; a call that it holds may never be answered.
             () = eras.wait_until_later(from.era) => {}
         }
--- a/crates/gateway/src/store/membership.rs
+++ b/crates/gateway/src/store/membership.rs
@@ -84,7 +84,7 @@
 /// or its time to live is over, and nothing tells of that. Members that asked once, at the change, took another host for the
 /// placer until the next change, and with them all that follow them.
 #[derive(Debug)]
-struct OwnersWatch {
+struct OwnerQuerySchedule {
     time_to_live: Duration,
     /// What was last dealt, and when it changed.
     assignment: GroupAssignment,
@@ -93,7 +93,7 @@
     queried_at: Option<ClockMillis>,
 }
 
-impl OwnersWatch {
+impl OwnerQuerySchedule {
     fn new(time_to_live: Duration) -> Self {
         let assignment = GroupAssignment { era: 0, generation: 0, partitions: Vec::new() };
         Self { time_to_live, assignment, changed_at: ClockMillis::default(), queried_at: None }
@@ -126,7 +126,7 @@
 ) {
     let mut unneeded_checks = 0;
     let mut last_seen: (StoreEra, GroupGeneration) = (0, 0);
-    let mut owner_queries = OwnersWatch::new(time_to_live);
+    let mut owner_queries = OwnerQuerySchedule::new(time_to_live);
     let mut rebalance_joins = 0;
     let name = member.to_string();
     loop {
@@ -160,8 +160,8 @@
         let rebalancing = (1..=MAX_REBALANCE_JOINS).contains(&rebalance_joins);
         let interval =
             if rebalancing { REBALANCE_JOIN_INTERVAL } else { time_to_live / JOINS_PER_TTL };
-        let pause = backoff.jitter(interval);
-        tokio::time::sleep(pause).await;
+        let delay = backoff.jitter(interval);
+        tokio::time::sleep(delay).await;
     }
 }
 
@@ -184,7 +184,8 @@
     let call = client.codec().encode_owners_request();
     let response = client.call(&call, JOIN_TIMEOUT).await?;
     let owners = client.codec().decode_owners(&response)?;
-    let members = owners.into_iter().filter_map(|(part, name)| Some((part, name.parse().ok()?)));
+    let members =
+        owners.into_iter().filter_map(|(partition, name)| Some((partition, name.parse().ok()?)));
     Ok(members.collect())
 }
 
