--- a/crates/gateway/examples/path_cost.rs
+++ b/crates/gateway/examples/path_cost.rs
@@ -1,10 +1,13 @@
-//! Measures what the way through a host adds to a request, against stand-ins on the loopback.
+//! Measures the latency that a host adds to a request, against stand-in engines on the loopback interface.
 //!
-//! `cargo run --release -p reelreel-gateway --example path_cost` prints, for plain requests and for
-//! streams, the median and the 99th percentile of the time to the first byte of the answer, at the
-//! engine itself and through the host, in one run.
+//! `cargo run --release -p reelreel-gateway --example path_cost` prints the median and the 99th
+//! percentile of the time to the first byte of the response, for plain requests and for streams, sent
+//! directly to the engine and through the host.
 
-#![expect(dead_code, reason = "the stand-ins are those of the host tests, which use more of them")]
+#![expect(
+    dead_code,
+    reason = "the stand-ins are shared with the host tests, which use more of them"
+)]
 
 #[path = "../tests/host/dialect.rs"]
 mod dialect;
@@ -24,10 +27,10 @@
 use engine::EngineMood;
 use site::{MODEL_NAME, TestSite};
 
-/// How many requests are timed of each kind.
+/// Number of measured requests of each kind.
 const ROUNDS: usize = 400;
 
-/// How many requests go before, so that connections are there.
+/// Number of unmeasured requests before, which open the host's connections.
 const WARM_UP: usize = 20;
 
 struct RequestKind {
@@ -66,18 +69,18 @@
     println!("{:<8} {endpoint:<8} {median:>9} {tail:>8}", kind.name);
 }
 
-/// Sends one request on a new connection and returns the time to the first byte of its answer.
+/// Sends one request on a new connection and returns the time to the first byte of the response.
 fn time_to_first_byte(kind: &RequestKind, address: SocketAddr, engine: &str, id: &str) -> Duration {
-    let mut socket = TcpStream::connect(address).expect("a connection");
-    socket.set_nodelay(true).expect("no delay");
+    let mut socket = TcpStream::connect(address).expect("connecting failed");
+    socket.set_nodelay(true).expect("setting TCP_NODELAY failed");
     let model = kind.model.map(|model| format!("X-Model: {model}\r\n")).unwrap_or_default();
     let request = format!(
         "POST {} HTTP/1.1\r\nHost: site.example\r\nX-Request: {id}\r\nX-Engine: {engine}\r\n{model}Connection: close\r\nContent-Length: 2\r\n\r\n{{}}",
         kind.path
     );
     let began = Instant::now();
-    socket.write_all(request.as_bytes()).expect("the request is sent");
+    socket.write_all(request.as_bytes()).expect("sending the request failed");
     let mut byte = [0; 1];
-    socket.read_exact(&mut byte).expect("an answer");
+    socket.read_exact(&mut byte).expect("no response");
     began.elapsed()
 }
--- a/crates/gateway/src/host.rs
+++ b/crates/gateway/src/host.rs
@@ -1,4 +1,4 @@
-//! One host: its two threads and what they share.
+//! A host: its two threads and their shared state.
 
 use std::{
     collections::HashMap,
@@ -35,48 +35,48 @@
     table::ServingTable,
 };
 
-/// The control thread's stack. Unit: bytes.
+/// Stack size of the control thread.
 const CONTROL_STACK_BYTES: usize = 512 * 1024;
 
-/// For how long a stopping host begins new requests, until the balancer sends none any more.
+/// How long a stopping host accepts new requests, until the load balancer has noticed the stop.
 const STOP_ACCEPT_WINDOW: Duration = Duration::from_millis(2400);
 
-/// What a stopping host leaves between the end of its last request and the operator's grace.
+/// Safety margin between the end of the last request and the end of the grace period.
 const STOP_MARGIN: Duration = Duration::from_millis(1500);
 
-/// What an engine's response tells beside its announcements.
+/// What a response implies about limits and cooldowns when it announces none.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ResponseKind {
-    /// The engine ran a request, and would have declared a limit.
+    /// The engine ran a request, and would have declared its limit if it had one.
     Accepted,
     /// The engine did not run a request.
     Rejected,
-    /// It belongs to an order or a report, or to a request that is not known.
+    /// The response belongs to an order, a report, or an unknown request.
     Other,
 }
 
-/// What the two threads share.
+/// State shared by the two threads.
 pub struct SharedState {
-    /// What the host is told about itself.
+    /// The configuration of the host.
     pub profile: HostProfile,
-    /// What is spoken at its borders.
+    /// The codecs for clients, engines and the store.
     pub codecs: Codecs,
     /// The host's clock.
     pub clock: Arc<dyn ClockSource>,
-    /// What the control thread believes.
+    /// The latest serving table of the control thread.
     pub table: watch::Sender<Arc<ServingTable>>,
     /// Whether a planned stop has begun.
     pub stopping: watch::Sender<bool>,
-    /// Structured log lines.
+    /// The structured event log.
     pub events: EventLog,
     /// Counters and histograms.
     pub metrics: HostMetrics,
-    /// Requests that are open.
+    /// Number of open requests.
     pub open_requests: AtomicUsize,
     stop_began: OnceLock<ClockMillis>,
-    /// Until when requests with keys may arrive. Unit: milliseconds of the host's clock.
+    /// Until when requests with keys are accepted. Unit: milliseconds of the host's clock.
     keys_accepted_until: AtomicU64,
-    /// Wakes the control thread when there is something to tell at once.
+    /// Wakes the control thread when it must send an update immediately.
     pub wake_control: Notify,
     demand: Mutex<DemandCollector>,
     shared_work: Mutex<SharedWork>,
@@ -86,12 +86,12 @@
     limits: Mutex<LimitShare>,
     departures: Mutex<DepartureRegistry>,
     cooldowns: Mutex<CooldownTable>,
-    /// Tells when waiting requests should look again: permits may have come, or an engine has accepted a probe.
+    /// Notifies waiting requests of changes: permits may have arrived, or an engine has accepted a probe.
     pub permits: watch::Sender<()>,
 }
 
 impl SharedState {
-    /// Starts with nothing known.
+    /// Creates the state of a starting host.
     pub fn new(
         profile: HostProfile,
         codecs: Codecs,
@@ -125,65 +125,65 @@
         }
     }
 
-    /// Locks the demand for a moment.
+    /// Locks the collected demand.
     pub fn demand(&self) -> MutexGuard<'_, DemandCollector> {
         self.demand.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Locks how fast the engines of each service read prompts for a moment.
+    /// Locks the prefill speed of each service's engines.
     pub fn prefill_speeds(&self) -> MutexGuard<'_, HashMap<ServiceName, PrefillSpeed>> {
         self.prefill_speeds.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Locks what all hosts have at engines for a moment.
+    /// Locks the work of all hosts at engines.
     pub fn shared_work(&self) -> MutexGuard<'_, SharedWork> {
         self.shared_work.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sets until when requests with keys may arrive and be served.
+    /// Sets until when arriving requests with keys are accepted.
     pub fn accept_keys_until(&self, until: ClockMillis) {
         self.keys_accepted_until.store(until.as_millis(), Ordering::Release);
     }
 
     /// Returns whether a request with a key that arrived at `arrived` may be served.
     ///
-    /// To be asked before the table is looked at: the table that is read then holds whatever was
-    /// known when the moment was set.
+    /// Call this before reading the table: a table that is read afterwards includes everything that
+    /// was known when the time limit was set.
     pub fn serves_keys(&self, arrived: ClockMillis) -> bool {
         arrived.as_millis() <= self.keys_accepted_until.load(Ordering::Acquire)
     }
 
-    /// Locks this host's part in the organisations' quotas for a moment.
+    /// Locks this host's share of the organisations' quotas.
     pub fn quotas(&self) -> MutexGuard<'_, QuotaShare> {
         self.quotas.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Locks what this host knows of requests under which engines ended for a moment.
+    /// Locks the tracker of requests during which engines crashed.
     pub fn quarantine(&self) -> MutexGuard<'_, QuarantineTracker> {
         self.quarantine.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Locks what this host knows of the limits that engines name for a moment.
+    /// Locks this host's view of the limits that engines declare.
     pub fn limits(&self) -> MutexGuard<'_, LimitShare> {
         self.limits.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Locks the departures that engines have announced for a moment.
+    /// Locks the announced departures of engines.
     pub fn departures(&self) -> MutexGuard<'_, DepartureRegistry> {
         self.departures.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Locks the cooldowns that engines have asked this host for for a moment.
+    /// Locks the cooldowns that engines requested from this host.
     pub fn cooldowns(&self) -> MutexGuard<'_, CooldownTable> {
         self.cooldowns.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Tells requests that wait for a permit that some may have come, or that a limit has changed.
+    /// Notifies requests that wait for a permit that permits may have arrived or a limit has changed.
     pub fn permits_changed(&self) {
         self.permits.send_replace(());
     }
 
-    /// Takes what a response that has just begun announces of its engine; what it responds to was sent at `sent`.
+    /// Records the announcements of a response that has just begun; `sent` is when the request was sent.
     pub fn record_announcements(
         &self,
         entry: &EngineEntry,
@@ -227,7 +227,7 @@
         }
     }
 
-    /// Counts a call to an engine; one that belongs to no request is made without a permit, which is made up for.
+    /// Counts a call to an engine; orders and reports take no permit and are accounted for as unpermitted calls.
     pub fn count_engine_call(&self, engine: &str, kind: EngineCallKind) {
         let mut limits = self.limits();
         let limited = limits.is_limited(engine);
@@ -243,9 +243,9 @@
         *self.stopping.borrow()
     }
 
-    /// Returns whether a planned stop has gone so far that a request might not end in time.
+    /// Returns whether a planned stop has progressed so far that a new request might not finish in time.
     ///
-    /// `max_duration` is how long the request may take, where that is known to be short.
+    /// `max_duration` is the maximum duration of the request, where it is known to be short.
     pub fn is_too_late_for(&self, max_duration: Option<Duration>) -> bool {
         let Some(began) = self.stop_began.get() else { return false };
         let stopping = self.clock.now().since(*began);
@@ -256,7 +256,7 @@
         stopping > until
     }
 
-    /// Notes that the settings were read anew; what a running host uses of them does not change.
+    /// Logs that the settings were checked again; a running host does not apply changes.
     pub fn record_reload(&self, error: Option<impl std::fmt::Display>) {
         let error = error.map(|error| error.to_string());
         self.events.write(HostEvent::Reloaded { mistake: error });
@@ -275,10 +275,10 @@
 
 /// Runs a host until its planned stop has ended.
 ///
-/// The calling thread carries the traffic; one more thread keeps what the host believes.
+/// The calling thread becomes the traffic thread; the control thread is spawned.
 ///
 /// # Errors
-/// Returns that an address can not be listened on or a thread not be started.
+/// Returns that listening on an address or starting the thread failed.
 pub fn run_host(shared: &Arc<SharedState>) -> std::io::Result<()> {
     let control = Arc::clone(shared);
     let thread = std::thread::Builder::new()
@@ -288,7 +288,7 @@
     run_entry(shared)?;
     let open = shared.open_requests.load(Ordering::Relaxed);
     shared.events.write(HostEvent::Stopped { open });
-    // The control thread leaves the group as soon as the stop begins; it is not waited for.
+    // The control thread leaves the group when the stop begins, so there is no need to join it.
     drop(thread);
     Ok(())
 }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters, gauges and histograms, in the text format that Prometheus reads.
+//! Metrics of a host, in the Prometheus text format.
 
 use std::{collections::BTreeSet, sync::Mutex};
 
@@ -14,7 +14,7 @@
 };
 use reelreel_core::fleet::announcement::{Declared, EngineAnnouncements};
 
-/// What tells request counters apart.
+/// Labels of request counters.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct RequestLabels {
     /// The route, or `none`.
@@ -23,18 +23,18 @@
     pub outcome: String,
 }
 
-/// What tells counters of frames between hosts apart.
+/// Labels of counters of frames between hosts.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct FrameLabels {
     /// The kind of frame.
     pub kind: String,
 }
 
-/// How many organisations have counters of their own: those that are seen first. Others are counted together, so that
-/// what a host serves as text stays short.
+/// Maximum number of organisations with counters of their own, in order of first use. Others share a counter, which
+/// bounds the number of time series.
 const MAX_ORGANISATIONS: usize = 64;
 
-/// What tells counters of organisations apart.
+/// Labels of organisation counters.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct OrganisationLabels {
     /// The organisation, or `others`.
@@ -43,152 +43,152 @@
     pub outcome: String,
 }
 
-/// What tells order counters apart.
+/// Labels of order counters.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct OrderLabels {
     /// Load or unload.
     pub kind: String,
-    /// What the engine said.
+    /// The engine's response.
     pub answer: String,
 }
 
-/// What a host calls an engine for.
+/// The purpose of a call to an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum EngineCallKind {
-    /// A client's request, sent for the first time.
+    /// The first attempt at a client's request.
     Request,
-    /// One that was sent before.
+    /// A retry of a request.
     Repeat,
-    /// The rest of a stream that broke off.
+    /// The resumption of an interrupted stream.
     Resume,
-    /// An order to load or unload something.
+    /// An order to load or unload a model or adapter.
     Order,
-    /// A question for what it holds.
+    /// A request for the engine's report of its loaded models.
     Report,
 }
 
-/// What tells counters of calls to engines apart.
+/// Labels of counters of calls to engines.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct EngineCallLabels {
-    /// What the call was for.
+    /// The purpose of the call.
     pub kind: EngineCallKind,
-    /// Whether the engine had named a limit.
+    /// Whether the engine had declared a limit.
     pub limited: bool,
 }
 
-/// What engines announce in their responses.
+/// Kinds of announcements in engines' responses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum AnnouncementKind {
-    /// How many requests they take from all hosts together.
+    /// The engine's request limit over all hosts.
     Limit,
-    /// That they are leaving.
+    /// The engine is leaving.
     Departure,
-    /// That they want no requests from this host for a while.
+    /// The engine requests a cooldown from this host.
     Cooldown,
-    /// Something that can't be read, and has no effect.
+    /// A malformed announcement, which has no effect.
     Unreadable,
 }
 
-/// What tells counters of announcements apart.
+/// Labels of announcement counters.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct AnnouncementLabels {
-    /// What was announced.
+    /// The kind of announcement.
     pub kind: AnnouncementKind,
 }
 
-/// What tells counters of rejections by engines apart.
+/// Labels of counters of rejections by engines.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct RejectionLabels {
-    /// Whether the request had been sent before.
+    /// Whether the rejected request was a retry.
     pub repeat: bool,
-    /// Whether the engine asked for a cooldown.
+    /// Whether the engine requested a cooldown.
     pub cooldown: bool,
 }
 
-/// Everything that a host counts.
+/// The metrics of a host.
 pub struct HostMetrics {
     registry: Mutex<Registry>,
     /// Requests by route and outcome.
     pub requests: Family<RequestLabels, Counter>,
     /// Requests by organisation and outcome.
     organisation_requests: Family<OrganisationLabels, Counter>,
-    /// The organisations that have counters of their own.
+    /// The organisations with counters of their own.
     labelled_organisations: Mutex<BTreeSet<String>>,
-    /// Time to the first byte of an answer.
+    /// Time to the first byte of a response.
     pub first_byte: Histogram,
-    /// Time that requests waited for an adapter.
+    /// Time that requests waited for an adapter to load.
     pub load_wait: Histogram,
-    /// Orders by kind and answer.
+    /// Orders by kind and response.
     pub orders: Family<OrderLabels, Counter>,
-    /// Requests sent again.
+    /// Retries of requests.
     pub retries: Counter,
-    /// Further sends that the retry budget refused.
+    /// Retries denied by the retry budget.
     pub retries_refused: Counter,
-    /// Streams taken up at another engine.
+    /// Streams resumed at another engine.
     pub resumes: Counter,
     /// New connections to engines.
     pub engine_connects: Counter,
-    /// Calls to the store that had no useful answer.
+    /// Failed calls to the store.
     pub store_failures: Counter,
     /// Calls to the store.
     pub store_calls: Counter,
-    /// The newest era of the store that was heard of.
+    /// The latest known era of the store.
     pub store_era: Gauge,
-    /// Up to which offset of the operator's topic this host knows it.
+    /// Offset up to which this host knows the configuration topic.
     pub configuration_read_to: Gauge,
-    /// Up to which offset of the engines' topic this host knows it.
+    /// Offset up to which this host knows the engines' topic.
     pub engines_read_to: Gauge,
     /// Bytes of frames sent to other hosts, by kind.
     pub peer_sent_bytes: Family<FrameLabels, Counter>,
     /// Whether another host reads the store for this one.
     pub following: Gauge,
-    /// The hosts that share what is counted over all of them.
+    /// Number of hosts that share fleet-wide budgets.
     pub hosts: Gauge,
-    /// Client connections that are open.
+    /// Open client connections.
     pub connections: Gauge,
-    /// Requests that are open.
+    /// Open requests.
     pub open_requests: Gauge,
-    /// The configuration in force.
+    /// Revision of the configuration in force.
     pub revision: Gauge,
-    /// Placement domains whose lease this host holds.
+    /// Placement leases that this host holds.
     pub leases: Gauge,
-    /// Engines that are listed.
+    /// Listed engines.
     pub engines: Gauge,
-    /// Engines that ended while this host had runs at them.
+    /// Engines that crashed while this host had requests at them.
     pub engines_ended: Counter,
-    /// Requests under which engines ended since they last ran whole.
+    /// Requests during which engines crashed since they last completed.
     pub suspects: Gauge,
-    /// Those of them that are held back.
+    /// Requests in quarantine because engines crashed during them.
     pub held_requests: Gauge,
-    /// Engines that have named a limit.
+    /// Engines with a declared limit.
     pub limited_engines: Gauge,
-    /// Requests that went to another engine than the one that was best but for its limit.
+    /// Requests diverted from the best engine because of its limit.
     pub limit_diverted: Counter,
     /// Requests that waited for a permit.
     pub limit_waited: Counter,
-    /// Requests that were refused since there was no permit in time.
+    /// Requests refused because no permit was available in time.
     pub limit_refused: Counter,
-    /// Choices that passed over an engine within a cooldown.
+    /// Engine choices that skipped an engine in a cooldown.
     pub cooldown_diverted: Counter,
-    /// Requests that waited for the end of a cooldown, or for another copy.
+    /// Requests that waited for the end of a cooldown or for another copy.
     pub cooldown_waited: Counter,
-    /// Requests that were refused since all engines that could run them were within a cooldown.
+    /// Requests refused because all suitable engines were in a cooldown.
     pub cooldown_refused: Counter,
-    /// Answers on another version of weights than was asked for, which no caller got.
+    /// Responses dropped because they ran on another version of the weights than requested.
     pub other_versions: Counter,
-    /// Calls to engines by what they were for.
+    /// Calls to engines by purpose.
     engine_calls: Family<EngineCallLabels, Counter>,
-    /// Responses of engines with announcements, by what they announce.
+    /// Announcements in engines' responses, by kind.
     announcements: Family<AnnouncementLabels, Counter>,
-    /// Requests that engines rejected.
+    /// Requests rejected by engines.
     rejections: Family<RejectionLabels, Counter>,
     /// Listed engines that are leaving.
     pub departing_engines: Gauge,
-    /// Engines within a cooldown that they have asked this host for.
+    /// Engines in a cooldown that they requested from this host.
     pub cooling_engines: Gauge,
 }
 
-/// Returns the kind under which a declaration is counted, if it says anything.
+/// Returns the kind under which a declaration is counted, unless it is absent.
 const fn declared_kind<Value>(
     declared: &Declared<Value>,
     kind: AnnouncementKind,
@@ -353,7 +353,7 @@
         self.engine_calls.get_or_create(&EngineCallLabels { kind, limited }).inc();
     }
 
-    /// Counts what a response of an engine announces.
+    /// Counts the announcements in an engine's response.
     pub fn count_announcements(&self, announcements: &EngineAnnouncements) {
         let EngineAnnouncements { limit, departure, cooldown } = announcements;
         let kinds = [
@@ -371,11 +371,11 @@
         self.rejections.get_or_create(&RejectionLabels { repeat, cooldown }).inc();
     }
 
-    /// Writes all metrics as text.
+    /// Encodes all metrics as text.
     pub fn encode(&self) -> String {
         let registry = self.registry.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         let mut text = String::new();
-        // Writing to a string can not fail.
+        // Writing to a string never fails.
         let _ = encode(&mut text, &registry);
         text
     }
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -1,4 +1,4 @@
-//! Following the platform's store: configuration, engines, and the lease of placement domains.
+//! Client of the platform's store, which has the configuration, the engine entries and the leases of placement domains.
 
 pub mod era;
 pub mod follow;
@@ -17,61 +17,61 @@
     store::era::{EraStatus, EraTracker},
 };
 
-/// The first pause after a call that failed.
+/// Delay after the first failed call.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
 
-/// The longest pause between calls that fail: a host must have heard from a store that is back within the least
-/// time that its users give, three seconds.
+/// Maximum delay between failing calls, before jitter: a host must notice within three seconds that the store has
+/// recovered.
 pub(crate) const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// How many times longer a task pauses that leaves it to another one to find out that the store is back.
+/// Factor on the delay of tasks that rely on another task to detect that the store has recovered.
 const PASSIVE_DELAY_FACTOR: u32 = 4;
 
-/// The longest pause of a task that is woken.
+/// Maximum delay of such a task.
 const MAX_PASSIVE_DELAY: Duration = Duration::from_secs(6);
 
-/// The longest cooldown of the store that is honoured at a time: a lease that is not renewed for longer passes on.
+/// Upper bound on a requested cooldown: a lease that is not renewed for longer expires.
 const MAX_COOLDOWN: Duration = Duration::from_secs(1);
 
-/// How logs name the store where it received of its era itself.
+/// Source of an era that the store itself reported, for logs.
 const STORE_SOURCE: &str = "store";
 
-/// Says how often the store has answered again after a failure.
+/// Receives the number of times that the store has recovered from a failure.
 pub type StoreRecoveries = watch::Receiver<u32>;
 
-/// Why the store gave no useful answer.
+/// Why a call to the store failed.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// There was no answer.
+    /// No response was received.
     #[error(transparent)]
     Call(#[from] CallError),
-    /// The answer was a refusal or none that can be read.
+    /// The response was a rejection or malformed.
     #[error(transparent)]
     Response(#[from] CodecError),
-    /// The answer is of a store that is gone: an older copy of it has taken its place since.
+    /// The response is from an earlier era: the store was restored from an older copy since.
     #[error(
-        "the answer is of the store's era {received}, and its era is {current}; the call is repeated on a new connection"
+        "response is from store era {received}, but the current era is {current}; the call is retried on a new connection"
     )]
     StaleEra {
-        /// The era of the answer.
+        /// The era of the response.
         received: StoreEra,
-        /// The newest era that is current.
+        /// The latest known era.
         current: StoreEra,
     },
 }
 
-/// Calls the store over one kept connection.
+/// Calls the store over a persistent connection.
 pub struct StoreClient {
     codec: Arc<dyn StoreCodec>,
     client: CallClient,
     calls: Counter,
     eras: EraTracker,
-    /// Before which moment the store wants no call.
+    /// End of the cooldown that the store requested.
     not_before: Option<Instant>,
 }
 
 impl StoreClient {
-    /// Starts without a connection; `calls` counts the calls, and `eras` hears the era of each answer.
+    /// Creates a client without a connection; `calls` counts the calls, and `eras` tracks the eras of responses.
     pub fn new(
         codec: Arc<dyn StoreCodec>,
         address: SocketAddr,
@@ -81,7 +81,7 @@
         Self { codec, client: CallClient::new(address), calls, eras, not_before: None }
     }
 
-    /// Returns what translates the calls.
+    /// Returns the codec of the store's messages.
     pub fn codec(&self) -> &dyn StoreCodec {
         &*self.codec
     }
@@ -105,20 +105,20 @@
             EraStatus::Stale(current) => {
                 self.client.close();
                 log::warn!(
-                    "an answer of the store's era {received} came in its era {current}; it is dropped"
+                    "dropping a response from store era {received}; the current era is {current}"
                 );
                 Err(StoreError::StaleEra { received, current })
             }
         }
     }
 
-    /// Returns the newest era of the store that this host has heard of.
+    /// Returns the tracker of the store's era.
     pub const fn eras(&self) -> &EraTracker {
         &self.eras
     }
 }
 
-/// Pauses that double with each failure in a row, spread so that hosts do not call together.
+/// Exponential backoff with jitter, so that hosts do not call at the same time.
 #[derive(Debug, Clone)]
 pub struct Backoff {
     failures: u32,
@@ -127,30 +127,30 @@
 }
 
 impl Backoff {
-    /// Starts with a number that differs between hosts.
+    /// Creates a backoff; `seed` must differ between hosts.
     pub const fn new(seed: u64) -> Self {
         Self { failures: 0, rng_state: seed | 1, max_delay: MAX_BACKOFF }
     }
 
-    /// Sets the longest pause.
+    /// Sets the maximum delay, before jitter.
     #[must_use]
     pub const fn with_max_delay(self, max_delay: Duration) -> Self {
         Self { max_delay, ..self }
     }
 
-    /// Takes a success: the next failure begins with the shortest pause.
+    /// Resets the delay after a successful call.
     pub const fn reset(&mut self) {
         self.failures = 0;
     }
 
-    /// Takes a failure and returns how long to pause.
+    /// Records a failure and returns the delay before the next call.
     pub fn next_delay(&mut self) -> Duration {
         let delay = INITIAL_BACKOFF.saturating_mul(1 << self.failures.min(6)).min(self.max_delay);
         self.failures += 1;
         self.jitter(delay)
     }
 
-    /// Returns a time between three quarters and five quarters of `delay`.
+    /// Returns a random duration from 75 % to 125 % of `delay`.
     pub fn jitter(&mut self, delay: Duration) -> Duration {
         self.rng_state ^= self.rng_state << 13;
         self.rng_state ^= self.rng_state >> 7;
@@ -160,10 +160,10 @@
     }
 }
 
-/// The pauses of one task among several that call the store.
+/// The backoff of one of several tasks that call the store.
 ///
-/// Each is woken by the first answer to any of them. One of them probes out that the store is back; the others call
-/// seldom by themselves, so that many hosts do not press on a store in trouble.
+/// The first response to any of the tasks wakes all of them. One task probes the store; the others retry rarely by
+/// themselves, so that many hosts do not overload a store in trouble.
 #[derive(Debug, Clone)]
 pub struct StoreBackoff {
     backoff: Backoff,
@@ -172,30 +172,31 @@
 }
 
 impl StoreBackoff {
-    /// Pauses for the task that probes out.
+    /// Creates the backoff of the task that probes the store.
     pub const fn probing(backoff: Backoff, recoveries: StoreRecoveries) -> Self {
         Self { backoff, recoveries, probes: true }
     }
 
-    /// Pauses for a task that leaves that to another one.
+    /// Creates the backoff of a task that relies on the probing one.
     pub const fn passive(backoff: Backoff, recoveries: StoreRecoveries) -> Self {
         Self { backoff, recoveries, probes: false }
     }
 
-    /// Takes a success: the next failure begins with the shortest pause.
+    /// Resets the delay after a successful call.
     pub const fn reset(&mut self) {
         self.backoff.reset();
     }
 
-    /// Waits after a call that failed until another task's call is answered; for the task that probes out, `longest`
-    /// at most.
+    /// Waits after a failed call until the delay is over or another task's call succeeds.
+    ///
+    /// The probing task waits for `max_delay` at most.
     pub async fn wait_after_failure(&mut self, max_delay: Duration) {
         let mut delay = self.backoff.next_delay().min(max_delay);
         if !self.probes {
             delay = (delay * PASSIVE_DELAY_FACTOR).min(MAX_PASSIVE_DELAY);
         }
         self.recoveries.mark_unchanged();
-        // Either way the call is tried again; the sender is gone only when the process ends.
+        // The call is retried in either case; the sender is dropped only when the process ends.
         let _ = tokio::time::timeout(delay, self.recoveries.changed()).await;
     }
 }
--- a/crates/gateway/src/store/era.rs
+++ b/crates/gateway/src/store/era.rs
@@ -1,32 +1,32 @@
-//! Which era of the store is the newest that this host has heard of.
+//! Tracking of the store's era.
 //!
-//! A store that comes back from an older copy of itself gives out offsets again and has lost what it took since. It tells so in all
-//! its answers, by an era that rises each time.
+//! A store that is restored from an older copy reuses offsets and has lost later records. It increases its era on each restore and
+//! sends the era in every response.
 
 use std::borrow::Cow;
 
 use reelreel_core::id::StoreEra;
 use tokio::sync::watch;
 
-/// The newest era that was heard of, and who told it.
+/// The latest era, and its source.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ObservedEra {
     /// The era.
     pub era: StoreEra,
-    /// Who told it first: the store, or the address of a peer.
+    /// Who reported it first: the store, or a peer by its address.
     pub source: Cow<'static, str>,
 }
 
-/// How an era that was told compares with the newest one.
+/// How a reported era compares with the latest one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EraStatus {
-    /// The one that is known, or a newer one, which is known from now on.
+    /// The era is the latest, or a later one that has become the latest.
     Current,
-    /// An earlier one than this: whoever told it speaks of a store that is gone.
+    /// The era is earlier than the latest one, which is given.
     Stale(StoreEra),
 }
 
-/// The newest era of the store, as all tasks of a host know it.
+/// The latest known era of the store, shared by all tasks of a host.
 #[derive(Debug, Clone)]
 pub struct EraTracker(watch::Sender<ObservedEra>);
 
@@ -37,7 +37,7 @@
 }
 
 impl EraTracker {
-    /// Takes an era that `source` has told.
+    /// Records an era that `source` reported.
     pub fn observe(&self, era: StoreEra, source: impl Into<Cow<'static, str>>) -> EraStatus {
         let known = self.current();
         if era < known {
@@ -49,19 +49,19 @@
         EraStatus::Current
     }
 
-    /// Returns the newest era.
+    /// Returns the latest era.
     pub fn current(&self) -> StoreEra {
         self.0.borrow().era
     }
 
-    /// Returns the newest era with who told it.
+    /// Returns the latest era with its source.
     pub fn current_with_source(&self) -> ObservedEra {
         self.0.borrow().clone()
     }
 
-    /// Waits until an era later than `era` is heard of.
+    /// Waits until an era later than `era` is reported.
     pub async fn wait_until_later(&self, era: StoreEra) {
-        // Waiting fails only when all senders are gone, and this is one.
+        // Waiting fails only when all senders are dropped, and `self` is one.
         let _ = self.0.subscribe().wait_for(|heard| heard.era > era).await;
     }
 }
--- a/crates/gateway/src/store/follow.rs
+++ b/crates/gateway/src/store/follow.rs
@@ -1,4 +1,4 @@
-//! Keeps up with a keyed topic: read whole at the start, then followed record by record.
+//! Following a keyed topic: a snapshot first, then its records by long polling.
 
 use std::{sync::Arc, time::Duration};
 
@@ -10,60 +10,60 @@
     store::{StoreBackoff, StoreClient, StoreError},
 };
 
-/// How long a call that is not held may take.
+/// Timeout of a call that is not a long poll.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// How long a call may take that finds out whether the store is back: a call that the store does not answer must not
-/// hide that it answers others.
+/// Timeout of a call that probes whether the store has recovered. It is short, because one lost call must not hide that
+/// the store responds to others.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How long the store holds a call for which there is no record yet, where nobody asks for less.
+/// Default duration for which the store holds a long poll without new records.
 pub const LONG_POLL_WAIT: Duration = Duration::from_secs(2);
 
-/// How long a held call may take beyond its wait: twice what a store takes whose answers take fifty times as long as
-/// usual (4 ms).
+/// Timeout of a long poll beyond its wait: twice the response time of a store that is 50 times slower than the usual
+/// 4 ms.
 const LONG_POLL_MARGIN: Duration = Duration::from_millis(400);
 
-/// What was learned of a topic.
+/// An update of a followed topic.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TopicUpdate {
-    /// The newest record of every key, up to an end of the topic.
+    /// The latest record of every key, up to the end of the topic.
     Snapshot {
         /// The records.
         records: Vec<KeyedRecord>,
         /// The end of the topic.
         end: StorePosition,
-        /// When the store was asked: whatever it had taken by then is among the records.
+        /// When the snapshot was requested; it has everything that the store had accepted by then.
         requested_at: ClockMillis,
     },
-    /// Records that followed.
+    /// Records after the last update.
     Records {
         /// The records.
         records: Vec<KeyedRecord>,
-        /// When the store was asked, where the records are all that it had taken by then.
+        /// When the records were requested; absent when the store may have accepted more by then.
         requested_at: Option<ClockMillis>,
     },
-    /// The store gave no useful answer.
+    /// A call to the store failed.
     Unavailable,
 }
 
-/// How a topic is followed.
+/// Options for following a topic.
 pub struct FollowOptions {
     /// The topic.
     pub topic: KeyedTopic,
-    /// The least time between two calls, so that a busy topic is read in batches.
+    /// Delay before each long poll, so that a busy topic is read in batches.
     pub min_interval: Duration,
-    /// How long the store holds a call for which there is no record yet.
+    /// How long the store holds a long poll without new records.
     pub poll_wait: Duration,
-    /// Tells when the store was asked.
+    /// The clock for the times of requests.
     pub clock: Arc<dyn ClockSource>,
-    /// The longest pause between calls that fail, at the moment.
+    /// Returns the current maximum delay between failing calls.
     pub max_backoff: Box<dyn Fn() -> Duration>,
 }
 
-/// Follows a topic for ever and hands every update to `sink`.
+/// Follows a topic and passes every update to `sink`, until the sender of `following` is dropped.
 ///
-/// While `following` holds true another host reads the topic for this one.
+/// While `following` is true, another host reads the topic for this one.
 pub async fn follow_topic(
     mut client: StoreClient,
     options: FollowOptions,
@@ -72,7 +72,7 @@
     sink: impl Fn(TopicUpdate),
 ) {
     loop {
-        // Waiting fails only when the control state is gone, and with it this task.
+        // Waiting fails only when the control state is dropped.
         if following.wait_for(|is_following| !*is_following).await.is_err() {
             return;
         }
@@ -95,14 +95,14 @@
         tokio::select! {
             () = reading => {}
             is_following = following.wait_for(|is_following| *is_following) => drop(is_following),
-            // What was read belongs to a store that is gone; a call that it holds may never be answered.
+            // The records read are of an earlier era, and the pending long poll may never get a response.
             () = eras.wait_until_later(from.era) => {}
         }
     }
 }
 
-/// Follows records from a position on, until they are gone or the store tells of another era: then the topic must be read whole
-/// again.
+/// Follows records from a position on, until they no longer exist or the store's era changes. The topic then needs a new
+/// snapshot.
 async fn follow_records(
     client: &mut StoreClient,
     options: &FollowOptions,
@@ -132,13 +132,13 @@
         match read {
             Ok(batch) => {
                 backoff.reset();
-                // The records between the end of the copy and this position were never read.
+                // Records between the end of the restored copy and this position were never read.
                 if batch.next.era != from.era {
                     return;
                 }
                 unavailable = false;
                 from = batch.next;
-                // A batch may be cut at the most that one read returns.
+                // The store limits the size of a batch, so it may not reach the end of the topic.
                 let requested_at = (from >= batch.end).then_some(requested_at);
                 sink(TopicUpdate::Records { records: batch.records, requested_at });
             }
@@ -153,11 +153,11 @@
     }
 }
 
-/// Reads the newest record of every key; returns them with the end of the topic from which to read on.
+/// Reads a snapshot; returns the latest record of every key and the position from which to follow the topic.
 ///
-/// That is the end as the first page tells it: records that came while later pages were made may belong to keys of
-/// earlier ones, and would be missed for good from the last page's end on. Pages of two eras do not go together: the first
-/// pages are read again.
+/// The position is the end of the topic as of the first page: records written during later pages may belong to keys of
+/// earlier pages, and following from the last page's end would miss them. If the era changes between pages, the snapshot
+/// is restarted.
 async fn read_snapshot(
     client: &mut StoreClient,
     topic: KeyedTopic,
--- a/crates/gateway/src/store/health.rs
+++ b/crates/gateway/src/store/health.rs
@@ -1,45 +1,45 @@
-//! Whether the store has answered lately, and how it went before.
+//! Health of the store: its last response and its last outage.
 
 use std::time::Duration;
 
 use reelreel_core::ClockMillis;
 
-/// How long the store's last answer makes what was read count as fresh.
+/// How long store data counts as fresh after the store's last response.
 const FRESHNESS_WINDOW: Duration = Duration::from_millis(1100);
 
-/// The shortest outage in which engines' entries may lapse although the engines live.
+/// Minimum outage in which entries of live engines may expire.
 const MIN_EXPIRY_OUTAGE: Duration = Duration::from_millis(1500);
 
-/// Within which time after an outage living engines have listed themselves again.
+/// Time after an outage within which live engines register again.
 const REREGISTRATION_WINDOW: Duration = Duration::from_millis(2200);
 
-/// What calls to the store tell of it.
+/// Health of the store, derived from the results of calls.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct StoreHealth {
     responded_at: Option<ClockMillis>,
-    /// When another host that reads the store last said how it is.
+    /// When a followed reader last sent an update.
     reader_update_at: Option<ClockMillis>,
     failing_since: Option<ClockMillis>,
     recovered_at: Option<ClockMillis>,
 }
 
 impl StoreHealth {
-    /// Takes that a call was answered; returns whether one had failed since the last answer.
+    /// Records a response; returns whether calls had failed since the last one.
     pub fn record_response(&mut self, now: ClockMillis) -> bool {
         self.responded_at = Some(now);
         self.end_outage(now)
     }
 
-    /// Takes that a host that reads the store said how it is: whatever failed here before is over.
+    /// Records an update from a followed reader, which ends an outage.
     ///
-    /// Without this a host that follows for ten seconds and then calls the store itself would take the ten seconds
-    /// for an outage, and go on counting engines that left meanwhile.
+    /// Otherwise a host that follows for some time and then calls the store itself would take that time for an outage,
+    /// and keep engines that left in the meantime.
     pub fn record_reader_update(&mut self, now: ClockMillis) {
         self.reader_update_at = Some(now);
         self.end_outage(now);
     }
 
-    /// Takes that the store is there; returns whether a call had failed.
+    /// Ends an outage; returns whether calls had failed.
     fn end_outage(&mut self, now: ClockMillis) -> bool {
         let failing_since = self.failing_since.take();
         if failing_since.is_some_and(|since| now.since(since) >= MIN_EXPIRY_OUTAGE) {
@@ -48,20 +48,20 @@
         failing_since.is_some()
     }
 
-    /// Takes that a call got no useful answer.
+    /// Records a failed call.
     pub fn record_failure(&mut self, now: ClockMillis) {
-        // The outage began after the last answer at the earliest, and was seen later.
+        // The outage may have begun right after the last response, before it was noticed.
         self.failing_since
             .get_or_insert(self.responded_at.max(self.reader_update_at).unwrap_or(now));
     }
 
-    /// Returns whether what was read from the store can be passed on as its present state.
+    /// Returns whether the store data is recent enough to relay as the store's current state.
     pub fn is_fresh(&self, now: ClockMillis) -> bool {
         self.responded_at.is_some_and(|at| now.since(at) < FRESHNESS_WINDOW)
     }
 
-    /// Returns until when an engine counts whose entry has gone: engines whose entries lapsed in an
-    /// outage list themselves again soon after it.
+    /// Returns until when engines with expired entries are kept: live engines whose entries expired in
+    /// an outage register again soon after it.
     pub fn reregistration_until(&self, now: ClockMillis) -> Option<ClockMillis> {
         let until = self.recovered_at? + REREGISTRATION_WINDOW;
         (now < until).then_some(until)
--- a/crates/gateway/src/store/membership.rs
+++ b/crates/gateway/src/store/membership.rs
@@ -1,4 +1,4 @@
-//! This host's membership in the group to which the store deals the placement leases.
+//! This host's membership in the group to whose members the store assigns the placement leases.
 
 use std::{collections::HashMap, fmt, net::SocketAddr, str::FromStr, sync::Arc, time::Duration};
 
@@ -12,36 +12,36 @@
     store::{Backoff, StoreClient, StoreError},
 };
 
-/// How long a join may take; a later answer would confirm a lease that has run out.
+/// Timeout of a join; a later response could confirm a lease that has expired.
 const JOIN_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// How many joins go into one time to live.
+/// Number of joins per time to live.
 const JOINS_PER_TTL: u32 = 3;
 
-/// The pause before the next join while the group changes: a partition passes on only when the member that had it has
-/// joined again, and a fleet that starts changes with every member. At a third of the time to live three such steps
-/// take two seconds in which nobody places; at this pause a third of a second (the store answers within a few
-/// milliseconds, and a join costs it a tenth of a call).
+/// Delay before the next join while the group is rebalancing.
+///
+/// A partition passes on only when its previous owner joins again, and a starting fleet rebalances with every new member.
+/// At the usual interval, domains would be without a placer for seconds.
 const REBALANCE_JOIN_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How many such joins may follow one another, so that a group that never settles is not joined ever faster.
+/// Maximum number of consecutive joins at that delay, so that a group that never settles does not overload the store.
 const MAX_REBALANCE_JOINS: u32 = 12;
 
-/// How many times the holders of the partitions are asked for within one time to live after a change.
+/// Number of owner queries within one time to live after a rebalance.
 const OWNER_QUERIES_PER_TTL: u32 = 2;
 
-/// How many looks in a row show a member that the group does not need it.
+/// Number of consecutive checks after which an unneeded member leaves the group.
 const UNNEEDED_CHECKS: u32 = 4;
 
-/// What stands behind the address in the name of a weak member.
+/// Suffix of the address in the name of a member without high capacity.
 const WEAK_SUFFIX: &str = "/weak";
 
-/// A member of the group, as its name tells.
+/// A member of the group, as encoded in its name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct GroupMember {
-    /// Its address for peers.
+    /// The member's address for peers.
     pub address: SocketAddr,
-    /// Whether it is a strong host.
+    /// Whether the host has high capacity.
     pub strong: bool,
 }
 
@@ -62,34 +62,35 @@
     }
 }
 
-/// What was learned of the group.
+/// An update of the group.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum MembershipUpdate {
-    /// The store dealt the host its share.
+    /// The store assigned partitions to this host.
     Joined {
-        /// What was dealt.
+        /// The assignment.
         assignment: GroupAssignment,
         /// When the join was sent.
         sent: ClockMillis,
     },
-    /// A join got no useful answer.
+    /// A join failed.
     Failed,
-    /// Who holds which partition.
+    /// The owners of the partitions.
     Owners(HashMap<u32, GroupMember>),
 }
 
-/// Tells when to ask who holds which partition.
+/// Decides when to query the owners of the partitions.
 ///
-/// A change of the group deals the partitions anew, but one passes on only when the member that had it has joined again
-/// or its time to live is over, and nothing tells of that. Members that asked once, at the change, took another host for the
-/// placer until the next change, and with them all that follow them.
+/// After a rebalance, a partition passes on only when its previous owner joins again or expires, and the store sends no
+/// notification of that. A single query at the rebalance could therefore leave members with a wrong placer until the next
+/// one, so queries are repeated for one time to live.
 #[derive(Debug)]
 struct OwnerQuerySchedule {
     time_to_live: Duration,
-    /// What was last dealt, and when it changed.
+    /// The last assignment.
     assignment: GroupAssignment,
+    /// When the assignment last changed.
     changed_at: ClockMillis,
-    /// When the holders were last told.
+    /// When the owners were last queried since that change.
     queried_at: Option<ClockMillis>,
 }
 
@@ -99,7 +100,7 @@
         Self { time_to_live, assignment, changed_at: ClockMillis::default(), queried_at: None }
     }
 
-    /// Takes what a join dealt; returns whether the holders are to be asked for.
+    /// Records the assignment of a join; returns whether to query the owners.
     fn is_due(&mut self, assignment: &GroupAssignment, now: ClockMillis) -> bool {
         let mut assignment = assignment.clone();
         assignment.partitions.sort_unstable();
@@ -114,7 +115,7 @@
     }
 }
 
-/// Stays in the group until `unneeded` has held for some looks, and hands every update to `sink`.
+/// Stays in the group until `is_unneeded` was true in several consecutive checks; passes every update to `sink`.
 pub async fn run_membership(
     client: &mut StoreClient,
     member: GroupMember,
@@ -135,7 +136,7 @@
         if unneeded_checks >= UNNEEDED_CHECKS {
             return;
         }
-        // A store that came back older counts again: a generation heard before would give up what was never taken from this host.
+        // A restored store counts generations anew: sending one of an earlier era would give up partitions that this host still owns.
         let generation = if last_seen.0 == client.eras().current() { last_seen.1 } else { 0 };
         match join(client, &name, time_to_live, generation).await {
             Ok(assignment) => {
@@ -151,7 +152,7 @@
                 }
             }
             Err(error) => {
-                log::debug!("join: {error}");
+                log::debug!("failed to join the group: {error}");
                 sink(MembershipUpdate::Failed);
                 tokio::time::sleep(backoff.next_delay()).await;
                 continue;
@@ -176,10 +177,10 @@
     Ok(client.codec().decode_assignment(&response)?)
 }
 
-/// Asks who holds which partition.
+/// Queries the owners of the partitions.
 ///
 /// # Errors
-/// Returns that the store gave no useful answer.
+/// Returns that the call failed.
 pub async fn owners(client: &mut StoreClient) -> Result<HashMap<u32, GroupMember>, StoreError> {
     let call = client.codec().encode_owners_request();
     let response = client.call(&call, JOIN_TIMEOUT).await?;
@@ -189,10 +190,10 @@
     Ok(members.collect())
 }
 
-/// Leaves the group, so that the leases pass on at once.
+/// Leaves the group, so that its leases pass on immediately.
 ///
 /// # Errors
-/// Returns that the store gave no answer; the membership then ends with its time to live.
+/// Returns that the call failed; the membership then ends with its time to live.
 pub async fn leave(client: &mut StoreClient, member: GroupMember) -> Result<(), StoreError> {
     let call = client.codec().encode_leave(&member.to_string());
     client.call(&call, JOIN_TIMEOUT).await?;
--- a/crates/gateway/tests/engine_messages.rs
+++ b/crates/gateway/tests/engine_messages.rs
@@ -1,5 +1,4 @@
-//! Engines' entries as hosts pass them on: nothing is lost, nothing that is malformed gets through, and they
-//! are short.
+//! Messages for engine entries: they round-trip, malformed ones are rejected, and they are short.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -104,7 +103,7 @@
     }
 }
 
-/// An engine's own words of itself have some 300 bytes; 3,000 of them go to each of 300 hosts when a fleet starts.
+/// Guards the bandwidth of a fleet start, when 3,000 entries go to each of 300 hosts.
 #[test]
 fn an_encoded_entry_is_shorter_than_fifty_bytes() {
     let update = |number: u16| EngineUpdate {
@@ -127,5 +126,5 @@
     let (names, engines) = encode_engines(&updates);
     let frame = StateFrame { names, engines, ..StateFrame::default() };
     let bytes = frame.encoded_len() / updates.len();
-    assert!(bytes < 50, "{bytes} bytes an engine");
+    assert!(bytes < 50, "{bytes} bytes per engine");
 }
--- a/crates/gateway/tests/suspect_messages.rs
+++ b/crates/gateway/tests/suspect_messages.rs
@@ -1,4 +1,4 @@
-//! Words on requests under which engines ended, as they go in frames, and frames of any bytes.
+//! Messages for requests during which engines crashed, and decoding of arbitrary bytes.
 
 use std::{sync::Arc, time::Duration};
 
@@ -43,7 +43,7 @@
     #[test]
     fn reports_round_trip(reports in proptest::collection::vec(any_report(), 0..6)) {
         let frame = HostReportFrame { suspects: encode_suspects(&reports), ..HostReportFrame::default() };
-        let frame = HostReportFrame::decode(&frame.encode_to_vec()[..]).expect("a frame");
+        let frame = HostReportFrame::decode(&frame.encode_to_vec()[..]).expect("the encoded frame decodes");
         prop_assert_eq!(decode_suspects(&frame.suspects), reports);
     }
 
@@ -57,7 +57,7 @@
     }
 }
 
-/// What a host is told of one request is less than a hundredth of what it may hear for control in a second.
+/// Guards the control bandwidth of a host: a report takes less than a hundredth of its budget per second.
 #[test]
 fn an_encoded_report_is_shorter_than_a_hundred_bytes() {
     let crash = ReportedCrash {
