--- a/crates/gateway/src/host.rs
+++ b/crates/gateway/src/host.rs
@@ -209,7 +209,7 @@
         let mut cooldowns = self.cooldowns();
         match announcements.cooldown {
             Declared::Present(cooldown) => {
-                cooldowns.record_cooldown(engine, incarnation, cooldown, now)
+                cooldowns.record_cooldown(engine, incarnation, cooldown, now);
             }
             Declared::Absent | Declared::Unreadable => {
                 let accepted = kind == ResponseKind::Accepted;
--- a/crates/gateway/src/peers/client.rs
+++ b/crates/gateway/src/peers/client.rs
@@ -38,12 +38,12 @@
 const MAX_INITIAL_STATE_REQUESTS: u32 = 8;
 
 impl ControlState {
-    /// Returns whether to request a peer's store data, after `requests` state requests.
+    /// Returns whether to request a peer's store data, after `attempt` earlier attempts.
     ///
     /// A starting host also requests it while the store responds, if the host reads for others or the store was ever restored from
     /// an older copy: such a store may lack records that peers have. Other hosts get these from the reader that they follow.
-    fn needs_peer_state(&self, requests: u32) -> bool {
-        let initial = !self.has_heard_peer() && requests < MAX_INITIAL_STATE_REQUESTS;
+    fn needs_peer_state(&self, attempt: u32) -> bool {
+        let initial = !self.has_heard_peer() && attempt < MAX_INITIAL_STATE_REQUESTS;
         let store_was_restored = self.eras().current() > 0;
         !self.is_complete() || (initial && (self.reads_for_others() || store_was_restored))
     }
@@ -69,9 +69,9 @@
                 (address, tokio::task::spawn_local(exchange))
             });
         }
-        let requests = polls / POLLS_PER_STATE_REQUEST;
-        if polls % POLLS_PER_STATE_REQUEST == 0 && state.borrow().needs_peer_state(requests) {
-            request_peer_state(&state, requests).await;
+        let attempt = polls / POLLS_PER_STATE_REQUEST;
+        if polls % POLLS_PER_STATE_REQUEST == 0 && state.borrow().needs_peer_state(attempt) {
+            request_peer_state(&state, attempt).await;
         }
         polls += 1;
         tokio::time::sleep(POLL_INTERVAL).await;
@@ -82,8 +82,8 @@
 pub(super) async fn connect(state: &SharedControl, address: SocketAddr) -> Option<PeerStream> {
     let connecting = TcpStream::connect(address);
     let socket = tokio::time::timeout(CONNECT_TIMEOUT, connecting).await.ok()?.ok()?;
-    let sent = state.borrow().shared().metrics.peer_sent_bytes.clone();
-    Some(PeerStream::new(socket, sent))
+    let sent_bytes = state.borrow().shared().metrics.peer_sent_bytes.clone();
+    Some(PeerStream::new(socket, sent_bytes))
 }
 
 /// Sends demand to a placer and receives its plans until the connection ends.
--- a/crates/gateway/src/peers/server.rs
+++ b/crates/gateway/src/peers/server.rs
@@ -48,8 +48,8 @@
 
 /// Serves one peer until it disconnects, or until this host is not the placer of a service that it subscribed to.
 async fn serve_peer(state: SharedControl, socket: TcpStream) {
-    let sent = state.borrow().shared().metrics.peer_sent_bytes.clone();
-    let mut stream = PeerStream::new(socket, sent);
+    let sent_bytes = state.borrow().shared().metrics.peer_sent_bytes.clone();
+    let mut stream = PeerStream::new(socket, sent_bytes);
     let (sender, mut frames) = mpsc::channel(PEER_QUEUE);
     let mut subscribed: Vec<String> = Vec::new();
     loop {
@@ -134,12 +134,12 @@
     subscribed: &mut Vec<String>,
 ) -> bool {
     let new = !subscribed.contains(&demand.service);
-    let subscriber = new.then(|| PlanSubscriber {
+    let new_subscriber = new.then(|| PlanSubscriber {
         host: Arc::from(demand.host.as_str()),
         frames: sender.clone(),
         asked: Vec::new(),
     });
-    let accepted = state.borrow_mut().peer_demand(demand, subscriber);
+    let accepted = state.borrow_mut().peer_demand(demand, new_subscriber);
     if new && accepted {
         subscribed.push(demand.service.clone());
     }
--- a/crates/gateway/src/peers/state_frames.rs
+++ b/crates/gateway/src/peers/state_frames.rs
@@ -78,7 +78,7 @@
     fn from(message: &ClockMessage) -> Self {
         let (local, peer) =
             (ClockMillis::from_millis(message.requested_at), ClockMillis::from_millis(message.now));
-        Self { local: local, peer }
+        Self { local, peer }
     }
 }
 
