--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -22,7 +22,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::{
-    border::KeyedTopic,
+    codec::KeyedTopic,
     control::{
         membership::{maintain_membership, own_member},
         state::ControlState,
@@ -30,8 +30,8 @@
     host::SharedState,
     peers::{client::run_peer_client, feed::run_feed_client, server::run_peer_server},
     store::{
-        Backoff, LONGEST_PAUSE, StoreClient, StorePause,
-        follow::{FollowTerms, READ_WAIT, follow_topic},
+        Backoff, MAX_BACKOFF, StoreBackoff, StoreClient,
+        follow::{FollowOptions, LONG_POLL_WAIT, follow_topic},
         membership::leave,
     },
 };
@@ -122,8 +122,8 @@
     let state = state.borrow();
     let shared = state.shared();
     let calls = shared.metrics.store_calls.clone();
-    let dialect = Arc::clone(&shared.dialects.store);
-    StoreClient::new(dialect, shared.profile.store, calls, state.eras().clone())
+    let dialect = Arc::clone(&shared.codecs.store);
+    StoreClient::new(dialect, shared.profile.store_address, calls, state.eras().clone())
 }
 
 fn backoff(shared: &SharedState, salt: u64) -> Backoff {
@@ -134,25 +134,26 @@
     let shared = Arc::clone(state.borrow().shared());
     let client = store_client(&state);
     let bounds = &shared.profile.bounds;
-    let revocation_bound = bounds.revocation;
-    let wait = long_poll_time(bounds.configuration_apply);
-    let options = FollowTerms {
+    let revocation_bound = bounds.max_revocation_delay;
+    let wait = long_poll_time(bounds.max_configuration_delay);
+    let options = FollowOptions {
         topic: KeyedTopic::Configuration,
-        rest: CONFIGURATION_READ_INTERVAL,
-        wait: revocation_bound.map_or(wait, |bound| (bound / REVOCATION_BOUND_DIVISOR).min(wait)),
+        min_interval: CONFIGURATION_READ_INTERVAL,
+        poll_wait: revocation_bound
+            .map_or(wait, |bound| (bound / REVOCATION_BOUND_DIVISOR).min(wait)),
         clock: Arc::clone(&shared.clock),
-        longest_pause: max_backoff(&state, revocation_bound.is_some()),
+        max_backoff: max_backoff(&state, revocation_bound.is_some()),
     };
     let sink = |update| state.borrow_mut().apply_configuration_update(update);
     let following = state.borrow().following();
     let returns = state.borrow().store_returns();
-    let pause = StorePause::finding(backoff(&shared, 0x1111), returns);
+    let pause = StoreBackoff::probing(backoff(&shared, 0x1111), returns);
     follow_topic(client, options, pause, following, sink).await;
 }
 
 /// Returns the long-poll time of a read whose changes must be in force within `bound`.
 fn long_poll_time(bound: Duration) -> Duration {
-    (bound / CHANGE_BOUND_DIVISOR).min(READ_WAIT)
+    (bound / CHANGE_BOUND_DIVISOR).min(LONG_POLL_WAIT)
 }
 
 /// Returns the maximum pause between failed reads of the configuration. Where the configuration
@@ -162,7 +163,7 @@
     let state = Rc::clone(state);
     Box::new(move || {
         let serves_followers = serves_keys && state.borrow().is_assigned_reader();
-        if serves_followers { MAX_READER_BACKOFF } else { LONGEST_PAUSE }
+        if serves_followers { MAX_READER_BACKOFF } else { MAX_BACKOFF }
     })
 }
 
@@ -171,14 +172,14 @@
     let client = store_client(&state);
     let sink = |update| state.borrow_mut().apply_engines_update(update);
     let following = state.borrow().following();
-    let options = FollowTerms {
+    let options = FollowOptions {
         topic: KeyedTopic::Engines,
-        rest: ENGINES_READ_INTERVAL,
-        wait: long_poll_time(shared.profile.bounds.leaving_apply),
+        min_interval: ENGINES_READ_INTERVAL,
+        poll_wait: long_poll_time(shared.profile.bounds.max_leaving_delay),
         clock: Arc::clone(&shared.clock),
-        longest_pause: Box::new(|| LONGEST_PAUSE),
+        max_backoff: Box::new(|| MAX_BACKOFF),
     };
     let returns = state.borrow().store_returns();
-    let pause = StorePause::woken(backoff(&shared, 0x2222), returns);
+    let pause = StoreBackoff::passive(backoff(&shared, 0x2222), returns);
     follow_topic(client, options, pause, following, sink).await;
 }
--- a/crates/gateway/src/control/aggregates.rs
+++ b/crates/gateway/src/control/aggregates.rs
@@ -34,8 +34,8 @@
     },
     host::SharedState,
     peers::{
+        aggregate_frames::{AggregateFrame, HostReportFrame},
         frame::{EncodedFrame, FrameBody},
-        sum_frames::{CountFrame, SumFrame},
     },
     profile::HostProfile,
     store::membership::GroupMember,
@@ -73,7 +73,7 @@
     pub fn is_fallback_coordinator(&self, engine: &str) -> bool {
         let partitions = u64::from(self.profile.partitions.max(1));
         let partition = u32::try_from(xxh3_64(engine.as_bytes()) % partitions).unwrap_or_default();
-        self.owners.get(&partition).is_some_and(|owner| owner.address == self.profile.peers)
+        self.owners.get(&partition).is_some_and(|owner| owner.address == self.profile.peer_address)
     }
 }
 
@@ -89,16 +89,26 @@
     fn resend_all(&mut self);
 
     /// Writes this host's pending reports; returns whether they are due.
-    fn report(&mut self, frame: &mut CountFrame, context: &AggregateContext<'_>) -> bool;
+    fn report(&mut self, frame: &mut HostReportFrame, context: &AggregateContext<'_>) -> bool;
 
     /// Handles whether the reports of a frame were sent.
-    fn acknowledge(&mut self, frame: &CountFrame, sent: bool);
+    fn acknowledge(&mut self, frame: &HostReportFrame, sent: bool);
 
     /// Adds a host's reports.
-    fn add_report(&mut self, host: &Arc<str>, frame: &CountFrame, context: &AggregateContext<'_>);
+    fn add_report(
+        &mut self,
+        host: &Arc<str>,
+        frame: &HostReportFrame,
+        context: &AggregateContext<'_>,
+    );
 
     /// Writes the complete state for a new subscriber.
-    fn snapshot(&mut self, host: &Arc<str>, frame: &mut SumFrame, context: &AggregateContext<'_>);
+    fn snapshot(
+        &mut self,
+        host: &Arc<str>,
+        frame: &mut AggregateFrame,
+        context: &AggregateContext<'_>,
+    );
 
     /// Handles the disconnect of a subscriber.
     fn handle_unsubscribe(
@@ -109,13 +119,13 @@
 
     /// Writes the changes for all subscribers and applies them to this host; `due` also requests
     /// periodic updates.
-    fn publish(&mut self, frame: &mut SumFrame, due: bool, context: &AggregateContext<'_>);
+    fn publish(&mut self, frame: &mut AggregateFrame, due: bool, context: &AggregateContext<'_>);
 
     /// Applies a frame that the coordinator published.
-    fn receive(&mut self, frame: &SumFrame, context: &AggregateContext<'_>);
+    fn receive(&mut self, frame: &AggregateFrame, context: &AggregateContext<'_>);
 
     /// Returns frames for individual hosts.
-    fn replies(&mut self) -> Vec<(Arc<str>, SumFrame)> {
+    fn replies(&mut self) -> Vec<(Arc<str>, AggregateFrame)> {
         Vec::new()
     }
 
@@ -170,7 +180,7 @@
 
     /// Aggregates the reports of all hosts, including this one, and publishes the result.
     fn coordinate(&mut self, domain: &mut PlacementDomain, context: &AggregateContext<'_>) {
-        let mut own_report = CountFrame::default();
+        let mut own_report = HostReportFrame::default();
         for aggregate in &mut self.members {
             aggregate.report(&mut own_report, context);
             aggregate.acknowledge(&own_report, true);
@@ -182,11 +192,11 @@
             }
         }
         let due = context.now.since(self.published_at) >= HEARTBEAT_INTERVAL;
-        let mut frame = SumFrame::default();
+        let mut frame = AggregateFrame::default();
         for aggregate in &mut self.members {
             aggregate.publish(&mut frame, due, context);
         }
-        if due || frame != SumFrame::default() {
+        if due || frame != AggregateFrame::default() {
             self.published_at = context.now;
             domain.broadcast(&encode_frame(domain, frame));
         }
@@ -199,13 +209,13 @@
     fn report(&mut self, domain: &PlacementDomain, context: &AggregateContext<'_>) {
         let Some(placer) = &domain.placer_sender else { return };
         let (host, service) = (context.host.to_string(), domain.service.to_string());
-        let mut frame = CountFrame { host, service, ..CountFrame::default() };
+        let mut frame = HostReportFrame { host, service, ..HostReportFrame::default() };
         let mut due = false;
         for aggregate in &mut self.members {
             due |= aggregate.report(&mut frame, context);
         }
         if due {
-            let sent = placer.try_send(FrameBody::Count(frame.clone()).encoded()).is_ok();
+            let sent = placer.try_send(FrameBody::HostReport(frame.clone()).encoded()).is_ok();
             for aggregate in &mut self.members {
                 aggregate.acknowledge(&frame, sent);
             }
@@ -214,10 +224,10 @@
 }
 
 /// Encodes a frame for the subscribers of a domain's placer.
-fn encode_frame(domain: &PlacementDomain, frame: SumFrame) -> EncodedFrame {
+fn encode_frame(domain: &PlacementDomain, frame: AggregateFrame) -> EncodedFrame {
     let (service, token) = (domain.service.to_string(), domain.lease_token);
     let hosts = domain.subscribed_hosts();
-    FrameBody::Sums(SumFrame { service, token, hosts, ..frame }).encoded()
+    FrameBody::Aggregate(AggregateFrame { service, token, hosts, ..frame }).encoded()
 }
 
 impl ControlState {
@@ -268,7 +278,7 @@
     }
 
     /// Adds a host's reports, if this host coordinates.
-    pub fn aggregate_peer_reports(&mut self, frame: &CountFrame) {
+    pub fn aggregate_peer_reports(&mut self, frame: &HostReportFrame) {
         let now = self.shared.clock.now();
         let (aggregates, _, context) = self.aggregate_parts(now);
         if aggregates.coordinating.as_ref().is_none_or(|(service, _)| **service != *frame.service) {
@@ -297,7 +307,7 @@
         {
             return None;
         }
-        let mut frame = SumFrame::default();
+        let mut frame = AggregateFrame::default();
         for aggregate in &mut aggregates.members {
             aggregate.snapshot(host, &mut frame, &context);
         }
@@ -305,7 +315,7 @@
     }
 
     /// Applies a frame that the coordinator published.
-    pub fn apply_published_aggregates(&mut self, frame: &SumFrame) {
+    pub fn apply_published_aggregates(&mut self, frame: &AggregateFrame) {
         let now = self.shared.clock.now();
         let coordinates =
             self.coordinating_service().is_some_and(|service| *service == *frame.service);
--- a/crates/gateway/src/control/aggregates/departures.rs
+++ b/crates/gateway/src/control/aggregates/departures.rs
@@ -12,8 +12,8 @@
     },
     host::SharedState,
     peers::{
-        departure_lines::DepartureLine,
-        sum_frames::{CountFrame, SumFrame},
+        aggregate_frames::{AggregateFrame, HostReportFrame},
+        departure_messages::DepartureMessage,
     },
 };
 
@@ -28,7 +28,7 @@
         Self { shared }
     }
 
-    fn receive_lines(&self, lines: &[DepartureLine], context: &AggregateContext<'_>) {
+    fn receive_lines(&self, lines: &[DepartureMessage], context: &AggregateContext<'_>) {
         if !lines.is_empty() {
             self.shared.departures().receive(&reports(lines), context.now);
             self.shared.wake_control.notify_one();
@@ -36,11 +36,11 @@
     }
 }
 
-fn reports(lines: &[DepartureLine]) -> Vec<DepartureReport> {
+fn reports(lines: &[DepartureMessage]) -> Vec<DepartureReport> {
     lines.iter().map(Into::into).collect()
 }
 
-fn lines(reports: &[DepartureReport]) -> Vec<DepartureLine> {
+fn lines(reports: &[DepartureReport]) -> Vec<DepartureMessage> {
     reports.iter().map(Into::into).collect()
 }
 
@@ -55,32 +55,42 @@
         self.shared.departures().resend_all();
     }
 
-    fn report(&mut self, frame: &mut CountFrame, context: &AggregateContext<'_>) -> bool {
+    fn report(&mut self, frame: &mut HostReportFrame, context: &AggregateContext<'_>) -> bool {
         frame.departures = lines(&self.shared.departures().take_pending(context.now));
         !frame.departures.is_empty()
     }
 
-    fn acknowledge(&mut self, frame: &CountFrame, sent: bool) {
+    fn acknowledge(&mut self, frame: &HostReportFrame, sent: bool) {
         if !sent {
             self.shared.departures().resend(&reports(&frame.departures));
         }
     }
 
-    fn add_report(&mut self, _: &Arc<str>, frame: &CountFrame, context: &AggregateContext<'_>) {
+    fn add_report(
+        &mut self,
+        _: &Arc<str>,
+        frame: &HostReportFrame,
+        context: &AggregateContext<'_>,
+    ) {
         self.receive_lines(&frame.departures, context);
     }
 
-    fn snapshot(&mut self, _: &Arc<str>, frame: &mut SumFrame, context: &AggregateContext<'_>) {
+    fn snapshot(
+        &mut self,
+        _: &Arc<str>,
+        frame: &mut AggregateFrame,
+        context: &AggregateContext<'_>,
+    ) {
         frame.departures = lines(&self.shared.departures().snapshot(context.now));
     }
 
     fn handle_unsubscribe(&mut self, _: &RemovedSubscriber, _: &AggregateContext<'_>) {}
 
-    fn publish(&mut self, frame: &mut SumFrame, _: bool, context: &AggregateContext<'_>) {
+    fn publish(&mut self, frame: &mut AggregateFrame, _: bool, context: &AggregateContext<'_>) {
         frame.departures = lines(&self.shared.departures().take_unpublished(context.now));
     }
 
-    fn receive(&mut self, frame: &SumFrame, context: &AggregateContext<'_>) {
+    fn receive(&mut self, frame: &AggregateFrame, context: &AggregateContext<'_>) {
         self.receive_lines(&frame.departures, context);
     }
 }
--- a/crates/gateway/src/control/aggregates/limits.rs
+++ b/crates/gateway/src/control/aggregates/limits.rs
@@ -18,8 +18,8 @@
     events::HostEvent,
     host::SharedState,
     peers::{
-        limit_lines::read_limits,
-        sum_frames::{CountFrame, SumFrame},
+        aggregate_frames::{AggregateFrame, HostReportFrame},
+        limit_messages::decode_limits,
     },
 };
 
@@ -39,10 +39,10 @@
 }
 
 /// Decodes a host's report to the ledger.
-fn update(frame: &CountFrame) -> LimitUpdate {
+fn update(frame: &HostReportFrame) -> LimitUpdate {
     LimitUpdate {
-        reports: read_limits(&frame.limits),
-        demands: frame.asks.iter().map(Into::into).collect(),
+        reports: decode_limits(&frame.limits),
+        demands: frame.permit_demands.iter().map(Into::into).collect(),
     }
 }
 
@@ -61,20 +61,25 @@
         self.shared.limits().resend_all();
     }
 
-    fn report(&mut self, frame: &mut CountFrame, context: &AggregateContext<'_>) -> bool {
+    fn report(&mut self, frame: &mut HostReportFrame, context: &AggregateContext<'_>) -> bool {
         let update = self.shared.limits().take_pending(context.now);
         frame.limits = update.reports.iter().map(Into::into).collect();
-        frame.asks = update.demands.iter().map(Into::into).collect();
+        frame.permit_demands = update.demands.iter().map(Into::into).collect();
         update != LimitUpdate::default()
     }
 
-    fn acknowledge(&mut self, frame: &CountFrame, sent: bool) {
+    fn acknowledge(&mut self, frame: &HostReportFrame, sent: bool) {
         if !sent {
             self.shared.limits().resend(&update(frame));
         }
     }
 
-    fn add_report(&mut self, host: &Arc<str>, frame: &CountFrame, context: &AggregateContext<'_>) {
+    fn add_report(
+        &mut self,
+        host: &Arc<str>,
+        frame: &HostReportFrame,
+        context: &AggregateContext<'_>,
+    ) {
         let Some(ledger) = &mut self.ledger else { return };
         let LimitUpdate { reports, demands } = update(frame);
         for report in &reports {
@@ -85,7 +90,12 @@
         }
     }
 
-    fn snapshot(&mut self, host: &Arc<str>, frame: &mut SumFrame, context: &AggregateContext<'_>) {
+    fn snapshot(
+        &mut self,
+        host: &Arc<str>,
+        frame: &mut AggregateFrame,
+        context: &AggregateContext<'_>,
+    ) {
         if let Some(ledger) = &mut self.ledger {
             ledger.reset_host(host);
             frame.limits = ledger.snapshot(context.now).iter().map(Into::into).collect();
@@ -99,7 +109,7 @@
         self.unsent_grants.remove(&subscriber.host);
     }
 
-    fn publish(&mut self, frame: &mut SumFrame, _: bool, context: &AggregateContext<'_>) {
+    fn publish(&mut self, frame: &mut AggregateFrame, _: bool, context: &AggregateContext<'_>) {
         let Some(ledger) = &mut self.ledger else { return };
         let now = context.now;
         ledger.retain(|engine| context.active_incarnation(engine));
@@ -121,20 +131,20 @@
         }
     }
 
-    fn replies(&mut self) -> Vec<(Arc<str>, SumFrame)> {
+    fn replies(&mut self) -> Vec<(Arc<str>, AggregateFrame)> {
         let granted = std::mem::take(&mut self.unsent_grants).into_iter();
-        let frame = |grants: Vec<PermitGrant>| SumFrame {
+        let frame = |grants: Vec<PermitGrant>| AggregateFrame {
             grants: grants.iter().map(Into::into).collect(),
-            ..SumFrame::default()
+            ..AggregateFrame::default()
         };
         granted.map(|(host, grants)| (host, frame(grants))).collect()
     }
 
-    fn receive(&mut self, frame: &SumFrame, context: &AggregateContext<'_>) {
+    fn receive(&mut self, frame: &AggregateFrame, context: &AggregateContext<'_>) {
         let grants: Vec<PermitGrant> = frame.grants.iter().map(Into::into).collect();
         let mut share = self.shared.limits();
         share.record_ledger_frame(context.now);
-        for report in read_limits(&frame.limits) {
+        for report in decode_limits(&frame.limits) {
             share.receive(&report, context.now);
         }
         let changed = share.receive_grants(&grants, context.now) || !frame.limits.is_empty();
--- a/crates/gateway/src/control/aggregates/quotas.rs
+++ b/crates/gateway/src/control/aggregates/quotas.rs
@@ -17,7 +17,7 @@
         domain::RemovedSubscriber,
     },
     host::SharedState,
-    peers::sum_frames::{CountFrame, QuotaFrame, SumFrame},
+    peers::aggregate_frames::{AggregateFrame, HostReportFrame, QuotaLevelsMessage},
     profile::OperatorBounds,
 };
 
@@ -39,8 +39,9 @@
 impl ConfiguredLedger {
     /// Creates a ledger; `opens_full` says whether its accounts start with their full quota.
     fn new(bounds: &OperatorBounds, opens_full: bool) -> Self {
-        let unreachable_serving_time = bounds.revocation.unwrap_or(bounds.quota.window);
-        let quotas = QuotaLedger::new(bounds.quota, unreachable_serving_time, opens_full);
+        let unreachable_serving_time =
+            bounds.max_revocation_delay.unwrap_or(bounds.quota_tolerance.window);
+        let quotas = QuotaLedger::new(bounds.quota_tolerance, unreachable_serving_time, opens_full);
         Self { quotas, revision: None }
     }
 
@@ -92,7 +93,7 @@
 
     fn resend_all(&mut self) {}
 
-    fn report(&mut self, frame: &mut CountFrame, context: &AggregateContext<'_>) -> bool {
+    fn report(&mut self, frame: &mut HostReportFrame, context: &AggregateContext<'_>) -> bool {
         if !has_quotas(context) {
             return false;
         }
@@ -105,21 +106,31 @@
         due
     }
 
-    fn acknowledge(&mut self, frame: &CountFrame, sent: bool) {
+    fn acknowledge(&mut self, frame: &HostReportFrame, sent: bool) {
         if sent {
             let reported: Vec<QuotaUsage> = frame.usage.iter().map(Into::into).collect();
             self.shared.quotas().acknowledge(&reported);
         }
     }
 
-    fn add_report(&mut self, host: &Arc<str>, frame: &CountFrame, context: &AggregateContext<'_>) {
+    fn add_report(
+        &mut self,
+        host: &Arc<str>,
+        frame: &HostReportFrame,
+        context: &AggregateContext<'_>,
+    ) {
         if let Some(ledger) = &mut self.ledger {
             let usage: Vec<QuotaUsage> = frame.usage.iter().map(Into::into).collect();
             ledger.quotas.record_usage(host, &usage, context.now);
         }
     }
 
-    fn snapshot(&mut self, host: &Arc<str>, _: &mut SumFrame, context: &AggregateContext<'_>) {
+    fn snapshot(
+        &mut self,
+        host: &Arc<str>,
+        _: &mut AggregateFrame,
+        context: &AggregateContext<'_>,
+    ) {
         if let Some(ledger) = &mut self.ledger {
             ledger.quotas.mark_reachable(host, context.now);
         }
@@ -138,7 +149,7 @@
         }
     }
 
-    fn publish(&mut self, frame: &mut SumFrame, due: bool, context: &AggregateContext<'_>) {
+    fn publish(&mut self, frame: &mut AggregateFrame, due: bool, context: &AggregateContext<'_>) {
         let Some(ledger) = self.ledger.as_mut().filter(|_| has_quotas(context)) else { return };
         ledger.update_limits(context.routes, context.now);
         let low_levels = ledger.quotas.low_levels(context.now);
@@ -147,13 +158,14 @@
             && context.now.since(self.published_at) >= MIN_LOW_LEVEL_INTERVAL;
         if due || soon {
             self.published_at = context.now;
-            frame.quotas = Some(QuotaFrame { named: low_levels.iter().map(Into::into).collect() });
+            frame.quotas =
+                Some(QuotaLevelsMessage { levels: low_levels.iter().map(Into::into).collect() });
         }
     }
 
-    fn receive(&mut self, frame: &SumFrame, context: &AggregateContext<'_>) {
+    fn receive(&mut self, frame: &AggregateFrame, context: &AggregateContext<'_>) {
         if let Some(quotas) = &frame.quotas {
-            let low_levels: Vec<QuotaLevel> = quotas.named.iter().map(Into::into).collect();
+            let low_levels: Vec<QuotaLevel> = quotas.levels.iter().map(Into::into).collect();
             self.shared.quotas().apply_ledger_levels(&low_levels, context.now);
         }
     }
--- a/crates/gateway/src/control/aggregates/suspects.rs
+++ b/crates/gateway/src/control/aggregates/suspects.rs
@@ -15,8 +15,8 @@
     events::HostEvent,
     host::SharedState,
     peers::{
-        sum_frames::{CountFrame, SumFrame},
-        suspect_lines::{read_suspects, write_suspects},
+        aggregate_frames::{AggregateFrame, HostReportFrame},
+        suspect_messages::{decode_suspects, encode_suspects},
     },
 };
 
@@ -44,41 +44,51 @@
         self.shared.quarantine().resend_all();
     }
 
-    fn report(&mut self, frame: &mut CountFrame, context: &AggregateContext<'_>) -> bool {
-        frame.suspects = write_suspects(&self.shared.quarantine().take_pending(context.now));
+    fn report(&mut self, frame: &mut HostReportFrame, context: &AggregateContext<'_>) -> bool {
+        frame.suspects = encode_suspects(&self.shared.quarantine().take_pending(context.now));
         !frame.suspects.is_empty()
     }
 
-    fn acknowledge(&mut self, frame: &CountFrame, sent: bool) {
+    fn acknowledge(&mut self, frame: &HostReportFrame, sent: bool) {
         if !sent {
-            self.shared.quarantine().resend(&read_suspects(&frame.suspects));
+            self.shared.quarantine().resend(&decode_suspects(&frame.suspects));
         }
     }
 
-    fn add_report(&mut self, host: &Arc<str>, frame: &CountFrame, context: &AggregateContext<'_>) {
+    fn add_report(
+        &mut self,
+        host: &Arc<str>,
+        frame: &HostReportFrame,
+        context: &AggregateContext<'_>,
+    ) {
         let mut quarantine = self.shared.quarantine();
         if host == context.host {
-            quarantine.resend(&read_suspects(&frame.suspects));
+            quarantine.resend(&decode_suspects(&frame.suspects));
         } else if !frame.suspects.is_empty() {
-            quarantine.receive(&read_suspects(&frame.suspects), true, context.now);
+            quarantine.receive(&decode_suspects(&frame.suspects), true, context.now);
         }
     }
 
-    fn snapshot(&mut self, _: &Arc<str>, frame: &mut SumFrame, context: &AggregateContext<'_>) {
-        frame.suspects = write_suspects(&self.shared.quarantine().snapshot(context.now));
+    fn snapshot(
+        &mut self,
+        _: &Arc<str>,
+        frame: &mut AggregateFrame,
+        context: &AggregateContext<'_>,
+    ) {
+        frame.suspects = encode_suspects(&self.shared.quarantine().snapshot(context.now));
     }
 
     fn handle_unsubscribe(&mut self, _: &RemovedSubscriber, _: &AggregateContext<'_>) {}
 
-    fn publish(&mut self, frame: &mut SumFrame, _: bool, context: &AggregateContext<'_>) {
+    fn publish(&mut self, frame: &mut AggregateFrame, _: bool, context: &AggregateContext<'_>) {
         let mut quarantine = self.shared.quarantine();
         quarantine.publish_own();
-        frame.suspects = write_suspects(&quarantine.take_unpublished(context.now));
+        frame.suspects = encode_suspects(&quarantine.take_unpublished(context.now));
     }
 
-    fn receive(&mut self, frame: &SumFrame, context: &AggregateContext<'_>) {
+    fn receive(&mut self, frame: &AggregateFrame, context: &AggregateContext<'_>) {
         if !frame.suspects.is_empty() {
-            let reports = read_suspects(&frame.suspects);
+            let reports = decode_suspects(&frame.suspects);
             self.shared.quarantine().receive(&reports, false, context.now);
         }
     }
--- a/crates/gateway/src/control/configuration.rs
+++ b/crates/gateway/src/control/configuration.rs
@@ -8,10 +8,10 @@
 };
 
 use crate::{
-    border::{BorderError, ConfigurationRecord, KeyedRecord},
+    codec::{CodecError, ConfigurationRecord, KeyedRecord},
     control::{domain::PlacementDomain, state::ControlState},
     events::HostEvent,
-    peers::state_frames::RecordLine,
+    peers::state_frames::KeyedRecordMessage,
     store::follow::TopicUpdate,
 };
 
@@ -20,11 +20,11 @@
     pub fn apply_configuration_update(&mut self, update: TopicUpdate) {
         self.handle_new_era();
         self.configuration.record_read(&self.shared, "configuration", &update);
-        self.record_store_call(update != TopicUpdate::Away);
+        self.record_store_call(update != TopicUpdate::Unavailable);
         let (records, asked) = match update {
-            TopicUpdate::Whole { records, asked, .. } => (records, Some(asked)),
-            TopicUpdate::Records { records, asked } => (records, asked),
-            TopicUpdate::Away => return,
+            TopicUpdate::Snapshot { records, requested_at: asked, .. } => (records, Some(asked)),
+            TopicUpdate::Records { records, requested_at: asked } => (records, asked),
+            TopicUpdate::Unavailable => return,
         };
         self.apply_configuration(&records);
         if let Some(asked) = asked {
@@ -36,7 +36,7 @@
         for record in records {
             let known = self.configuration.holds(&record.key, record.position);
             if !known && self.apply_operator_record(record) {
-                self.feed.queue_record(RecordLine::from(record));
+                self.feed.queue_record(KeyedRecordMessage::from(record));
                 self.shared.wake_control.notify_one();
             }
         }
@@ -54,7 +54,7 @@
             self.configuration.apply(key, position, None);
             return false;
         }
-        let newer = match self.shared.dialects.store.configuration(record) {
+        let newer = match self.shared.codecs.store.decode_configuration(record) {
             Ok(ConfigurationRecord::Routes(routes)) => self.apply_routes(routes, position),
             Ok(ConfigurationRecord::Version(key, version)) => self.apply_version(key, version),
             Ok(ConfigurationRecord::Other) => {
@@ -70,12 +70,12 @@
         newer
     }
 
-    fn record_unreadable(&mut self, record: &KeyedRecord, error: &BorderError) -> bool {
+    fn record_unreadable(&mut self, record: &KeyedRecord, error: &CodecError) -> bool {
         let value = Some(record.value.clone());
         let newer = self.configuration.apply(&record.key, record.position, value);
         if newer {
             log::warn!("invalid record {}: {error}; keeping the last valid one", record.key);
-            if matches!(error, BorderError::Configuration(_)) {
+            if matches!(error, CodecError::Configuration(_)) {
                 self.freshness.newer_unreadable();
             }
         }
--- a/crates/gateway/src/control/domain.rs
+++ b/crates/gateway/src/control/domain.rs
@@ -23,7 +23,7 @@
 use crate::control::plan_encoding::{EngineNumbers, change_line, decode_work_lines, engine_line};
 use crate::demand::DemandReport;
 use crate::peers::frame::{
-    ChangeLine, DemandFrame, EncodedFrame, EstimateLine, FrameBody, PlanFrame,
+    DemandFrame, EncodedFrame, EngineChangeMessage, FrameBody, LoadEstimateMessage, PlanFrame,
 };
 
 /// Maximum number of frames queued for a peer; a peer whose queue is full is removed.
@@ -203,7 +203,12 @@
             self.last_broadcast_at = now;
             let (numbers, work) = self.engine_numbers.encode(&changed);
             let pace = self.store_throughput.map(Into::into);
-            let frame = PlanFrame { pace, numbers, work, ..self.empty_frame() };
+            let frame = PlanFrame {
+                store_throughput: pace,
+                engine_numbers: numbers,
+                work,
+                ..self.empty_frame()
+            };
             let frame = FrameBody::Plan(frame).encoded();
             self.work_interval =
                 ONE_SECOND.mul_f64(frame.bytes.len() as f64 / WORK_BYTES_PER_SECOND);
@@ -248,9 +253,9 @@
             service: self.service.to_string(),
             entries: report.entries.iter().map(Into::into).collect(),
             work: report.work.engines.iter().map(Into::into).collect(),
-            runs: report.work.open_requests.iter().map(Into::into).collect(),
+            open_requests: report.work.open_requests.iter().map(Into::into).collect(),
             absent: report.work.absent.iter().map(Into::into).collect(),
-            unreached: report.work.unreachable.iter().map(ToString::to_string).collect(),
+            unreachable: report.work.unreachable.iter().map(ToString::to_string).collect(),
         };
         placer.try_send(FrameBody::Demand(frame).encoded()).is_ok()
     }
@@ -274,12 +279,12 @@
 
     /// Applies a change of an engine's loaded models; ignores it if the plan does not have the
     /// engine.
-    fn apply_change(&mut self, line: &ChangeLine) {
+    fn apply_change(&mut self, line: &EngineChangeMessage) {
         let Some(loaded) = self.plan.get_mut(line.engine.as_str()) else { return };
-        let gained: Vec<LoadedModel> = line.gained.iter().map(Into::into).collect();
+        let gained: Vec<LoadedModel> = line.added.iter().map(Into::into).collect();
         let is_gained = |key: &ModelKey| gained.iter().any(|model| model.key == *key);
         loaded.retain(|model| {
-            !is_gained(&model.key) && !line.lost.iter().any(|key| **key == *model.key)
+            !is_gained(&model.key) && !line.removed.iter().any(|key| **key == *model.key)
         });
         record_loaded_models(
             &mut self.weight_caches,
@@ -339,22 +344,23 @@
             return false;
         }
         self.plan_token = frame.token;
-        self.store_throughput = frame.pace.as_ref().map(Into::into).or(self.store_throughput);
+        self.store_throughput =
+            frame.store_throughput.as_ref().map(Into::into).or(self.store_throughput);
         for line in &frame.engines {
-            let loaded: Vec<LoadedModel> = line.held.iter().map(Into::into).collect();
+            let loaded: Vec<LoadedModel> = line.loaded_models.iter().map(Into::into).collect();
             let engine = EngineName::from(line.engine.as_str());
-            self.incarnations.insert(Arc::clone(&engine), line.born);
+            self.incarnations.insert(Arc::clone(&engine), line.incarnation);
             record_loaded_models(&mut self.weight_caches, &engine, &loaded);
             self.plan.insert(engine, loaded);
         }
         for line in &frame.changes {
             self.apply_change(line);
         }
-        for line in &frame.numbers {
+        for line in &frame.engine_numbers {
             self.engines_by_number.insert(line.number, EngineName::from(line.engine.as_str()));
         }
         for line in &frame.estimates {
-            let due = now + Duration::from_millis(u64::from(line.millis));
+            let due = now + Duration::from_millis(u64::from(line.expected_in_ms));
             self.estimates.insert(Arc::from(line.key.as_str()), due);
         }
         self.plan_up_to_date = true;
@@ -368,7 +374,7 @@
             lines.map(|(engine, loaded)| engine_line(engine, self.incarnation(engine), loaded));
         let frame = PlanFrame {
             engines: lines.collect(),
-            numbers: self.engine_numbers.lines(),
+            engine_numbers: self.engine_numbers.lines(),
             ..self.empty_frame()
         };
         FrameBody::Plan(frame).encoded()
@@ -425,8 +431,8 @@
             let lines = subscriber.awaiting_estimates.drain(..).filter_map(|key| estimate(&key));
             let lines = lines
                 .take(MAX_ESTIMATES_PER_FRAME)
-                .map(|(key, delay)| EstimateLine::new(&key, delay));
-            let estimates: Vec<EstimateLine> = lines.collect();
+                .map(|(key, delay)| LoadEstimateMessage::new(&key, delay));
+            let estimates: Vec<LoadEstimateMessage> = lines.collect();
             if estimates.is_empty() {
                 continue;
             }
--- a/crates/gateway/src/control/engine_list.rs
+++ b/crates/gateway/src/control/engine_list.rs
@@ -15,8 +15,8 @@
 };
 
 use crate::{
-    border::KeyedRecord, control::state::ControlState, events::HostEvent,
-    peers::engine_lines::EngineUpdate, store::follow::TopicUpdate,
+    codec::KeyedRecord, control::state::ControlState, events::HostEvent,
+    peers::engine_messages::EngineUpdate, store::follow::TopicUpdate,
 };
 
 impl ControlState {
@@ -24,10 +24,10 @@
     pub fn apply_engines_update(&mut self, update: TopicUpdate) {
         self.handle_new_era();
         self.engine_records.record_read(&self.shared, "engines", &update);
-        self.record_store_call(update != TopicUpdate::Away);
+        self.record_store_call(update != TopicUpdate::Unavailable);
         match update {
-            TopicUpdate::Away => return,
-            TopicUpdate::Whole { records, end, .. } => {
+            TopicUpdate::Unavailable => return,
+            TopicUpdate::Snapshot { records, end, .. } => {
                 let listed = records.iter().map(|record| record.key.as_str()).collect();
                 self.remove_unlisted(&listed, end);
                 self.apply_records(&records, Some(end));
@@ -102,7 +102,7 @@
         let now = self.shared.clock.now();
         self.deferred_listings.remove(name);
         let until =
-            self.store_health.relisting_until(now).max(rewrite_grace.map(|grace| now + grace));
+            self.store_health.reregistration_until(now).max(rewrite_grace.map(|grace| now + grace));
         match (self.engines.get(name), until) {
             (Some(entry), Some(until)) if !entry.leaving => {
                 self.unlisted_until.insert(Arc::clone(name), until);
@@ -154,7 +154,7 @@
                 self.apply_update(removed, full_read_end);
                 continue;
             }
-            let entry = match self.shared.dialects.store.engine(record) {
+            let entry = match self.shared.codecs.store.decode_engine(record) {
                 Ok(entry) => Some(entry),
                 Err(error) => {
                     log::warn!("invalid entry {}: {error}; engine ignored", record.key);
--- a/crates/gateway/src/control/era.rs
+++ b/crates/gateway/src/control/era.rs
@@ -4,11 +4,11 @@
     ClockMillis, StorePosition, clock::duration_millis, fleet::stale_listing::REWRITE_GRACE_PERIOD,
 };
 
-use crate::{control::state::ControlState, events::HostEvent, store::eras::StoreEras};
+use crate::{control::state::ControlState, events::HostEvent, store::era::EraTracker};
 
 impl ControlState {
     /// Returns the newest known era of the store.
-    pub const fn eras(&self) -> &StoreEras {
+    pub const fn eras(&self) -> &EraTracker {
         &self.eras
     }
 
@@ -27,7 +27,7 @@
     /// the state of a peer, or for [`REWRITE_GRACE_PERIOD`], within which the operator writes
     /// again. If the store was never restored, it does not wait.
     pub(super) fn update_may_serve(&mut self, now: ClockMillis) {
-        let was_restored = self.eras.known() > 0;
+        let was_restored = self.eras.current() > 0;
         let grace_over = now.since(self.started_at) >= REWRITE_GRACE_PERIOD;
         if !self.may_serve
             && self.is_complete()
@@ -40,7 +40,7 @@
 
     /// Handles an era of the store that became known since the last call.
     pub(super) fn handle_new_era(&mut self) {
-        let newest = self.eras.newest();
+        let newest = self.eras.current_with_source();
         if newest.era == self.last_known_era {
             return;
         }
@@ -48,7 +48,7 @@
         let now = self.shared.clock.now();
         let age = self.confirmed_at().map(|confirmed_at| duration_millis(now.since(confirmed_at)));
         self.shared.metrics.store_era.set(i64::try_from(newest.era).unwrap_or(i64::MAX));
-        let (to, teller) = (newest.era, newest.teller);
+        let (to, teller) = (newest.era, newest.source);
         self.shared.events.write(HostEvent::StoreEra { from, to, teller, age });
     }
 }
--- a/crates/gateway/src/control/feed.rs
+++ b/crates/gateway/src/control/feed.rs
@@ -15,9 +15,9 @@
 use crate::{
     control::state::ControlState,
     events::HostEvent,
-    peers::engine_lines::{EngineUpdate, write_engines},
+    peers::engine_messages::{EngineUpdate, encode_engines},
     peers::frame::{EncodedFrame, FrameBody},
-    peers::state_frames::{OwnerLine, RecordLine, StateFrame},
+    peers::state_frames::{KeyedRecordMessage, PartitionOwnerMessage, StateFrame},
     store::membership::GroupMember,
 };
 
@@ -45,7 +45,7 @@
 
 impl FeedSource {
     /// Queues a record of the configuration for the followers.
-    pub fn queue_record(&mut self, record: RecordLine) {
+    pub fn queue_record(&mut self, record: KeyedRecordMessage) {
         self.full_frame = None;
         if !self.followers.is_empty() {
             self.pending.configuration.push(record);
@@ -63,7 +63,7 @@
     /// Queues the complete state for the followers.
     pub fn queue_all(&mut self) {
         self.full_frame = None;
-        self.pending.whole = true;
+        self.pending.complete = true;
     }
 
     fn broadcast(&mut self, frame: &EncodedFrame, now: ClockMillis) {
@@ -110,7 +110,7 @@
 
     /// Returns the addresses of the other readers, in this host's order of preference.
     pub fn other_readers(&self) -> Vec<SocketAddr> {
-        let own_address = self.shared.profile.peers;
+        let own_address = self.shared.profile.peer_address;
         let partitions = reader_partitions(self.shared.profile.partitions);
         let owners = partitions.filter_map(|partition| self.owners.get(&partition));
         let mut readers: Vec<SocketAddr> = owners.map(|owner| owner.address).collect();
@@ -150,7 +150,7 @@
         if let Some(full) = &self.feed.full_frame {
             return full.clone();
         }
-        let frame = StateFrame { confirmed: 0, ..self.state_frame() };
+        let frame = StateFrame { confirmed_at: 0, ..self.state_frame() };
         let full = FrameBody::State(frame).encoded();
         self.feed.full_frame = Some(full.clone());
         full
@@ -184,12 +184,12 @@
         if !changed && now.since(self.feed.sent_at) < HEARTBEAT_INTERVAL {
             return;
         }
-        let frame = if pending.whole {
+        let frame = if pending.complete {
             self.state_frame()
         } else {
-            let (names, engines) = write_engines(&engines);
-            let StateFrame { confirmed, era, .. } = self.freshness_frame();
-            StateFrame { confirmed, names, engines, era, ..pending }
+            let (names, engines) = encode_engines(&engines);
+            let StateFrame { confirmed_at: confirmed, era, .. } = self.freshness_frame();
+            StateFrame { confirmed_at: confirmed, names, engines, era, ..pending }
         };
         self.feed.broadcast(&FrameBody::State(frame).encoded(), now);
     }
@@ -207,10 +207,13 @@
     }
 
     /// Returns the owners of the partitions in the form that is sent to peers.
-    pub fn owner_lines(&self) -> Vec<OwnerLine> {
+    pub fn owner_lines(&self) -> Vec<PartitionOwnerMessage> {
         let lines = self.owners.iter();
         lines
-            .map(|(partition, host)| OwnerLine { partition: *partition, host: host.to_string() })
+            .map(|(partition, host)| PartitionOwnerMessage {
+                partition: *partition,
+                member: host.to_string(),
+            })
             .collect()
     }
 
--- a/crates/gateway/src/control/freshness.rs
+++ b/crates/gateway/src/control/freshness.rs
@@ -5,7 +5,7 @@
 use crate::{
     control::state::ControlState,
     events::HostEvent,
-    peers::state_frames::{ClockLine, StateFrame},
+    peers::state_frames::{ClockMessage, StateFrame},
 };
 
 impl ControlState {
@@ -14,7 +14,7 @@
     /// Must be called only after everything up to that time has been published.
     pub(super) fn confirm_configuration(&mut self, confirmed_at: ClockMillis) {
         self.freshness.confirm(confirmed_at, self.shared.clock.now());
-        self.shared.set_keys_until(self.freshness.keys_valid_until());
+        self.shared.accept_keys_until(self.freshness.keys_valid_until());
         self.update_freshness();
     }
 
@@ -42,12 +42,12 @@
     /// Returns a frame with the freshness of the configuration that this host passes on.
     pub fn freshness_frame(&self) -> StateFrame {
         let confirmed = self.confirmed_at().map_or(0, ClockMillis::as_millis);
-        StateFrame { confirmed, ..self.era_frame() }
+        StateFrame { confirmed_at: confirmed, ..self.era_frame() }
     }
 
     /// Returns a frame with nothing but the newest known era of the store.
     fn era_frame(&self) -> StateFrame {
-        StateFrame { era: self.eras.known(), ..StateFrame::default() }
+        StateFrame { era: self.eras.current(), ..StateFrame::default() }
     }
 
     /// Returns the response to a peer's request for this host's clock, without configuration.
@@ -56,7 +56,7 @@
     }
 
     /// Returns this host's clock reading as a response to a peer's request.
-    pub fn clock_line(&self, requested_at: u64) -> ClockLine {
-        ClockLine { asked: requested_at, now: self.shared.clock.now().as_millis() }
+    pub fn clock_line(&self, requested_at: u64) -> ClockMessage {
+        ClockMessage { requested_at, now: self.shared.clock.now().as_millis() }
     }
 }
--- a/crates/gateway/src/control/membership.rs
+++ b/crates/gateway/src/control/membership.rs
@@ -8,8 +8,8 @@
     control::{MEMBERSHIP_TTL, SharedControl, backoff, store_client},
     host::SharedState,
     store::{
-        Backoff, LONGEST_PAUSE, StoreClient, StoreError, StorePause,
-        membership::{GroupMember, MembershipUpdate, leave, owners, stay_member},
+        Backoff, MAX_BACKOFF, StoreBackoff, StoreClient, StoreError,
+        membership::{GroupMember, MembershipUpdate, leave, owners, run_membership},
     },
 };
 
@@ -61,18 +61,18 @@
     let shared = Arc::clone(state.borrow().shared());
     let mut client = store_client(&state);
     let returns = state.borrow().store_returns();
-    let mut pause = StorePause::woken(backoff(&shared, 0x4444), returns);
+    let mut pause = StoreBackoff::passive(backoff(&shared, 0x4444), returns);
     let mut jitter = backoff(&shared, 0x5555);
-    let time_to_live = MEMBERSHIP_TTL.max(shared.profile.shortest_membership);
+    let time_to_live = MEMBERSHIP_TTL.max(shared.profile.min_membership_ttl);
     let member = own_member(&shared);
     let should_leave =
         || shared.profile.capacity.should_leave(state.borrow().high_capacity_members());
     let sink = |update| state.borrow_mut().apply_membership_update(update);
     loop {
         wait_until_needed(&state, &mut client, &mut pause, &mut jitter).await;
-        let backoff = backoff(&shared, 0x3333).longest(MAX_JOIN_BACKOFF);
+        let backoff = backoff(&shared, 0x3333).with_max_delay(MAX_JOIN_BACKOFF);
         let clock = Arc::clone(&shared.clock);
-        stay_member(&mut client, member, time_to_live, clock, backoff, should_leave, sink).await;
+        run_membership(&mut client, member, time_to_live, clock, backoff, should_leave, sink).await;
         state.borrow_mut().leave_group();
         if let Err(error) = leave(&mut client, member).await {
             log::debug!("failed to leave the group: {error}");
@@ -83,7 +83,7 @@
 /// Returns this host as a member of the group.
 pub fn own_member(shared: &SharedState) -> GroupMember {
     GroupMember {
-        address: shared.profile.peers,
+        address: shared.profile.peer_address,
         strong: shared.profile.capacity.has_high_capacity(),
     }
 }
@@ -95,7 +95,7 @@
 async fn wait_until_needed(
     state: &SharedControl,
     client: &mut StoreClient,
-    pause: &mut StorePause,
+    pause: &mut StoreBackoff,
     jitter: &mut Backoff,
 ) {
     let shared = Arc::clone(state.borrow().shared());
@@ -107,10 +107,10 @@
         if !is_following || state.borrow().should_join() {
             if let Err(error) = fetch_owners(state, client).await {
                 log::debug!("failed to read the partition owners: {error}");
-                pause.after_failure(LONGEST_PAUSE).await;
+                pause.wait_after_failure(MAX_BACKOFF).await;
                 continue;
             }
-            pause.succeeded();
+            pause.reset();
             let too_early = shared.clock.now().since(started_at) < policy.delay;
             let is_needed = !too_early && state.borrow().should_join();
             needed_checks = if is_needed { needed_checks + 1 } else { 0 };
@@ -118,7 +118,7 @@
                 return;
             }
         }
-        tokio::time::sleep(jitter.spread(CANDIDACY_CHECK_INTERVAL)).await;
+        tokio::time::sleep(jitter.jitter(CANDIDACY_CHECK_INTERVAL)).await;
     }
 }
 
--- a/crates/gateway/src/control/plan_encoding.rs
+++ b/crates/gateway/src/control/plan_encoding.rs
@@ -6,7 +6,9 @@
     EngineIncarnation, EngineName, LoadedModel, ModelKey, work::EngineWork,
 };
 
-use crate::peers::frame::{ChangeLine, EngineLine, HeldLine, NumberLine};
+use crate::peers::frame::{
+    EngineChangeMessage, EngineModelsMessage, EngineNumberMessage, LoadedModelMessage,
+};
 
 /// Values per engine in encoded work: its number, its open requests and its pending prefill tokens.
 const FIELDS_PER_ENGINE: usize = 3;
@@ -22,13 +24,13 @@
     pub(super) fn encode(
         &mut self,
         work: &[(EngineName, EngineWork)],
-    ) -> (Vec<NumberLine>, Vec<u64>) {
+    ) -> (Vec<EngineNumberMessage>, Vec<u64>) {
         let (mut new, mut encoded) =
             (Vec::new(), Vec::with_capacity(work.len() * FIELDS_PER_ENGINE));
         for (engine, work) in work {
             let next = u32::try_from(self.numbers.len()).unwrap_or(u32::MAX);
             let number = *self.numbers.entry(Arc::clone(engine)).or_insert_with(|| {
-                new.push(NumberLine { number: next, engine: engine.to_string() });
+                new.push(EngineNumberMessage { number: next, engine: engine.to_string() });
                 next
             });
             encoded.extend([u64::from(number), u64::from(work.open), work.pending_prefill_tokens]);
@@ -37,10 +39,13 @@
     }
 
     /// Returns all assigned numbers, for a new subscriber.
-    pub(super) fn lines(&self) -> Vec<NumberLine> {
+    pub(super) fn lines(&self) -> Vec<EngineNumberMessage> {
         let lines = self.numbers.iter();
         lines
-            .map(|(engine, number)| NumberLine { number: *number, engine: engine.to_string() })
+            .map(|(engine, number)| EngineNumberMessage {
+                number: *number,
+                engine: engine.to_string(),
+            })
             .collect()
     }
 }
@@ -50,9 +55,9 @@
     engine: &EngineName,
     incarnation: EngineIncarnation,
     loaded: &[LoadedModel],
-) -> EngineLine {
-    let held = loaded.iter().map(HeldLine::from).collect();
-    EngineLine { engine: engine.to_string(), held, born: incarnation }
+) -> EngineModelsMessage {
+    let held = loaded.iter().map(LoadedModelMessage::from).collect();
+    EngineModelsMessage { engine: engine.to_string(), loaded_models: held, incarnation }
 }
 
 /// Encodes the models that were loaded and unloaded since `sent`.
@@ -60,14 +65,14 @@
     engine: &EngineName,
     sent: &[LoadedModel],
     loaded: &[LoadedModel],
-) -> ChangeLine {
+) -> EngineChangeMessage {
     let gained = loaded.iter().filter(|model| !sent.contains(model));
     let is_loaded = |key: &ModelKey| loaded.iter().any(|model| model.key == *key);
     let lost = sent.iter().filter(|model| !is_loaded(&model.key));
-    ChangeLine {
+    EngineChangeMessage {
         engine: engine.to_string(),
-        gained: gained.map(HeldLine::from).collect(),
-        lost: lost.map(|model| model.key.to_string()).collect(),
+        added: gained.map(LoadedModelMessage::from).collect(),
+        removed: lost.map(|model| model.key.to_string()).collect(),
     }
 }
 
--- a/crates/gateway/src/control/state.rs
+++ b/crates/gateway/src/control/state.rs
@@ -23,18 +23,18 @@
 use tokio::sync::watch;
 
 use crate::{
-    border::KeyedRecord,
+    codec::KeyedRecord,
     control::{
         aggregates::AggregateSet, domain::PlacementDomain, feed::FeedSource, host_count::HostCount,
         orders::OrderClients, topic_mirror::TopicMirror,
     },
     events::HostEvent,
     host::SharedState,
-    peers::engine_lines::{EngineUpdate, read_engines, write_engines},
-    peers::state_frames::{OwnerLine, RecordLine, StateFrame},
+    peers::engine_messages::{EngineUpdate, decode_engines, encode_engines},
+    peers::state_frames::{KeyedRecordMessage, PartitionOwnerMessage, StateFrame},
     store::{
-        StoreReturns,
-        eras::{EraWord, StoreEras},
+        StoreRecoveries,
+        era::{EraStatus, EraTracker},
         health::StoreHealth,
         membership::{GroupMember, MembershipUpdate},
     },
@@ -59,7 +59,7 @@
     /// Until when the group assigns this host to read the store for others.
     pub(super) reader_until: ClockMillis,
     pub(super) store_health: StoreHealth,
-    pub(super) eras: StoreEras,
+    pub(super) eras: EraTracker,
     received_peer_state: bool,
     /// When this host started to read the store.
     pub(super) started_at: ClockMillis,
@@ -88,11 +88,11 @@
 impl ControlState {
     /// Creates a state in which nothing is known.
     pub fn new(shared: Arc<SharedState>) -> Self {
-        let freshness = ConfigurationFreshness::new(shared.profile.bounds.revocation);
-        shared.set_keys_until(freshness.keys_valid_until());
+        let freshness = ConfigurationFreshness::new(shared.profile.bounds.max_revocation_delay);
+        shared.accept_keys_until(freshness.keys_valid_until());
         let aggregates = AggregateSet::new(&shared);
         let started_at = shared.clock.now();
-        let host_count = HostCount::new(shared.profile.bounds.retries.window);
+        let host_count = HostCount::new(shared.profile.bounds.retry_policy.window);
         Self {
             logged_freshness: freshness.state(),
             freshness,
@@ -108,7 +108,7 @@
             owners: HashMap::new(),
             reader_until: ClockMillis::default(),
             store_health: StoreHealth::default(),
-            eras: StoreEras::default(),
+            eras: EraTracker::default(),
             received_peer_state: false,
             started_at,
             may_serve: false,
@@ -137,7 +137,7 @@
     }
 
     /// Returns a receiver that is notified when the store becomes available again.
-    pub fn store_returns(&self) -> StoreReturns {
+    pub fn store_returns(&self) -> StoreRecoveries {
         self.store_returns.subscribe()
     }
 
@@ -154,9 +154,9 @@
     pub(super) fn lease_rules(&self) -> LeaseRules {
         let profile = &self.shared.profile;
         LeaseRules {
-            time_to_live: super::MEMBERSHIP_TTL.max(profile.shortest_membership),
-            handover_wait: profile.bounds.lease,
-            engines_enforce_fencing: profile.bounds.engines_check_fences,
+            time_to_live: super::MEMBERSHIP_TTL.max(profile.min_membership_ttl),
+            handover_wait: profile.bounds.handover_wait,
+            engines_enforce_fencing: profile.bounds.engines_enforce_fencing,
         }
     }
 
@@ -166,17 +166,17 @@
         if answered {
             self.record_store_answer(now);
         } else {
-            self.store_health.failed(now);
+            self.store_health.record_failure(now);
         }
     }
 
     /// Records that the reader that this host follows has sent something.
     pub fn reader_responded(&mut self) {
-        self.store_health.told_by_reader(self.shared.clock.now());
+        self.store_health.record_reader_update(self.shared.clock.now());
     }
 
     fn record_store_answer(&mut self, now: ClockMillis) {
-        if self.store_health.answered(now) {
+        if self.store_health.record_response(now) {
             self.store_returns.send_modify(|returns| *returns = returns.wrapping_add(1));
         }
     }
@@ -186,7 +186,7 @@
         self.handle_new_era();
         let now = self.shared.clock.now();
         match update {
-            MembershipUpdate::Joined { share, sent } => {
+            MembershipUpdate::Joined { assignment: share, sent } => {
                 self.record_store_answer(now);
                 self.handle_assignment(&share.partitions, sent);
                 let token = generation_token(share.era, share.generation);
@@ -197,7 +197,7 @@
             }
             MembershipUpdate::Failed => {
                 self.shared.metrics.store_failures.inc();
-                self.store_health.failed(now);
+                self.store_health.record_failure(now);
                 for domain in self.domains.values_mut() {
                     domain.tenure.handle_join_failure(now);
                 }
@@ -231,7 +231,7 @@
 
     /// Returns the addresses of the other members of the group.
     pub fn other_members(&self) -> Vec<SocketAddr> {
-        let own_address = self.shared.profile.peers;
+        let own_address = self.shared.profile.peer_address;
         let members: BTreeSet<SocketAddr> =
             self.owners.values().map(|member| member.address).collect();
         members.into_iter().filter(|member| *member != own_address).collect()
@@ -239,7 +239,7 @@
 
     /// Returns the services whose placer is another host, with that host's address.
     pub fn remote_placers(&self) -> Vec<(ServiceName, SocketAddr)> {
-        let own_address = self.shared.profile.peers;
+        let own_address = self.shared.profile.peer_address;
         let placers = self.domains.values().filter_map(|domain| {
             let placer = self.owners.get(&domain.partition)?.address;
             let is_remote = placer != own_address && !domain.holds_lease;
@@ -265,17 +265,17 @@
 
     /// Returns what this host has read from the store, for a peer that cannot read it.
     pub fn state_frame(&self) -> StateFrame {
-        let (names, engines) = write_engines(&self.listed_engines());
+        let (names, engines) = encode_engines(&self.listed_engines());
         let configuration = self.configuration.records.iter().map(|(key, (position, value))| {
             let (key, value) = (key.clone(), value.clone());
-            RecordLine { key, value, offset: position.offset, era: position.era }
+            KeyedRecordMessage { key, value, offset: position.offset, era: position.era }
         });
         StateFrame {
             configuration: configuration.collect(),
             names,
             engines,
             owners: self.owner_lines(),
-            whole: true,
+            complete: true,
             engines_end: self.engine_records.end().offset,
             engines_era: self.engine_records.end().era,
             ..self.freshness_frame()
@@ -292,28 +292,30 @@
         peer: SocketAddr,
         clock: Option<PeerClock>,
     ) {
-        let is_current = self.eras.hear(frame.era, peer.to_string()) == EraWord::Newest;
+        let is_current = self.eras.observe(frame.era, peer.to_string()) == EraStatus::Current;
         self.handle_new_era();
         let records: Vec<KeyedRecord> = frame.configuration.iter().map(Into::into).collect();
         self.apply_configuration(&records);
-        let updates = read_engines(&frame.names, &frame.engines);
+        let updates = decode_engines(&frame.names, &frame.engines);
         let read_to = frame.engines_read_to();
         // A peer that has read nothing yet cannot know that there are no engines.
-        let full_read_end = (frame.whole && read_to > StorePosition::default()).then_some(read_to);
+        let full_read_end =
+            (frame.complete && read_to > StorePosition::default()).then_some(read_to);
         self.apply_peer_engines(updates, full_read_end);
         self.received_peer_state |= full_read_end.is_some();
         if is_current {
             self.apply_owners(&frame.owners);
         }
         self.publish();
-        if let Some(clock) = clock.filter(|_| is_current && frame.confirmed > 0) {
-            let confirmed_at = clock.to_local(ClockMillis::from_millis(frame.confirmed));
+        if let Some(clock) = clock.filter(|_| is_current && frame.confirmed_at > 0) {
+            let confirmed_at = clock.to_local(ClockMillis::from_millis(frame.confirmed_at));
             self.confirm_configuration(confirmed_at);
         }
     }
 
-    fn apply_owners(&mut self, lines: &[OwnerLine]) {
-        let owner = |line: &OwnerLine| Some((line.partition, line.host.parse().ok()?));
+    fn apply_owners(&mut self, lines: &[PartitionOwnerMessage]) {
+        let owner =
+            |line: &PartitionOwnerMessage| Some((line.partition, line.member.parse().ok()?));
         let owners: HashMap<u32, GroupMember> = lines.iter().filter_map(owner).collect();
         if !owners.is_empty() && owners != self.owners {
             self.owners = owners;
--- a/crates/gateway/src/control/topic_mirror.rs
+++ b/crates/gateway/src/control/topic_mirror.rs
@@ -140,7 +140,7 @@
     /// Counts and logs when the store becomes unavailable or available again, and logs the end of a
     /// full read next to the known position.
     pub fn record_read(&mut self, shared: &SharedState, topic: &'static str, update: &TopicUpdate) {
-        if let TopicUpdate::Whole { records, end, .. } = update {
+        if let TopicUpdate::Snapshot { records, end, .. } = update {
             let event = HostEvent::TopicRead {
                 what: topic.into(),
                 records: records.len(),
@@ -151,7 +151,7 @@
             };
             shared.events.write(event);
         }
-        let unavailable = *update == TopicUpdate::Away;
+        let unavailable = *update == TopicUpdate::Unavailable;
         if unavailable {
             shared.metrics.store_failures.inc();
         }
--- a/crates/gateway/src/engines/send.rs
+++ b/crates/gateway/src/engines/send.rs
@@ -8,7 +8,7 @@
 use tokio::io::AsyncWriteExt;
 
 use crate::{
-    border::{AnswerFacts, ExchangeDialect},
+    codec::{RequestCodec, ResponseMetadata},
     engines::EngineConnection,
 };
 
@@ -27,7 +27,7 @@
     /// The status and header fields.
     pub head: ResponseHead,
     /// Values read from the header fields.
-    pub facts: AnswerFacts,
+    pub facts: ResponseMetadata,
     /// Decoder of the body.
     pub decoder: BodyDecoder,
     /// Whether the connection can be reused after the body has been read.
@@ -66,7 +66,7 @@
 /// Returns why there is no response; the request may have run.
 pub async fn send_request(
     connection: &mut EngineConnection,
-    dialect: &dyn ExchangeDialect,
+    dialect: &dyn RequestCodec,
     request: &Bytes,
     method: &str,
     id: &str,
@@ -81,7 +81,7 @@
         }
         let framing = BodyFraming::of_response(&head, method).map_err(ReadError::from)?;
         let mut decoder = BodyDecoder::new(framing);
-        let facts = dialect.answer_facts(&head);
+        let facts = dialect.decode_response(&head);
         let rejected = facts.not_run || facts.misdirected;
         let matches_request = facts.id.as_deref().map_or(rejected, |response_id| response_id == id);
         if matches_request {
--- a/crates/gateway/src/host.rs
+++ b/crates/gateway/src/host.rs
@@ -1,4 +1,4 @@
-//! One host: its two threads and what they share.
+//! A host: its two threads and their shared state.
 
 use std::{
     collections::HashMap,
@@ -25,7 +25,7 @@
 use tokio::sync::{Notify, watch};
 
 use crate::{
-    border::BorderDialects,
+    codec::Codecs,
     control::run_control,
     demand::{DemandCollector, SharedWork},
     events::{EventLog, HostEvent},
@@ -35,66 +35,66 @@
     traffic::run_traffic,
 };
 
-/// The control thread's stack. Unit: bytes.
-const CONTROL_STACK: usize = 512 * 1024;
+/// Stack size of the control thread.
+const CONTROL_STACK_BYTES: usize = 512 * 1024;
 
-/// For how long a stopping host begins new requests, until the balancer sends none any more.
-const STOP_SERVES: Duration = Duration::from_millis(2400);
+/// How long a stopping host accepts new requests, until the load balancer has noticed the stop.
+const STOP_ACCEPT_WINDOW: Duration = Duration::from_millis(2400);
 
-/// What a stopping host leaves between the end of its last request and the operator's grace.
+/// Safety margin between the end of the last request and the end of the grace period.
 const STOP_MARGIN: Duration = Duration::from_millis(1500);
 
-/// What an engine's response tells beside its announcements.
+/// What a response implies about limits and cooldowns when it announces none.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ResponseKind {
-    /// The engine ran a request, and would have declared a limit.
+    /// The engine ran a request, and would have declared its limit if it had one.
     Accepted,
     /// The engine did not run a request.
     Rejected,
-    /// It belongs to an order or a report, or to a request that is not known.
+    /// The response belongs to an order, a report, or an unknown request.
     Other,
 }
 
-/// What the two threads share.
+/// State shared by the two threads.
 pub struct SharedState {
-    /// What the host is told about itself.
+    /// The configuration of the host.
     pub profile: HostProfile,
-    /// What is spoken at its borders.
-    pub dialects: BorderDialects,
+    /// The codecs for clients, engines and the store.
+    pub codecs: Codecs,
     /// The host's clock.
     pub clock: Arc<dyn ClockSource>,
-    /// What the control thread believes.
+    /// The latest serving table of the control thread.
     pub table: watch::Sender<Arc<ServingTable>>,
     /// Whether a planned stop has begun.
     pub stopping: watch::Sender<bool>,
-    /// Structured log lines.
+    /// The structured event log.
     pub events: EventLog,
     /// Counters and histograms.
     pub metrics: HostMetrics,
-    /// Requests that are open.
+    /// Number of open requests.
     pub open_requests: AtomicUsize,
     stop_began: OnceLock<ClockMillis>,
-    /// Until when requests with keys may arrive. Unit: milliseconds of the host's clock.
-    keys_until: AtomicU64,
-    /// Wakes the control thread when there is something to tell at once.
+    /// Until when requests with keys are accepted. Unit: milliseconds of the host's clock.
+    keys_accepted_until: AtomicU64,
+    /// Wakes the control thread when it must send an update immediately.
     pub wake_control: Notify,
     demand: Mutex<DemandCollector>,
     shared_work: Mutex<SharedWork>,
-    reading: Mutex<HashMap<ServiceName, PrefillSpeed>>,
+    prefill_speeds: Mutex<HashMap<ServiceName, PrefillSpeed>>,
     quotas: Mutex<QuotaShare>,
     quarantine: Mutex<QuarantineTracker>,
     limits: Mutex<LimitShare>,
     departures: Mutex<DepartureRegistry>,
     cooldowns: Mutex<CooldownTable>,
-    /// Tells when waiting requests should look again: permits may have come, or an engine has accepted a probe.
+    /// Notifies waiting requests of changes: permits may have arrived, or an engine has accepted a probe.
     pub permits: watch::Sender<()>,
 }
 
 impl SharedState {
-    /// Starts with nothing known.
+    /// Creates the state of a starting host.
     pub fn new(
         profile: HostProfile,
-        dialects: BorderDialects,
+        codecs: Codecs,
         events: EventLog,
         clock: Arc<dyn ClockSource>,
     ) -> Self {
@@ -103,7 +103,7 @@
         let quarantine = QuarantineTracker::new(&profile.name, CRASHES_UNTIL_QUARANTINED);
         Self {
             profile,
-            dialects,
+            codecs,
             clock,
             table: watch::Sender::new(Arc::default()),
             stopping: watch::Sender::new(false),
@@ -111,11 +111,11 @@
             metrics: HostMetrics::default(),
             open_requests: AtomicUsize::new(0),
             stop_began: OnceLock::new(),
-            keys_until: AtomicU64::new(0),
+            keys_accepted_until: AtomicU64::new(0),
             wake_control: Notify::new(),
             demand: Mutex::default(),
             shared_work: Mutex::default(),
-            reading: Mutex::default(),
+            prefill_speeds: Mutex::default(),
             quotas: Mutex::new(quotas),
             quarantine: Mutex::new(quarantine),
             limits: Mutex::default(),
@@ -125,66 +125,66 @@
         }
     }
 
-    /// Locks the demand for a moment.
+    /// Locks the collected demand.
     pub fn demand(&self) -> MutexGuard<'_, DemandCollector> {
         self.demand.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Locks how fast the engines of each service read prompts for a moment.
-    pub fn reading(&self) -> MutexGuard<'_, HashMap<ServiceName, PrefillSpeed>> {
-        self.reading.lock().unwrap_or_else(PoisonError::into_inner)
+    /// Locks the prefill speed of each service's engines.
+    pub fn prefill_speeds(&self) -> MutexGuard<'_, HashMap<ServiceName, PrefillSpeed>> {
+        self.prefill_speeds.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Locks what all hosts have at engines for a moment.
+    /// Locks the work of all hosts at engines.
     pub fn shared_work(&self) -> MutexGuard<'_, SharedWork> {
         self.shared_work.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sets until when requests with keys may arrive and be served.
-    pub fn set_keys_until(&self, until: ClockMillis) {
-        self.keys_until.store(until.as_millis(), Ordering::Release);
+    /// Sets until when arriving requests with keys are accepted.
+    pub fn accept_keys_until(&self, until: ClockMillis) {
+        self.keys_accepted_until.store(until.as_millis(), Ordering::Release);
     }
 
     /// Returns whether a request with a key that arrived at `arrived` may be served.
     ///
-    /// To be asked before the table is looked at: the table that is read then holds whatever was
-    /// known when the moment was set.
+    /// Call this before reading the table: a table that is read afterwards includes everything that
+    /// was known when the time limit was set.
     pub fn serves_keys(&self, arrived: ClockMillis) -> bool {
-        arrived.as_millis() <= self.keys_until.load(Ordering::Acquire)
+        arrived.as_millis() <= self.keys_accepted_until.load(Ordering::Acquire)
     }
 
-    /// Locks this host's part in the organisations' quotas for a moment.
+    /// Locks this host's share of the organisations' quotas.
     pub fn quotas(&self) -> MutexGuard<'_, QuotaShare> {
         self.quotas.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Locks what this host knows of requests under which engines ended for a moment.
+    /// Locks the tracker of requests during which engines crashed.
     pub fn quarantine(&self) -> MutexGuard<'_, QuarantineTracker> {
         self.quarantine.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Locks what this host knows of the limits that engines name for a moment.
+    /// Locks this host's view of the limits that engines declare.
     pub fn limits(&self) -> MutexGuard<'_, LimitShare> {
         self.limits.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Locks the departures that engines have announced for a moment.
+    /// Locks the announced departures of engines.
     pub fn departures(&self) -> MutexGuard<'_, DepartureRegistry> {
         self.departures.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Locks the cooldowns that engines have asked this host for for a moment.
+    /// Locks the cooldowns that engines requested from this host.
     pub fn cooldowns(&self) -> MutexGuard<'_, CooldownTable> {
         self.cooldowns.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Tells requests that wait for a permit that some may have come, or that a limit has changed.
+    /// Notifies requests that wait for a permit that permits may have arrived or a limit has changed.
     pub fn permits_changed(&self) {
         self.permits.send_replace(());
     }
 
-    /// Takes what a response that has just begun announces of its engine; what it responds to was sent at `sent`.
-    pub fn note_announcements(
+    /// Records the announcements of a response that has just begun; `sent` is when the request was sent.
+    pub fn record_announcements(
         &self,
         entry: &EngineEntry,
         announcements: &EngineAnnouncements,
@@ -192,27 +192,29 @@
         kind: ResponseKind,
     ) {
         let now = self.clock.now();
-        let (engine, born) = (&entry.name, entry.incarnation);
+        let (engine, incarnation) = (&entry.name, entry.incarnation);
         let mut wake = false;
         if let Declared::Present(_) = announcements.departure {
-            wake |= self.departures().record_announced(engine, born, now);
+            wake |= self.departures().record_announced(engine, incarnation, now);
         }
-        if !self.departures().is_departing(engine, born) {
+        if !self.departures().is_departing(engine, incarnation) {
             let absence_is_conclusive = kind == ResponseKind::Accepted;
-            let word = LimitDeclaration {
+            let declaration = LimitDeclaration {
                 limit: announcements.limit,
                 requested_at: sent,
                 absence_is_conclusive,
             };
-            wake |= self.limits().receive_declaration(engine, born, word, now);
+            wake |= self.limits().receive_declaration(engine, incarnation, declaration, now);
         }
         let mut cooldowns = self.cooldowns();
         match announcements.cooldown {
-            Declared::Present(cooldown) => cooldowns.record_cooldown(engine, born, cooldown, now),
+            Declared::Present(cooldown) => {
+                cooldowns.record_cooldown(engine, incarnation, cooldown, now);
+            }
             Declared::Absent | Declared::Unreadable => {
                 let accepted = kind == ResponseKind::Accepted;
                 if kind != ResponseKind::Other
-                    && cooldowns.record_response(engine, born, sent, accepted)
+                    && cooldowns.record_response(engine, incarnation, sent, accepted)
                 {
                     self.permits_changed();
                 }
@@ -225,7 +227,7 @@
         }
     }
 
-    /// Counts a call to an engine; one that belongs to no request is made without a permit, which is made up for.
+    /// Counts a call to an engine; orders and reports take no permit and are accounted for as unpermitted calls.
     pub fn count_engine_call(&self, engine: &str, kind: EngineCallKind) {
         let mut limits = self.limits();
         let limited = limits.is_limited(engine);
@@ -241,23 +243,23 @@
         *self.stopping.borrow()
     }
 
-    /// Returns whether a planned stop has gone so far that a request might not end in time.
+    /// Returns whether a planned stop has progressed so far that a new request might not finish in time.
     ///
-    /// `longest` is how long the request may take, where that is known to be short.
-    pub fn is_too_late_for(&self, longest: Option<Duration>) -> bool {
+    /// `max_duration` is the maximum duration of the request, where it is known to be short.
+    pub fn is_too_late_for(&self, max_duration: Option<Duration>) -> bool {
         let Some(began) = self.stop_began.get() else { return false };
         let stopping = self.clock.now().since(*began);
-        let until = longest.map_or(STOP_SERVES, |longest| {
+        let until = max_duration.map_or(STOP_ACCEPT_WINDOW, |max_duration| {
             let grace = self.profile.bounds.stop_grace;
-            grace.saturating_sub(longest + STOP_MARGIN).max(STOP_SERVES)
+            grace.saturating_sub(max_duration + STOP_MARGIN).max(STOP_ACCEPT_WINDOW)
         });
         stopping > until
     }
 
-    /// Notes that the settings were read anew; what a running host uses of them does not change.
-    pub fn reloaded(&self, mistake: Option<impl std::fmt::Display>) {
-        let mistake = mistake.map(|mistake| mistake.to_string());
-        self.events.write(HostEvent::Reloaded { mistake });
+    /// Logs that the settings were checked again; a running host does not apply changes.
+    pub fn record_reload(&self, error: Option<impl std::fmt::Display>) {
+        let error = error.map(|error| error.to_string());
+        self.events.write(HostEvent::Reloaded { mistake: error });
     }
 
     /// Begins a planned stop.
@@ -273,20 +275,20 @@
 
 /// Runs a host until its planned stop has ended.
 ///
-/// The calling thread carries the traffic; one more thread keeps what the host believes.
+/// The calling thread becomes the traffic thread; the control thread is spawned.
 ///
 /// # Errors
-/// Returns that an address can not be listened on or a thread not be started.
+/// Returns that listening on an address or starting the thread failed.
 pub fn run_host(shared: &Arc<SharedState>) -> std::io::Result<()> {
     let control = Arc::clone(shared);
     let thread = std::thread::Builder::new()
         .name(String::from("control"))
-        .stack_size(CONTROL_STACK)
+        .stack_size(CONTROL_STACK_BYTES)
         .spawn(move || run_control(&control))?;
     run_traffic(shared)?;
     let open = shared.open_requests.load(Ordering::Relaxed);
     shared.events.write(HostEvent::Stopped { open });
-    // The control thread leaves the group as soon as the stop begins; it is not waited for.
+    // The control thread leaves the group when the stop begins, so there is no need to join it.
     drop(thread);
     Ok(())
 }
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -1,6 +1,6 @@
-//! Following the platform's store: configuration, engines, and the lease of placement domains.
+//! Client of the platform's store, which has the configuration, the engine entries and the leases of placement domains.
 
-pub mod eras;
+pub mod era;
 pub mod follow;
 pub mod health;
 pub mod membership;
@@ -12,190 +12,191 @@
 use tokio::{sync::watch, time::Instant};
 
 use crate::{
-    border::{BorderError, CallAnswer, CallRequest, StoreDialect},
     call::{CallClient, CallError},
-    store::eras::{EraWord, StoreEras},
+    codec::{CallRequest, CallResponse, CodecError, StoreCodec},
+    store::era::{EraStatus, EraTracker},
 };
 
-/// The first pause after a call that failed.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
+/// Delay after the first failed call.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
 
-/// The longest pause between calls that fail: a host must have heard from a store that is back within the least
-/// time that its users give, three seconds.
-pub(crate) const LONGEST_PAUSE: Duration = Duration::from_secs(2);
+/// Maximum delay between failing calls, before jitter: a host must notice within three seconds that the store has
+/// recovered.
+pub(crate) const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// How many times longer a task pauses that leaves it to another one to find out that the store is back.
-const WOKEN_STRETCH: u32 = 4;
+/// Factor on the delay of tasks that rely on another task to detect that the store has recovered.
+const PASSIVE_DELAY_FACTOR: u32 = 4;
 
-/// The longest pause of a task that is woken.
-const LONGEST_WOKEN_PAUSE: Duration = Duration::from_secs(6);
+/// Maximum delay of such a task.
+const MAX_PASSIVE_DELAY: Duration = Duration::from_secs(6);
 
-/// The longest cooldown of the store that is honoured at a time: a lease that is not renewed for longer passes on.
-const LONGEST_COOLDOWN: Duration = Duration::from_secs(1);
+/// Upper bound on a requested cooldown: a lease that is not renewed for longer expires.
+const MAX_COOLDOWN: Duration = Duration::from_secs(1);
 
-/// How logs name the store where it told of its era itself.
-const STORE_TELLS: &str = "store";
+/// Source of an era that the store itself reported, for logs.
+const STORE_SOURCE: &str = "store";
 
-/// Says how often the store has answered again after a failure.
-pub type StoreReturns = watch::Receiver<u32>;
+/// Receives the number of times that the store has recovered from a failure.
+pub type StoreRecoveries = watch::Receiver<u32>;
 
-/// Why the store gave no useful answer.
+/// Why a call to the store failed.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// There was no answer.
+    /// No response was received.
     #[error(transparent)]
     Call(#[from] CallError),
-    /// The answer was a refusal or none that can be read.
+    /// The response was a rejection or malformed.
     #[error(transparent)]
-    Answer(#[from] BorderError),
-    /// The answer is of a store that is gone: an older copy of it has taken its place since.
+    Response(#[from] CodecError),
+    /// The response is from an earlier era: the store was restored from an older copy since.
     #[error(
-        "the answer is of the store's era {told}, and its era is {known}; the call is repeated on a new connection"
+        "response is from store era {received}, but the current era is {current}; the call is retried on a new connection"
     )]
-    EarlierEra {
-        /// The era of the answer.
-        told: StoreEra,
-        /// The newest era that is known.
-        known: StoreEra,
+    StaleEra {
+        /// The era of the response.
+        received: StoreEra,
+        /// The latest known era.
+        current: StoreEra,
     },
 }
 
-/// Calls the store over one kept connection.
+/// Calls the store over a persistent connection.
 pub struct StoreClient {
-    dialect: Arc<dyn StoreDialect>,
+    codec: Arc<dyn StoreCodec>,
     client: CallClient,
     calls: Counter,
-    eras: StoreEras,
-    /// Before which moment the store wants no call.
+    eras: EraTracker,
+    /// End of the cooldown that the store requested.
     not_before: Option<Instant>,
 }
 
 impl StoreClient {
-    /// Starts without a connection; `calls` counts the calls, and `eras` hears the era of each answer.
+    /// Creates a client without a connection; `calls` counts the calls, and `eras` tracks the eras of responses.
     pub fn new(
-        dialect: Arc<dyn StoreDialect>,
+        codec: Arc<dyn StoreCodec>,
         address: SocketAddr,
         calls: Counter,
-        eras: StoreEras,
+        eras: EraTracker,
     ) -> Self {
-        Self { dialect, client: CallClient::new(address), calls, eras, not_before: None }
+        Self { codec, client: CallClient::new(address), calls, eras, not_before: None }
     }
 
-    /// Returns what translates the calls.
-    pub fn dialect(&self) -> &dyn StoreDialect {
-        &*self.dialect
+    /// Returns the codec of the store's messages.
+    pub fn codec(&self) -> &dyn StoreCodec {
+        &*self.codec
     }
 
     async fn call(
         &mut self,
         request: &CallRequest,
-        patience: Duration,
-    ) -> Result<CallAnswer, StoreError> {
-        if let Some(moment) = self.not_before.take() {
-            tokio::time::sleep_until(moment).await;
+        timeout: Duration,
+    ) -> Result<CallResponse, StoreError> {
+        if let Some(instant) = self.not_before.take() {
+            tokio::time::sleep_until(instant).await;
         }
         self.calls.inc();
-        let answer = self.client.call(request, patience).await?;
-        let cooldown = self.dialect.cooldown(&answer);
+        let response = self.client.call(request, timeout).await?;
+        let cooldown = self.codec.decode_cooldown(&response);
         self.not_before =
-            cooldown.map(|cooldown| Instant::now() + cooldown.duration().min(LONGEST_COOLDOWN));
-        let told = self.dialect.era(&answer);
-        match self.eras.hear(told, STORE_TELLS) {
-            EraWord::Newest => Ok(answer),
-            EraWord::Earlier(known) => {
+            cooldown.map(|cooldown| Instant::now() + cooldown.duration().min(MAX_COOLDOWN));
+        let received = self.codec.decode_era(&response);
+        match self.eras.observe(received, STORE_SOURCE) {
+            EraStatus::Current => Ok(response),
+            EraStatus::Stale(current) => {
                 self.client.close();
                 log::warn!(
-                    "an answer of the store's era {told} came in its era {known}; it is dropped"
+                    "dropping a response from store era {received}; the current era is {current}"
                 );
-                Err(StoreError::EarlierEra { told, known })
+                Err(StoreError::StaleEra { received, current })
             }
         }
     }
 
-    /// Returns the newest era of the store that this host has heard of.
-    pub const fn eras(&self) -> &StoreEras {
+    /// Returns the tracker of the store's era.
+    pub const fn eras(&self) -> &EraTracker {
         &self.eras
     }
 }
 
-/// Pauses that double with each failure in a row, spread so that hosts do not call together.
+/// Exponential backoff with jitter, so that hosts do not call at the same time.
 #[derive(Debug, Clone)]
 pub struct Backoff {
     failures: u32,
-    random: u64,
-    longest: Duration,
+    rng_state: u64,
+    max_delay: Duration,
 }
 
 impl Backoff {
-    /// Starts with a number that differs between hosts.
+    /// Creates a backoff; `seed` must differ between hosts.
     pub const fn new(seed: u64) -> Self {
-        Self { failures: 0, random: seed | 1, longest: LONGEST_PAUSE }
+        Self { failures: 0, rng_state: seed | 1, max_delay: MAX_BACKOFF }
     }
 
-    /// Sets the longest pause.
+    /// Sets the maximum delay, before jitter.
     #[must_use]
-    pub const fn longest(self, longest: Duration) -> Self {
-        Self { longest, ..self }
+    pub const fn with_max_delay(self, max_delay: Duration) -> Self {
+        Self { max_delay, ..self }
     }
 
-    /// Takes a success: the next failure begins with the shortest pause.
-    pub const fn succeeded(&mut self) {
+    /// Resets the delay after a successful call.
+    pub const fn reset(&mut self) {
         self.failures = 0;
     }
 
-    /// Takes a failure and returns how long to pause.
-    pub fn failed(&mut self) -> Duration {
-        let pause = FIRST_PAUSE.saturating_mul(1 << self.failures.min(6)).min(self.longest);
+    /// Records a failure and returns the delay before the next call.
+    pub fn next_delay(&mut self) -> Duration {
+        let delay = INITIAL_BACKOFF.saturating_mul(1 << self.failures.min(6)).min(self.max_delay);
         self.failures += 1;
-        self.spread(pause)
+        self.jitter(delay)
     }
 
-    /// Returns a time between three quarters and five quarters of `pause`.
-    pub fn spread(&mut self, pause: Duration) -> Duration {
-        self.random ^= self.random << 13;
-        self.random ^= self.random >> 7;
-        self.random ^= self.random << 17;
-        let part = (self.random % 1024) as f64 / 2048.0;
-        pause.mul_f64(0.75 + part)
+    /// Returns a random duration from 75 % to 125 % of `delay`.
+    pub fn jitter(&mut self, delay: Duration) -> Duration {
+        self.rng_state ^= self.rng_state << 13;
+        self.rng_state ^= self.rng_state >> 7;
+        self.rng_state ^= self.rng_state << 17;
+        let fraction = (self.rng_state % 1024) as f64 / 2048.0;
+        delay.mul_f64(0.75 + fraction)
     }
 }
 
-/// The pauses of one task among several that call the store.
+/// The backoff of one of several tasks that call the store.
 ///
-/// Each is woken by the first answer to any of them. One of them finds out that the store is back; the others call
-/// seldom by themselves, so that many hosts do not press on a store in trouble.
+/// The first response to any of the tasks wakes all of them. One task probes the store; the others retry rarely by
+/// themselves, so that many hosts do not overload a store in trouble.
 #[derive(Debug, Clone)]
-pub struct StorePause {
+pub struct StoreBackoff {
     backoff: Backoff,
-    returns: StoreReturns,
-    finds: bool,
+    recoveries: StoreRecoveries,
+    probes: bool,
 }
 
-impl StorePause {
-    /// Pauses for the task that finds out.
-    pub const fn finding(backoff: Backoff, returns: StoreReturns) -> Self {
-        Self { backoff, returns, finds: true }
+impl StoreBackoff {
+    /// Creates the backoff of the task that probes the store.
+    pub const fn probing(backoff: Backoff, recoveries: StoreRecoveries) -> Self {
+        Self { backoff, recoveries, probes: true }
     }
 
-    /// Pauses for a task that leaves that to another one.
-    pub const fn woken(backoff: Backoff, returns: StoreReturns) -> Self {
-        Self { backoff, returns, finds: false }
+    /// Creates the backoff of a task that relies on the probing one.
+    pub const fn passive(backoff: Backoff, recoveries: StoreRecoveries) -> Self {
+        Self { backoff, recoveries, probes: false }
     }
 
-    /// Takes a success: the next failure begins with the shortest pause.
-    pub const fn succeeded(&mut self) {
-        self.backoff.succeeded();
+    /// Resets the delay after a successful call.
+    pub const fn reset(&mut self) {
+        self.backoff.reset();
     }
 
-    /// Waits after a call that failed until another task's call is answered; for the task that finds out, `longest`
-    /// at most.
-    pub async fn after_failure(&mut self, longest: Duration) {
-        let mut pause = self.backoff.failed().min(longest);
-        if !self.finds {
-            pause = (pause * WOKEN_STRETCH).min(LONGEST_WOKEN_PAUSE);
+    /// Waits after a failed call until the delay is over or another task's call succeeds.
+    ///
+    /// The probing task waits for `max_delay` at most.
+    pub async fn wait_after_failure(&mut self, max_delay: Duration) {
+        let mut delay = self.backoff.next_delay().min(max_delay);
+        if !self.probes {
+            delay = (delay * PASSIVE_DELAY_FACTOR).min(MAX_PASSIVE_DELAY);
         }
-        self.returns.mark_unchanged();
-        // Either way the call is tried again; the sender is gone only when the process ends.
-        let _ = tokio::time::timeout(pause, self.returns.changed()).await;
+        self.recoveries.mark_unchanged();
+        // The call is retried in either case; the sender is dropped only when the process ends.
+        let _ = tokio::time::timeout(delay, self.recoveries.changed()).await;
     }
 }
--- a/crates/gateway/src/store/follow.rs
+++ b/crates/gateway/src/store/follow.rs
@@ -1,4 +1,4 @@
-//! Keeps up with a keyed topic: read whole at the start, then followed record by record.
+//! Following a keyed topic: a snapshot first, then its records by long polling.
 
 use std::{sync::Arc, time::Duration};
 
@@ -6,152 +6,159 @@
 use tokio::sync::watch;
 
 use crate::{
-    border::{BorderError, KeyedRecord, KeyedTopic, RecordBatch},
-    store::{StoreClient, StoreError, StorePause},
+    codec::{CodecError, KeyedRecord, KeyedTopic, RecordBatch},
+    store::{StoreBackoff, StoreClient, StoreError},
 };
 
-/// How long a call that is not held may take.
-const CALL_PATIENCE: Duration = Duration::from_millis(1500);
+/// Timeout of a call that is not a long poll.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// How long a call may take that finds out whether the store is back: a call that the store does not answer must not
-/// hide that it answers others.
-const PROBE_PATIENCE: Duration = Duration::from_millis(400);
+/// Timeout of a call that probes whether the store has recovered. It is short, because one lost call must not hide that
+/// the store responds to others.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How long the store holds a call for which there is no record yet, where nobody asks for less.
-pub const READ_WAIT: Duration = Duration::from_secs(2);
+/// Default duration for which the store holds a long poll without new records.
+pub const LONG_POLL_WAIT: Duration = Duration::from_secs(2);
 
-/// How long a held call may take beyond its wait: twice what a store takes whose answers take fifty times as long as
-/// usual (4 ms).
-const READ_PATIENCE: Duration = Duration::from_millis(400);
+/// Timeout of a long poll beyond its wait: twice the response time of a store that is 50 times slower than the usual
+/// 4 ms.
+const LONG_POLL_MARGIN: Duration = Duration::from_millis(400);
 
-/// What was learned of a topic.
+/// An update of a followed topic.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TopicUpdate {
-    /// The newest record of every key, up to an end of the topic.
-    Whole {
+    /// The latest record of every key, up to the end of the topic.
+    Snapshot {
         /// The records.
         records: Vec<KeyedRecord>,
         /// The end of the topic.
         end: StorePosition,
-        /// When the store was asked: whatever it had taken by then is among the records.
-        asked: ClockMillis,
+        /// When the snapshot was requested; it has everything that the store had accepted by then.
+        requested_at: ClockMillis,
     },
-    /// Records that followed.
+    /// Records after the last update.
     Records {
         /// The records.
         records: Vec<KeyedRecord>,
-        /// When the store was asked, where the records are all that it had taken by then.
-        asked: Option<ClockMillis>,
+        /// When the records were requested; absent when the store may have accepted more by then.
+        requested_at: Option<ClockMillis>,
     },
-    /// The store gave no useful answer.
-    Away,
+    /// A call to the store failed.
+    Unavailable,
 }
 
-/// How a topic is followed.
-pub struct FollowTerms {
+/// Options for following a topic.
+pub struct FollowOptions {
     /// The topic.
     pub topic: KeyedTopic,
-    /// The least time between two calls, so that a busy topic is read in batches.
-    pub rest: Duration,
-    /// How long the store holds a call for which there is no record yet.
-    pub wait: Duration,
-    /// Tells when the store was asked.
+    /// Delay before each long poll, so that a busy topic is read in batches.
+    pub min_interval: Duration,
+    /// How long the store holds a long poll without new records.
+    pub poll_wait: Duration,
+    /// The clock for the times of requests.
     pub clock: Arc<dyn ClockSource>,
-    /// The longest pause between calls that fail, at the moment.
-    pub longest_pause: Box<dyn Fn() -> Duration>,
+    /// Returns the current maximum delay between failing calls.
+    pub max_backoff: Box<dyn Fn() -> Duration>,
 }
 
-/// Follows a topic for ever and hands every update to `sink`.
+/// Follows a topic and passes every update to `sink`, until the sender of `following` is dropped.
 ///
-/// While `gate` holds true another host reads the topic for this one.
+/// While `following` is true, another host reads the topic for this one.
 pub async fn follow_topic(
     mut client: StoreClient,
-    terms: FollowTerms,
-    mut pause: StorePause,
-    mut gate: watch::Receiver<bool>,
+    options: FollowOptions,
+    mut backoff: StoreBackoff,
+    mut following: watch::Receiver<bool>,
     sink: impl Fn(TopicUpdate),
 ) {
     loop {
-        // Waiting fails only when the control state is gone, and with it this task.
-        if gate.wait_for(|follows| !*follows).await.is_err() {
+        // Waiting fails only when the control state is dropped.
+        if following.wait_for(|is_following| !*is_following).await.is_err() {
             return;
         }
-        let (topic, asked) = (terms.topic, terms.clock.now());
-        let from = match read_whole(&mut client, topic).await {
+        let (topic, requested_at) = (options.topic, options.clock.now());
+        let from = match read_snapshot(&mut client, topic).await {
             Ok((records, end)) => {
-                pause.succeeded();
-                sink(TopicUpdate::Whole { records, end, asked });
+                backoff.reset();
+                sink(TopicUpdate::Snapshot { records, end, requested_at });
                 end
             }
             Err(error) => {
                 log::debug!("{topic:?}: {error}");
-                sink(TopicUpdate::Away);
-                pause.after_failure((terms.longest_pause)()).await;
+                sink(TopicUpdate::Unavailable);
+                backoff.wait_after_failure((options.max_backoff)()).await;
                 continue;
             }
         };
         let eras = client.eras().clone();
-        let reading = follow_records(&mut client, &terms, &mut pause, from, &sink);
+        let reading = follow_records(&mut client, &options, &mut backoff, from, &sink);
         tokio::select! {
             () = reading => {}
-            follows = gate.wait_for(|follows| *follows) => drop(follows),
-            // What was read belongs to a store that is gone; a call that it holds may never be answered.
-            () = eras.later_than(from.era) => {}
+            is_following = following.wait_for(|is_following| *is_following) => drop(is_following),
+            // The records read are of an earlier era, and the pending long poll may never get a response.
+            () = eras.wait_until_later(from.era) => {}
         }
     }
 }
 
-/// Follows records from a position on, until they are gone or the store tells of another era: then the topic must be read whole
-/// again.
+/// Follows records from a position on, until they no longer exist or the store's era changes. The topic then needs a new
+/// snapshot.
 async fn follow_records(
     client: &mut StoreClient,
-    terms: &FollowTerms,
-    pause: &mut StorePause,
+    options: &FollowOptions,
+    backoff: &mut StoreBackoff,
     mut from: StorePosition,
     sink: &impl Fn(TopicUpdate),
 ) {
-    let topic = terms.topic;
-    let mut away = false;
+    let topic = options.topic;
+    let mut unavailable = false;
     loop {
-        if !away {
-            tokio::time::sleep(terms.rest).await;
+        if !unavailable {
+            tokio::time::sleep(options.min_interval).await;
         }
-        let asked = terms.clock.now();
-        let read = if away {
-            read_on(client, topic, from, Duration::ZERO, PROBE_PATIENCE).await
+        let requested_at = options.clock.now();
+        let read = if unavailable {
+            read_records(client, topic, from, Duration::ZERO, PROBE_TIMEOUT).await
         } else {
-            read_on(client, topic, from, terms.wait, terms.wait + READ_PATIENCE).await
+            read_records(
+                client,
+                topic,
+                from,
+                options.poll_wait,
+                options.poll_wait + LONG_POLL_MARGIN,
+            )
+            .await
         };
         match read {
             Ok(batch) => {
-                pause.succeeded();
-                // The records between the end of the copy and this position were never read.
+                backoff.reset();
+                // Records between the end of the restored copy and this position were never read.
                 if batch.next.era != from.era {
                     return;
                 }
-                away = false;
+                unavailable = false;
                 from = batch.next;
-                // A batch may be cut at the most that one read returns.
-                let asked = (from >= batch.end).then_some(asked);
-                sink(TopicUpdate::Records { records: batch.records, asked });
+                // The store limits the size of a batch, so it may not reach the end of the topic.
+                let requested_at = (from >= batch.end).then_some(requested_at);
+                sink(TopicUpdate::Records { records: batch.records, requested_at });
             }
-            Err(StoreError::Answer(BorderError::Gone)) => return,
+            Err(StoreError::Response(CodecError::Gone)) => return,
             Err(error) => {
                 log::debug!("{topic:?} from {from:?}: {error}");
-                away = true;
-                sink(TopicUpdate::Away);
-                pause.after_failure((terms.longest_pause)()).await;
+                unavailable = true;
+                sink(TopicUpdate::Unavailable);
+                backoff.wait_after_failure((options.max_backoff)()).await;
             }
         }
     }
 }
 
-/// Reads the newest record of every key; returns them with the end of the topic from which to read on.
+/// Reads a snapshot; returns the latest record of every key and the position from which to follow the topic.
 ///
-/// That is the end as the first page tells it: records that came while later pages were made may belong to keys of
-/// earlier ones, and would be missed for good from the last page's end on. Pages of two eras do not go together: the first
-/// pages are read again.
-async fn read_whole(
+/// The position is the end of the topic as of the first page: records written during later pages may belong to keys of
+/// earlier pages, and following from the last page's end would miss them. If the era changes between pages, the snapshot
+/// is restarted.
+async fn read_snapshot(
     client: &mut StoreClient,
     topic: KeyedTopic,
 ) -> Result<(Vec<KeyedRecord>, StorePosition), StoreError> {
@@ -159,9 +166,9 @@
     let mut first_end: Option<StorePosition> = None;
     loop {
         let after = records.last().map(|record| record.key.as_str());
-        let call = client.dialect().newest(topic, after);
-        let answer = client.call(&call, CALL_PATIENCE).await?;
-        let page = client.dialect().newest_answer(&answer)?;
+        let call = client.codec().encode_snapshot_request(topic, after);
+        let response = client.call(&call, CALL_TIMEOUT).await?;
+        let page = client.codec().decode_snapshot_page(&response)?;
         let end = *first_end.get_or_insert(page.end);
         if end.era != page.end.era {
             records.clear();
@@ -176,14 +183,14 @@
     }
 }
 
-async fn read_on(
+async fn read_records(
     client: &mut StoreClient,
     topic: KeyedTopic,
     from: StorePosition,
     wait: Duration,
-    patience: Duration,
+    timeout: Duration,
 ) -> Result<RecordBatch, StoreError> {
-    let call = client.dialect().read(topic, from, wait);
-    let answer = client.call(&call, patience).await?;
-    Ok(client.dialect().read_answer(from, &answer)?)
+    let call = client.codec().encode_read_request(topic, from, wait);
+    let response = client.call(&call, timeout).await?;
+    Ok(client.codec().decode_records(from, &response)?)
 }
--- a/crates/gateway/src/traffic.rs
+++ b/crates/gateway/src/traffic.rs
@@ -153,13 +153,13 @@
         tokens_ahead: u64,
         time: Duration,
     ) {
-        let mut speeds = self.shared.reading();
+        let mut speeds = self.shared.prefill_speeds();
         speeds.entry(Arc::clone(service)).or_default().record(prompt_tokens, tokens_ahead, time);
     }
 
     /// Returns the estimated prefill time of a number of tokens at an engine of a service.
     pub fn prefill_time_for(&self, service: &str, tokens: u64) -> Duration {
-        let speeds = self.shared.reading();
+        let speeds = self.shared.prefill_speeds();
         speeds.get(service).map_or(Duration::ZERO, |speed| speed.time_for(tokens))
     }
 
@@ -201,7 +201,7 @@
     ///
     /// Returns false if none is left.
     pub fn try_spend_retry(&self, service: &ServiceName) -> bool {
-        let allowance = &self.shared.profile.bounds.retries;
+        let allowance = &self.shared.profile.bounds.retry_policy;
         let hosts = self.table().hosts;
         let spent = self.retry_share(service).try_spend(allowance, hosts, self.now());
         let metrics = &self.shared.metrics;
@@ -268,7 +268,7 @@
             .borrow_mut()
             .retain(|_, reported_at| now.since(*reported_at) < ABSENCE_TTL);
         self.update_suspect_metrics(now);
-        let allowance = &self.shared.profile.bounds.retries;
+        let allowance = &self.shared.profile.bounds.retry_policy;
         for share in self.retry_shares.borrow_mut().values_mut() {
             share.expire_requests(allowance, now);
         }
@@ -287,18 +287,20 @@
 
 async fn run(shared: &Arc<SharedState>) -> std::io::Result<()> {
     let traffic = Rc::new(TrafficState::new(Arc::clone(shared)));
-    let clients = bind_with_retry(shared.profile.clients).await?;
-    let readiness = bind_with_retry(shared.profile.readiness).await?;
-    match bind_with_retry(shared.profile.metrics).await {
+    let clients = bind_with_retry(shared.profile.client_address).await?;
+    let readiness = bind_with_retry(shared.profile.readiness_address).await?;
+    match bind_with_retry(shared.profile.metrics_address).await {
         Ok(metrics) => {
             tokio::task::spawn_local(probe::serve_metrics(Rc::clone(&traffic), metrics));
         }
         // Requests are served without metrics too.
-        Err(error) => log::warn!("no metrics endpoint at {}: {error}", shared.profile.metrics),
+        Err(error) => {
+            log::warn!("no metrics endpoint at {}: {error}", shared.profile.metrics_address)
+        }
     }
     shared.events.write(crate::events::HostEvent::Started {
         clients: clients.local_addr()?,
-        peers: shared.profile.peers,
+        peers: shared.profile.peer_address,
     });
     tokio::task::spawn_local(connection::accept_clients(Rc::clone(&traffic), clients));
     tokio::task::spawn_local(probe::serve_readiness(Rc::clone(&traffic), readiness));
--- a/crates/gateway/src/traffic/attempt.rs
+++ b/crates/gateway/src/traffic/attempt.rs
@@ -15,7 +15,7 @@
 };
 
 use crate::{
-    border::SendTerms,
+    codec::ForwardMetadata,
     engines::{ConnectOptions, EngineConnection, EnginePool, EngineResponse, send_request},
     host::ResponseKind,
     traffic::{
@@ -91,7 +91,7 @@
             return SendOutcome::NotSent;
         };
         if !connection.reused {
-            self.traffic.shared.metrics.connects.inc();
+            self.traffic.shared.metrics.engine_connects.inc();
         }
         let request = match self.begin_send(entry, version, None, &mut permit) {
             Ok(request) => request,
@@ -101,7 +101,7 @@
             }
         };
         let sent_at = self.traffic.now();
-        let dialect = Arc::clone(&self.traffic.shared.dialects.exchange);
+        let dialect = Arc::clone(&self.traffic.shared.codecs.request);
         let deadline_expired = self.deadline.clone().expired(DEADLINE_SLACK);
         let first_byte_timeout = self.first_byte_timeout(entry);
         let sending = send_request(
@@ -281,7 +281,7 @@
         if response.unrelated_announcements != EngineAnnouncements::default() {
             // The send time of the other request is unknown, so missing announcements carry no
             // meaning.
-            shared.note_announcements(
+            shared.record_announcements(
                 entry,
                 &response.unrelated_announcements,
                 sent_at,
@@ -291,7 +291,7 @@
         let facts = &response.facts;
         let ran = facts.signed && !facts.not_run && !facts.misdirected;
         let kind = if ran { ResponseKind::Accepted } else { ResponseKind::Rejected };
-        shared.note_announcements(entry, &facts.announcements, sent_at, kind);
+        shared.record_announcements(entry, &facts.announcements, sent_at, kind);
         if facts.not_run {
             let cooldown = matches!(facts.announcements.cooldown, Declared::Present(_));
             shared.metrics.count_rejection(self.sends > 1, cooldown);
@@ -310,7 +310,7 @@
         version: Option<WeightVersion>,
         resume_after: Option<&str>,
     ) -> Bytes {
-        let terms = SendTerms {
+        let terms = ForwardMetadata {
             engine: &entry.name,
             remaining: self.deadline.remaining(),
             priority: self.priority(),
@@ -318,7 +318,7 @@
             version,
             resume_after,
         };
-        let dialect = &*self.traffic.shared.dialects.exchange;
+        let dialect = &*self.traffic.shared.codecs.request;
         forwarded_request(dialect, &self.request, &terms)
     }
 }
--- a/crates/gateway/src/traffic/connection.rs
+++ b/crates/gateway/src/traffic/connection.rs
@@ -72,7 +72,7 @@
     loop {
         match listener.accept().await {
             Ok((socket, _)) => {
-                if traffic.connections.get() < traffic.shared.profile.most_connections {
+                if traffic.connections.get() < traffic.shared.profile.max_connections {
                     tokio::task::spawn_local(serve_client(Rc::clone(&traffic), socket));
                 }
             }
@@ -124,7 +124,7 @@
             Ok(request) => request,
             Err(ReadFailure::Disconnected) => return,
             Err(ReadFailure::Respond(response)) => {
-                let bytes = response.write(&*traffic.shared.dialects.exchange, None, true);
+                let bytes = response.write(&*traffic.shared.codecs.request, None, true);
                 if client.write(&bytes).await.is_ok() {
                     client.finish(LINGER_TIMEOUT).await;
                 }
@@ -223,7 +223,7 @@
 
 fn reserve_body(traffic: &Rc<TrafficState>, bytes: usize) -> Result<BodyReservation, ReadFailure> {
     let reserved = traffic.body_bytes.get() + bytes;
-    if reserved > traffic.shared.profile.most_body_bytes {
+    if reserved > traffic.shared.profile.max_body_bytes {
         let text = "this host holds too many bodies; come back shortly";
         let response = LocalResponse::refusal(text, Duration::from_millis(500));
         return Err(ReadFailure::Respond(response));
--- a/crates/gateway/src/traffic/deadline.rs
+++ b/crates/gateway/src/traffic/deadline.rs
@@ -4,7 +4,7 @@
 
 use reelreel_core::{ClockMillis, ClockSource};
 
-use crate::timer::reached;
+use crate::timer::sleep_until;
 
 /// Deadline of a request, by a clock that advances while the host is suspended.
 #[derive(Clone)]
@@ -26,6 +26,6 @@
 
     /// Waits until `slack` after the deadline.
     pub async fn expired(self, slack: Duration) {
-        reached(&*self.clock, self.expires_at + slack).await;
+        sleep_until(&*self.clock, self.expires_at + slack).await;
     }
 }
--- a/crates/gateway/src/traffic/pick.rs
+++ b/crates/gateway/src/traffic/pick.rs
@@ -269,6 +269,6 @@
     };
     let Some(published) = table.versions.get(key) else { return CopyUsability::Usable(None) };
     let usable =
-        published.allows(resident_version, traffic.shared.profile.bounds.version_apply, now);
+        published.allows(resident_version, traffic.shared.profile.bounds.max_version_delay, now);
     if usable { CopyUsability::Usable(Some(resident_version)) } else { CopyUsability::Unusable }
 }
--- a/crates/gateway/src/traffic/prepare.rs
+++ b/crates/gateway/src/traffic/prepare.rs
@@ -14,7 +14,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::{
-    border::RequestFacts,
+    codec::RequestMetadata,
     events::{HostEvent, RequestEvent},
     metrics::RequestLabels,
     traffic::{
@@ -31,7 +31,7 @@
 #[derive(Debug)]
 pub struct PreparedRequest {
     /// Values read from its header fields.
-    pub facts: RequestFacts,
+    pub facts: RequestMetadata,
     /// Its route.
     pub route: Arc<RouteEntry>,
     /// The service that runs it.
@@ -79,7 +79,7 @@
 ) -> Result<PreparedRequest, EarlyRefusal> {
     let serves_keys = traffic.shared.serves_keys(request.arrived);
     let table = traffic.table();
-    let facts = traffic.shared.dialects.exchange.request_facts(&request.head);
+    let facts = traffic.shared.codecs.request.decode_request(&request.head);
     let facts = facts.map_err(|_| INVALID_FIELDS)?;
     let Some(routes) = table.routes.as_ref().filter(|_| table.engines_known) else {
         return Err(NOT_READY.into());
@@ -113,7 +113,7 @@
 /// Returns the parts of a request that identify it when it is repeated.
 fn marked_request<'request>(
     request: &'request ClientRequest,
-    facts: &'request RequestFacts,
+    facts: &'request RequestMetadata,
     organisation: Option<&'request OrganisationEntry>,
 ) -> RequestIdentity<'request> {
     RequestIdentity {
@@ -135,7 +135,8 @@
 ) -> Result<u64, EarlyRefusal> {
     let Some(limit) = &organisation.quota else { return Ok(0) };
     let cost = limit.cost(tokens);
-    let terms = QuotaContext { limit, tolerance: &traffic.shared.profile.bounds.quota, hosts };
+    let terms =
+        QuotaContext { limit, tolerance: &traffic.shared.profile.bounds.quota_tolerance, hosts };
     let spent = traffic.shared.quotas().take(&organisation.name, cost, &terms, traffic.now());
     match spent {
         Ok(()) => Ok(cost),
@@ -158,8 +159,8 @@
     // Closing the connection lets a retry reach a host that can validate keys.
     let retry_elsewhere = response == KEY_VALIDITY_UNKNOWN;
     let keep = request.head.keeps_connection() && !traffic.shared.is_stopping() && !retry_elsewhere;
-    let dialect = &traffic.shared.dialects.exchange;
-    let facts = dialect.request_facts(&request.head).ok();
+    let dialect = &traffic.shared.codecs.request;
+    let facts = dialect.decode_request(&request.head).ok();
     let fingerprint = facts.as_ref().and_then(|facts| facts.key.fingerprint());
     let id = facts.map(|facts| facts.id);
     let bytes = response.write(&**dialect, id.as_deref(), !keep);
--- a/crates/gateway/src/traffic/refusal.rs
+++ b/crates/gateway/src/traffic/refusal.rs
@@ -154,7 +154,7 @@
         outcome: &'static str,
     ) -> (ConnectionAction, &'static str) {
         let keep = self.keeps_client_connection();
-        let dialect = &*self.traffic.shared.dialects.exchange;
+        let dialect = &*self.traffic.shared.codecs.request;
         let bytes = response.write(dialect, Some(&self.facts.id), !keep);
         self.status = response.status;
         let written = self.client.write(&bytes).await.is_ok();
