--- a/crates/gateway/examples/path_cost.rs
+++ b/crates/gateway/examples/path_cost.rs
@@ -21,7 +21,7 @@
     time::{Duration, Instant},
 };
 
-use engine::EngineMood;
+use engine::EngineBehaviour;
 use site::{MODEL_NAME, TestSite};
 
 /// How many requests are timed of each kind.
@@ -45,13 +45,13 @@
     let site = TestSite::start();
     let host = site.host("path-cost");
     for engine in &site.engines {
-        engine.treat(&[EngineMood::Stream(2)]);
+        engine.set_behaviours(&[EngineBehaviour::Stream(2)]);
     }
     println!("kind     where    median us  99th us");
     for kind in KINDS {
         let target = if kind.model.is_some() { &site.engines[0] } else { &site.plain };
         report(kind, "engine", target.address, &target.name);
-        report(kind, "host", host.clients, &target.name);
+        report(kind, "host", host.client_address, &target.name);
     }
 }
 
--- a/crates/gateway/tests/host/announcements.rs
+++ b/crates/gateway/tests/host/announcements.rs
@@ -6,104 +6,108 @@
 };
 
 use crate::{
-    engine::{EngineMood, FIRST_BIRTH, StandInEngine},
-    fleet::{LoadFigures, TestFleet},
-    site::{MODEL_NAME, PATIENCE, TestSite, wait_until},
+    engine::{EngineBehaviour, FIRST_INCARNATION, StandInEngine},
+    fleet::{LoadResults, TestFleet},
+    site::{MODEL_NAME, TestSite, WAIT_LIMIT, wait_until},
 };
 
 /// Within which time after a host was told of a departure it must send the engine nothing more.
-const DEPARTURE_APPLIES: Duration = Duration::from_secs(2);
+const DEPARTURE_APPLY_LIMIT: Duration = Duration::from_secs(2);
 
 /// Within which time after the first host was told of a departure no host must send the engine anything more.
-const DEPARTURE_SPREADS: Duration = Duration::from_secs(1);
+const DEPARTURE_SPREAD_LIMIT: Duration = Duration::from_secs(1);
 
 /// After which time requests that were under way when a cooldown was asked for no longer excuse anything.
 const COOLDOWN_GRACE: Duration = Duration::from_millis(500);
 
 /// How many requests of a host may reach an engine within a cooldown after that.
-const MOST_IN_COOLDOWN: usize = 2;
+const MAX_REQUESTS_IN_COOLDOWN: usize = 2;
 
 /// Within which time a request is refused that no engine takes.
-const AT_ONCE: Duration = Duration::from_millis(150);
+const REFUSAL_LIMIT: Duration = Duration::from_millis(150);
 
 /// While the store was away, hosts passed on responses of an engine which said that it leaves, and went on sending it two
 /// requests a second until its end.
 #[test]
-fn an_engine_that_announces_its_departure_gets_no_more_requests_while_the_store_is_away() {
+fn an_engine_that_announces_its_departure_gets_no_requests_during_a_store_outage() {
     let fleet = TestFleet::start("assist", 6, 3);
     fleet.site.store.refuse(true);
     let leaving = &fleet.engines[0];
     leaving.announce_departure("yes");
-    let (served, asked) = fleet.load(20, Duration::from_secs(4));
-    assert!(leaving.departure_told().is_some(), "a host was told");
-    assert_eq!(leaving.requests_after_departure(DEPARTURE_APPLIES), 0);
-    assert_eq!(served, asked, "the others have room for everything");
+    let (served, sent) = fleet.run_load(20, Duration::from_secs(4));
+    assert!(leaving.first_departure_announcement().is_some(), "a host was told");
+    assert_eq!(leaving.requests_after_departure(DEPARTURE_APPLY_LIMIT), 0);
+    assert_eq!(served, sent, "the others have room for everything");
 }
 
 /// The host that received the announcement tells the others, so that an engine about to end is left by all of them at once.
 #[test]
-fn all_hosts_learn_of_a_departure_from_the_first_while_the_store_is_away() {
+fn a_departure_spreads_to_all_hosts_during_a_store_outage() {
     let fleet = TestFleet::start("assist", 4, 4);
     fleet.site.store.refuse(true);
     let leaving = &fleet.engines[0];
     leaving.announce_departure("yes");
     wait_until("the first host is told", || {
-        fleet.ask(&fleet.hosts[0], "told");
-        leaving.departure_told().is_some()
+        fleet.serves(&fleet.hosts[0], "told");
+        leaving.first_departure_announcement().is_some()
     });
     let all_know = || {
         let mut hosts = fleet.hosts.iter();
         hosts.all(|host| host.shared.metrics.departing_engines.get() == 1)
     };
     wait_until("all hosts know", all_know);
-    let told = leaving.departure_told().expect("a host was told");
-    assert!(told.elapsed() < DEPARTURE_SPREADS, "known by all only after {:?}", told.elapsed());
+    let announced = leaving.first_departure_announcement().expect("a host was told");
+    assert!(
+        announced.elapsed() < DEPARTURE_SPREAD_LIMIT,
+        "known by all only after {:?}",
+        announced.elapsed()
+    );
     let began = Instant::now();
-    let (served, asked) = fleet.load(20, Duration::from_secs(1));
+    let (served, sent) = fleet.run_load(20, Duration::from_secs(1));
     assert_eq!(leaving.requests_since(began), 0);
-    assert_eq!(served, asked, "the others have room for everything");
+    assert_eq!(served, sent, "the others have room for everything");
 }
 
 /// A host that starts while the store is away learns of departures from its peers.
 #[test]
-fn a_host_that_starts_while_the_store_is_away_sends_nothing_to_a_leaving_engine() {
+fn a_host_that_starts_during_a_store_outage_sends_nothing_to_a_leaving_engine() {
     let mut fleet = TestFleet::start("assist", 2, 2);
     fleet.site.store.refuse(true);
     fleet.engines[0].announce_departure("yes");
-    fleet.load(20, Duration::from_secs(1));
-    assert!(fleet.engines[0].departure_told().is_some(), "a host was told");
+    fleet.run_load(20, Duration::from_secs(1));
+    assert!(fleet.engines[0].first_departure_announcement().is_some(), "a host was told");
     let seeds = fleet.hosts.iter().map(|host| host.shared.profile.peers).collect();
-    let late = fleet.site.cold_host("late", seeds);
+    let late = fleet.site.start_host("late", seeds);
     late.wait_ready();
     fleet.hosts = vec![late];
     let began = Instant::now();
-    let (served, asked) = fleet.load(20, Duration::from_secs(1));
+    let (served, sent) = fleet.run_load(20, Duration::from_secs(1));
     assert_eq!(fleet.engines[0].requests_since(began), 0);
-    assert_eq!(served, asked, "the other has room for everything");
+    assert_eq!(served, sent, "the other has room for everything");
 }
 
 /// The engine's entry still says that it takes requests, and the store repeats it: the announcement holds until that
 /// incarnation ends, and not beyond.
 #[test]
-fn a_departure_holds_for_one_incarnation_whatever_its_entry_says() {
+fn a_departure_applies_to_one_incarnation_regardless_of_its_entry() {
     let fleet = TestFleet::start("assist", 2, 2);
     let leaving = &fleet.engines[0];
     leaving.announce_departure("yes");
-    fleet.load(20, Duration::from_secs(1));
-    let told = leaving.departure_told().expect("a host was told");
+    fleet.run_load(20, Duration::from_secs(1));
+    let announced = leaving.first_departure_announcement().expect("a host was told");
     for _ in 0..3 {
         fleet.site.store.put("engines", &leaving.name, &leaving.entry("assist", false));
-        let (served, asked) = fleet.load(10, Duration::from_secs(1));
-        assert_eq!(served, asked);
+        let (served, sent) = fleet.run_load(10, Duration::from_secs(1));
+        assert_eq!(served, sent);
     }
-    assert_eq!(leaving.requests_since(told + DEPARTURE_SPREADS), 0);
-    leaving.restart(&[MODEL_NAME], FIRST_BIRTH + 1);
-    leaving.withdraw_announcements();
+    assert_eq!(leaving.requests_since(announced + DEPARTURE_SPREAD_LIMIT), 0);
+    leaving.restart(&[MODEL_NAME], FIRST_INCARNATION + 1);
+    leaving.withdraw_departure();
     fleet.site.store.put("engines", &leaving.name, &leaving.entry("assist", false));
     // Which of two idle engines gets a request depends on how quickly they responded before.
-    fleet.engines[1].reject_for(Some(Duration::from_secs(5)));
+    fleet.engines[1].reject_with_cooldown(Some(Duration::from_secs(5)));
     wait_until("the next incarnation gets requests", || {
-        fleet.ask(&fleet.hosts[0], "again");
+        fleet.serves(&fleet.hosts[0], "again");
         !leaving.runs().is_empty()
     });
 }
@@ -114,8 +118,8 @@
     let fleet = TestFleet::start("assist", 2, 1);
     fleet.engines[0].announce_departure("maybe");
     let began = Instant::now();
-    let (served, asked) = fleet.load(20, Duration::from_secs(2));
-    assert_eq!(served, asked);
+    let (served, sent) = fleet.run_load(20, Duration::from_secs(2));
+    assert_eq!(served, sent);
     assert!(fleet.engines[0].requests_since(began + Duration::from_secs(1)) > 0);
     assert_eq!(fleet.hosts[0].shared.metrics.departing_engines.get(), 0);
 }
@@ -123,68 +127,80 @@
 /// An engine that rejected requests for an adapter which only it held, and asked for three seconds without any, got up to ten
 /// from one host in that time, though others had room for the adapter.
 #[test]
-fn an_engine_gets_no_requests_within_a_cooldown_that_it_asked_for() {
+fn an_engine_gets_no_requests_during_its_cooldown() {
     let mut fleet = TestFleet::start("assist", 3, 3);
     let holder = fleet.load_rare_adapter();
     let cooling = &fleet.engines[holder];
-    cooling.reject_for(Some(Duration::from_secs(3)));
+    cooling.reject_with_cooldown(Some(Duration::from_secs(3)));
     let began = Instant::now();
-    let (served, asked) = fleet.load(10, Duration::from_secs(4));
+    let (served, sent) = fleet.run_load(10, Duration::from_secs(4));
     assert!(cooling.requests_since(began) >= 1, "it rejected a request");
-    let most = cooling.most_requests_in_a_cooldown(COOLDOWN_GRACE);
-    assert!(most <= MOST_IN_COOLDOWN, "{most} requests of one host within a cooldown");
+    let requests = cooling.max_requests_in_cooldown(COOLDOWN_GRACE);
+    assert!(
+        requests <= MAX_REQUESTS_IN_COOLDOWN,
+        "{requests} requests of one host within a cooldown"
+    );
     // What comes while the adapter is loaded elsewhere may be told to come back.
-    assert!(served * 20 >= asked * 19, "{served} of {asked} are served");
+    assert!(served * 20 >= sent * 19, "{served} of {sent} are served");
 }
 
 /// A server of a plain service asks for a cooldown: requests go to the others at once.
 #[test]
-fn a_plain_server_gets_no_requests_within_a_cooldown_that_it_asked_for() {
+fn a_plain_server_gets_no_requests_during_its_cooldown() {
     let fleet = TestFleet::start("plain", 3, 3);
     let cooling = &fleet.engines[0];
-    cooling.reject_for(Some(Duration::from_secs(2)));
+    cooling.reject_with_cooldown(Some(Duration::from_secs(2)));
     let began = Instant::now();
-    let (served, asked) = fleet.load(20, Duration::from_secs(5));
+    let (served, sent) = fleet.run_load(20, Duration::from_secs(5));
     assert!(cooling.requests_since(began) >= 1, "it rejected a request");
-    let most = cooling.most_requests_in_a_cooldown(COOLDOWN_GRACE);
-    assert!(most <= MOST_IN_COOLDOWN, "{most} requests of one host within a cooldown");
-    assert_eq!(served, asked, "the others have room for everything");
+    let requests = cooling.max_requests_in_cooldown(COOLDOWN_GRACE);
+    assert!(
+        requests <= MAX_REQUESTS_IN_COOLDOWN,
+        "{requests} requests of one host within a cooldown"
+    );
+    assert_eq!(served, sent, "the others have room for everything");
 }
 
 /// A repeat after an error of one server does not go to another one within its cooldown.
 #[test]
-fn a_repeat_is_not_sent_within_a_cooldown() {
+fn a_retry_is_not_sent_during_a_cooldown() {
     let fleet = TestFleet::start("plain", 2, 1);
-    fleet.engines[0].treat(&[EngineMood::Error]);
+    fleet.engines[0].set_behaviours(&[EngineBehaviour::Error]);
     let cooling = &fleet.engines[1];
-    cooling.reject_for(Some(Duration::from_secs(3)));
-    fleet.load(20, Duration::from_secs(2));
-    let most = cooling.most_requests_in_a_cooldown(COOLDOWN_GRACE);
-    assert!(cooling.cooldowns_end().is_some(), "it asked for a cooldown");
-    assert!(most <= MOST_IN_COOLDOWN, "{most} requests within a cooldown");
+    cooling.reject_with_cooldown(Some(Duration::from_secs(3)));
+    fleet.run_load(20, Duration::from_secs(2));
+    let requests = cooling.max_requests_in_cooldown(COOLDOWN_GRACE);
+    assert!(cooling.last_cooldown_end().is_some(), "it asked for a cooldown");
+    assert!(requests <= MAX_REQUESTS_IN_COOLDOWN, "{requests} requests within a cooldown");
 }
 
 /// Requests were held for 1.3 s and sent to each engine in turn again and again while all of them rejected everything.
 #[test]
-fn where_all_engines_are_within_a_cooldown_requests_are_refused_at_once() {
+fn requests_are_refused_immediately_when_all_engines_are_cooling_down() {
     for service in ["assist", "plain"] {
         let fleet = TestFleet::start(service, 3, 2);
         for engine in &fleet.engines {
-            engine.reject_for(Some(Duration::from_secs(3)));
+            engine.reject_with_cooldown(Some(Duration::from_secs(3)));
         }
-        let (served, _) = fleet.load(20, Duration::from_secs(2));
+        let (served, _) = fleet.run_load(20, Duration::from_secs(2));
         assert_eq!(served, 0);
         for engine in &fleet.engines {
-            let most = engine.most_requests_in_a_cooldown(COOLDOWN_GRACE);
-            assert!(most <= MOST_IN_COOLDOWN, "{service}: {most} requests within a cooldown");
+            let requests = engine.max_requests_in_cooldown(COOLDOWN_GRACE);
+            assert!(
+                requests <= MAX_REQUESTS_IN_COOLDOWN,
+                "{service}: {requests} requests within a cooldown"
+            );
         }
         let began = Instant::now();
         let response = fleet.post(&fleet.hosts[0], "late");
-        assert!(began.elapsed() < AT_ONCE, "{service}: refused after {:?}", began.elapsed());
-        let told = retry_after(&response).expect("a time to come back");
-        let ends = fleet.engines.iter().filter_map(StandInEngine::cooldowns_end).min();
-        let left = ends.expect("a cooldown").saturating_duration_since(began);
-        assert!(told + COOLDOWN_GRACE >= left, "{service}: told {told:?}, {left:?} are left");
+        assert!(began.elapsed() < REFUSAL_LIMIT, "{service}: refused after {:?}", began.elapsed());
+        let retry_delay = retry_after(&response).expect("a time to come back");
+        let ends = fleet.engines.iter().filter_map(StandInEngine::last_cooldown_end).min();
+        let remaining = ends.expect("a cooldown").saturating_duration_since(began);
+        assert!(
+            retry_delay + COOLDOWN_GRACE >= remaining,
+            "{service}: Retry-After {retry_delay:?}, remaining {remaining:?}"
+        );
     }
 }
 
@@ -197,7 +213,7 @@
 
 /// Callers are served by the engines that are left, or refused soon.
 #[test]
-fn callers_are_served_by_the_engines_that_take_requests() {
+fn callers_are_served_by_the_engines_that_accept_requests() {
     let case = |service, cooling, leaving| CallerCase { service, cooling, leaving };
     let cases = [
         case("assist", 1, 0),
@@ -212,16 +228,17 @@
     for case in cases {
         let fleet = TestFleet::start(case.service, 6, 3);
         for engine in fleet.engines.iter().take(case.cooling) {
-            engine.reject_for(Some(Duration::from_secs(2)));
+            engine.reject_with_cooldown(Some(Duration::from_secs(2)));
         }
         for engine in fleet.engines.iter().take(case.leaving) {
             engine.announce_departure("yes");
         }
-        let LoadFigures { sent, served, refusal } = fleet.measure(15, Duration::from_secs(4));
+        let LoadResults { sent, served, mean_refusal_time } =
+            fleet.measure_load(15, Duration::from_secs(4));
         let calls: usize = fleet.engines.iter().map(StandInEngine::rejections).sum();
         let CallerCase { service, cooling, leaving, .. } = case;
         println!(
-            "{service}: {cooling} of 6 cooling, {leaving} leaving: {served} of {sent} served, refused after {refusal:?}, {calls} rejections"
+            "{service}: {cooling} of 6 cooling, {leaving} leaving: {served} of {sent} served, refused after {mean_refusal_time:?}, {calls} rejections"
         );
         // A route may allow one engine only, so that each rejection costs one request at most.
         let all_cool = cooling == fleet.engines.len();
@@ -229,24 +246,30 @@
             all_cool || sent - served <= calls,
             "{service} {cooling} {leaving}: {served} of {sent}"
         );
-        assert!(served == sent || refusal < AT_ONCE, "{service} {cooling} {leaving}: {refusal:?}");
+        assert!(
+            served == sent || mean_refusal_time < REFUSAL_LIMIT,
+            "{service} {cooling} {leaving}: {mean_refusal_time:?}"
+        );
     }
 }
 
 /// An engine whose cooldown ends is probed with one request of each host, and used as any other once it accepts them.
 #[test]
-fn an_engine_returns_from_a_cooldown_without_a_rush() {
+fn an_engine_returns_from_a_cooldown_without_a_request_burst() {
     let fleet = TestFleet::start("plain", 2, 4);
     let cooling = &fleet.engines[0];
     let cooldown = Duration::from_secs(1);
-    cooling.reject_for(Some(cooldown));
-    fleet.load(20, Duration::from_secs(1));
-    let most = cooling.most_requests_within(Duration::from_millis(900));
-    assert!(most <= 2 * fleet.hosts.len(), "{most} requests of four hosts within one cooldown");
-    cooling.reject_for(None);
-    let (served, asked) = fleet.load(20, Duration::from_secs(4));
-    assert_eq!(served, asked);
-    let last = cooling.cooldowns_end().expect("a cooldown") + Duration::from_secs(2);
+    cooling.reject_with_cooldown(Some(cooldown));
+    fleet.run_load(20, Duration::from_secs(1));
+    let requests = cooling.max_requests_within(Duration::from_millis(900));
+    assert!(
+        requests <= 2 * fleet.hosts.len(),
+        "{requests} requests of four hosts within one cooldown"
+    );
+    cooling.reject_with_cooldown(None);
+    let (served, sent) = fleet.run_load(20, Duration::from_secs(4));
+    assert_eq!(served, sent);
+    let last = cooling.last_cooldown_end().expect("a cooldown") + Duration::from_secs(2);
     assert!(cooling.requests_since(last) >= 20, "it is used as the other one");
 }
 
@@ -254,20 +277,20 @@
 #[test]
 fn an_unreadable_cooldown_has_no_effect() {
     let fleet = TestFleet::start("plain", 1, 1);
-    fleet.engines[0].reject_with("soon");
+    fleet.engines[0].reject_with_cooldown_text("soon");
     let began = Instant::now();
-    fleet.load(20, Duration::from_secs(1));
+    fleet.run_load(20, Duration::from_secs(1));
     assert!(fleet.engines[0].requests_since(began) >= 3, "it is asked again");
     assert_eq!(fleet.hosts[0].shared.metrics.cooling_engines.get(), 0);
 }
 
 /// An answer of other weights than were asked for reaches no caller, whatever the engine takes the version to be.
 #[test]
-fn an_answer_on_another_version_than_was_asked_for_reaches_no_caller() {
+fn a_response_of_another_model_version_reaches_no_caller() {
     let fleet = TestFleet::start("assist", 2, 1);
     fleet.site.store.put("configuration", &format!("version:{MODEL_NAME}"), "1");
-    fleet.engines[0].run_on_version(2);
-    fleet.engines[1].run_on_version(1);
+    fleet.engines[0].announce_version(2);
+    fleet.engines[1].announce_version(1);
     let host = &fleet.hosts[0];
     let dropped = || host.shared.metrics.other_versions.get() > 0;
     wait_until("an answer is dropped", || {
@@ -285,22 +308,22 @@
 
 /// What an engine says of its base model's version is no version of an adapter: answers were dropped for it.
 #[test]
-fn the_version_of_the_base_model_says_nothing_of_an_adapter() {
+fn the_base_model_version_does_not_apply_to_an_adapter() {
     let mut fleet = TestFleet::start("assist", 2, 1);
     fleet.load_rare_adapter();
     fleet.site.store.put("configuration", &format!("version:{MODEL_NAME}/rare"), "1");
     for engine in &fleet.engines {
-        engine.run_on_version(7);
+        engine.announce_version(7);
     }
     thread::sleep(Duration::from_millis(200));
-    let (served, asked) = fleet.load(20, Duration::from_secs(1));
-    assert_eq!(served, asked);
+    let (served, sent) = fleet.run_load(20, Duration::from_secs(1));
+    assert_eq!(served, sent);
     assert_eq!(fleet.hosts[0].shared.metrics.other_versions.get(), 0);
 }
 
 /// A store in need says how long it wants no calls.
 #[test]
-fn the_store_gets_no_calls_within_a_cooldown_that_it_asked_for() {
+fn the_store_gets_no_calls_during_its_cooldown() {
     let site = TestSite::start();
     let host = site.host("store-cooldown");
     site.store.refuse_with("0.9");
@@ -320,41 +343,45 @@
 /// A client whose request was rejected by the one engine that its route allows comes back to another engine at once: it was told to
 /// wait for the end of that engine's cooldown.
 #[test]
-fn a_client_is_not_told_to_wait_for_a_cooldown_while_another_engine_takes_requests() {
+fn retry_after_ignores_a_cooldown_while_another_engine_accepts_requests() {
     let fleet = TestFleet::start("assist", 2, 1);
-    fleet.engines[0].reject_for(Some(Duration::from_secs(5)));
-    let told = || {
+    fleet.engines[0].reject_with_cooldown(Some(Duration::from_secs(5)));
+    let retry_delay = || {
         let response = fleet.post(&fleet.hosts[0], &format!("told-{:?}", Instant::now()));
         retry_after(&response)
     };
     let began = Instant::now();
-    let told = loop {
-        if let Some(told) = told() {
-            break told;
+    let retry_delay = loop {
+        if let Some(retry_delay) = retry_delay() {
+            break retry_delay;
         }
-        assert!(began.elapsed() < PATIENCE, "no request was rejected");
+        assert!(began.elapsed() < WAIT_LIMIT, "no request was rejected");
     };
-    assert!(told <= Duration::from_millis(250), "told {told:?}");
-    assert!(fleet.ask(&fleet.hosts[0], "comes back"));
+    assert!(retry_delay <= Duration::from_millis(250), "Retry-After {retry_delay:?}");
+    assert!(fleet.serves(&fleet.hosts[0], "comes back"));
 }
 
 /// A route that allows one engine refuses a request which the only holder of its adapter rejected. Nothing was loaded elsewhere until
 /// the client came back.
 #[test]
-fn a_refused_request_has_its_adapter_loaded_elsewhere_before_its_client_returns() {
+fn a_refused_request_has_its_adapter_loaded_elsewhere_before_its_client_retries() {
     let mut fleet = TestFleet::start("assist", 3, 3);
     let holder = fleet.load_rare_adapter();
-    fleet.engines[holder].reject_for(Some(Duration::from_secs(5)));
+    fleet.engines[holder].reject_with_cooldown(Some(Duration::from_secs(5)));
     let response = fleet.post(&fleet.hosts[1], "rejected");
     assert!(response.starts_with("HTTP/1.1 503"), "{response}");
-    let told = retry_after(&response).expect("a time to come back");
+    let retry_delay = retry_after(&response).expect("a time to come back");
     let began = Instant::now();
-    let others = || {
-        let others = fleet.engines.iter().enumerate().filter(|(place, _)| *place != holder);
-        others.map(|(_, engine)| engine.orders().len()).sum::<usize>()
+    let other_orders = || {
+        let other_orders = fleet.engines.iter().enumerate().filter(|(place, _)| *place != holder);
+        other_orders.map(|(_, engine)| engine.orders().len()).sum::<usize>()
     };
-    wait_until("another engine gets an order", || others() > 0);
-    assert!(began.elapsed() < told, "ordered after {:?}, told {told:?}", began.elapsed());
+    wait_until("another engine gets an order", || other_orders() > 0);
+    assert!(
+        began.elapsed() < retry_delay,
+        "ordered after {:?}, Retry-After {retry_delay:?}",
+        began.elapsed()
+    );
 }
 
 /// Returns the time after which a client is told to come back.
--- a/crates/gateway/tests/host/configuration.rs
+++ b/crates/gateway/tests/host/configuration.rs
@@ -7,45 +7,45 @@
 #[test]
 fn without_configuration_the_host_is_not_ready_and_refuses() {
     let site = TestSite::without_configuration();
-    let host = site.cold_host("cold", Vec::new());
+    let host = site.start_host("cold", Vec::new());
     wait_until("the host listens", || {
         host.get("/single/a", "X-Request: a1\r\n").starts_with("HTTP/1.1")
     });
     assert!(!host.is_ready());
-    let answer = host.get("/single/a", "X-Request: a2\r\n");
-    assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
-    assert!(answer.contains("Retry-After"), "{answer}");
+    let response = host.get("/single/a", "X-Request: a2\r\n");
+    assert!(response.starts_with("HTTP/1.1 503"), "{response}");
+    assert!(response.contains("Retry-After"), "{response}");
     site.store.put("configuration", "routes", "1");
     host.wait_ready();
-    let answer = host.get("/single/a", "X-Request: a3\r\n");
-    assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
+    let response = host.get("/single/a", "X-Request: a3\r\n");
+    assert!(response.starts_with("HTTP/1.1 200"), "{response}");
 }
 
 #[test]
-fn a_new_configuration_is_in_force_within_a_second_and_never_falls_back() {
+fn a_new_configuration_applies_within_a_second_and_is_never_replaced_by_an_older_one() {
     let site = TestSite::start();
     let host = site.host("newer");
-    let answer = host.get("/late/a", "X-Request: n1\r\n");
-    assert!(answer.starts_with("HTTP/1.1 404"), "{answer}");
+    let response = host.get("/late/a", "X-Request: n1\r\n");
+    assert!(response.starts_with("HTTP/1.1 404"), "{response}");
     site.store.put("configuration", "routes", "2");
     thread::sleep(Duration::from_millis(700));
-    let answer = host.get("/late/a", "X-Request: n2\r\n");
-    assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
+    let response = host.get("/late/a", "X-Request: n2\r\n");
+    assert!(response.starts_with("HTTP/1.1 200"), "{response}");
     site.store.put("configuration", "routes", "1");
     thread::sleep(Duration::from_millis(700));
-    let answer = host.get("/late/a", "X-Request: n3\r\n");
-    assert!(answer.starts_with("HTTP/1.1 200"), "an older configuration came back: {answer}");
+    let response = host.get("/late/a", "X-Request: n3\r\n");
+    assert!(response.starts_with("HTTP/1.1 200"), "an older configuration came back: {response}");
 }
 
 #[test]
-fn a_host_goes_on_with_what_it_knows_while_the_store_refuses() {
+fn a_host_keeps_serving_from_known_state_while_the_store_refuses() {
     let site = TestSite::start();
     let host = site.host("outage");
     site.store.refuse(true);
     let before = site.store.calls();
     for number in 0..20 {
-        let answer = host.post("/single/a", &format!("X-Request: o{number}\r\n"), "body");
-        assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
+        let response = host.post("/single/a", &format!("X-Request: o{number}\r\n"), "body");
+        assert!(response.starts_with("HTTP/1.1 200"), "{response}");
         thread::sleep(Duration::from_millis(100));
     }
     assert!(host.is_ready());
@@ -55,7 +55,7 @@
 
 /// In an outage every host called the store three times a second: a tenth of a day's worth in calls.
 #[test]
-fn a_store_in_trouble_is_called_seldom_and_heard_soon_when_it_is_back() {
+fn an_unavailable_store_is_called_rarely_and_read_soon_after_recovery() {
     let site = TestSite::start();
     let host = site.host("patient");
     site.store.refuse(true);
@@ -67,30 +67,30 @@
     site.store.put("configuration", "routes", "2");
     site.store.refuse(false);
     thread::sleep(Duration::from_millis(2700));
-    let answer = host.get("/late/a", "X-Request: s1\r\n");
-    assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
+    let response = host.get("/late/a", "X-Request: s1\r\n");
+    assert!(response.starts_with("HTTP/1.1 200"), "{response}");
 }
 
 #[test]
-fn a_host_that_the_store_refuses_learns_from_a_peer() {
+fn a_host_that_the_store_refuses_gets_its_state_from_a_peer() {
     let site = TestSite::start();
     let first = site.host("first");
     let seed = first.shared.profile.peers;
     site.store.refuse(true);
-    let second = site.cold_host("second", vec![seed]);
+    let second = site.start_host("second", vec![seed]);
     second.wait_ready();
-    let answer = second.post("/single/a", "X-Request: p1\r\n", "body");
-    assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
+    let response = second.post("/single/a", "X-Request: p1\r\n", "body");
+    assert!(response.starts_with("HTTP/1.1 200"), "{response}");
 }
 
 /// The pages of a whole reading are no snapshot: what changed between two of them was read neither there nor later, since
 /// reading went on at the end that the last page told.
 #[test]
-fn a_change_between_two_pages_of_the_first_reading_is_not_missed() {
+fn a_change_between_two_pages_of_the_initial_read_is_not_missed() {
     let site = TestSite::without_configuration();
     site.store.put("configuration", "a", "1");
     site.store.put("configuration", "b", "1");
-    site.store.change_between_pages("configuration", "a", "2");
+    site.store.put_between_pages("configuration", "a", "2");
     let host = site.host("pages");
     wait_until("the change is in force", || {
         host.get("/late/a", "X-Request: g1\r\n").starts_with("HTTP/1.1 200")
@@ -99,7 +99,7 @@
 
 /// Entries that no engine has written name none to use, and every other engine serves on; its own next word brings it back.
 #[test]
-fn entries_of_another_writer_name_no_engine_and_leave_the_others() {
+fn malformed_engine_entries_list_no_engine_and_leave_the_others() {
     let site = TestSite::start();
     let host = site.host("writers");
     let ready = || host.shared.table.borrow().ready_engines("assist").count();
@@ -108,10 +108,10 @@
         site.store.put("engines", key, value);
     }
     wait_until("one engine is named no more", || ready() == 1);
-    let answer = host.post("/stream/a", "X-Request: w1\r\nX-Model: base\r\n", "{}");
-    assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
-    let answer = host.post("/single/a", "X-Request: w2\r\n", "body");
-    assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
+    let response = host.post("/stream/a", "X-Request: w1\r\nX-Model: base\r\n", "{}");
+    assert!(response.starts_with("HTTP/1.1 200"), "{response}");
+    let response = host.post("/single/a", "X-Request: w2\r\n", "body");
+    assert!(response.starts_with("HTTP/1.1 200"), "{response}");
     site.store.put("engines", "engine-1", &site.engines[0].entry("assist", false));
     wait_until("it is named again", || ready() == 2);
     // A host that starts finds the same.
--- a/crates/gateway/tests/host/dialect.rs
+++ b/crates/gateway/tests/host/dialect.rs
@@ -30,19 +30,19 @@
 pub(crate) const ENGINE: &str = "X-Engine";
 pub(crate) const NOT_RUN: &str = "X-Not-Run";
 pub(crate) const RUN_BY: &str = "X-Run-By";
-pub(crate) const AFTER: &str = "X-After";
+pub(crate) const RESUME_AFTER: &str = "X-After";
 pub(crate) const HOLD: &str = "X-Hold";
 pub(crate) const PIN: &str = "X-Pin";
 pub(crate) const KEY: &str = "X-Key";
 pub(crate) const ORGANISATION: &str = "X-Organisation";
-pub(crate) const RANK: &str = "X-Rank";
+pub(crate) const PRIORITY: &str = "X-Rank";
 pub(crate) const ERA: &str = "X-Era";
 pub(crate) const LIMIT: &str = "X-Limit";
 pub(crate) const VERSION: &str = "X-Version";
 pub(crate) const LEAVING: &str = "X-Leaving";
 pub(crate) const COOLDOWN: &str = "X-Cooldown";
 /// The host that a test sent a request to; it is passed on to engines as any field of a client.
-pub(crate) const ENTERED: &str = "X-Entered";
+pub(crate) const ENTRY_HOST: &str = "X-Entered";
 pub(crate) const TOKENS: &str = "X-Tokens";
 
 /// The configurations that records name by their revision.
@@ -67,18 +67,18 @@
     }
 
     fn system_fields(&self) -> &'static [&'static str] {
-        &[DEADLINE, ENGINE, HOLD, PIN, RANK, KEY, ORGANISATION]
+        &[DEADLINE, ENGINE, HOLD, PIN, PRIORITY, KEY, ORGANISATION]
     }
 
     fn set_terms(&self, fields: &mut HeaderFields, terms: &SendTerms<'_>) {
         fields.push(DEADLINE, terms.remaining.as_millis().to_string());
         fields.push(ENGINE, terms.engine);
-        fields.push(RANK, terms.priority.to_string());
+        fields.push(PRIORITY, terms.priority.to_string());
         if let Some(organisation) = terms.organisation {
             fields.push(ORGANISATION, organisation);
         }
         if let Some(event) = terms.resume_after {
-            fields.replace(AFTER, event);
+            fields.replace(RESUME_AFTER, event);
         }
     }
 
@@ -144,7 +144,7 @@
 
 pub(crate) struct PlainEngines;
 
-fn held(value: &Value) -> Vec<LoadedModel> {
+fn loaded_models(value: &Value) -> Vec<LoadedModel> {
     let keys = value.as_array().into_iter().flatten().filter_map(Value::as_str);
     keys.map(|key| LoadedModel { key: Arc::from(key), version: 1 }).collect()
 }
@@ -179,8 +179,8 @@
             born: body["born"].as_u64().unwrap_or_default(),
             sequence: body["sequence"].as_u64().unwrap_or_default(),
             busy: false,
-            held: held(&body["held"]),
-            pending: held(&body["pending"]),
+            held: loaded_models(&body["held"]),
+            pending: loaded_models(&body["pending"]),
         })
     }
 }
@@ -211,8 +211,8 @@
 
 impl StoreDialect for PlainStore {
     fn era(&self, answer: &CallAnswer) -> StoreEra {
-        let told = answer.head.fields.text(ERA);
-        told.and_then(|era| era.parse().ok()).unwrap_or_default()
+        let era = answer.head.fields.text(ERA);
+        era.and_then(|era| era.parse().ok()).unwrap_or_default()
     }
 
     fn cooldown(&self, answer: &CallAnswer) -> Option<Cooldown> {
@@ -315,7 +315,7 @@
             slots: 16,
             leaving: body["leaving"].as_bool().unwrap_or_default(),
             sequence: body["sequence"].as_u64().unwrap_or_default(),
-            loaded_models: held(&body["held"]),
+            loaded_models: loaded_models(&body["held"]),
         })
     }
 }
--- a/crates/gateway/tests/host/engines.rs
+++ b/crates/gateway/tests/host/engine_faults.rs
@@ -3,141 +3,141 @@
 use std::{thread, time::Duration};
 
 use crate::{
-    engine::{EngineMood, told_deadline},
+    engine::{EngineBehaviour, received_deadline},
     site::{TestSite, wait_until},
 };
 
-struct MoodCase {
+struct FaultCase {
     name: &'static str,
     path: &'static str,
-    moods: &'static [EngineMood],
+    behaviours: &'static [EngineBehaviour],
     /// How the client's answer begins.
-    answer: &'static str,
+    status_line: &'static str,
     /// What the client's body is, where it is whole.
     body: Option<&'static str>,
     runs: usize,
 }
 
-const CASES: &[MoodCase] = &[
-    MoodCase {
+const CASES: &[FaultCase] = &[
+    FaultCase {
         name: "a whole answer is passed on",
         path: "/single/a",
-        moods: &[EngineMood::Well],
-        answer: "HTTP/1.1 200",
+        behaviours: &[EngineBehaviour::Echo],
+        status_line: "HTTP/1.1 200",
         body: Some("hello"),
         runs: 1,
     },
-    MoodCase {
+    FaultCase {
         name: "an error of the engine is passed on",
         path: "/single/a",
-        moods: &[EngineMood::Error],
-        answer: "HTTP/1.1 500",
+        behaviours: &[EngineBehaviour::Error],
+        status_line: "HTTP/1.1 500",
         body: Some("an error of the engine"),
         runs: 1,
     },
-    MoodCase {
+    FaultCase {
         name: "no answer to a request that may run once is unknown",
         path: "/single/a",
-        moods: &[EngineMood::Silent, EngineMood::Well],
-        answer: "HTTP/1.1 502",
+        behaviours: &[EngineBehaviour::CloseConnection, EngineBehaviour::Echo],
+        status_line: "HTTP/1.1 502",
         body: None,
         runs: 1,
     },
-    MoodCase {
+    FaultCase {
         name: "what did not run is told so, with a time to come back",
         path: "/single/a",
-        moods: &[EngineMood::NotRun],
-        answer: "HTTP/1.1 503",
+        behaviours: &[EngineBehaviour::NotRun],
+        status_line: "HTTP/1.1 503",
         body: None,
         runs: 0,
     },
-    MoodCase {
+    FaultCase {
         name: "an engine that refuses once is asked again",
         path: "/single/a",
-        moods: &[EngineMood::NotRun, EngineMood::Well],
-        answer: "HTTP/1.1 200",
+        behaviours: &[EngineBehaviour::NotRun, EngineBehaviour::Echo],
+        status_line: "HTTP/1.1 200",
         body: Some("hello"),
         runs: 1,
     },
-    MoodCase {
+    FaultCase {
         name: "a body cut short never reaches the client",
         path: "/single/a",
-        moods: &[EngineMood::CutBody],
-        answer: "HTTP/1.1 502",
+        behaviours: &[EngineBehaviour::TruncateBody],
+        status_line: "HTTP/1.1 502",
         body: None,
         runs: 1,
     },
-    MoodCase {
+    FaultCase {
         name: "bytes that are no answer are none",
         path: "/single/a",
-        moods: &[EngineMood::Garbage],
-        answer: "HTTP/1.1 502",
+        behaviours: &[EngineBehaviour::Garbage],
+        status_line: "HTTP/1.1 502",
         body: None,
         runs: 1,
     },
-    MoodCase {
+    FaultCase {
         name: "the answer to another request is read over",
         path: "/single/a",
-        moods: &[EngineMood::StrayFirst],
-        answer: "HTTP/1.1 200",
+        behaviours: &[EngineBehaviour::MismatchedResponseFirst],
+        status_line: "HTTP/1.1 200",
         body: Some("hello"),
         runs: 1,
     },
-    MoodCase {
+    FaultCase {
         name: "an answer without length is whole when its connection ends",
         path: "/single/a",
-        moods: &[EngineMood::Unframed],
-        answer: "HTTP/1.1 200",
+        behaviours: &[EngineBehaviour::OmitLength],
+        status_line: "HTTP/1.1 200",
         body: Some("hello"),
         runs: 1,
     },
-    MoodCase {
+    FaultCase {
         name: "a status that promises what nobody knows is not passed on",
         path: "/single/a",
-        moods: &[EngineMood::FalsePromise],
-        answer: "HTTP/1.1 502",
+        behaviours: &[EngineBehaviour::UnmarkedRefusal],
+        status_line: "HTTP/1.1 502",
         body: None,
         runs: 1,
     },
 ];
 
 #[test]
-fn answers_are_whole_or_none() {
+fn responses_are_complete_or_replaced_by_an_error() {
     let site = TestSite::start();
     let mut runs = 0;
     for (number, case) in CASES.iter().enumerate() {
         // What a host learns of its engine in one case must not decide the next one.
         let host = site.host(&format!("moods-{number}"));
-        site.plain.treat(case.moods);
-        let answer = host.post(case.path, &format!("X-Request: m{number}\r\n"), "hello");
-        assert!(answer.starts_with(case.answer), "{}: {answer}", case.name);
-        let body = answer.split_once("\r\n\r\n").map(|(_, body)| body).unwrap_or_default();
+        site.plain.set_behaviours(case.behaviours);
+        let response = host.post(case.path, &format!("X-Request: m{number}\r\n"), "hello");
+        assert!(response.starts_with(case.status_line), "{}: {response}", case.name);
+        let body = response.split_once("\r\n\r\n").map(|(_, body)| body).unwrap_or_default();
         if let Some(expected) = case.body {
             assert_eq!(body, expected, "{}", case.name);
         }
-        let refused = answer.starts_with("HTTP/1.1 503");
-        assert_eq!(answer.contains("Retry-After"), refused, "{}: {answer}", case.name);
+        let refused = response.starts_with("HTTP/1.1 503");
+        assert_eq!(response.contains("Retry-After"), refused, "{}: {response}", case.name);
         runs += case.runs;
         assert_eq!(site.plain.runs().len(), runs, "{}", case.name);
     }
 }
 
 #[test]
-fn a_second_answer_never_reaches_the_next_request() {
+fn a_surplus_response_never_reaches_the_next_request() {
     let site = TestSite::start();
     let host = site.host("twice");
-    site.plain.treat(&[EngineMood::Twice, EngineMood::Well]);
+    site.plain.set_behaviours(&[EngineBehaviour::DuplicateResponse, EngineBehaviour::Echo]);
     for number in 0..4 {
         let body = format!("body {number}");
-        let answer = host.post("/single/a", &format!("X-Request: t{number}\r\n"), &body);
-        assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
-        assert!(answer.ends_with(&body), "{answer}");
+        let response = host.post("/single/a", &format!("X-Request: t{number}\r\n"), &body);
+        assert!(response.starts_with("HTTP/1.1 200"), "{response}");
+        assert!(response.ends_with(&body), "{response}");
     }
     assert_eq!(site.plain.runs().len(), 4);
 }
 
 #[test]
-fn the_request_arrives_unaltered_with_what_is_left_of_its_time() {
+fn a_request_is_forwarded_unaltered_with_its_remaining_deadline() {
     let site = TestSite::start();
     let host = site.host("unaltered");
     let fields =
@@ -145,8 +145,8 @@
     let request = format!(
         "POST /single/a/b?c=d&e HTTP/1.1\r\nHost: site.example\r\n{fields}Transfer-Encoding: chunked\r\nConnection: close\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
     );
-    let answer = crate::site::raw_exchange(host.clients, request.as_bytes());
-    assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
+    let response = crate::site::raw_exchange(host.client_address, request.as_bytes());
+    assert!(response.starts_with("HTTP/1.1 200"), "{response}");
     let runs = site.plain.runs();
     let run = &runs[0];
     assert_eq!(run.head.method, "POST");
@@ -155,28 +155,28 @@
     assert_eq!(run.head.fields.text("X-Own"), Some("kept"));
     assert_eq!(run.head.fields.text("X-Hop"), None);
     assert_eq!(run.head.fields.values("X-Request").count(), 1);
-    let told = told_deadline(run).expect("a deadline");
-    assert!((500..=900).contains(&told), "{told}");
+    let deadline = received_deadline(run).expect("a deadline");
+    assert!((500..=900).contains(&deadline), "{deadline}");
 }
 
 #[test]
-fn the_longest_prefix_decides() {
+fn the_longest_route_prefix_wins() {
     let site = TestSite::start();
     let host = site.host("prefix");
     // `/safe/` may be repeated, `/safe/deeper/` may not.
-    site.plain.treat(&[EngineMood::Silent, EngineMood::Well]);
-    let answer = host.get("/safe/deeper/a", "X-Request: x1\r\n");
-    assert!(answer.starts_with("HTTP/1.1 502"), "{answer}");
-    let answer = host.get("/elsewhere/", "X-Request: x2\r\n");
-    assert!(answer.starts_with("HTTP/1.1 404"), "{answer}");
+    site.plain.set_behaviours(&[EngineBehaviour::CloseConnection, EngineBehaviour::Echo]);
+    let response = host.get("/safe/deeper/a", "X-Request: x1\r\n");
+    assert!(response.starts_with("HTTP/1.1 502"), "{response}");
+    let response = host.get("/elsewhere/", "X-Request: x2\r\n");
+    assert!(response.starts_with("HTTP/1.1 404"), "{response}");
 }
 
 #[test]
 fn a_leaving_engine_gets_no_new_request() {
     let site = TestSite::start();
     let host = site.host("leaving");
-    let answer = host.post("/single/a", "X-Request: v1\r\n", "one");
-    assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
+    let response = host.post("/single/a", "X-Request: v1\r\n", "one");
+    assert!(response.starts_with("HTTP/1.1 200"), "{response}");
     site.store.put("engines", "plain-1", &site.plain.entry("plain", true));
     wait_until("the engine is left", || {
         host.post("/single/a", "X-Request: v2\r\n", "two").starts_with("HTTP/1.1 503")
@@ -185,15 +185,15 @@
     // A later entry of the same life does not undo it.
     site.store.put("engines", "plain-1", &site.plain.entry("plain", false));
     thread::sleep(Duration::from_millis(900));
-    let answer = host.post("/single/a", "X-Request: v3\r\n", "three");
-    assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
+    let response = host.post("/single/a", "X-Request: v3\r\n", "three");
+    assert!(response.starts_with("HTTP/1.1 503"), "{response}");
     assert_eq!(site.plain.arrivals().len(), before);
 }
 
 /// Sixteen engines of 78 crashed at once and stayed listed for some seconds: requests tried four of them within two
 /// milliseconds and were refused.
 #[test]
-fn a_request_finds_the_one_engine_among_many_that_are_gone() {
+fn a_request_finds_the_one_live_engine_among_many_dead_ones() {
     let site = TestSite::start();
     let host = site.host("finder");
     let address = site.plain.address.to_string();
@@ -207,26 +207,26 @@
         table.ready_engines("plain").count() == 13
     });
     for number in 0..6 {
-        let answer = host.post("/single/a", &format!("X-Request: g{number}\r\n"), "body");
-        assert!(answer.starts_with("HTTP/1.1 200"), "{number}: {answer}");
+        let response = host.post("/single/a", &format!("X-Request: g{number}\r\n"), "body");
+        assert!(response.starts_with("HTTP/1.1 200"), "{number}: {response}");
     }
 }
 
 /// Three knocks at one full server for each request used up the retry budget and held up those who wait there.
 #[test]
-fn a_plain_server_that_stays_full_is_asked_by_few_requests_and_twice_by_each() {
+fn an_overloaded_plain_server_gets_few_attempts() {
     let site = TestSite::start();
     let host = site.host("full");
-    site.plain.treat(&[EngineMood::NotRun]);
+    site.plain.set_behaviours(&[EngineBehaviour::NotRun]);
     for number in 0..100 {
-        let answer = host.get("/single/a", &format!("X-Request: f{number}\r\n"));
-        assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
-        assert!(answer.contains("Retry-After: "), "{answer}");
+        let response = host.get("/single/a", &format!("X-Request: f{number}\r\n"));
+        assert!(response.starts_with("HTTP/1.1 503"), "{response}");
+        assert!(response.contains("Retry-After: "), "{response}");
     }
-    let knocks = site.plain.arrivals().len();
-    assert!(knocks <= 30, "{knocks} knocks for 100 requests");
-    site.plain.treat(&[EngineMood::Well]);
+    let attempts = site.plain.arrivals().len();
+    assert!(attempts <= 30, "{attempts} knocks for 100 requests");
+    site.plain.set_behaviours(&[EngineBehaviour::Echo]);
     thread::sleep(Duration::from_millis(3100));
-    let answer = host.get("/single/a", "X-Request: later\r\n");
-    assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
+    let response = host.get("/single/a", "X-Request: later\r\n");
+    assert!(response.starts_with("HTTP/1.1 200"), "{response}");
 }
--- a/crates/gateway/tests/host/reborn.rs
+++ b/crates/gateway/tests/host/engine_restart.rs
@@ -1,11 +1,11 @@
 //! An engine that starts again under the name that it had: it holds and knows nothing of before.
 
 use crate::{
-    engine::{EngineMood, FIRST_BIRTH},
+    engine::{EngineBehaviour, FIRST_INCARNATION},
     site::{MODEL_NAME, TestHost, TestSite, wait_until},
 };
 
-fn ask(host: &TestHost, adapter: &str) -> String {
+fn send(host: &TestHost, adapter: &str) -> String {
     let fields = format!("X-Request: {adapter}\r\nX-Model: {MODEL_NAME}/{adapter}\r\n");
     host.post("/stream/a", &fields, "{}")
 }
@@ -13,13 +13,13 @@
 /// A plain server was left for good once it had said that it leaves: its next life has the same name and was taken for the
 /// one before.
 #[test]
-fn a_server_that_left_and_starts_again_is_used_again() {
+fn a_server_that_left_is_used_again_after_a_restart() {
     let site = TestSite::start();
     let host = site.host("left-again");
     site.store.put("engines", "plain-1", &site.plain.entry("plain", true));
     let single = || host.post("/single/a", "X-Request: l\r\n", "body");
     wait_until("it is left", || single().starts_with("HTTP/1.1 503"));
-    site.plain.restart(&[], FIRST_BIRTH + 1);
+    site.plain.restart(&[], FIRST_INCARNATION + 1);
     site.store.put("engines", "plain-1", &site.plain.entry("plain", false));
     wait_until("its next life is used", || single().starts_with("HTTP/1.1 200"));
 }
@@ -27,19 +27,19 @@
 /// What an engine held in the life before is gone with it, and hosts that are told of its holdings by the placer must not
 /// go on with what they were told.
 #[test]
-fn nothing_of_the_life_before_counts_as_held() {
+fn adapters_of_an_earlier_incarnation_do_not_count_as_loaded() {
     let site = TestSite::start();
     let hosts = [site.host("held-1"), site.host("held-2")];
     site.store.put("engines", "engine-2", "");
     for engine in &site.engines {
-        engine.treat(&[EngineMood::Stream(3)]);
+        engine.set_behaviours(&[EngineBehaviour::Stream(3)]);
     }
-    let whole = |answer: &str| answer.starts_with("HTTP/1.1 200");
+    let is_served = |response: &str| response.starts_with("HTTP/1.1 200");
     for host in &hosts {
-        wait_until("the adapter is served", || whole(&ask(host, "early")));
+        wait_until("the adapter is served", || is_served(&send(host, "early")));
     }
     let engine = &site.engines[0];
-    engine.restart(&[MODEL_NAME], FIRST_BIRTH + 1);
+    engine.restart(&[MODEL_NAME], FIRST_INCARNATION + 1);
     site.store.put("engines", "engine-1", &engine.entry("assist", false));
     wait_until("hosts know that it holds nothing", || {
         let knows = |host: &TestHost| {
@@ -48,8 +48,8 @@
         hosts.iter().all(knows)
     });
     for host in &hosts {
-        wait_until("the adapter is served by the next life", || whole(&ask(host, "early")));
-        wait_until("and one that it never held", || whole(&ask(host, "later")));
+        wait_until("the adapter is served by the next life", || is_served(&send(host, "early")));
+        wait_until("and one that it never held", || is_served(&send(host, "later")));
     }
     let refused = engine.arrivals().len() - engine.runs().len();
     assert_eq!(refused, 0, "requests for what the next life does not hold");
--- a/crates/gateway/tests/host/events.rs
+++ b/crates/gateway/tests/host/events.rs
@@ -14,17 +14,17 @@
 const LINES: u64 = 20_000;
 
 #[test]
-fn a_reader_that_stalls_delays_nothing_and_hears_how_much_was_left_out() {
+fn a_stalled_log_reader_blocks_no_writer_and_gets_the_count_of_dropped_lines() {
     let (reader, writer) = std::io::pipe().expect("a pipe");
     let log = EventLog::start_to(Arc::from("stalled"), writer).expect("a thread");
-    let mut longest = Duration::ZERO;
+    let mut max_write_time = Duration::ZERO;
     for number in 0..LINES {
         let began = Instant::now();
         log.write(HostEvent::ConfigurationInForce { revision: number, era: 0, offset: 0 });
-        longest = longest.max(began.elapsed());
+        max_write_time = max_write_time.max(began.elapsed());
     }
     // A write that waited for the reader would never return; the bound leaves room for a busy box.
-    assert!(longest < Duration::from_secs(1), "a write took {longest:?}");
+    assert!(max_write_time < Duration::from_secs(1), "a write took {max_write_time:?}");
     // Once somebody reads again, what is queued comes, and a line says how many found no room.
     let reading = std::thread::spawn(move || {
         let lines = BufReader::new(reader).lines().map_while(Result::ok);
@@ -35,13 +35,13 @@
     log.write(HostEvent::ConfigurationInForce { revision: LINES, era: 0, offset: 0 });
     drop(log);
     let lines = reading.join().expect("the reader ends");
-    let left_out: u64 = lines.iter().filter_map(|line| line["left_out"].as_u64()).sum();
-    assert!(left_out > 0, "{} lines came", lines.len());
-    assert_eq!(left_out + lines.len() as u64, LINES + 1);
+    let dropped: u64 = lines.iter().filter_map(|line| line["left_out"].as_u64()).sum();
+    assert!(dropped > 0, "{} lines came", lines.len());
+    assert_eq!(dropped + lines.len() as u64, LINES + 1);
 }
 
 /// One event of each kind.
-fn one_of_each() -> Vec<HostEvent> {
+fn one_event_of_each_kind() -> Vec<HostEvent> {
     let address = "127.0.0.1:1".parse().expect("an address");
     let engine = || String::from("e1");
     vec![
@@ -137,7 +137,7 @@
     ]
 }
 
-/// Fails to compile when a kind of event is added and [`one_of_each`] is not extended.
+/// Fails to compile when a kind of event is added and [`one_event_of_each_kind`] is not extended.
 fn is_listed(event: &HostEvent) -> bool {
     use HostEvent as Event;
     match event {
@@ -177,9 +177,9 @@
 }
 
 /// Returns the events and fields that the page's table names, by event.
-fn page() -> BTreeMap<String, BTreeSet<String>> {
-    let page = include_str!("../../../../docs/OPERATIONS.md");
-    let table = page.split("## The lines").nth(1).expect("the table of lines");
+fn documented_fields() -> BTreeMap<String, BTreeSet<String>> {
+    let documented_fields = include_str!("../../../../docs/OPERATIONS.md");
+    let table = documented_fields.split("## The lines").nth(1).expect("the table of lines");
     let rows = table.lines().filter(|line| line.starts_with("| `"));
     let mut named = BTreeMap::new();
     for row in rows.take_while(|row| !row.contains("reelreel_")) {
@@ -195,16 +195,22 @@
 }
 
 #[test]
-fn the_page_names_every_event_and_field() {
-    let page = page();
-    let events = one_of_each();
-    assert_eq!(events.len(), page.len(), "the page names {:?}", page.keys());
+fn the_operations_page_lists_every_event_and_field() {
+    let documented_fields = documented_fields();
+    let events = one_event_of_each_kind();
+    assert_eq!(
+        events.len(),
+        documented_fields.len(),
+        "the page names {:?}",
+        documented_fields.keys()
+    );
     for event in events {
         assert!(is_listed(&event));
         let line = serde_json::to_value(&event).expect("a JSON value");
         let line = line.as_object().expect("an object");
         let name = line["event"].as_str().expect("a name");
-        let fields = page.get(name).unwrap_or_else(|| panic!("the page lacks `{name}`"));
+        let fields =
+            documented_fields.get(name).unwrap_or_else(|| panic!("the page lacks `{name}`"));
         for field in line.keys().filter(|field| *field != "event") {
             assert!(fields.contains(field), "the page lacks field `{field}` of `{name}`");
         }
--- a/crates/gateway/tests/host/fleet.rs
+++ b/crates/gateway/tests/host/fleet.rs
@@ -6,18 +6,18 @@
 };
 
 use crate::{
-    dialect::ENTERED,
-    engine::{EngineMood, StandInEngine},
+    dialect::ENTRY_HOST,
+    engine::{EngineBehaviour, StandInEngine},
     site::{MODEL_NAME, TestHost, TestSite, wait_until},
 };
 
 /// What became of a load.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct LoadFigures {
+pub(crate) struct LoadResults {
     pub(crate) sent: usize,
     pub(crate) served: usize,
     /// The mean time until a request was refused.
-    pub(crate) refusal: Duration,
+    pub(crate) mean_refusal_time: Duration,
 }
 
 /// Several hosts before engines of one service.
@@ -36,11 +36,11 @@
             site.store.put("engines", engine, "");
         }
         let plain = service == "plain";
-        let held: &[&str] = if plain { &[] } else { &[MODEL_NAME] };
+        let model_keys: &[&str] = if plain { &[] } else { &[MODEL_NAME] };
         let start = |number| {
-            let engine = StandInEngine::start(&format!("{service}-{number}"), held);
-            let mood = if plain { EngineMood::Well } else { EngineMood::Stream(2) };
-            engine.treat(&[mood]);
+            let engine = StandInEngine::start(&format!("{service}-{number}"), model_keys);
+            let behaviour = if plain { EngineBehaviour::Echo } else { EngineBehaviour::Stream(2) };
+            engine.set_behaviours(&[behaviour]);
             site.store.put("engines", &engine.name, &engine.entry(service, false));
             engine
         };
@@ -52,7 +52,7 @@
             (0..hosts).map(|number| site.host(&format!("{service}-host-{number}"))).collect();
         let fleet = Self { site, engines, hosts, path, fields };
         for host in &fleet.hosts {
-            wait_until("a request is served", || fleet.ask(host, "first"));
+            wait_until("a request is served", || fleet.serves(host, "first"));
         }
         fleet
     }
@@ -60,63 +60,63 @@
     /// Has an adapter loaded that requests name from now on; returns the place of the one engine that holds it.
     pub(crate) fn load_rare_adapter(&mut self) -> usize {
         self.fields = format!("X-Model: {MODEL_NAME}/rare\r\n");
-        wait_until("the adapter is served", || self.ask(&self.hosts[0], "rare"));
+        wait_until("the adapter is served", || self.serves(&self.hosts[0], "rare"));
         let holds = |engine: &StandInEngine| !engine.orders().is_empty();
         self.engines.iter().position(holds).expect("one engine holds it")
     }
 
     /// Sends a request to a host; returns whether it was served.
-    pub(crate) fn ask(&self, host: &TestHost, id: &str) -> bool {
+    pub(crate) fn serves(&self, host: &TestHost, id: &str) -> bool {
         self.post(host, id).starts_with("HTTP/1.1 200")
     }
 
     /// Sends a request to a host; returns the whole response.
     pub(crate) fn post(&self, host: &TestHost, id: &str) -> String {
         let name = &host.shared.profile.name;
-        let fields = format!("X-Request: {id}\r\n{ENTERED}: {name}\r\n{}", self.fields);
+        let fields = format!("X-Request: {id}\r\n{ENTRY_HOST}: {name}\r\n{}", self.fields);
         host.post(self.path, &fields, "{}")
     }
 
     /// Sends so many requests a second to each host for a while; returns how many were served, and of how many.
-    pub(crate) fn load(&self, per_second: u32, time: Duration) -> (usize, usize) {
-        let figures = self.measure(per_second, time);
+    pub(crate) fn run_load(&self, per_second: u32, time: Duration) -> (usize, usize) {
+        let figures = self.measure_load(per_second, time);
         (figures.served, figures.sent)
     }
 
     /// Sends so many requests a second to each host for a while, and measures what becomes of them.
-    pub(crate) fn measure(&self, per_second: u32, time: Duration) -> LoadFigures {
+    pub(crate) fn measure_load(&self, per_second: u32, time: Duration) -> LoadResults {
         let pause = Duration::from_secs(1) / per_second;
         let began = Instant::now();
-        let clients = |place: usize, host: &TestHost| {
+        let clients = |index: usize, host: &TestHost| {
             let mut served = Vec::new();
             thread::scope(|requests| {
                 let mut sent = Vec::new();
                 for number in 0..per_second * u32::try_from(time.as_secs()).unwrap_or(u32::MAX) {
                     let due = began + pause * number;
                     thread::sleep(due.saturating_duration_since(Instant::now()));
-                    let id = format!("l{place}-{number}");
+                    let id = format!("l{index}-{number}");
                     sent.push(requests.spawn(move || {
                         let began = Instant::now();
-                        (self.ask(host, &id), began.elapsed())
+                        (self.serves(host, &id), began.elapsed())
                     }));
                 }
                 served.extend(sent.into_iter().map(|sent| sent.join().expect("an answer")));
             });
             served
         };
-        let ends: Vec<(bool, Duration)> = thread::scope(|scope| {
+        let results: Vec<(bool, Duration)> = thread::scope(|scope| {
             let hosts = self.hosts.iter().enumerate();
             let loads: Vec<_> =
-                hosts.map(|(place, host)| scope.spawn(move || clients(place, host))).collect();
-            loads.into_iter().flat_map(|load| load.join().expect("the load ends")).collect()
+                hosts.map(|(index, host)| scope.spawn(move || clients(index, host))).collect();
+            loads.into_iter().flat_map(|run_load| run_load.join().expect("the load ends")).collect()
         });
-        let refused = ends.iter().filter(|(served, _)| !served).map(|(_, time)| *time);
+        let refused = results.iter().filter(|(served, _)| !served).map(|(_, time)| *time);
         let refused: Vec<Duration> = refused.collect();
         let total: Duration = refused.iter().sum();
-        LoadFigures {
-            sent: ends.len(),
-            served: ends.len() - refused.len(),
-            refusal: total / u32::try_from(refused.len().max(1)).unwrap_or(u32::MAX),
+        LoadResults {
+            sent: results.len(),
+            served: results.len() - refused.len(),
+            mean_refusal_time: total / u32::try_from(refused.len().max(1)).unwrap_or(u32::MAX),
         }
     }
 }
--- a/crates/gateway/tests/host/following.rs
+++ b/crates/gateway/tests/host/following.rs
@@ -20,21 +20,21 @@
 
 use crate::site::{TestHost, TestSite, wait_until};
 
-const WEAK: HostCapacity = HostCapacity { processor: 0.1, bandwidth: 10.0 };
+const WEAK_CAPACITY: HostCapacity = HostCapacity { processor: 0.1, bandwidth: 10.0 };
 
 fn follower(site: &TestSite, name: &str) -> TestHost {
-    let host = site.host_with(name, Vec::new(), WEAK);
+    let host = site.start_host_with_capacity(name, Vec::new(), WEAK_CAPACITY);
     host.wait_ready();
     wait_until("the host follows", || host.shared.metrics.following.get() == 1);
     host
 }
 
-fn serves_the_late_route(host: &TestHost, id: &str) -> bool {
+fn serves_late_route(host: &TestHost, id: &str) -> bool {
     host.get("/late/a", &format!("X-Request: {id}\r\n")).starts_with("HTTP/1.1 200")
 }
 
 #[test]
-fn a_follower_learns_a_configuration_without_a_call_of_its_own() {
+fn a_follower_gets_a_configuration_without_calling_the_store() {
     let site = TestSite::start();
     // A group of three needs no weak member.
     let _readers = ["one", "two", "three"].map(|name| site.host(name));
@@ -44,8 +44,8 @@
     let calls = host.shared.metrics.store_calls.get();
     site.store.put("configuration", "routes", "2");
     thread::sleep(Duration::from_millis(300));
-    let answer = host.get("/late/a", "X-Request: f1\r\n");
-    assert!(answer.starts_with("HTTP/1.1 200"), "not passed on in 0.3 s: {answer}");
+    let response = host.get("/late/a", "X-Request: f1\r\n");
+    assert!(response.starts_with("HTTP/1.1 200"), "not passed on in 0.3 s: {response}");
     assert_eq!(host.shared.metrics.store_calls.get(), calls);
 }
 
@@ -68,12 +68,12 @@
     let host = follower(&site, "follower");
     reader.stop();
     site.store.put("configuration", "routes", "2");
-    wait_until("the change is in force", || serves_the_late_route(&host, "s1"));
+    wait_until("the change is in force", || serves_late_route(&host, "s1"));
     assert_eq!(host.shared.metrics.following.get(), 0);
 }
 
 #[test]
-fn a_reader_that_the_store_refuses_lets_its_followers_go() {
+fn a_reader_that_the_store_refuses_drops_its_followers() {
     let site = TestSite::start();
     let _reader = site.host("reader");
     let host = follower(&site, "follower");
@@ -82,11 +82,11 @@
     assert!(host.is_ready());
     site.store.refuse(false);
     site.store.put("configuration", "routes", "2");
-    wait_until("the change is in force", || serves_the_late_route(&host, "r1"));
+    wait_until("the change is in force", || serves_late_route(&host, "r1"));
 }
 
 #[test]
-fn engines_that_lapse_in_an_outage_count_until_they_can_have_listed_themselves_again() {
+fn engines_whose_entries_expire_in_an_outage_stay_listed_until_they_could_relist() {
     let site = TestSite::start();
     let host = site.host("lapse");
     let listed = || host.shared.table.borrow().ready_engines("plain").count();
@@ -96,8 +96,8 @@
     site.store.refuse(false);
     // The pause between two tries while the store refuses is a second and a quarter at most.
     for number in 0..15 {
-        let answer = host.get("/safe/a", &format!("X-Request: l{number}\r\n"));
-        assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
+        let response = host.get("/safe/a", &format!("X-Request: l{number}\r\n"));
+        assert!(response.starts_with("HTTP/1.1 200"), "{response}");
         thread::sleep(Duration::from_millis(100));
     }
     wait_until("what did not come back is gone", || listed() == 0);
@@ -106,9 +106,9 @@
 }
 
 #[test]
-fn a_weak_host_stands_in_and_leaves_when_strong_ones_are_back() {
+fn a_weak_host_joins_the_group_until_strong_hosts_return() {
     let site = TestSite::start();
-    let weak = site.host_with("weak", Vec::new(), WEAK);
+    let weak = site.start_host_with_capacity("weak", Vec::new(), WEAK_CAPACITY);
     weak.wait_ready();
     wait_until("it stands in", || weak.shared.metrics.leases.get() == 1);
     let strong = ["one", "two", "three"].map(|name| site.host(name));
@@ -167,7 +167,7 @@
 ];
 
 #[test]
-fn health_tells_freshness_and_outages() {
+fn store_health_reports_freshness_and_outages() {
     for case in HEALTH_CASES {
         let mut health = StoreHealth::default();
         for (at, answered) in case.calls {
@@ -186,7 +186,7 @@
 }
 
 /// Returns whether the first frame of a connection tells demand.
-fn tells_demand(socket: &mut TcpStream) -> bool {
+fn reports_demand(socket: &mut TcpStream) -> bool {
     let mut length = [0; 4];
     if socket.read_exact(&mut length).is_err() {
         return false;
@@ -197,47 +197,47 @@
 }
 
 /// A member of the group that takes every connection and never says a word; counts who tells it demand.
-fn silent_member(site: &TestSite) -> Arc<AtomicU32> {
+fn add_silent_member(site: &TestSite) -> Arc<AtomicU32> {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    site.store.enlist(&listener.local_addr().expect("an address").to_string());
-    let told: Arc<AtomicU32> = Arc::default();
-    let counted = Arc::clone(&told);
+    site.store.add_member(&listener.local_addr().expect("an address").to_string());
+    let reports: Arc<AtomicU32> = Arc::default();
+    let counter = Arc::clone(&reports);
     thread::spawn(move || {
         for mut socket in listener.incoming().flatten() {
-            let counted = Arc::clone(&counted);
+            let counter = Arc::clone(&counter);
             thread::spawn(move || {
-                if tells_demand(&mut socket) {
-                    counted.fetch_add(1, Ordering::Relaxed);
+                if reports_demand(&mut socket) {
+                    counter.fetch_add(1, Ordering::Relaxed);
                 }
                 // Held open until the other side closes it.
                 let _ = socket.read(&mut [0; 1024]);
             });
         }
     });
-    told
+    reports
 }
 
 /// A connection to the placer that had gone silent for good was kept, and with it a plan of long ago.
 #[test]
-fn a_silent_placer_is_connected_to_again() {
+fn a_host_reconnects_to_a_silent_placer() {
     let site = TestSite::start();
-    let told = [(); 3].map(|()| silent_member(&site));
-    let host = site.host_with("listener", Vec::new(), WEAK);
+    let reports = [(); 3].map(|()| add_silent_member(&site));
+    let host = site.start_host_with_capacity("listener", Vec::new(), WEAK_CAPACITY);
     host.wait_ready();
     wait_until("the placer is connected to again", || {
-        told.iter().map(|told| told.load(Ordering::Relaxed)).sum::<u32>() >= 2
+        reports.iter().map(|reports| reports.load(Ordering::Relaxed)).sum::<u32>() >= 2
     });
 }
 
 /// A partition passes on when the member that had it has joined again: at a third of the time to live between joins
 /// nobody placed for the first two seconds of a fleet.
 #[test]
-fn a_member_joins_again_at_once_while_the_group_changes() {
+fn a_member_rejoins_immediately_while_the_group_changes() {
     let site = TestSite::start();
     let _host = site.host("member");
     thread::sleep(Duration::from_millis(1500));
     let changed = Instant::now();
-    site.store.enlist("127.0.0.1:1");
+    site.store.add_member("127.0.0.1:1");
     wait_until("it has joined twice", || site.store.joins_since(changed).len() >= 2);
     let joins = site.store.joins_since(changed);
     let gap = joins[1] - joins[0];
@@ -248,55 +248,59 @@
 }
 
 /// What a host's calls and its reader tell, and whether engines that are gone count for a while.
-struct StoryCase {
+struct OutageCase {
     name: &'static str,
     /// Rising times with what happened. Unit: milliseconds.
-    story: &'static [(u64, StoreSign)],
+    events: &'static [(u64, StoreEvent)],
     /// Whether an outage has just ended.
     outage: bool,
 }
 
 #[derive(Clone, Copy)]
-enum StoreSign {
+enum StoreEvent {
     Answered,
     Failed,
-    Told,
+    ReaderUpdate,
 }
 
-const STORY_CASES: &[StoryCase] = &[
-    StoryCase {
+const OUTAGE_CASES: &[OutageCase] = &[
+    OutageCase {
         name: "an outage of its own calls",
-        story: &[
-            (1000, StoreSign::Answered),
-            (1500, StoreSign::Failed),
-            (4000, StoreSign::Answered),
+        events: &[
+            (1000, StoreEvent::Answered),
+            (1500, StoreEvent::Failed),
+            (4000, StoreEvent::Answered),
         ],
         outage: true,
     },
-    StoryCase {
+    OutageCase {
         name: "one failure long ago, a reader since, and a call again",
-        story: &[
-            (1000, StoreSign::Answered),
-            (5000, StoreSign::Failed),
-            (5200, StoreSign::Told),
-            (18_000, StoreSign::Told),
-            (18_400, StoreSign::Answered),
+        events: &[
+            (1000, StoreEvent::Answered),
+            (5000, StoreEvent::Failed),
+            (5200, StoreEvent::ReaderUpdate),
+            (18_000, StoreEvent::ReaderUpdate),
+            (18_400, StoreEvent::Answered),
         ],
         outage: false,
     },
-    StoryCase {
+    OutageCase {
         name: "a reader for long, one failure, and an answer",
-        story: &[
-            (1000, StoreSign::Answered),
-            (18_000, StoreSign::Told),
-            (18_300, StoreSign::Failed),
-            (18_500, StoreSign::Answered),
+        events: &[
+            (1000, StoreEvent::Answered),
+            (18_000, StoreEvent::ReaderUpdate),
+            (18_300, StoreEvent::Failed),
+            (18_500, StoreEvent::Answered),
         ],
         outage: false,
     },
-    StoryCase {
+    OutageCase {
         name: "an outage that ends with a reader's word",
-        story: &[(18_000, StoreSign::Told), (18_300, StoreSign::Failed), (21_000, StoreSign::Told)],
+        events: &[
+            (18_000, StoreEvent::ReaderUpdate),
+            (18_300, StoreEvent::Failed),
+            (21_000, StoreEvent::ReaderUpdate),
+        ],
         outage: true,
     },
 ];
@@ -304,18 +308,18 @@
 /// A host that followed a reader for thirteen seconds took them for an outage when it called the store again, and went on
 /// sending to an engine that had left.
 #[test]
-fn following_a_reader_is_no_outage() {
-    for case in STORY_CASES {
+fn following_a_reader_does_not_count_as_an_outage() {
+    for case in OUTAGE_CASES {
         let mut health = StoreHealth::default();
         let mut now = ClockMillis::default();
-        for (at, sign) in case.story {
+        for (at, event) in case.events {
             now = ClockMillis::from_millis(*at);
-            match sign {
-                StoreSign::Answered => {
+            match event {
+                StoreEvent::Answered => {
                     health.answered(now);
                 }
-                StoreSign::Failed => health.failed(now),
-                StoreSign::Told => health.told_by_reader(now),
+                StoreEvent::Failed => health.failed(now),
+                StoreEvent::ReaderUpdate => health.told_by_reader(now),
             }
         }
         assert_eq!(health.relisting_until(now).is_some(), case.outage, "{}", case.name);
--- a/crates/gateway/tests/host/main.rs
+++ b/crates/gateway/tests/host/main.rs
@@ -1,27 +1,27 @@
 //! A whole host over real sockets, against stand-ins that speak the project's plain dialect.
 
 mod announcements;
-mod before_sending;
+mod recheck_before_send;
 mod configuration;
-mod deadly;
+mod quarantine;
 mod dialect;
 mod engine;
-mod engines;
+mod engine_faults;
 mod events;
 mod fleet;
 mod following;
-mod hostile;
+mod malformed_requests;
 mod limits;
-mod older_copy;
+mod store_restore;
 mod organisations;
 mod placement;
-mod reborn;
-mod rollback;
+mod engine_restart;
+mod store_rollback;
 mod site;
 mod stale_reader;
 mod stopping;
 mod store;
-mod store_falls;
+mod rollback_histories;
 mod streams;
 mod suspended;
 mod system_fields;
--- a/crates/gateway/tests/host/hostile.rs
+++ b/crates/gateway/tests/host/malformed_requests.rs
@@ -10,115 +10,115 @@
 
 use crate::site::{TestSite, raw_exchange, read_all};
 
-struct HostileCase {
+struct MalformedRequestCase {
     name: &'static str,
     request: &'static str,
     /// The status; zero where the connection just ends.
     status: u16,
 }
 
-const CASES: &[HostileCase] = &[
-    HostileCase {
+const CASES: &[MalformedRequestCase] = &[
+    MalformedRequestCase {
         name: "two lengths",
         request: "POST /safe/a HTTP/1.1\r\nHost: site.example\r\nX-Request: h1\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd",
         status: 400,
     },
-    HostileCase {
+    MalformedRequestCase {
         name: "the same length twice",
         request: "POST /safe/a HTTP/1.1\r\nHost: site.example\r\nX-Request: h2\r\nContent-Length: 3\r\nContent-Length: 3\r\n\r\nabc",
         status: 400,
     },
-    HostileCase {
+    MalformedRequestCase {
         name: "a length and chunks",
         request: "POST /safe/a HTTP/1.1\r\nHost: site.example\r\nX-Request: h3\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
         status: 400,
     },
-    HostileCase {
+    MalformedRequestCase {
         name: "a length with a sign",
         request: "POST /safe/a HTTP/1.1\r\nHost: site.example\r\nX-Request: h4\r\nContent-Length: +3\r\n\r\nabc",
         status: 400,
     },
-    HostileCase {
+    MalformedRequestCase {
         name: "another transfer coding",
         request: "POST /safe/a HTTP/1.1\r\nHost: site.example\r\nX-Request: h5\r\nTransfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n",
         status: 400,
     },
-    HostileCase {
+    MalformedRequestCase {
         name: "bare line ends",
         request: "GET /safe/a HTTP/1.1\nHost: site.example\nX-Request: h6\n\n",
         status: 400,
     },
-    HostileCase {
+    MalformedRequestCase {
         name: "one bare line end",
         request: "GET /safe/a HTTP/1.1\r\nHost: site.example\nX-Request: h7\r\n\r\n",
         status: 400,
     },
-    HostileCase {
+    MalformedRequestCase {
         name: "a space before the colon",
         request: "GET /safe/a HTTP/1.1\r\nHost : site.example\r\nX-Request: h8\r\n\r\n",
         status: 400,
     },
-    HostileCase {
+    MalformedRequestCase {
         name: "a folded field",
         request: "GET /safe/a HTTP/1.1\r\nHost: site.example\r\nX-Request: h9\r\nX-More: a\r\n b\r\n\r\n",
         status: 400,
     },
-    HostileCase {
+    MalformedRequestCase {
         name: "no host",
         request: "GET /safe/a HTTP/1.1\r\nX-Request: h10\r\n\r\n",
         status: 400,
     },
-    HostileCase {
+    MalformedRequestCase {
         name: "two hosts",
         request: "GET /safe/a HTTP/1.1\r\nHost: site.example\r\nHost: other.example\r\nX-Request: h11\r\n\r\n",
         status: 400,
     },
-    HostileCase {
+    MalformedRequestCase {
         name: "an absolute target",
         request: "GET http://site.example/safe/a HTTP/1.1\r\nHost: site.example\r\nX-Request: h12\r\n\r\n",
         status: 400,
     },
-    HostileCase {
+    MalformedRequestCase {
         name: "no method",
         request: "/safe/a HTTP/1.1\r\nHost: site.example\r\nX-Request: h13\r\n\r\n",
         status: 400,
     },
-    HostileCase {
+    MalformedRequestCase {
         name: "a chunk size that is none",
         request: "POST /safe/a HTTP/1.1\r\nHost: site.example\r\nX-Request: h14\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\nabc\r\n0\r\n\r\n",
         status: 400,
     },
-    HostileCase {
+    MalformedRequestCase {
         name: "a chunk size beyond all bounds",
         request: "POST /safe/a HTTP/1.1\r\nHost: site.example\r\nX-Request: h15\r\nTransfer-Encoding: chunked\r\n\r\nffffffffffffffff\r\nabc\r\n",
         status: 400,
     },
-    HostileCase {
+    MalformedRequestCase {
         name: "a chunk with a bare line end",
         request: "POST /safe/a HTTP/1.1\r\nHost: site.example\r\nX-Request: h16\r\nTransfer-Encoding: chunked\r\n\r\n3\nabc\r\n0\r\n\r\n",
         status: 400,
     },
-    HostileCase {
+    MalformedRequestCase {
         name: "a body over the limit",
         request: "POST /safe/a HTTP/1.1\r\nHost: site.example\r\nX-Request: h17\r\nContent-Length: 300000\r\n\r\nabc",
         status: 413,
     },
-    HostileCase {
+    MalformedRequestCase {
         name: "no id",
         request: "GET /safe/a HTTP/1.1\r\nHost: site.example\r\nConnection: close\r\n\r\n",
         status: 400,
     },
-    HostileCase {
+    MalformedRequestCase {
         name: "a deadline that is no number",
         request: "GET /safe/a HTTP/1.1\r\nHost: site.example\r\nX-Request: h19\r\nX-Deadline: soon\r\nConnection: close\r\n\r\n",
         status: 400,
     },
-    HostileCase {
+    MalformedRequestCase {
         name: "half a head",
         request: "GET /safe/a HTTP/1.1\r\nHost: site.exa",
         status: 408,
     },
-    HostileCase {
+    MalformedRequestCase {
         name: "half a body",
         request: "POST /safe/a HTTP/1.1\r\nHost: site.example\r\nX-Request: h21\r\nContent-Length: 10\r\n\r\nabc",
         status: 408,
@@ -126,18 +126,18 @@
 ];
 
 #[test]
-fn hostile_requests_never_reach_an_engine() {
+fn malformed_requests_never_reach_an_engine() {
     let site = TestSite::start();
     let host = site.host("hostile");
     thread::scope(|scope| {
         for case in CASES {
-            let clients = host.clients;
+            let clients = host.client_address;
             scope.spawn(move || {
-                let answer = raw_exchange(clients, case.request.as_bytes());
+                let response = raw_exchange(clients, case.request.as_bytes());
                 let expected = format!("HTTP/1.1 {} ", case.status);
-                assert!(answer.starts_with(&expected), "{}: {answer}", case.name);
-                let more = answer.matches("HTTP/1.1").count();
-                assert_eq!(more, 1, "{}: one answer only: {answer}", case.name);
+                assert!(response.starts_with(&expected), "{}: {response}", case.name);
+                let more = response.matches("HTTP/1.1").count();
+                assert_eq!(more, 1, "{}: one answer only: {response}", case.name);
             });
         }
     });
@@ -152,17 +152,17 @@
     let request = format!(
         "GET /safe/a HTTP/1.1\r\nHost: site.example\r\nX-Request: l1\r\nX-Long: {long}\r\n\r\n"
     );
-    let answer = raw_exchange(host.clients, request.as_bytes());
-    assert!(answer.starts_with("HTTP/1.1 431 "), "{answer}");
+    let response = raw_exchange(host.client_address, request.as_bytes());
+    assert!(response.starts_with("HTTP/1.1 431 "), "{response}");
     assert_eq!(site.plain.arrivals().len(), 0);
 }
 
 #[test]
-fn a_slow_sender_is_cut_off_within_the_heads_time() {
+fn a_slow_sender_is_cut_off_at_the_head_timeout() {
     let site = TestSite::start();
     let host = site.host("slow");
     let began = Instant::now();
-    let mut socket = TcpStream::connect(host.clients).expect("a connection");
+    let mut socket = TcpStream::connect(host.client_address).expect("a connection");
     let mut writer = socket.try_clone().expect("a second handle");
     let trickle = thread::spawn(move || {
         for byte in b"GET /safe/a HTTP/1.1\r\nHost: site.example\r\nX-Request: s1\r\n" {
@@ -172,37 +172,37 @@
             thread::sleep(Duration::from_millis(40));
         }
     });
-    let answer = read_all(&mut socket);
+    let response = read_all(&mut socket);
     drop(socket);
-    assert!(answer.starts_with("HTTP/1.1 408 "), "{answer}");
+    assert!(response.starts_with("HTTP/1.1 408 "), "{response}");
     assert!(began.elapsed() < Duration::from_millis(1500), "{:?}", began.elapsed());
     trickle.join().expect("the sender ends");
     assert_eq!(site.plain.arrivals().len(), 0);
 }
 
 #[test]
-fn a_smuggled_request_is_a_request_of_its_own() {
+fn a_pipelined_request_is_handled_separately() {
     let site = TestSite::start();
     let host = site.host("pipelined");
     // Two whole requests in one write: both are answered, in their order, each with its own body.
     let request = "POST /single/a HTTP/1.1\r\nHost: site.example\r\nX-Request: p1\r\nContent-Length: 3\r\n\r\noneGET /nowhere/ HTTP/1.1\r\nHost: site.example\r\nX-Request: p2\r\nConnection: close\r\n\r\n";
-    let answer = raw_exchange(host.clients, request.as_bytes());
-    let second = answer.find("HTTP/1.1 404").expect("the second answer");
-    assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
-    assert!(answer[..second].ends_with("one"), "{answer}");
+    let response = raw_exchange(host.client_address, request.as_bytes());
+    let second = response.find("HTTP/1.1 404").expect("the second answer");
+    assert!(response.starts_with("HTTP/1.1 200"), "{response}");
+    assert!(response[..second].ends_with("one"), "{response}");
     let runs = site.plain.runs();
     assert_eq!(runs.len(), 1);
     assert_eq!(runs[0].body, b"one");
 }
 
 #[test]
-fn two_thousand_resting_connections_are_borne() {
+fn two_thousand_idle_connections_are_accepted() {
     let site = TestSite::start();
     let host = site.host("crowd");
-    let crowd: Vec<TcpStream> =
-        (0..2000).filter_map(|_| TcpStream::connect(host.clients).ok()).collect();
-    assert!(crowd.len() >= 1990, "{} connections", crowd.len());
-    let answer = host.get("/safe/a", "X-Request: c1\r\n");
-    assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
-    drop(crowd);
+    let idle: Vec<TcpStream> =
+        (0..2000).filter_map(|_| TcpStream::connect(host.client_address).ok()).collect();
+    assert!(idle.len() >= 1990, "{} connections", idle.len());
+    let response = host.get("/safe/a", "X-Request: c1\r\n");
+    assert!(response.starts_with("HTTP/1.1 200"), "{response}");
+    drop(idle);
 }
--- a/crates/gateway/tests/host/organisations.rs
+++ b/crates/gateway/tests/host/organisations.rs
@@ -6,19 +6,22 @@
 };
 
 use crate::{
-    dialect::{KEY, ORGANISATION, RANK, REQUEST},
-    engine::{EngineMood, StandInEngine},
-    site::{KEY_WITHDRAWN, MODEL_NAME, TestHost, TestSite, WITH_KEYS, raw_exchange, wait_until},
+    dialect::{KEY, ORGANISATION, PRIORITY, REQUEST},
+    engine::{EngineBehaviour, StandInEngine},
+    site::{
+        MODEL_NAME, ORGANISATIONS_REVISION, REVOKED_KEY_REVISION, TestHost, TestSite, raw_exchange,
+        wait_until,
+    },
 };
 
-pub(crate) fn site_with_keys() -> TestSite {
+pub(crate) fn site_with_organisations() -> TestSite {
     let site = TestSite::without_configuration();
-    site.store.put("configuration", "routes", &WITH_KEYS.to_string());
+    site.store.put("configuration", "routes", &ORGANISATIONS_REVISION.to_string());
     site
 }
 
-fn status(answer: &str) -> &str {
-    answer.split(' ').nth(1).unwrap_or_default()
+fn status(response: &str) -> &str {
+    response.split(' ').nth(1).unwrap_or_default()
 }
 
 /// What a request shows, and what becomes of it.
@@ -28,7 +31,7 @@
     fields: &'static str,
     status: &'static str,
     /// Who the engine is told that asks, and the rank of the request there.
-    seen: Option<(Option<&'static str>, &'static str)>,
+    forwarded: Option<(Option<&'static str>, &'static str)>,
 }
 
 const KEY_CASES: &[KeyCase] = &[
@@ -37,163 +40,169 @@
         path: "/single/a",
         fields: "X-Key: key-n1\r\n",
         status: "200",
-        seen: Some((Some("north"), "4")),
+        forwarded: Some((Some("north"), "4")),
     },
     KeyCase {
         name: "another key of the same organisation, the field's name in odd case",
         path: "/single/a",
         fields: "x-KEY: key-n2\r\n",
         status: "200",
-        seen: Some((Some("north"), "4")),
+        forwarded: Some((Some("north"), "4")),
     },
     KeyCase {
         name: "an organisation without a rank: the route's holds",
         path: "/single/a",
         fields: "X-Key: key-s\r\n",
         status: "200",
-        seen: Some((Some("south"), "1")),
+        forwarded: Some((Some("south"), "1")),
     },
     KeyCase {
         name: "blanks around the key are none of it",
         path: "/single/a",
         fields: "X-Key: \t key-s \r\n",
         status: "200",
-        seen: Some((Some("south"), "1")),
+        forwarded: Some((Some("south"), "1")),
     },
     KeyCase {
         name: "a forged organisation beside a key",
         path: "/single/a",
         fields: "X-Organisation: north\r\nX-Key: key-s\r\nx-organisation: west\r\n",
         status: "200",
-        seen: Some((Some("south"), "1")),
+        forwarded: Some((Some("south"), "1")),
     },
     KeyCase {
         name: "a key that Connection names too",
         path: "/single/a",
         fields: "Connection: X-Key, X-Organisation\r\nX-Key: key-s\r\n",
         status: "200",
-        seen: Some((Some("south"), "1")),
+        forwarded: Some((Some("south"), "1")),
     },
-    KeyCase { name: "no key", path: "/single/a", fields: "", status: "401", seen: None },
+    KeyCase { name: "no key", path: "/single/a", fields: "", status: "401", forwarded: None },
     KeyCase {
         name: "a forged organisation without a key",
         path: "/single/a",
         fields: "X-Organisation: north\r\n",
         status: "401",
-        seen: None,
+        forwarded: None,
     },
     KeyCase {
         name: "an unknown key",
         path: "/single/a",
         fields: "X-Key: key-x\r\n",
         status: "401",
-        seen: None,
+        forwarded: None,
     },
     KeyCase {
         name: "a key in another case",
         path: "/single/a",
         fields: "X-Key: KEY-N1\r\n",
         status: "401",
-        seen: None,
+        forwarded: None,
     },
     KeyCase {
         name: "an empty key",
         path: "/single/a",
         fields: "X-Key:\r\n",
         status: "401",
-        seen: None,
+        forwarded: None,
     },
     KeyCase {
         name: "two keys in two fields",
         path: "/single/a",
         fields: "X-Key: key-n1\r\nX-Key: key-n1\r\n",
         status: "401",
-        seen: None,
+        forwarded: None,
     },
     KeyCase {
         name: "two keys in one field",
         path: "/single/a",
         fields: "X-Key: key-n1, key-n2\r\n",
         status: "401",
-        seen: None,
+        forwarded: None,
     },
     KeyCase {
         name: "something beside the key",
         path: "/single/a",
         fields: "X-Key: Bearer key-n1\r\n",
         status: "401",
-        seen: None,
+        forwarded: None,
     },
     KeyCase {
         name: "a key that two organisations list",
         path: "/single/a",
         fields: "X-Key: key-both\r\n",
         status: "401",
-        seen: None,
+        forwarded: None,
     },
     KeyCase {
         name: "a public route without a key",
         path: "/open/a",
         fields: "",
         status: "200",
-        seen: Some((None, "1")),
+        forwarded: Some((None, "1")),
     },
     KeyCase {
         name: "a public route with a key, which is passed over",
         path: "/open/a",
         fields: "X-Key: key-x\r\nX-Organisation: north\r\n",
         status: "200",
-        seen: Some((None, "1")),
+        forwarded: Some((None, "1")),
     },
     KeyCase {
         name: "no such route",
         path: "/nowhere/a",
         fields: "X-Key: key-n1\r\n",
         status: "404",
-        seen: None,
+        forwarded: None,
     },
 ];
 
 #[test]
-fn a_request_runs_for_the_organisation_that_holds_its_key_or_not_at_all() {
-    let site = site_with_keys();
+fn a_request_runs_only_for_the_organisation_that_owns_its_key() {
+    let site = site_with_organisations();
     let host = site.host("keys");
     for (number, case) in KEY_CASES.iter().enumerate() {
         let id = format!("k{number}");
-        let answer = host.get(case.path, &format!("X-Request: {id}\r\n{}", case.fields));
-        assert_eq!(status(&answer), case.status, "{}: {answer}", case.name);
+        let response = host.get(case.path, &format!("X-Request: {id}\r\n{}", case.fields));
+        assert_eq!(status(&response), case.status, "{}: {response}", case.name);
         let arrivals = site.plain.arrivals();
         let arrived =
             arrivals.iter().find(|arrival| arrival.head.fields.text(REQUEST) == Some(&id));
-        let seen = arrived.map(|arrival| {
+        let forwarded = arrived.map(|arrival| {
             let fields = &arrival.head.fields;
             assert_eq!(fields.values(KEY).count(), 0, "{}: an engine saw the key", case.name);
             assert!(fields.values(ORGANISATION).count() <= 1, "{}", case.name);
-            (fields.text(ORGANISATION), fields.text(RANK).unwrap_or_default())
+            (fields.text(ORGANISATION), fields.text(PRIORITY).unwrap_or_default())
         });
-        assert_eq!(seen, case.seen, "{}", case.name);
+        assert_eq!(forwarded, case.forwarded, "{}", case.name);
     }
 }
 
 #[test]
 fn an_oversized_key_is_refused() {
-    let site = site_with_keys();
+    let site = site_with_organisations();
     let host = site.host("long-key");
     let key = "k".repeat(300);
-    let answer = host.get("/single/a", &format!("X-Request: l1\r\nX-Key: {key}\r\n"));
-    assert_eq!(status(&answer), "401", "{answer}");
+    let response = host.get("/single/a", &format!("X-Request: l1\r\nX-Key: {key}\r\n"));
+    assert_eq!(status(&response), "401", "{response}");
 }
 
 /// A way on which a request reaches an engine more than once.
 struct RepeatCase {
     path: &'static str,
-    moods: &'static [EngineMood],
+    behaviours: &'static [EngineBehaviour],
 }
 
 const REPEATS: &[RepeatCase] = &[
-    RepeatCase { path: "/safe/a", moods: &[EngineMood::NotRun, EngineMood::Well] },
-    RepeatCase { path: "/stream/a", moods: &[EngineMood::NotRun, EngineMood::Stream(3)] },
-    RepeatCase { path: "/resumable/a", moods: &[EngineMood::StreamCut(2), EngineMood::Stream(4)] },
+    RepeatCase { path: "/safe/a", behaviours: &[EngineBehaviour::NotRun, EngineBehaviour::Echo] },
+    RepeatCase {
+        path: "/stream/a",
+        behaviours: &[EngineBehaviour::NotRun, EngineBehaviour::Stream(3)],
+    },
+    RepeatCase {
+        path: "/resumable/a",
+        behaviours: &[EngineBehaviour::TruncateStream(2), EngineBehaviour::Stream(4)],
+    },
 ];
 
 fn send_with_forged_organisation(host: &TestHost, path: &str, id: &str) -> String {
@@ -203,16 +212,16 @@
         "POST {path} HTTP/1.1\r\nHost: site.example\r\nX-Request: {id}\r\n{model}\
          X-Key: key-n1\r\nX-Organisation: west\r\nConnection: close\r\nContent-Length: 2\r\n\r\n{{}}"
     );
-    raw_exchange(host.clients, request.as_bytes())
+    raw_exchange(host.client_address, request.as_bytes())
 }
 
 #[test]
-fn repeats_and_resumed_streams_run_for_the_same_organisation_and_without_the_key() {
+fn retries_and_resumed_streams_carry_the_same_organisation_and_no_key() {
     for case in REPEATS {
-        let site = site_with_keys();
+        let site = site_with_organisations();
         let host = site.host("repeats");
         for engine in site.engines.iter().chain([&site.plain]) {
-            engine.treat(case.moods);
+            engine.set_behaviours(case.behaviours);
         }
         send_with_forged_organisation(&host, case.path, "r1");
         let engines = site.engines.iter().chain([&site.plain]);
@@ -228,44 +237,56 @@
 }
 
 #[test]
-fn a_withdrawn_key_runs_nothing_once_the_configuration_is_in_force() {
-    let site = site_with_keys();
+fn a_revoked_key_runs_nothing_once_the_configuration_applies() {
+    let site = site_with_organisations();
     let host = site.host("withdrawn");
-    let ask = |id: &str, key: &str| {
+    let request_status = |id: &str, key: &str| {
         host.get("/single/a", &format!("X-Request: {id}\r\nX-Key: {key}\r\n"))
     };
-    assert_eq!(status(&ask("w1", "key-n1")), "200");
-    site.store.put("configuration", "routes", &KEY_WITHDRAWN.to_string());
+    assert_eq!(status(&request_status("w1", "key-n1")), "200");
+    site.store.put("configuration", "routes", &REVOKED_KEY_REVISION.to_string());
     wait_until("the new configuration is in force", || {
         let table = host.shared.table.borrow().clone();
-        table.routes.as_ref().is_some_and(|routes| routes.revision() == KEY_WITHDRAWN)
+        table.routes.as_ref().is_some_and(|routes| routes.revision() == REVOKED_KEY_REVISION)
     });
-    assert_eq!(status(&ask("w2", "key-n1")), "401");
-    assert_eq!(status(&ask("w3", "key-n2")), "200");
+    assert_eq!(status(&request_status("w2", "key-n1")), "401");
+    assert_eq!(status(&request_status("w3", "key-n2")), "200");
 }
 
 /// How long a withdrawn key may be served in these tests.
-const BOUND: Duration = Duration::from_millis(1500);
+const REVOCATION_BOUND: Duration = Duration::from_millis(1500);
 
-fn ask(host: &TestHost, id: &str, path: &str, key: &str) -> String {
-    let answer = host.get(path, &format!("X-Request: {id}\r\nX-Key: {key}\r\n"));
-    status(&answer).to_owned()
+fn request_status(host: &TestHost, id: &str, path: &str, key: &str) -> String {
+    let response = host.get(path, &format!("X-Request: {id}\r\nX-Key: {key}\r\n"));
+    status(&response).to_owned()
 }
 
 #[test]
-fn a_host_that_can_not_hear_of_withdrawn_keys_serves_none_after_the_bound() {
-    let site = site_with_keys();
-    let host = site.strict_host("deaf", BOUND, true);
-    assert_eq!(ask(&host, "d1", "/single/a", "key-n1"), "200");
+fn a_host_that_can_not_learn_of_revocations_serves_no_keys_after_the_bound() {
+    let site = site_with_organisations();
+    let host = site.host_with_revocation_bound("deaf", REVOCATION_BOUND, true);
+    assert_eq!(request_status(&host, "d1", "/single/a", "key-n1"), "200");
     site.store.refuse(true);
     let lost = Instant::now();
-    site.store.put("configuration", "routes", &KEY_WITHDRAWN.to_string());
-    thread::sleep(BOUND / 4);
-    assert_eq!(ask(&host, "d2", "/single/a", "key-n2"), "200", "most outages withdraw nothing");
-    thread::sleep(BOUND.saturating_sub(lost.elapsed()));
-    assert_eq!(ask(&host, "d3", "/single/a", "key-n1"), "503");
-    assert_eq!(ask(&host, "d4", "/single/a", "key-n2"), "503", "no key is known to hold");
-    assert_eq!(ask(&host, "d5", "/open/a", "key-n2"), "200", "a public route needs none");
+    site.store.put("configuration", "routes", &REVOKED_KEY_REVISION.to_string());
+    thread::sleep(REVOCATION_BOUND / 4);
+    assert_eq!(
+        request_status(&host, "d2", "/single/a", "key-n2"),
+        "200",
+        "most outages withdraw nothing"
+    );
+    thread::sleep(REVOCATION_BOUND.saturating_sub(lost.elapsed()));
+    assert_eq!(request_status(&host, "d3", "/single/a", "key-n1"), "503");
+    assert_eq!(
+        request_status(&host, "d4", "/single/a", "key-n2"),
+        "503",
+        "no key is known to hold"
+    );
+    assert_eq!(
+        request_status(&host, "d5", "/open/a", "key-n2"),
+        "200",
+        "a public route needs none"
+    );
     assert!(!host.is_ready(), "the balancer sends clients to others");
     let ran = |id: &str| {
         site.plain.arrivals().iter().any(|arrival| arrival.head.fields.text(REQUEST) == Some(id))
@@ -273,76 +294,80 @@
     assert!(!ran("d3") && !ran("d4"), "a refused request has run");
     site.store.refuse(false);
     host.wait_ready();
-    assert_eq!(ask(&host, "d6", "/single/a", "key-n1"), "401");
-    assert_eq!(ask(&host, "d7", "/single/a", "key-n2"), "200");
+    assert_eq!(request_status(&host, "d6", "/single/a", "key-n1"), "401");
+    assert_eq!(request_status(&host, "d7", "/single/a", "key-n2"), "200");
 }
 
 #[test]
-fn followers_of_a_reader_serve_keys_as_long_as_it_hears_and_stop_when_it_does_not() {
-    let site = site_with_keys();
-    let reader = site.strict_host("reader", BOUND, true);
-    let host = site.strict_host("follower", BOUND, false);
+fn followers_serve_keys_only_while_their_reader_reaches_the_store() {
+    let site = site_with_organisations();
+    let reader = site.host_with_revocation_bound("reader", REVOCATION_BOUND, true);
+    let host = site.host_with_revocation_bound("follower", REVOCATION_BOUND, false);
     wait_until("the host follows", || host.shared.metrics.following.get() == 1);
     // Longer than the bound: without the reader's word the key would not be served any more.
-    thread::sleep(BOUND * 2);
+    thread::sleep(REVOCATION_BOUND * 2);
     assert_eq!(host.shared.metrics.following.get(), 1);
-    assert_eq!(ask(&host, "f1", "/single/a", "key-n1"), "200");
+    assert_eq!(request_status(&host, "f1", "/single/a", "key-n1"), "200");
     site.store.refuse(true);
-    thread::sleep(BOUND);
+    thread::sleep(REVOCATION_BOUND);
     for host in [&reader, &host] {
-        assert_eq!(ask(host, "f2", "/single/a", "key-n1"), "503");
+        assert_eq!(request_status(host, "f2", "/single/a", "key-n1"), "503");
     }
-    site.store.put("configuration", "routes", &KEY_WITHDRAWN.to_string());
+    site.store.put("configuration", "routes", &REVOKED_KEY_REVISION.to_string());
     site.store.refuse(false);
     for host in [&reader, &host] {
         host.wait_ready();
-        assert_eq!(ask(host, "f3", "/single/a", "key-n1"), "401");
-        assert_eq!(ask(host, "f4", "/single/a", "key-n2"), "200");
+        assert_eq!(request_status(host, "f3", "/single/a", "key-n1"), "401");
+        assert_eq!(request_status(host, "f4", "/single/a", "key-n2"), "200");
     }
 }
 
 #[test]
-fn a_configuration_that_can_not_be_read_ends_what_the_last_good_one_confirms() {
-    let site = site_with_keys();
-    let host = site.strict_host("unreadable", BOUND, true);
+fn an_unreadable_configuration_ends_the_validity_of_keys() {
+    let site = site_with_organisations();
+    let host = site.host_with_revocation_bound("unreadable", REVOCATION_BOUND, true);
     site.store.put("configuration", "routes", "no number");
-    thread::sleep(BOUND / 3);
-    assert_eq!(ask(&host, "u1", "/single/a", "key-n1"), "200", "the last good one goes on");
-    thread::sleep(BOUND);
-    assert_eq!(ask(&host, "u2", "/single/a", "key-n1"), "503");
-    site.store.put("configuration", "routes", &KEY_WITHDRAWN.to_string());
+    thread::sleep(REVOCATION_BOUND / 3);
+    assert_eq!(
+        request_status(&host, "u1", "/single/a", "key-n1"),
+        "200",
+        "the last good one goes on"
+    );
+    thread::sleep(REVOCATION_BOUND);
+    assert_eq!(request_status(&host, "u2", "/single/a", "key-n1"), "503");
+    site.store.put("configuration", "routes", &REVOKED_KEY_REVISION.to_string());
     host.wait_ready();
-    assert_eq!(ask(&host, "u3", "/single/a", "key-n1"), "401");
+    assert_eq!(request_status(&host, "u3", "/single/a", "key-n1"), "401");
 }
 
 /// Asks `hosts` in turn with the bounded organisation's key; returns how many requests were granted.
-fn granted_of(hosts: &[&TestHost], asks: usize) -> usize {
-    let granted = (0..asks).filter(|number| {
+fn count_granted(hosts: &[&TestHost], attempts: usize) -> usize {
+    let granted = (0..attempts).filter(|number| {
         let host = hosts[number % hosts.len()];
-        let answer = host.get("/single/a", &format!("X-Request: q{number}\r\nX-Key: key-q\r\n"));
-        match status(&answer) {
+        let response = host.get("/single/a", &format!("X-Request: q{number}\r\nX-Key: key-q\r\n"));
+        match status(&response) {
             "200" => true,
             "429" => {
-                assert!(answer.contains("Retry-After: "), "{answer}");
+                assert!(response.contains("Retry-After: "), "{response}");
                 false
             }
-            other => panic!("status {other}: {answer}"),
+            other => panic!("status {other}: {response}"),
         }
     });
     granted.count()
 }
 
 #[test]
-fn hosts_grant_one_quota_together_and_other_organisations_feel_nothing() {
-    let site = site_with_keys();
+fn hosts_share_one_quota_without_affecting_other_organisations() {
+    let site = site_with_organisations();
     let hosts = ["one", "two", "three"].map(|name| site.host(name));
-    let hear = || hosts.iter().all(|host| host.shared.quotas().receives_ledger());
-    wait_until("all hear the ledger", hear);
+    let all_receive_ledger = || hosts.iter().all(|host| host.shared.quotas().receives_ledger());
+    wait_until("all hear the ledger", all_receive_ledger);
     let began = Instant::now();
     let all: Vec<&TestHost> = hosts.iter().collect();
     let mut granted = 0;
     while began.elapsed() < Duration::from_secs(4) {
-        granted += granted_of(&all, 6);
+        granted += count_granted(&all, 6);
         thread::sleep(Duration::from_millis(30));
     }
     let seconds = began.elapsed().as_secs_f64();
@@ -351,49 +376,49 @@
     let most = (4.0f64.mul_add(8.0, 10.0)).mul_add(0.1, limit) + 20.0;
     assert!(granted as f64 <= most, "{granted} granted within {seconds:.1} s, {most:.0} allowed");
     assert!(granted as f64 >= limit * 0.9, "{granted} granted within {seconds:.1} s of {limit:.0}");
-    assert_eq!(ask(&hosts[0], "other", "/single/a", "key-s"), "200");
+    assert_eq!(request_status(&hosts[0], "other", "/single/a", "key-s"), "200");
 }
 
 #[test]
-fn what_did_not_run_is_given_back() {
-    let site = site_with_keys();
+fn quota_of_requests_that_did_not_run_is_refunded() {
+    let site = site_with_organisations();
     let host = site.host("given-back");
     wait_until("it hears the ledger", || host.shared.quotas().receives_ledger());
-    site.plain.treat(&[EngineMood::NotRun]);
+    site.plain.set_behaviours(&[EngineBehaviour::NotRun]);
     for number in 0..300 {
-        let answer = ask(&host, &format!("g{number}"), "/single/a", "key-q");
-        assert_eq!(answer, "503", "request {number}");
+        let response = request_status(&host, &format!("g{number}"), "/single/a", "key-q");
+        assert_eq!(response, "503", "request {number}");
     }
     // More than the burst and the tolerance: refused by the engine, none of them counts.
     assert!(site.plain.arrivals().len() > 20, "{} arrivals", site.plain.arrivals().len());
-    site.plain.treat(&[EngineMood::Well]);
+    site.plain.set_behaviours(&[EngineBehaviour::Echo]);
     // The host sends on only a part to a server that was full just before.
     thread::sleep(Duration::from_millis(3100));
-    assert_eq!(granted_of(&[&host], 8), 8);
+    assert_eq!(count_granted(&[&host], 8), 8);
 }
 
 /// A store that answered nothing for a while hid for two seconds more that it was back.
 #[test]
-fn keys_are_served_again_soon_after_a_silent_outage() {
-    let site = site_with_keys();
-    let host = site.strict_host("silent", BOUND, true);
+fn keys_are_served_again_soon_after_the_store_stops_hanging() {
+    let site = site_with_organisations();
+    let host = site.host_with_revocation_bound("silent", REVOCATION_BOUND, true);
     site.store.hang(true);
     // Long enough for pauses to grow to their longest.
     thread::sleep(Duration::from_millis(6500));
-    assert_eq!(ask(&host, "s1", "/single/a", "key-n1"), "503");
+    assert_eq!(request_status(&host, "s1", "/single/a", "key-n1"), "503");
     site.store.hang(false);
     let back = Instant::now();
-    wait_until("keys are served", || ask(&host, "s2", "/single/a", "key-n1") == "200");
-    let took = back.elapsed();
-    assert!(took < Duration::from_millis(800), "it took {} ms", took.as_millis());
+    wait_until("keys are served", || request_status(&host, "s2", "/single/a", "key-n1") == "200");
+    let elapsed = back.elapsed();
+    assert!(elapsed < Duration::from_millis(800), "it took {} ms", elapsed.as_millis());
 }
 
 #[test]
 fn organisations_are_counted_by_name_and_no_key_is_in_logs_or_metrics() {
-    let site = site_with_keys();
+    let site = site_with_organisations();
     let host = site.host("counted");
-    assert_eq!(ask(&host, "c1", "/single/a", "key-n1"), "200");
-    assert_eq!(ask(&host, "c2", "/single/a", "key-secret-x"), "401");
+    assert_eq!(request_status(&host, "c1", "/single/a", "key-n1"), "200");
+    assert_eq!(request_status(&host, "c2", "/single/a", "key-secret-x"), "401");
     for number in 0..100 {
         host.shared.metrics.count_organisation(&format!("o{number}"), "answered");
     }
--- a/crates/gateway/tests/host/placement.rs
+++ b/crates/gateway/tests/host/placement.rs
@@ -7,7 +7,7 @@
 };
 
 use crate::{
-    engine::EngineMood,
+    engine::EngineBehaviour,
     site::{MODEL_NAME, TestHost, TestSite, wait_until},
 };
 
@@ -22,11 +22,11 @@
 }
 
 #[test]
-fn an_adapter_that_is_asked_for_is_loaded_and_served() {
+fn a_requested_adapter_is_loaded_and_served() {
     let site = TestSite::start();
     let hosts = [site.host("one"), site.host("two")];
     for engine in &site.engines {
-        engine.treat(&[EngineMood::Stream(3)]);
+        engine.set_behaviours(&[EngineBehaviour::Stream(3)]);
     }
     for (number, host) in hosts.iter().enumerate() {
         // The first request may be refused while the lease is dealt; its client comes back.
@@ -45,31 +45,31 @@
 }
 
 #[test]
-fn a_stopped_placer_hands_over() {
+fn a_stopped_placer_hands_over_its_lease() {
     let site = TestSite::start();
     let (first, second) = (site.host("first"), site.host("second"));
-    let ask = |host: &TestHost, adapter: &str| {
+    let send = |host: &TestHost, adapter: &str| {
         let fields = format!("X-Request: {adapter}\r\nX-Model: {MODEL_NAME}/{adapter}\r\n");
         host.post("/stream/a", &fields, "{}").starts_with("HTTP/1.1 200")
     };
-    wait_until("the first adapter is served", || ask(&second, "early"));
+    wait_until("the first adapter is served", || send(&second, "early"));
     first.stop();
-    wait_until("an adapter is served after the stop", || ask(&second, "later"));
+    wait_until("an adapter is served after the stop", || send(&second, "later"));
     second.stop();
 }
 
 /// A placer that has just begun hears from nobody yet. Its count went to all hosts, which took up to a whole budget each by it:
 /// "`hosts_counted` 1, 5, 4, 3, 6" within 0.3 s.
 #[test]
-fn the_hosts_that_share_a_budget_count_on_while_another_one_becomes_the_placer() {
+fn the_host_count_stays_stable_while_another_host_becomes_the_placer() {
     let site = TestSite::start();
     let mut hosts: Vec<_> = ["one", "two", "three", "four"].map(|name| site.host(name)).into();
     let counted = |host: &TestHost| host.shared.table.borrow().hosts;
     wait_until("all are counted", || hosts.iter().all(|host| counted(host) == 4));
     // The group may deal the lease to another member while the last host is being counted.
-    let place = || hosts.iter().position(|host| host.shared.metrics.leases.get() == 1);
-    wait_until("one of them places", || place().is_some());
-    let placer = place().expect("a placer");
+    let index = || hosts.iter().position(|host| host.shared.metrics.leases.get() == 1);
+    wait_until("one of them places", || index().is_some());
+    let placer = index().expect("a placer");
     let placer = hosts.swap_remove(placer);
     placer.shared.stop();
     let began = Instant::now();
@@ -87,12 +87,12 @@
 /// generation does not tell: 50 of 72 hosts took another host for the placer until the lease moved half a minute later; each wrote
 /// some four lines with "`adapter_absent`" a second, the other 22 none, and none of the 50 heard a word on quotas.
 #[test]
-fn every_host_finds_the_placer_though_partitions_pass_on_after_the_group_has_changed() {
+fn every_host_finds_the_placer_when_partitions_move_after_a_group_change() {
     let site = TestSite::start();
-    site.store.lag_owners(Duration::from_millis(300));
-    let hosts = ["one", "two", "three"].map(|name| site.cold_host(name, Vec::new()));
+    site.store.delay_owners(Duration::from_millis(300));
+    let hosts = ["one", "two", "three"].map(|name| site.start_host(name, Vec::new()));
     for engine in &site.engines {
-        engine.treat(&[EngineMood::Stream(3)]);
+        engine.set_behaviours(&[EngineBehaviour::Stream(3)]);
     }
     for (number, host) in hosts.iter().enumerate() {
         host.wait_ready();
--- a/crates/gateway/tests/host/deadly.rs
+++ b/crates/gateway/tests/host/quarantine.rs
@@ -7,93 +7,95 @@
 };
 
 use crate::{
-    engine::{EngineMood, StandInEngine},
-    site::{MODEL_NAME, PATIENCE, TestHost, TestSite, free_address, wait_until},
+    engine::{EngineBehaviour, StandInEngine},
+    site::{MODEL_NAME, TestHost, TestSite, WAIT_LIMIT, free_address, wait_until},
     store::StandInStore,
 };
 
 /// How long an engine that has ended stays away.
-const AWAY: Duration = Duration::from_millis(300);
+const RESTART_DELAY: Duration = Duration::from_millis(300);
 
 /// How many events an innocent request's stream has.
-const EVENTS: u32 = 6;
+const STREAM_EVENTS: u32 = 6;
 
 /// Engines that end under some bodies and come back at their addresses, under other names.
-struct MortalFleet {
+struct CrashableFleet {
     store: StandInStore,
     service: &'static str,
-    held: &'static [&'static str],
-    deadly: &'static [&'static str],
+    loaded_models: &'static [&'static str],
+    crashing_bodies: &'static [&'static str],
     /// Whether an engine that comes back has the name that it had.
-    keeps_names: bool,
+    reuses_names: bool,
     engines: Vec<StandInEngine>,
     /// When each engine that is away ended.
-    away: Vec<Option<Instant>>,
+    down_since: Vec<Option<Instant>>,
     /// When engines ended, in order.
-    ends: Vec<Instant>,
-    lives: usize,
+    crashes: Vec<Instant>,
+    incarnations: usize,
     /// The requests of lives that have ended, by body.
-    arrived: Vec<Vec<u8>>,
+    earlier_arrivals: Vec<Vec<u8>>,
 }
 
-impl MortalFleet {
-    /// Starts so many engines of a service that end under each of the `deadly` bodies.
+impl CrashableFleet {
+    /// Starts so many engines of a service that end under each of the `crashing_bodies` bodies.
     fn start(
         site: &TestSite,
         count: usize,
         service: &'static str,
-        deadly: &'static [&'static str],
+        crashing_bodies: &'static [&'static str],
     ) -> Self {
-        let held: &[&str] = if service == "assist" { &[MODEL_NAME] } else { &[] };
+        let loaded_models: &[&str] = if service == "assist" { &[MODEL_NAME] } else { &[] };
         let mut fleet = Self {
             store: site.store.clone(),
             service,
-            held,
-            deadly,
-            keeps_names: false,
+            loaded_models,
+            crashing_bodies,
+            reuses_names: false,
             engines: Vec::new(),
-            away: vec![None; count],
-            ends: Vec::new(),
-            lives: 0,
-            arrived: Vec::new(),
+            down_since: vec![None; count],
+            crashes: Vec::new(),
+            incarnations: 0,
+            earlier_arrivals: Vec::new(),
         };
         for _ in 0..count {
-            let name = format!("mortal-{}", fleet.lives + 1);
-            let engine = fleet.begin(&name, free_address());
+            let name = format!("mortal-{}", fleet.incarnations + 1);
+            let engine = fleet.start_engine(&name, free_address());
             fleet.engines.push(engine);
         }
         fleet
     }
 
     /// Begins a life of an engine.
-    fn begin(&mut self, name: &str, address: SocketAddr) -> StandInEngine {
-        self.lives += 1;
-        let engine = StandInEngine::start_mortal(name, self.held, address, self.deadly);
-        engine.begin_life(self.lives as u64);
-        engine.treat(&[EngineMood::Stream(EVENTS)]);
+    fn start_engine(&mut self, name: &str, address: SocketAddr) -> StandInEngine {
+        self.incarnations += 1;
+        let engine =
+            StandInEngine::start_crashable(name, self.loaded_models, address, self.crashing_bodies);
+        engine.set_incarnation(self.incarnations as u64);
+        engine.set_behaviours(&[EngineBehaviour::Stream(STREAM_EVENTS)]);
         self.store.put("engines", name, &engine.entry(self.service, false));
         engine
     }
 
     /// Notes which engines have ended, and brings back those that were away for long enough.
-    fn look(&mut self) {
-        for place in 0..self.engines.len() {
-            let engine = &self.engines[place];
-            match self.away[place] {
+    fn poll(&mut self) {
+        for index in 0..self.engines.len() {
+            let engine = &self.engines[index];
+            match self.down_since[index] {
                 None if engine.has_ended() => {
                     let now = Instant::now();
-                    self.ends.push(now);
-                    self.away[place] = Some(now);
+                    self.crashes.push(now);
+                    self.down_since[index] = Some(now);
                 }
-                Some(ended) if ended.elapsed() >= AWAY => {
-                    self.arrived.extend(engine.arrivals().into_iter().map(|request| request.body));
+                Some(crashes_before) if crashes_before.elapsed() >= RESTART_DELAY => {
+                    self.earlier_arrivals
+                        .extend(engine.arrivals().into_iter().map(|request| request.body));
                     let (mut name, address) = (engine.name.clone(), engine.address);
-                    if !self.keeps_names {
+                    if !self.reuses_names {
                         self.store.put("engines", &name, "");
-                        name = format!("mortal-{}", self.lives + 1);
+                        name = format!("mortal-{}", self.incarnations + 1);
                     }
-                    self.engines[place] = self.begin(&name, address);
-                    self.away[place] = None;
+                    self.engines[index] = self.start_engine(&name, address);
+                    self.down_since[index] = None;
                 }
                 _ => {}
             }
@@ -103,14 +105,15 @@
     /// Returns how often requests with a body reached engines.
     fn arrivals(&self, body: &str) -> usize {
         let living = self.engines.iter().flat_map(StandInEngine::arrivals);
-        let bodies = living.map(|request| request.body).chain(self.arrived.iter().cloned());
-        bodies.filter(|arrived| arrived == body.as_bytes()).count()
+        let bodies =
+            living.map(|request| request.body).chain(self.earlier_arrivals.iter().cloned());
+        bodies.filter(|earlier_arrivals| earlier_arrivals == body.as_bytes()).count()
     }
 }
 
 /// Returns whether an answer is a whole stream.
-fn is_whole(answer: &str) -> bool {
-    answer.starts_with("HTTP/1.1 200") && answer.ends_with("0\r\n\r\n")
+fn is_complete(response: &str) -> bool {
+    response.starts_with("HTTP/1.1 200") && response.ends_with("0\r\n\r\n")
 }
 
 fn fields(id: &str) -> String {
@@ -131,62 +134,62 @@
 /// `"outcome":"engine_failed","status":502,"sends":1` from another host each time, with the same adapter and the
 /// same length of the prompt.
 #[test]
-fn a_request_that_ends_engines_is_held_back_by_all_hosts() {
+fn a_request_that_crashes_engines_is_quarantined_by_all_hosts() {
     let site = TestSite::start();
-    let mut fleet = MortalFleet::start(&site, 6, "assist", &["deadly"]);
+    let mut fleet = CrashableFleet::start(&site, 6, "assist", &["deadly"]);
     let hosts = hosts(&site, &["deadly-1", "deadly-2", "deadly-3"]);
     wait_until("a stream is served", || {
-        is_whole(&hosts[0].post("/stream/a", &fields("first"), "first"))
+        is_complete(&hosts[0].post("/stream/a", &fields("first"), "first"))
     });
-    let (mut held, mut served, mut innocents) = (0, 0, 0);
+    let (mut refused, mut served, mut unrelated) = (0, 0, 0);
     for number in 0..60 {
         let host = &hosts[number % hosts.len()];
-        let answer = host.post("/stream/a", &fields(&format!("d{number}")), "deadly");
-        assert!(!answer.starts_with("HTTP/1.1 200"), "{answer}");
-        if answer.starts_with("HTTP/1.1 503") {
-            assert!(answer.contains("Retry-After: "), "{answer}");
-            held += 1;
+        let response = host.post("/stream/a", &fields(&format!("d{number}")), "deadly");
+        assert!(!response.starts_with("HTTP/1.1 200"), "{response}");
+        if response.starts_with("HTTP/1.1 503") {
+            assert!(response.contains("Retry-After: "), "{response}");
+            refused += 1;
         }
-        fleet.look();
+        fleet.poll();
         if number >= 30 {
             let other = &hosts[(number + 1) % hosts.len()];
             let body = format!("innocent {number}");
-            innocents += 1;
-            served += u32::from(is_whole(&other.post(
+            unrelated += 1;
+            served += u32::from(is_complete(&other.post(
                 "/stream/a",
                 &fields(&format!("i{number}")),
                 &body,
             )));
         }
         thread::sleep(Duration::from_millis(30));
-        fleet.look();
+        fleet.poll();
     }
     let arrivals = fleet.arrivals("deadly");
-    assert!(fleet.ends.len() <= 4, "{} engines ended", fleet.ends.len());
+    assert!(fleet.crashes.len() <= 4, "{} engines ended", fleet.crashes.len());
     assert!(arrivals <= 4, "it reached engines {arrivals} times");
-    assert!(held >= 50, "{held} of 60 were held back");
-    assert_eq!(served, innocents, "requests that came beside it");
-    assert!(fleet.ends.iter().all(|end| end.elapsed() < PATIENCE));
+    assert!(refused >= 50, "{refused} of 60 were refused");
+    assert_eq!(served, unrelated, "requests that came beside it");
+    assert!(fleet.crashes.iter().all(|end| end.elapsed() < WAIT_LIMIT));
 }
 
 /// Engines that come back under the names that they had are other lives of theirs: each end counts.
 #[test]
-fn engines_that_keep_their_names_end_once_a_life() {
+fn engines_that_keep_their_names_count_one_crash_per_incarnation() {
     let site = TestSite::start();
-    let mut fleet = MortalFleet::start(&site, 1, "plain", &["deadly"]);
-    fleet.keeps_names = true;
+    let mut fleet = CrashableFleet::start(&site, 1, "plain", &["deadly"]);
+    fleet.reuses_names = true;
     site.store.put("engines", "plain-1", "");
     let host = site.host("one-name");
     let send =
         |id: String, body: &str| host.post("/single/a", &format!("X-Request: {id}\r\n"), body);
-    for life in 0..2 {
+    for incarnation in 0..2 {
         wait_until("the engine serves", || {
-            send(format!("s{life}"), "harmless").starts_with("HTTP/1.1 200")
+            send(format!("s{incarnation}"), "harmless").starts_with("HTTP/1.1 200")
         });
-        assert!(send(format!("d{life}"), "deadly").starts_with("HTTP/1.1 502"));
-        fleet.look();
-        thread::sleep(AWAY);
-        fleet.look();
+        assert!(send(format!("d{incarnation}"), "deadly").starts_with("HTTP/1.1 502"));
+        fleet.poll();
+        thread::sleep(RESTART_DELAY);
+        fleet.poll();
     }
     wait_until("the third life serves", || {
         send(String::from("t"), "harmless").starts_with("HTTP/1.1 200")
@@ -198,10 +201,10 @@
 /// A request that may be sent again took one engine after the other with it by our own doing: each try went on to the next
 /// engine as soon as the connection broke, before anybody knew that the first engine had ended.
 #[test]
-fn our_own_repeats_stop_at_the_second_engine() {
+fn retries_stop_after_the_second_engine_crash() {
     let site = TestSite::start();
     site.store.put("engines", "plain-1", "");
-    let mut fleet = MortalFleet::start(&site, 4, "plain", &["deadly"]);
+    let mut fleet = CrashableFleet::start(&site, 4, "plain", &["deadly"]);
     let host = site.host("repeats");
     wait_until("a request is served", || {
         host.post("/safe/a", "X-Request: first\r\n", "first").starts_with("HTTP/1.1 200")
@@ -209,35 +212,37 @@
     let first = host.post("/safe/a", "X-Request: r1\r\n", "deadly");
     assert!(first.starts_with("HTTP/1.1 502"), "it ran: {first}");
     for number in 0..5 {
-        let answer = host.post("/safe/a", &format!("X-Request: h{number}\r\n"), "deadly");
-        assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
-        assert!(answer.contains("Retry-After: "), "{answer}");
+        let response = host.post("/safe/a", &format!("X-Request: h{number}\r\n"), "deadly");
+        assert!(response.starts_with("HTTP/1.1 503"), "{response}");
+        assert!(response.contains("Retry-After: "), "{response}");
     }
-    fleet.look();
-    assert_eq!(fleet.ends.len(), 2);
+    fleet.poll();
+    assert_eq!(fleet.crashes.len(), 2);
     assert_eq!(fleet.arrivals("deadly"), 2);
     // The same body on another path, and another body on the same one, are other requests.
     for (path, body) in [("/safe/b", "harmless"), ("/safe/a", "harmless")] {
-        let answer = host.post(path, &format!("X-Request: o{}\r\n", path.len()), body);
-        assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
+        let response = host.post(path, &format!("X-Request: o{}\r\n", path.len()), body);
+        assert!(response.starts_with("HTTP/1.1 200"), "{response}");
     }
 }
 
 /// Answers break off for many reasons while engines live: nobody is to be held back for that.
 #[test]
-fn answers_that_break_off_hold_nobody_back() {
+fn aborted_responses_quarantine_no_request() {
     let site = TestSite::start();
     let host = site.host("breaks");
-    for mood in [EngineMood::Silent, EngineMood::CutBody, EngineMood::Garbage] {
-        site.plain.treat(&[mood]);
+    for behaviour in
+        [EngineBehaviour::CloseConnection, EngineBehaviour::TruncateBody, EngineBehaviour::Garbage]
+    {
+        site.plain.set_behaviours(&[behaviour]);
         for number in 0..6 {
-            let answer = host.post("/single/a", &format!("X-Request: b{number}\r\n"), "usual");
-            assert!(answer.starts_with("HTTP/1.1 502"), "{answer}");
+            let response = host.post("/single/a", &format!("X-Request: b{number}\r\n"), "usual");
+            assert!(response.starts_with("HTTP/1.1 502"), "{response}");
             // An engine that failed rests for a while, which is no hold.
             thread::sleep(Duration::from_millis(5));
         }
     }
-    site.plain.treat(&[EngineMood::Well]);
+    site.plain.set_behaviours(&[EngineBehaviour::Echo]);
     wait_until("it is served", || {
         host.post("/single/a", "X-Request: w\r\n", "usual").starts_with("HTTP/1.1 200")
     });
@@ -246,15 +251,15 @@
 
 /// Engines of a rack that lose power together take the same innocent request with them at each: that is one end.
 #[test]
-fn engines_that_end_together_hold_nobody_back() {
+fn engines_that_crash_together_quarantine_no_request() {
     let site = TestSite::start();
-    let mut fleet = MortalFleet::start(&site, 4, "assist", &[]);
+    let mut fleet = CrashableFleet::start(&site, 4, "assist", &[]);
     let hosts = hosts(&site, &["rack-1", "rack-2"]);
     wait_until("a stream is served", || {
-        is_whole(&hosts[0].post("/stream/a", &fields("first"), "first"))
+        is_complete(&hosts[0].post("/stream/a", &fields("first"), "first"))
     });
     for engine in &fleet.engines {
-        engine.treat(&[EngineMood::Stream(40)]);
+        engine.set_behaviours(&[EngineBehaviour::Stream(40)]);
     }
     thread::scope(|scope| {
         for number in 0..12 {
@@ -266,35 +271,35 @@
             engine.end();
         }
     });
-    fleet.look();
-    assert_eq!(fleet.ends.len(), 4);
-    thread::sleep(AWAY);
-    fleet.look();
+    fleet.poll();
+    assert_eq!(fleet.crashes.len(), 4);
+    thread::sleep(RESTART_DELAY);
+    fleet.poll();
     wait_until("the common request is served", || {
-        is_whole(&hosts[1].post("/stream/a", &fields("again"), "common"))
+        is_complete(&hosts[1].post("/stream/a", &fields("again"), "common"))
     });
 }
 
 /// A host that starts after all this has happened knows it from its first second on.
 #[test]
-fn a_host_that_starts_later_knows_what_is_held_back() {
+fn a_host_that_starts_later_learns_of_quarantined_requests() {
     let site = TestSite::start();
-    let mut fleet = MortalFleet::start(&site, 6, "assist", &["deadly"]);
+    let mut fleet = CrashableFleet::start(&site, 6, "assist", &["deadly"]);
     let hosts = hosts(&site, &["earlier-1", "earlier-2"]);
     wait_until("a stream is served", || {
-        is_whole(&hosts[0].post("/stream/a", &fields("first"), "first"))
+        is_complete(&hosts[0].post("/stream/a", &fields("first"), "first"))
     });
     let began = Instant::now();
     while !hosts[0].post("/stream/a", &fields("d"), "deadly").contains("engines ended") {
-        assert!(began.elapsed() < PATIENCE, "it is never held back");
-        fleet.look();
+        assert!(began.elapsed() < WAIT_LIMIT, "it is never held back");
+        fleet.poll();
         thread::sleep(Duration::from_millis(20));
     }
-    let ended = fleet.ends.len();
+    let crashes_before = fleet.crashes.len();
     let late = site.host("later");
     wait_until("the late host knows it", || late.shared.quarantine().counts().1 == 1);
-    let answer = late.post("/stream/a", &fields("l"), "deadly");
-    assert!(answer.contains("engines ended"), "{answer}");
-    fleet.look();
-    assert_eq!(fleet.ends.len(), ended);
+    let response = late.post("/stream/a", &fields("l"), "deadly");
+    assert!(response.contains("engines ended"), "{response}");
+    fleet.poll();
+    assert_eq!(fleet.crashes.len(), crashes_before);
 }
--- a/crates/gateway/tests/host/before_sending.rs
+++ b/crates/gateway/tests/host/recheck_before_send.rs
@@ -12,34 +12,34 @@
 use reelreel_core::fleet::quarantine::{EndedRun, MarkedRequest, RequestMark};
 
 use crate::{
-    engine::{EngineMood, StandInEngine},
-    organisations::site_with_keys,
-    site::{KEY_WITHDRAWN, MODEL_NAME, TestHost, TestSite, wait_until},
+    engine::{EngineBehaviour, StandInEngine},
+    organisations::site_with_organisations,
+    site::{MODEL_NAME, REVOKED_KEY_REVISION, TestHost, TestSite, wait_until},
 };
 
 /// Within which time a request is told that it will not be sent.
-const AT_ONCE: Duration = Duration::from_millis(400);
+const REFUSAL_LIMIT: Duration = Duration::from_millis(400);
 
 /// Starts a host that places adapters.
-fn placing_host(site: &TestSite, name: &str, key: &str) -> TestHost {
+fn start_placer(site: &TestSite, name: &str, key: &str) -> TestHost {
     for engine in &site.engines {
-        engine.treat(&[EngineMood::Stream(3)]);
+        engine.set_behaviours(&[EngineBehaviour::Stream(3)]);
     }
     let host = site.host(name);
     wait_until("an adapter is served", || {
-        ask(&host, "early", key, "first").starts_with("HTTP/1.1 200")
+        send(&host, "early", key, "first").starts_with("HTTP/1.1 200")
     });
     host
 }
 
-fn ask(host: &TestHost, adapter: &str, key: &str, body: &str) -> String {
+fn send(host: &TestHost, adapter: &str, key: &str, body: &str) -> String {
     let fields = format!("X-Request: {adapter}\r\nX-Model: {MODEL_NAME}/{adapter}\r\n{key}");
     host.post("/stream/a", &fields, body)
 }
 
 /// Asks for an adapter that has to be loaded first; while the request waits for it, `change` happens. Returns the answer, and how long
 /// after the change it came.
-fn ask_while(
+fn send_and_change(
     site: &TestSite,
     host: &TestHost,
     key: &str,
@@ -51,14 +51,14 @@
         orders.into_iter().any(|order| order["key"] == format!("{MODEL_NAME}/late"))
     };
     thread::scope(|scope| {
-        let request = scope.spawn(|| ask(host, "late", key, body));
+        let request = scope.spawn(|| send(host, "late", key, body));
         while !ordered() {
             thread::sleep(Duration::from_millis(1));
         }
         let changed = Instant::now();
         change();
-        let answer = request.join().expect("an answer");
-        (answer, changed.elapsed())
+        let response = request.join().expect("an answer");
+        (response, changed.elapsed())
     })
 }
 
@@ -81,36 +81,36 @@
 }
 
 /// Lets two engines end under a request, as this host hears of it.
-fn hold_back(host: &TestHost, mark: RequestMark) {
+fn quarantine_request(host: &TestHost, mark: RequestMark) {
     let now = host.shared.clock.now();
-    for life in 1..=2 {
+    for incarnation in 1..=2 {
         let run = EndedRun { mark, organisation: None, began: now, version: 0 };
-        host.shared.quarantine().engine_ended(life, &[run], now);
+        host.shared.quarantine().engine_ended(incarnation, &[run], now);
     }
 }
 
 #[test]
-fn a_request_that_waits_while_it_is_held_back_is_not_sent() {
+fn a_waiting_request_that_is_quarantined_is_not_sent() {
     let site = TestSite::start();
-    let host = placing_host(&site, "held-waiting", "");
-    let hold = || hold_back(&host, mark("deadly"));
-    let (answer, time) = ask_while(&site, &host, "", "deadly", hold);
-    assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
-    assert!(answer.contains("Retry-After: "), "{answer}");
+    let host = start_placer(&site, "held-waiting", "");
+    let quarantine = || quarantine_request(&host, mark("deadly"));
+    let (response, time) = send_and_change(&site, &host, "", "deadly", quarantine);
+    assert!(response.starts_with("HTTP/1.1 503"), "{response}");
+    assert!(response.contains("Retry-After: "), "{response}");
     assert_eq!(arrivals(&site, "deadly"), 0);
-    assert!(time <= AT_ONCE, "told only after {time:?}");
+    assert!(time <= REFUSAL_LIMIT, "told only after {time:?}");
 }
 
 #[test]
-fn a_request_whose_key_is_withdrawn_while_it_waits_is_not_sent() {
-    let site = site_with_keys();
+fn a_waiting_request_whose_key_is_revoked_is_not_sent() {
+    let site = site_with_organisations();
     let key = "X-Key: key-n1\r\n";
-    let host = placing_host(&site, "key-waiting", key);
-    let withdraw = || site.store.put("configuration", "routes", &KEY_WITHDRAWN.to_string());
-    let (answer, _) = ask_while(&site, &host, key, "withdrawn", withdraw);
-    assert!(answer.starts_with("HTTP/1.1 401"), "{answer}");
+    let host = start_placer(&site, "key-waiting", key);
+    let revoke = || site.store.put("configuration", "routes", &REVOKED_KEY_REVISION.to_string());
+    let (response, _) = send_and_change(&site, &host, key, "withdrawn", revoke);
+    assert!(response.starts_with("HTTP/1.1 401"), "{response}");
     assert_eq!(arrivals(&site, "withdrawn"), 0);
     // Another key of the organisation serves on.
-    let other = ask(&host, "late", "X-Key: key-n2\r\n", "other");
+    let other = send(&host, "late", "X-Key: key-n2\r\n", "other");
     assert!(other.starts_with("HTTP/1.1 200"), "{other}");
 }
--- a/crates/gateway/tests/host/store_falls.rs
+++ b/crates/gateway/tests/host/rollback_histories.rs
@@ -1,13 +1,13 @@
 //! Any series of appends, falls of the store, readings, words between hosts and starts: no host goes back on what it knew, and
 //! all end with what was said last.
 
-mod kept;
-mod world;
+mod regressions;
+mod simulation;
 
 use proptest::{prelude::*, test_runner::RngSeed};
 
-use kept::KEPT_HISTORIES;
-use world::{ENGINES, HOSTS, LONGEST_STEP, READERS, World};
+use regressions::REGRESSIONS;
+use simulation::{ENGINES, HOSTS, MAX_STEP_MILLIS, READERS, Simulation};
 
 /// One step of a history.
 #[derive(Debug, Clone, Copy)]
@@ -15,25 +15,25 @@
     /// The operator publishes the next revision.
     Publish,
     /// An engine goes on: it is ready, takes orders, leaves, is gone, starts again.
-    GoOn(usize),
+    AdvanceEngine(usize),
     /// An engine writes its entry again, as a heartbeat.
-    Beat(usize),
+    RewriteEntry(usize),
     /// A copy of the store is taken.
-    TakeCopy,
+    TakeSnapshot,
     /// The store comes back from the copy.
-    Fall,
+    Restore,
     /// Operator and engines write again what they said last, the operator first or not.
-    WriteAgain(bool),
+    RewriteAll(bool),
     /// A host reads a topic on, or whole where it must.
     Read(usize, usize),
     /// A host reads a topic whole.
-    ReadWhole(usize, usize),
+    ReadComplete(usize, usize),
     /// A host follows a reader from now on.
     Follow(usize, usize),
     /// What was told to a host arrives.
     Deliver(usize),
     /// A host asks another one for everything that it knows.
-    Ask(usize, usize),
+    PullState(usize, usize),
     /// A host's process starts anew.
     Restart(usize),
     /// Time passes. Unit: milliseconds.
@@ -44,37 +44,37 @@
     let (host, engine, topic) = (0..HOSTS, 0..ENGINES, 0..2_usize);
     prop_oneof![
         3 => Just(Step::Publish),
-        4 => engine.clone().prop_map(Step::GoOn),
-        2 => engine.prop_map(Step::Beat),
-        2 => Just(Step::TakeCopy),
-        2 => Just(Step::Fall),
-        2 => any::<bool>().prop_map(Step::WriteAgain),
+        4 => engine.clone().prop_map(Step::AdvanceEngine),
+        2 => engine.prop_map(Step::RewriteEntry),
+        2 => Just(Step::TakeSnapshot),
+        2 => Just(Step::Restore),
+        2 => any::<bool>().prop_map(Step::RewriteAll),
         8 => (host.clone(), topic.clone()).prop_map(|(host, topic)| Step::Read(host, topic)),
-        1 => (host.clone(), topic).prop_map(|(host, topic)| Step::ReadWhole(host, topic)),
+        1 => (host.clone(), topic).prop_map(|(host, topic)| Step::ReadComplete(host, topic)),
         3 => (host.clone(), 0..READERS).prop_map(|(host, reader)| Step::Follow(host, reader)),
         5 => host.clone().prop_map(Step::Deliver),
-        1 => (host.clone(), host.clone()).prop_map(|(host, peer)| Step::Ask(host, peer)),
+        1 => (host.clone(), host.clone()).prop_map(|(host, peer)| Step::PullState(host, peer)),
         1 => host.prop_map(Step::Restart),
-        4 => (0..LONGEST_STEP).prop_map(Step::Wait),
+        4 => (0..MAX_STEP_MILLIS).prop_map(Step::Wait),
     ]
 }
 
-fn play(steps: &[Step]) -> Result<(), String> {
-    let mut world = World::new();
-    for (place, step) in steps.iter().enumerate() {
-        world.take(*step);
-        if let Some(back) = world.went_back() {
-            return Err(format!("step {place}, {step:?}: {back}"));
+fn run_history(steps: &[Step]) -> Result<(), String> {
+    let mut simulation = Simulation::new();
+    for (index, step) in steps.iter().enumerate() {
+        simulation.apply(*step);
+        if let Some(regression) = simulation.regression() {
+            return Err(format!("step {index}, {step:?}: {regression}"));
         }
     }
-    world.settle().map_or(Ok(()), Err)
+    simulation.settle().map_or(Ok(()), Err)
 }
 
 #[test]
 fn histories_that_failed_once_hold() {
-    for history in KEPT_HISTORIES {
-        let played = play(history.steps);
-        assert!(played.is_ok(), "{}: {}", history.name, played.unwrap_err());
+    for case in REGRESSIONS {
+        let result = run_history(case.steps);
+        assert!(result.is_ok(), "{}: {}", case.name, result.unwrap_err());
     }
 }
 
@@ -87,10 +87,10 @@
     })]
 
     #[test]
-    fn no_host_goes_back_and_all_end_with_what_was_said_last(
+    fn no_host_reverts_and_all_converge_to_the_last_published_state(
         steps in proptest::collection::vec(any_step(), 1..60),
     ) {
-        let played = play(&steps);
-        prop_assert!(played.is_ok(), "{}", played.unwrap_err());
+        let result = run_history(&steps);
+        prop_assert!(result.is_ok(), "{}", result.unwrap_err());
     }
 }
--- a/crates/gateway/tests/host/store_falls/world.rs
+++ b/crates/gateway/tests/host/rollback_histories/simulation.rs
@@ -41,38 +41,40 @@
 pub(super) const ENGINES: usize = 2;
 
 /// Revisions that a history may reach.
-pub(super) const MOST_REVISIONS: u64 = 60;
+pub(super) const REVISION_LIMIT: u64 = 60;
 
 /// How many steps pass at most between a fall and the moment by which operator and engines have written again.
-pub(super) const STEPS_UNTIL_AGAIN: usize = 8;
+pub(super) const MAX_STEPS_UNTIL_REWRITE: usize = 8;
 
 /// The longest that one step takes: eight of them are less than what engines are given to write again.
-pub(super) const LONGEST_STEP: u64 = 400;
+pub(super) const MAX_STEP_MILLIS: u64 = 400;
 
 /// How long it takes until nothing that was said before a fall is waited for any more.
-pub(super) const SETTLED: Duration = Duration::from_secs(5);
+pub(super) const SETTLE_TIME: Duration = Duration::from_secs(5);
 
 /// In how many steps that time passes, so that readers are heard of all the while.
-pub(super) const SETTLING_STEPS: u64 = 20;
+pub(super) const SETTLE_STEPS: u64 = 20;
 
 /// The topics of the store.
-pub(super) const CONFIGURATION: usize = 0;
-pub(super) const ENTRIES: usize = 1;
+pub(super) const CONFIGURATION_TOPIC: usize = 0;
+pub(super) const ENGINES_TOPIC: usize = 1;
 
 /// What an engine last said, and of which life.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-struct EngineWord {
-    life: u64,
+struct EngineStatus {
+    incarnation: u64,
     orders: u64,
     leaving: bool,
     gone: bool,
 }
 
-impl EngineWord {
+impl EngineStatus {
     /// Returns what an engine says next.
     fn next(self) -> Self {
         match self {
-            Self { gone: true, life, .. } => Self { life: life + 1, ..Self::default() },
+            Self { gone: true, incarnation, .. } => {
+                Self { incarnation: incarnation + 1, ..Self::default() }
+            }
             Self { leaving: true, .. } => Self { gone: true, ..self },
             Self { orders: 2, .. } => Self { leaving: true, ..self },
             Self { orders, .. } => Self { orders: orders + 1, ..self },
@@ -84,15 +86,15 @@
             return Bytes::new();
         }
         let entry = json!({
-            "service": "plain", "address": "127.0.0.1:1", "born": self.life + 1, "sequence": self.orders,
+            "service": "plain", "address": "127.0.0.1:1", "born": self.incarnation + 1, "sequence": self.orders,
             "leaving": self.leaving, "held": [],
         });
         Bytes::from(entry.to_string())
     }
 
     /// Returns the order of what engines say: a life after the other, and in each from ready to gone.
-    const fn rank(self) -> (u64, bool, bool) {
-        (self.life, self.leaving, self.gone)
+    const fn order_key(self) -> (u64, bool, bool) {
+        (self.incarnation, self.leaving, self.gone)
     }
 }
 
@@ -101,7 +103,7 @@
 struct ModelStore {
     era: StoreEra,
     topics: [Vec<(String, Bytes)>; 2],
-    copy: [usize; 2],
+    snapshot: [usize; 2],
 }
 
 impl ModelStore {
@@ -136,18 +138,18 @@
     /// The highest revision that it had in force.
     revision: u64,
     /// The furthest word of each engine that it knew.
-    known: [EngineWord; ENGINES],
+    known: [EngineStatus; ENGINES],
 }
 
-pub(super) struct World {
+pub(super) struct Simulation {
     clock: Arc<ManualClock>,
     store: ModelStore,
     hosts: Vec<ModelHost>,
     /// What operator and engines said last, whether the store still has it or not.
     revision: u64,
-    engines: [EngineWord; ENGINES],
+    engines: [EngineStatus; ENGINES],
     /// How many steps ago the store fell, where not all was written again since.
-    owed: Option<usize>,
+    steps_since_restore: Option<usize>,
 }
 
 fn address(host: usize) -> SocketAddr {
@@ -158,30 +160,30 @@
     format!("engine-{engine}")
 }
 
-impl World {
+impl Simulation {
     pub(super) fn new() -> Self {
         let clock = Arc::new(ManualClock::new(60_000));
-        let mut world = Self {
+        let mut simulation = Self {
             hosts: Vec::new(),
             clock,
             store: ModelStore::default(),
             revision: 0,
-            engines: [EngineWord::default(); ENGINES],
-            owed: None,
+            engines: [EngineStatus::default(); ENGINES],
+            steps_since_restore: None,
         };
-        world.hosts = (0..HOSTS).map(|host| world.start(host)).collect();
+        simulation.hosts = (0..HOSTS).map(|host| simulation.start(host)).collect();
         for engine in 0..ENGINES {
-            let said = world.engines[engine];
-            world.store.append(ENTRIES, &engine_key(engine), said.value());
+            let published = simulation.engines[engine];
+            simulation.store.append(ENGINES_TOPIC, &engine_key(engine), published.value());
         }
-        world
+        simulation
     }
 
     fn start(&self, host: usize) -> ModelHost {
         let name = format!("host-{host}");
         // Nobody is called: the store is played here.
         let profile = TestProfile::new(address(host)).profile(&name);
-        let tables: HashMap<u64, Arc<RouteTable>> = (1..=MOST_REVISIONS)
+        let tables: HashMap<u64, Arc<RouteTable>> = (1..=REVISION_LIMIT)
             .map(|revision| {
                 (revision, Arc::new(RouteTable::new(revision, limits(), vec![], vec![])))
             })
@@ -195,38 +197,38 @@
             read_to: [None, None],
             feed: None,
             revision: 0,
-            known: [EngineWord::default(); ENGINES],
+            known: [EngineStatus::default(); ENGINES],
         }
     }
 
-    pub(super) fn take(&mut self, step: Step) {
+    pub(super) fn apply(&mut self, step: Step) {
         match step {
-            Step::Publish if self.revision < MOST_REVISIONS => {
+            Step::Publish if self.revision < REVISION_LIMIT => {
                 self.revision += 1;
                 self.publish();
             }
             Step::Publish => {}
-            Step::GoOn(engine) => {
+            Step::AdvanceEngine(engine) => {
                 self.engines[engine] = self.engines[engine].next();
                 self.write_entry(engine);
             }
-            Step::Beat(engine) => self.write_entry(engine),
-            Step::TakeCopy => {
-                self.store.copy = [0, 1].map(|topic| self.store.topics[topic].len());
+            Step::RewriteEntry(engine) => self.write_entry(engine),
+            Step::TakeSnapshot => {
+                self.store.snapshot = [0, 1].map(|topic| self.store.topics[topic].len());
             }
-            Step::Fall if self.owed.is_none() => {
+            Step::Restore if self.steps_since_restore.is_none() => {
                 self.store.era += 1;
-                let ModelStore { topics, copy, .. } = &mut self.store;
-                topics.iter_mut().zip(copy).for_each(|(topic, end)| topic.truncate(*end));
-                self.owed = Some(0);
+                let ModelStore { topics, snapshot, .. } = &mut self.store;
+                topics.iter_mut().zip(snapshot).for_each(|(topic, end)| topic.truncate(*end));
+                self.steps_since_restore = Some(0);
             }
-            Step::Fall => {}
-            Step::WriteAgain(operator_first) => self.write_again(operator_first),
+            Step::Restore => {}
+            Step::RewriteAll(operator_first) => self.rewrite_all(operator_first),
             Step::Read(host, topic) => self.read(host, topic),
-            Step::ReadWhole(host, topic) => self.read_whole(host, topic),
+            Step::ReadComplete(host, topic) => self.read_complete(host, topic),
             Step::Follow(host, reader) => self.follow(host, reader),
             Step::Deliver(host) => self.deliver(host),
-            Step::Ask(host, peer) => {
+            Step::PullState(host, peer) => {
                 let frame = self.hosts[peer].state.borrow().state_frame();
                 self.hosts[host].state.borrow_mut().peer_state(&frame, address(peer), None);
             }
@@ -236,26 +238,26 @@
         for host in &self.hosts {
             let _pause = host.state.borrow_mut().tick(&host.state);
         }
-        self.owed = self.owed.map(|steps| steps + 1);
-        if self.owed.is_some_and(|steps| steps >= STEPS_UNTIL_AGAIN) {
-            self.write_again(true);
+        self.steps_since_restore = self.steps_since_restore.map(|steps| steps + 1);
+        if self.steps_since_restore.is_some_and(|steps| steps >= MAX_STEPS_UNTIL_REWRITE) {
+            self.rewrite_all(true);
         }
     }
 
     fn publish(&mut self) {
         if self.revision > 0 {
             let value = Bytes::from(self.revision.to_string());
-            self.store.append(CONFIGURATION, "routes", value);
+            self.store.append(CONFIGURATION_TOPIC, "routes", value);
         }
     }
 
     fn write_entry(&mut self, engine: usize) {
-        let word = self.engines[engine];
-        self.store.append(ENTRIES, &engine_key(engine), word.value());
+        let status = self.engines[engine];
+        self.store.append(ENGINES_TOPIC, &engine_key(engine), status.value());
     }
 
-    fn write_again(&mut self, operator_first: bool) {
-        if self.owed.take().is_none() {
+    fn rewrite_all(&mut self, operator_first: bool) {
+        if self.steps_since_restore.take().is_none() {
             return;
         }
         if operator_first {
@@ -270,12 +272,12 @@
     /// Reads a topic on as the task does that follows it.
     fn read(&mut self, host: usize, topic: usize) {
         let Some(from) = self.hosts[host].read_to[topic] else {
-            return self.read_whole(host, topic);
+            return self.read_complete(host, topic);
         };
         let end = self.store.end(topic);
-        self.hear(host);
+        self.receive_era(host);
         if from.era != end.era || from > end {
-            return self.read_whole(host, topic);
+            return self.read_complete(host, topic);
         }
         let first = usize::try_from(from.offset).expect("a short topic");
         let offsets = first..self.store.topics[topic].len();
@@ -284,15 +286,15 @@
         self.update(host, topic, TopicUpdate::Records { records, asked }, end);
     }
 
-    fn read_whole(&mut self, host: usize, topic: usize) {
-        self.hear(host);
+    fn read_complete(&mut self, host: usize, topic: usize) {
+        self.receive_era(host);
         let (records, end, asked) =
             (self.store.newest(topic), self.store.end(topic), self.clock.now());
         self.update(host, topic, TopicUpdate::Whole { records, end, asked }, end);
     }
 
     /// Hears the era that each answer of the store carries.
-    fn hear(&self, host: usize) {
+    fn receive_era(&self, host: usize) {
         self.hosts[host].state.borrow().eras().hear(self.store.era, "store");
     }
 
@@ -300,7 +302,7 @@
         let known = &mut self.hosts[host];
         known.read_to[topic] = Some(end);
         let mut state = known.state.borrow_mut();
-        if topic == CONFIGURATION {
+        if topic == CONFIGURATION_TOPIC {
             state.configuration_updated(update);
         } else {
             state.engines_updated(update);
@@ -336,7 +338,7 @@
     }
 
     /// Returns whether a reader tells a host of every change.
-    fn is_fed(&self, host: usize) -> bool {
+    fn receives_all_updates(&self, host: usize) -> bool {
         let feed = self.hosts[host].feed.as_ref();
         host >= READERS && feed.is_some_and(|(_, frames)| !frames.is_closed())
     }
@@ -351,7 +353,7 @@
     }
 
     /// Returns what a host went back on.
-    pub(super) fn went_back(&mut self) -> Option<String> {
+    pub(super) fn regression(&mut self) -> Option<String> {
         for host in 0..HOSTS {
             let table = self.hosts[host].state.borrow().shared().table.borrow().clone();
             let revision = table.routes.as_ref().map_or(0, |routes| routes.revision());
@@ -360,10 +362,12 @@
             }
             self.hosts[host].revision = revision;
             for engine in 0..ENGINES {
-                let Some((life, leaving)) = self.known_engine(host, engine) else { continue };
-                let now = EngineWord { life, leaving, ..EngineWord::default() };
+                let Some((incarnation, leaving)) = self.known_engine(host, engine) else {
+                    continue;
+                };
+                let now = EngineStatus { incarnation, leaving, ..EngineStatus::default() };
                 let known = &mut self.hosts[host].known[engine];
-                if now.rank() < known.rank() {
+                if now.order_key() < known.order_key() {
                     return Some(format!("host {host}: engine {engine} was {known:?}, is {now:?}"));
                 }
                 *known = now;
@@ -374,17 +378,17 @@
 
     /// Lets everybody write again, and every host read that no reader tells; returns what a host lacks then.
     pub(super) fn settle(&mut self) -> Option<String> {
-        self.write_again(false);
-        for _ in 0..SETTLING_STEPS {
+        self.rewrite_all(false);
+        for _ in 0..SETTLE_STEPS {
             for host in 0..HOSTS {
-                if self.is_fed(host) {
-                    self.take(Step::Deliver(host));
+                if self.receives_all_updates(host) {
+                    self.apply(Step::Deliver(host));
                 } else {
-                    self.take(Step::Read(host, CONFIGURATION));
-                    self.take(Step::Read(host, ENTRIES));
+                    self.apply(Step::Read(host, CONFIGURATION_TOPIC));
+                    self.apply(Step::Read(host, ENGINES_TOPIC));
                 }
             }
-            self.take(Step::Wait(duration_millis(SETTLED) / SETTLING_STEPS));
+            self.apply(Step::Wait(duration_millis(SETTLE_TIME) / SETTLE_STEPS));
         }
         for host in 0..HOSTS {
             let table = self.hosts[host].state.borrow().shared().table.borrow().clone();
@@ -393,12 +397,13 @@
                 return Some(format!("host {host} has {revision}, the operator {}", self.revision));
             }
             for engine in 0..ENGINES {
-                let said = self.engines[engine];
-                let said = (!said.gone).then_some((said.life, said.leaving));
+                let published = self.engines[engine];
+                let published =
+                    (!published.gone).then_some((published.incarnation, published.leaving));
                 let known = self.known_engine(host, engine);
-                if known != said {
+                if known != published {
                     return Some(format!(
-                        "host {host}: engine {engine} said {said:?}, known {known:?}"
+                        "host {host}: engine {engine} said {published:?}, known {known:?}"
                     ));
                 }
             }
--- a/crates/gateway/tests/host/site.rs
+++ b/crates/gateway/tests/host/site.rs
@@ -37,13 +37,13 @@
 use crate::{dialect::dialects, engine::StandInEngine, store::StandInStore};
 
 /// How long a test waits for something to come about.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(10);
+pub(crate) const WAIT_LIMIT: Duration = Duration::from_secs(10);
 
 /// One host that a test started.
 pub(crate) struct TestHost {
     pub(crate) shared: Arc<SharedState>,
-    pub(crate) clients: SocketAddr,
-    pub(crate) readiness: SocketAddr,
+    pub(crate) client_address: SocketAddr,
+    pub(crate) readiness_address: SocketAddr,
     thread: Option<JoinHandle<()>>,
 }
 
@@ -170,13 +170,13 @@
 }
 
 /// The revision of the configuration with organisations.
-pub(crate) const WITH_KEYS: u64 = 3;
+pub(crate) const ORGANISATIONS_REVISION: u64 = 3;
 
 /// The revision that withdraws the key `key-n1` of the organisation `north`.
-pub(crate) const KEY_WITHDRAWN: u64 = 4;
+pub(crate) const REVOKED_KEY_REVISION: u64 = 4;
 
 /// Returns a configuration with two organisations and one public route.
-fn with_keys(revision: u64, north: &[&str]) -> RouteTable {
+fn routes_with_organisations(revision: u64, north: &[&str]) -> RouteTable {
     let mut organisations = OrganisationDirectory::default();
     let digests = |keys: &[&str]| -> Vec<KeyDigest> {
         keys.iter().map(|key| KeyDigest::of(key.as_bytes())).collect()
@@ -218,18 +218,22 @@
 
     /// Starts a host and waits until it is ready.
     pub(crate) fn host(&self, name: &str) -> TestHost {
-        let host = self.cold_host(name, Vec::new());
+        let host = self.start_host(name, Vec::new());
         host.wait_ready();
         host
     }
 
     /// Starts a host without waiting for anything.
-    pub(crate) fn cold_host(&self, name: &str, seeds: Vec<SocketAddr>) -> TestHost {
-        self.host_with(name, seeds, HostCapacity { processor: 0.25, bandwidth: 1000.0 })
+    pub(crate) fn start_host(&self, name: &str, seeds: Vec<SocketAddr>) -> TestHost {
+        self.start_host_with_capacity(
+            name,
+            seeds,
+            HostCapacity { processor: 0.25, bandwidth: 1000.0 },
+        )
     }
 
     /// Starts a host of some strength without waiting for anything.
-    pub(crate) fn host_with(
+    pub(crate) fn start_host_with_capacity(
         &self,
         name: &str,
         seeds: Vec<SocketAddr>,
@@ -240,7 +244,12 @@
     }
 
     /// Starts a host that must not serve a withdrawn key for longer than `bound`; waits until it is ready.
-    pub(crate) fn strict_host(&self, name: &str, bound: Duration, strong: bool) -> TestHost {
+    pub(crate) fn host_with_revocation_bound(
+        &self,
+        name: &str,
+        bound: Duration,
+        strong: bool,
+    ) -> TestHost {
         let processor = if strong { 0.25 } else { 0.1 };
         let capacity = HostCapacity { processor, bandwidth: 1000.0 };
         let revocation = Some(bound);
@@ -251,7 +260,7 @@
     }
 
     /// Starts a host with a clock that a test moves on; waits until it is ready.
-    pub(crate) fn host_by(
+    pub(crate) fn host_with_clock(
         &self,
         name: &str,
         clock: Arc<dyn ClockSource>,
@@ -287,7 +296,7 @@
 
 impl TestHost {
     /// Starts a strong host that reaches the store at an address; waits until it is ready.
-    pub(crate) fn start_at(name: &str, store: SocketAddr) -> Self {
+    pub(crate) fn start_with_store(name: &str, store: SocketAddr) -> Self {
         let host = Self::start(name, TestProfile::new(store));
         host.wait_ready();
         host
@@ -297,22 +306,28 @@
         let known = HashMap::from([
             (1, Arc::new(routes(1, false))),
             (2, Arc::new(routes(2, true))),
-            (WITH_KEYS, Arc::new(with_keys(WITH_KEYS, &["key-n1", "key-n2"]))),
-            (KEY_WITHDRAWN, Arc::new(with_keys(KEY_WITHDRAWN, &["key-n2"]))),
+            (
+                ORGANISATIONS_REVISION,
+                Arc::new(routes_with_organisations(ORGANISATIONS_REVISION, &["key-n1", "key-n2"])),
+            ),
+            (
+                REVOKED_KEY_REVISION,
+                Arc::new(routes_with_organisations(REVOKED_KEY_REVISION, &["key-n2"])),
+            ),
         ]);
         let clock = Arc::clone(&profile.clock);
         let profile = profile.profile(name);
-        let (clients, readiness) = (profile.clients, profile.readiness);
+        let (client_address, readiness_address) = (profile.clients, profile.readiness);
         let events = EventLog::start(Arc::from(name)).expect("a thread for log lines");
         let shared = Arc::new(SharedState::new(profile, dialects(Arc::new(known)), events, clock));
         let run = Arc::clone(&shared);
         let thread = thread::spawn(move || run_host(&run).expect("the host runs"));
-        Self { shared, clients, readiness, thread: Some(thread) }
+        Self { shared, client_address, readiness_address, thread: Some(thread) }
     }
 
     pub(crate) fn is_ready(&self) -> bool {
         let request = "GET /ready HTTP/1.1\r\nHost: probe\r\nConnection: close\r\n\r\n";
-        raw_exchange(self.readiness, request.as_bytes()).starts_with("HTTP/1.1 200")
+        raw_exchange(self.readiness_address, request.as_bytes()).starts_with("HTTP/1.1 200")
     }
 
     pub(crate) fn wait_ready(&self) {
@@ -346,7 +361,7 @@
         let request = format!(
             "{method} {path} HTTP/1.1\r\nHost: site.example\r\nConnection: close\r\n{fields}{length}\r\n{body}"
         );
-        raw_exchange(self.clients, request.as_bytes())
+        raw_exchange(self.client_address, request.as_bytes())
     }
 }
 
@@ -354,7 +369,7 @@
 pub(crate) fn wait_until(what: &str, condition: impl Fn() -> bool) {
     let began = Instant::now();
     while !condition() {
-        assert!(began.elapsed() < PATIENCE, "{what}: not within {} s", PATIENCE.as_secs());
+        assert!(began.elapsed() < WAIT_LIMIT, "{what}: not within {} s", WAIT_LIMIT.as_secs());
         thread::sleep(Duration::from_millis(10));
     }
 }
@@ -364,7 +379,7 @@
 /// A reset at the end shows as the line `<reset>`.
 pub(crate) fn raw_exchange(address: SocketAddr, request: &[u8]) -> String {
     let Ok(mut socket) = TcpStream::connect(address) else { return String::from("<refused>") };
-    let _ = socket.set_read_timeout(Some(PATIENCE));
+    let _ = socket.set_read_timeout(Some(WAIT_LIMIT));
     let _ = socket.write_all(request);
     read_all(&mut socket)
 }
--- a/crates/gateway/tests/host/stopping.rs
+++ b/crates/gateway/tests/host/stopping.rs
@@ -3,18 +3,18 @@
 use std::{thread, time::Duration};
 
 use crate::{
-    engine::EngineMood,
+    engine::EngineBehaviour,
     site::{MODEL_NAME, TestSite, raw_exchange},
 };
 
 #[test]
-fn a_stop_cuts_no_stream_and_ends_in_time() {
+fn a_planned_stop_completes_streams_within_the_grace_period() {
     let site = TestSite::start();
     let host = site.host("stop");
     for engine in &site.engines {
-        engine.treat(&[EngineMood::Stream(60)]);
+        engine.set_behaviours(&[EngineBehaviour::Stream(60)]);
     }
-    let clients = host.clients;
+    let clients = host.client_address;
     let stream = thread::spawn(move || {
         let request = format!(
             "POST /stream/a HTTP/1.1\r\nHost: site.example\r\nX-Request: t1\r\nX-Model: {MODEL_NAME}\r\nContent-Length: 2\r\n\r\n{{}}"
@@ -22,17 +22,17 @@
         raw_exchange(clients, request.as_bytes())
     });
     thread::sleep(Duration::from_millis(150));
-    let readiness = host.readiness;
+    let readiness = host.readiness_address;
     let shared = std::sync::Arc::clone(&host.shared);
     let stopping = thread::spawn(move || host.stop());
     while !shared.is_stopping() {
         thread::sleep(Duration::from_millis(1));
     }
     let probe = "GET /ready HTTP/1.1\r\nHost: probe\r\nConnection: close\r\n\r\n";
-    let answer = raw_exchange(readiness, probe.as_bytes());
-    assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
-    let answer = stream.join().expect("the client ends");
-    assert!(answer.ends_with("0\r\n\r\n"), "the stream was cut: {answer}");
+    let response = raw_exchange(readiness, probe.as_bytes());
+    assert!(response.starts_with("HTTP/1.1 503"), "{response}");
+    let response = stream.join().expect("the client ends");
+    assert!(response.ends_with("0\r\n\r\n"), "the stream was cut: {response}");
     let took = stopping.join().expect("the host ends");
     assert!(took < Duration::from_secs(6), "{took:?}");
 }
--- a/crates/gateway/tests/host/store.rs
+++ b/crates/gateway/tests/host/store.rs
@@ -48,20 +48,20 @@
 struct PagedTopic {
     topic: &'static str,
     /// What happens as soon as the first page was made.
-    after_page: Option<AfterPage>,
+    page_change: Option<PageChange>,
 }
 
 /// What happens to a topic between two pages.
-enum AfterPage {
+enum PageChange {
     /// A record is put.
     Put((String, String)),
     /// The store comes back from an older copy, in which the topic lacks so many records, and this one is put.
-    FallBack(usize, (String, String)),
+    RollBack(usize, (String, String)),
 }
 
 /// A copy of everything that the store keeps.
 #[derive(Clone)]
-pub(crate) struct StoreCopy {
+pub(crate) struct StoreSnapshot {
     topics: BTreeMap<String, Topic>,
     members: BTreeMap<String, Instant>,
     generation: u64,
@@ -89,7 +89,7 @@
     /// Set where what the store tells of the partitions' holders lies behind.
     owners_lag: Option<OwnersLag>,
     /// How many reads of each topic were held, from the moment they began to be.
-    held_reads: BTreeMap<String, u64>,
+    long_polls: BTreeMap<String, u64>,
     /// Counts how often the store came back from an older copy of itself.
     era: u64,
     /// Counts how often all connections went silent; those of an earlier count say nothing any more.
@@ -98,23 +98,23 @@
 
 impl StoreState {
     /// Returns who holds each partition as the store tells it, with its lag.
-    fn told_owners(&mut self) -> BTreeMap<u32, String> {
+    fn reported_owners(&mut self) -> BTreeMap<u32, String> {
         let owners = self.owners();
         let Some(OwnersLag { lag, history }) = &mut self.owners_lag else { return owners };
         let now = Instant::now();
         if history.last().is_none_or(|(_, last)| *last != owners) {
             history.push((now, owners));
         }
-        let told = history.iter().rev().find(|(at, _)| now.duration_since(*at) >= *lag);
-        told.map(|(_, owners)| owners.clone()).unwrap_or_default()
+        let reported = history.iter().rev().find(|(at, _)| now.duration_since(*at) >= *lag);
+        reported.map(|(_, owners)| owners.clone()).unwrap_or_default()
     }
 
     fn owners(&self) -> BTreeMap<u32, String> {
         let members: Vec<&String> = self.members.keys().collect();
         let mut owners = BTreeMap::new();
         for part in 0..PARTITIONS {
-            if let Some(place) = (part as usize).checked_rem(members.len()) {
-                owners.insert(part, members[place].clone());
+            if let Some(index) = (part as usize).checked_rem(members.len()) {
+                owners.insert(part, members[index].clone());
             }
         }
         owners
@@ -122,12 +122,12 @@
 }
 
 /// Another address of the store, at which calls that concern one topic may go without an answer.
-pub(crate) struct StoreDoor {
+pub(crate) struct StoreEndpoint {
     pub(crate) address: SocketAddr,
     hangs: Arc<AtomicBool>,
 }
 
-impl StoreDoor {
+impl StoreEndpoint {
     /// Makes calls that concern the topic hang here; those that hung are never answered.
     pub(crate) fn hang(&self) {
         self.hangs.store(true, Ordering::Relaxed);
@@ -135,7 +135,7 @@
 }
 
 /// How long a call hangs that is never answered.
-const NEVER: Duration = Duration::from_secs(30);
+const HANG_TIME: Duration = Duration::from_secs(30);
 
 /// A stand-in for the platform's store.
 #[derive(Clone)]
@@ -153,7 +153,7 @@
     }
 
     /// Opens another address, at which calls that concern `topic` can be made to hang.
-    pub(crate) fn open_door(&self, topic: &'static str) -> StoreDoor {
+    pub(crate) fn open_endpoint(&self, topic: &'static str) -> StoreEndpoint {
         let hangs: Arc<AtomicBool> = Arc::default();
         let (served, hung) = (Arc::clone(&self.state), Arc::clone(&hangs));
         let address = serve(move |connection| {
@@ -161,7 +161,7 @@
                 hung.load(Ordering::Relaxed) && request.head.target.contains(topic)
             });
         });
-        StoreDoor { address, hangs }
+        StoreEndpoint { address, hangs }
     }
 
     fn lock(&self) -> MutexGuard<'_, StoreState> {
@@ -195,30 +195,35 @@
     }
 
     /// Makes pages of a topic's newest records hold one record, and puts a record after the first of them.
-    pub(crate) fn change_between_pages(&self, topic: &'static str, key: &str, value: &str) {
-        let after_page = Some(AfterPage::Put((key.to_owned(), value.to_owned())));
-        self.lock().paged = Some(PagedTopic { topic, after_page });
+    pub(crate) fn put_between_pages(&self, topic: &'static str, key: &str, value: &str) {
+        let page_change = Some(PageChange::Put((key.to_owned(), value.to_owned())));
+        self.lock().paged = Some(PagedTopic { topic, page_change });
     }
 
     /// Makes pages of a topic's newest records hold one record, and brings the store back from an older copy after the first of
     /// them: the topic lacks its last `lost` records, and another one is put.
-    pub(crate) fn fall_between_pages(&self, topic: &'static str, lost: usize, put: (&str, &str)) {
+    pub(crate) fn roll_back_between_pages(
+        &self,
+        topic: &'static str,
+        lost: usize,
+        put: (&str, &str),
+    ) {
         let put = (put.0.to_owned(), put.1.to_owned());
-        let after_page = Some(AfterPage::FallBack(lost, put));
-        self.lock().paged = Some(PagedTopic { topic, after_page });
+        let page_change = Some(PageChange::RollBack(lost, put));
+        self.lock().paged = Some(PagedTopic { topic, page_change });
     }
 
     /// Copies everything that the store keeps.
-    pub(crate) fn copy(&self) -> StoreCopy {
+    pub(crate) fn snapshot(&self) -> StoreSnapshot {
         let state = self.lock();
         let (topics, members) = (state.topics.clone(), state.members.clone());
-        StoreCopy { topics, members, generation: state.generation }
+        StoreSnapshot { topics, members, generation: state.generation }
     }
 
     /// Brings the store back from a copy: what was written since is gone, and its offsets and generations are given out again.
-    pub(crate) fn come_back(&self, copy: &StoreCopy) {
+    pub(crate) fn restore(&self, snapshot: &StoreSnapshot) {
         let mut state = self.lock();
-        let StoreCopy { topics, members, generation } = copy.clone();
+        let StoreSnapshot { topics, members, generation } = snapshot.clone();
         (state.topics, state.members, state.generation) = (topics, members, generation);
         state.era += 1;
         drop(state);
@@ -232,7 +237,7 @@
 
     /// Makes what the store tells of the partitions' holders lie behind: a partition passes on only when the member that had
     /// it has joined again, which moves no generation.
-    pub(crate) fn lag_owners(&self, lag: Duration) {
+    pub(crate) fn delay_owners(&self, lag: Duration) {
         self.lock().owners_lag = Some(OwnersLag { lag, history: Vec::new() });
     }
 
@@ -244,7 +249,7 @@
 
     /// Brings the store back from an older copy: the last `lost` records of a topic are gone, and their offsets are given out
     /// again. Returns what was lost, for whoever writes it again.
-    pub(crate) fn fall_back(&self, topic: &str, lost: usize) -> Vec<(String, String)> {
+    pub(crate) fn roll_back(&self, topic: &str, lost: usize) -> Vec<(String, String)> {
         let mut state = self.lock();
         state.era += 1;
         let records = &mut state.topics.entry(topic.to_owned()).or_default().records;
@@ -255,21 +260,22 @@
     }
 
     /// Waits until the store holds a read of a topic that has just begun.
-    pub(crate) fn await_held_read(&self, topic: &str) {
-        let held = |state: &StoreState| state.held_reads.get(topic).copied().unwrap_or_default();
-        let before = held(&self.lock());
+    pub(crate) fn await_long_poll(&self, topic: &str) {
+        let long_polls_of =
+            |state: &StoreState| state.long_polls.get(topic).copied().unwrap_or_default();
+        let before = long_polls_of(&self.lock());
         let began = Instant::now();
-        while held(&self.lock()) == before {
-            assert!(began.elapsed() < NEVER, "nobody reads {topic}");
+        while long_polls_of(&self.lock()) == before {
+            assert!(began.elapsed() < HANG_TIME, "nobody reads {topic}");
             thread::sleep(Duration::from_millis(2));
         }
     }
 
     /// Makes a host a member of the group for good.
-    pub(crate) fn enlist(&self, member: &str) {
-        let for_good = Instant::now() + Duration::from_hours(1);
+    pub(crate) fn add_member(&self, member: &str) {
+        let expires = Instant::now() + Duration::from_hours(1);
         let mut state = self.lock();
-        state.members.insert(member.to_owned(), for_good);
+        state.members.insert(member.to_owned(), expires);
         state.generation += 1;
     }
 
@@ -283,22 +289,22 @@
     }
 }
 
-/// Serves one connection; a request for which `is_hung` holds by the time of its answer gets none.
+/// Serves one connection; a request for which `should_hang` holds by the time of its answer gets none.
 fn serve_store(
     state: &(Mutex<StoreState>, Condvar),
     connection: &mut ServedConnection,
-    is_hung: impl Fn(&ServedRequest) -> bool,
+    should_hang: impl Fn(&ServedRequest) -> bool,
 ) {
     let lock = || state.0.lock().unwrap_or_else(PoisonError::into_inner);
     let silences = lock().silences;
     while let Some(request) = connection.next_request() {
-        let (era, (status, body)) = store_answer(state, &request);
+        let (era, (status, body)) = respond(state, &request);
         let hangs = {
             let state = lock();
             state.hangs || state.silences > silences
         };
-        if hangs || is_hung(&request) {
-            thread::sleep(NEVER);
+        if hangs || should_hang(&request) {
+            thread::sleep(HANG_TIME);
             return;
         }
         let cooldown = state.0.lock().unwrap_or_else(PoisonError::into_inner).cooldown;
@@ -312,18 +318,15 @@
 }
 
 /// Makes an answer, and tells in which era.
-fn store_answer(
-    state: &(Mutex<StoreState>, Condvar),
-    request: &ServedRequest,
-) -> (u64, (u16, Value)) {
+fn respond(state: &(Mutex<StoreState>, Condvar), request: &ServedRequest) -> (u64, (u16, Value)) {
     let mut locked = state.0.lock().unwrap_or_else(PoisonError::into_inner);
     let mut era = locked.era;
     locked.calls += 1;
-    let answer = call_answer(locked, &state.1, request, &mut era);
+    let answer = respond_to_call(locked, &state.1, request, &mut era);
     (era, answer)
 }
 
-fn call_answer(
+fn respond_to_call(
     mut locked: MutexGuard<'_, StoreState>,
     changes: &Condvar,
     request: &ServedRequest,
@@ -336,17 +339,17 @@
     match parts.as_slice() {
         ["newest", name, after] => {
             let paged = locked.paged.as_mut().filter(|paged| paged.topic == *name);
-            let most = if paged.is_some() { 1 } else { usize::MAX };
-            let after_page = paged.and_then(|paged| paged.after_page.take());
+            let limit = if paged.is_some() { 1 } else { usize::MAX };
+            let page_change = paged.and_then(|paged| paged.page_change.take());
             let topic = locked.topics.entry((*name).to_owned()).or_default();
             let mut records = topic.newest();
             records.retain(|record| record["key"].as_str() > Some(*after));
-            let more = records.len() > most;
-            records.truncate(most);
+            let more = records.len() > limit;
+            records.truncate(limit);
             let end = topic.records.len();
-            match after_page {
-                Some(AfterPage::Put(record)) => topic.records.push(record),
-                Some(AfterPage::FallBack(lost, record)) => {
+            match page_change {
+                Some(PageChange::Put(record)) => topic.records.push(record),
+                Some(PageChange::RollBack(lost, record)) => {
                     topic.records.truncate(end.saturating_sub(lost));
                     topic.records.push(record);
                     locked.era += 1;
@@ -360,7 +363,7 @@
             let wait = Duration::from_millis(wait.parse().unwrap_or_default());
             let known = locked.topics.get(*topic).map_or(0, |topic| topic.records.len());
             if known <= from && !wait.is_zero() {
-                *locked.held_reads.entry((*topic).to_owned()).or_default() += 1;
+                *locked.long_polls.entry((*topic).to_owned()).or_default() += 1;
             }
             let (locked, _) = changes
                 .wait_timeout_while(locked, wait, |state| {
@@ -405,7 +408,7 @@
             (200, Value::Null)
         }
         ["owners"] => {
-            let owners = locked.told_owners();
+            let owners = locked.reported_owners();
             let owners = owners.into_iter().map(|(part, member)| (part.to_string(), json!(member)));
             (200, Value::Object(owners.collect()))
         }
--- a/crates/gateway/tests/host/rollback.rs
+++ b/crates/gateway/tests/host/store_rollback.rs
@@ -15,16 +15,16 @@
 use crate::site::{TestHost, TestSite, wait_until};
 
 /// Within which time what the store has acknowledged is in force on hosts that reach it; operators give two to three seconds.
-const IN_FORCE: Duration = Duration::from_secs(2);
+const APPLY_LIMIT: Duration = Duration::from_secs(2);
 
-fn serves_the_late_route(host: &TestHost) -> bool {
+fn serves_late_route(host: &TestHost) -> bool {
     host.get("/late/a", "X-Request: late\r\n").starts_with("HTTP/1.1 200")
 }
 
-/// Returns whether something comes about within [`IN_FORCE`].
-fn comes_about(condition: impl Fn() -> bool) -> bool {
+/// Returns whether something comes about within [`APPLY_LIMIT`].
+fn holds_in_time(condition: impl Fn() -> bool) -> bool {
     let began = Instant::now();
-    while began.elapsed() < IN_FORCE {
+    while began.elapsed() < APPLY_LIMIT {
         if condition() {
             return true;
         }
@@ -43,22 +43,22 @@
     assert!(host.is_ready());
     site.store.refuse(true);
     thread::sleep(Duration::from_millis(300));
-    site.store.fall_back(topic, 4);
+    site.store.roll_back(topic, 4);
 }
 
 #[test]
-fn a_change_after_the_store_came_back_older_is_in_force() {
+fn a_change_after_a_store_rollback_applies() {
     let site = TestSite::start();
     let host = site.host("older-change");
     lose_records(&site, &host, "configuration", "routes", "1");
     site.store.refuse(false);
     wait_until("the store is read again", || host.shared.metrics.store_era.get() == 1);
     site.store.put("configuration", "routes", "2");
-    assert!(comes_about(|| serves_the_late_route(&host)), "not in force in {IN_FORCE:?}");
+    assert!(holds_in_time(|| serves_late_route(&host)), "not in force in {APPLY_LIMIT:?}");
 }
 
 #[test]
-fn an_engine_that_leaves_after_the_store_came_back_older_is_left() {
+fn an_engine_that_leaves_after_a_store_rollback_is_dropped() {
     let site = TestSite::start();
     let host = site.host("older-leaving");
     lose_records(&site, &host, "engines", "plain-1", &site.plain.entry("plain", false));
@@ -66,12 +66,12 @@
     wait_until("the store is read again", || host.shared.metrics.store_era.get() == 1);
     site.store.put("engines", "plain-1", &site.plain.entry("plain", true));
     let left = || host.shared.table.borrow().ready_engines("plain").next().is_none();
-    assert!(comes_about(left), "not left in {IN_FORCE:?}");
+    assert!(holds_in_time(left), "not left in {APPLY_LIMIT:?}");
 }
 
 /// Where the topic has grown past the place from which a host reads on, no answer says that anything is gone.
 #[test]
-fn a_change_below_where_reading_goes_on_is_in_force() {
+fn a_change_below_the_read_offset_applies() {
     let site = TestSite::start();
     let host = site.host("older-below");
     lose_records(&site, &host, "configuration", "other", "1");
@@ -80,5 +80,5 @@
         site.store.put("configuration", "other", "1");
     }
     site.store.refuse(false);
-    assert!(comes_about(|| serves_the_late_route(&host)), "not in force in {IN_FORCE:?}");
+    assert!(holds_in_time(|| serves_late_route(&host)), "not in force in {APPLY_LIMIT:?}");
 }
--- a/crates/gateway/tests/host/streams.rs
+++ b/crates/gateway/tests/host/streams.rs
@@ -6,13 +6,13 @@
 };
 
 use crate::{
-    dialect::AFTER,
-    engine::EngineMood,
+    dialect::RESUME_AFTER,
+    engine::EngineBehaviour,
     site::{MODEL_NAME, TestSite, wait_until},
 };
 
-fn events(answer: &str) -> Vec<u32> {
-    let data = answer.lines().filter_map(|line| line.strip_prefix("data: "));
+fn events(response: &str) -> Vec<u32> {
+    let data = response.lines().filter_map(|line| line.strip_prefix("data: "));
     data.filter_map(|number| number.trim().parse().ok()).collect()
 }
 
@@ -21,45 +21,45 @@
 }
 
 #[test]
-fn a_stream_comes_whole() {
+fn a_stream_is_delivered_completely() {
     let site = TestSite::start();
     let host = site.host("whole");
     for engine in &site.engines {
-        engine.treat(&[EngineMood::Stream(6)]);
+        engine.set_behaviours(&[EngineBehaviour::Stream(6)]);
     }
-    let answer = host.post("/stream/a", &fields("s1"), "{}");
-    assert_eq!(events(&answer), [0, 1, 2, 3, 4, 5], "{answer}");
-    assert!(answer.ends_with("0\r\n\r\n"), "{answer}");
+    let response = host.post("/stream/a", &fields("s1"), "{}");
+    assert_eq!(events(&response), [0, 1, 2, 3, 4, 5], "{response}");
+    assert!(response.ends_with("0\r\n\r\n"), "{response}");
 }
 
 #[test]
-fn a_broken_stream_never_looks_whole() {
+fn a_broken_stream_never_looks_complete() {
     let site = TestSite::start();
     let host = site.host("broken");
     for engine in &site.engines {
-        engine.treat(&[EngineMood::StreamCut(3)]);
+        engine.set_behaviours(&[EngineBehaviour::TruncateStream(3)]);
     }
-    let answer = host.post("/stream/a", &fields("b1"), "{}");
-    assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
-    assert!(!answer.ends_with("0\r\n\r\n"), "{answer}");
+    let response = host.post("/stream/a", &fields("b1"), "{}");
+    assert!(response.starts_with("HTTP/1.1 200"), "{response}");
+    assert!(!response.ends_with("0\r\n\r\n"), "{response}");
     let runs: usize = site.engines.iter().map(|engine| engine.runs().len()).sum();
     assert_eq!(runs, 1, "what can not be resumed runs once");
 }
 
 #[test]
-fn a_resumable_stream_goes_on_without_gap_or_doubling() {
+fn a_resumed_stream_has_no_gaps_or_duplicates() {
     let site = TestSite::start();
     let host = site.host("resumed");
-    site.engines[0].treat(&[EngineMood::StreamCut(3)]);
-    site.engines[1].treat(&[EngineMood::Stream(7)]);
+    site.engines[0].set_behaviours(&[EngineBehaviour::TruncateStream(3)]);
+    site.engines[1].set_behaviours(&[EngineBehaviour::Stream(7)]);
     for number in 0..20 {
         let broken = site.engines[0].arrivals().len();
-        let answer = host.post("/resumable/a", &fields(&format!("r{number}")), "{}");
-        assert_eq!(events(&answer), [0, 1, 2, 3, 4, 5, 6], "{answer}");
-        assert!(answer.ends_with("0\r\n\r\n"), "{answer}");
+        let response = host.post("/resumable/a", &fields(&format!("r{number}")), "{}");
+        assert_eq!(events(&response), [0, 1, 2, 3, 4, 5, 6], "{response}");
+        assert!(response.ends_with("0\r\n\r\n"), "{response}");
         if site.engines[0].arrivals().len() > broken {
             let resumed = site.engines[1].runs().pop().expect("the second engine ran it");
-            assert_eq!(resumed.head.fields.text(AFTER), Some("2"));
+            assert_eq!(resumed.head.fields.text(RESUME_AFTER), Some("2"));
             return;
         }
     }
@@ -67,13 +67,13 @@
 }
 
 #[test]
-fn a_client_that_leaves_ends_its_run_at_once() {
+fn a_client_disconnect_ends_its_run() {
     let site = TestSite::start();
     let host = site.host("left");
     for engine in &site.engines {
-        engine.treat(&[EngineMood::Stream(200)]);
+        engine.set_behaviours(&[EngineBehaviour::Stream(200)]);
     }
-    let mut socket = TcpStream::connect(host.clients).expect("a connection");
+    let mut socket = TcpStream::connect(host.client_address).expect("a connection");
     let request = format!(
         "POST /stream/a HTTP/1.1\r\nHost: site.example\r\n{}Content-Length: 2\r\n\r\n{{}}",
         fields("g1")
@@ -84,20 +84,20 @@
     assert!(count > 0);
     drop(socket);
     wait_until("the engine sees that its client is gone", || {
-        site.engines.iter().map(crate::engine::StandInEngine::clients_gone).sum::<u32>() == 1
+        site.engines.iter().map(crate::engine::StandInEngine::client_disconnects).sum::<u32>() == 1
     });
 }
 
 #[test]
-fn a_resumable_stream_leaves_an_engine_that_hangs() {
+fn a_resumable_stream_moves_off_a_hanging_engine() {
     let site = TestSite::start();
     let host = site.host("hangs");
-    site.engines[0].treat(&[EngineMood::Hangs]);
-    site.engines[1].treat(&[EngineMood::Stream(3)]);
+    site.engines[0].set_behaviours(&[EngineBehaviour::Hang]);
+    site.engines[1].set_behaviours(&[EngineBehaviour::Stream(3)]);
     for number in 0..20 {
         let hung = site.engines[0].arrivals().len();
-        let answer = host.post("/resumable/a", &fields(&format!("h{number}")), "{}");
-        assert_eq!(events(&answer), [0, 1, 2], "{answer}");
+        let response = host.post("/resumable/a", &fields(&format!("h{number}")), "{}");
+        assert_eq!(events(&response), [0, 1, 2], "{response}");
         if site.engines[0].arrivals().len() > hung {
             return;
         }
--- a/crates/gateway/tests/host/system_fields.rs
+++ b/crates/gateway/tests/host/system_fields.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     dialect::{HOLD, PIN, REQUEST},
-    engine::{EngineMood, StandInEngine},
+    engine::{EngineBehaviour, StandInEngine},
     site::{MODEL_NAME, TestHost, TestSite, raw_exchange},
 };
 
@@ -37,7 +37,7 @@
     body: ForwardBody,
     /// Whether an engine with models serves it.
     streams: bool,
-    moods: &'static [EngineMood],
+    behaviours: &'static [EngineBehaviour],
 }
 
 enum ForwardBody {
@@ -51,35 +51,35 @@
         path: "/single/a",
         body: ForwardBody::Length,
         streams: false,
-        moods: &[EngineMood::Well],
+        behaviours: &[EngineBehaviour::Echo],
     },
     ForwardPath {
         name: "chunked body",
         path: "/single/a",
         body: ForwardBody::Chunked,
         streams: false,
-        moods: &[EngineMood::Well],
+        behaviours: &[EngineBehaviour::Echo],
     },
     ForwardPath {
         name: "sent again after an error",
         path: "/safe/a",
         body: ForwardBody::Length,
         streams: false,
-        moods: &[EngineMood::Error, EngineMood::Well],
+        behaviours: &[EngineBehaviour::Error, EngineBehaviour::Echo],
     },
     ForwardPath {
         name: "sent again after a refusal",
         path: "/stream/a",
         body: ForwardBody::Length,
         streams: true,
-        moods: &[EngineMood::NotRun, EngineMood::Stream(3)],
+        behaviours: &[EngineBehaviour::NotRun, EngineBehaviour::Stream(3)],
     },
     ForwardPath {
         name: "stream taken up again",
         path: "/resumable/a",
         body: ForwardBody::Length,
         streams: true,
-        moods: &[EngineMood::StreamCut(2), EngineMood::Stream(4)],
+        behaviours: &[EngineBehaviour::TruncateStream(2), EngineBehaviour::Stream(4)],
     },
 ];
 
@@ -94,7 +94,7 @@
     let head = format!("POST {} HTTP/1.1\r\nHost: site.example\r\nX-Request: {id}\r\n", path.path);
     let fields = format!("{model}X-Kept: yes\r\nConnection: close\r\n{}", case.fields);
     let request = format!("{head}{fields}{body}");
-    raw_exchange(host.clients, request.as_bytes());
+    raw_exchange(host.client_address, request.as_bytes());
 }
 
 fn arrivals(site: &TestSite) -> Vec<ServedRequest> {
@@ -109,7 +109,7 @@
         let host = site.host(&path.name.replace(' ', "-"));
         for (number, case) in CASES.iter().enumerate() {
             for engine in site.engines.iter().chain([&site.plain]) {
-                engine.treat(path.moods);
+                engine.set_behaviours(path.behaviours);
             }
             send(&host, path, case, &format!("f{number}"));
         }
@@ -136,7 +136,7 @@
     let site = TestSite::start();
     let host = site.host("folded-forged");
     let request = "GET /safe/a HTTP/1.1\r\nHost: site.example\r\nX-Request: o1\r\nX-Kept: a\r\n X-Hold: h-1\r\n\r\n";
-    let answer = raw_exchange(host.clients, request.as_bytes());
-    assert!(answer.starts_with("HTTP/1.1 400 "), "{answer}");
+    let response = raw_exchange(host.client_address, request.as_bytes());
+    assert!(response.starts_with("HTTP/1.1 400 "), "{response}");
     assert_eq!(site.plain.arrivals().len(), 0);
 }
