--- a/crates/gateway/tests/host/announcements.rs
+++ b/crates/gateway/tests/host/announcements.rs
@@ -1,4 +1,4 @@
-//! Engines that announce in their responses that they leave, or that they want no requests for a while.
+//! Engines that announce a departure or a cooldown in their responses.
 
 use std::{
     thread,
@@ -11,23 +11,22 @@
     site::{MODEL_NAME, TestSite, WAIT_LIMIT, wait_until},
 };
 
-/// Within which time after a host was told of a departure it must send the engine nothing more.
+/// Time after the first announced departure to a host within which it must stop sending requests.
 const DEPARTURE_APPLY_LIMIT: Duration = Duration::from_secs(2);
 
-/// Within which time after the first host was told of a departure no host must send the engine anything more.
+/// Time after the first announcement of a departure within which every host must stop sending.
 const DEPARTURE_SPREAD_LIMIT: Duration = Duration::from_secs(1);
 
-/// After which time requests that were under way when a cooldown was asked for no longer excuse anything.
+/// Time after a cooldown starts during which requests already under way may still arrive.
 const COOLDOWN_GRACE: Duration = Duration::from_millis(500);
 
-/// How many requests of a host may reach an engine within a cooldown after that.
+/// Requests of one host that may reach an engine during a cooldown after [`COOLDOWN_GRACE`].
 const MAX_REQUESTS_IN_COOLDOWN: usize = 2;
 
-/// Within which time a request is refused that no engine takes.
+/// Time within which a request is refused that no engine accepts.
 const REFUSAL_LIMIT: Duration = Duration::from_millis(150);
 
-/// While the store was away, hosts passed on responses of an engine which said that it leaves, and went on sending it two
-/// requests a second until its end.
+/// Guards against hosts that keep sending to a departing engine because the store can't tell them.
 #[test]
 fn an_engine_that_announces_its_departure_gets_no_requests_during_a_store_outage() {
     let fleet = TestFleet::start("assist", 6, 3);
@@ -35,47 +34,50 @@
     let leaving = &fleet.engines[0];
     leaving.announce_departure("yes");
     let (served, sent) = fleet.run_load(20, Duration::from_secs(4));
-    assert!(leaving.first_departure_announcement().is_some(), "a host was told");
+    assert!(leaving.first_departure_announcement().is_some(), "no host got the announcement");
     assert_eq!(leaving.requests_after_departure(DEPARTURE_APPLY_LIMIT), 0);
-    assert_eq!(served, sent, "the others have room for everything");
+    assert_eq!(served, sent, "the other engines have room for all requests");
 }
 
-/// The host that received the announcement tells the others, so that an engine about to end is left by all of them at once.
+/// The host that receives the announcement must pass it on to its peers.
 #[test]
 fn a_departure_spreads_to_all_hosts_during_a_store_outage() {
     let fleet = TestFleet::start("assist", 4, 4);
     fleet.site.store.refuse(true);
     let leaving = &fleet.engines[0];
     leaving.announce_departure("yes");
-    wait_until("the first host is told", || {
-        fleet.serves(&fleet.hosts[0], "told");
+    wait_until("the first host gets the announcement", || {
+        fleet.serves(&fleet.hosts[0], "departure");
         leaving.first_departure_announcement().is_some()
     });
     let all_know = || {
         let mut hosts = fleet.hosts.iter();
         hosts.all(|host| host.shared.metrics.departing_engines.get() == 1)
     };
-    wait_until("all hosts know", all_know);
-    let announced = leaving.first_departure_announcement().expect("a host was told");
+    wait_until("all hosts know of the departure", all_know);
+    let announced = leaving.first_departure_announcement().expect("a host got the announcement");
     assert!(
         announced.elapsed() < DEPARTURE_SPREAD_LIMIT,
-        "known by all only after {:?}",
+        "known by all hosts only after {:?}",
         announced.elapsed()
     );
     let began = Instant::now();
     let (served, sent) = fleet.run_load(20, Duration::from_secs(1));
     assert_eq!(leaving.requests_since(began), 0);
-    assert_eq!(served, sent, "the others have room for everything");
+    assert_eq!(served, sent, "the other engines have room for all requests");
 }
 
-/// A host that starts while the store is away learns of departures from its peers.
+/// A host that starts during the outage must learn of departures from its peers.
 #[test]
 fn a_host_that_starts_during_a_store_outage_sends_nothing_to_a_leaving_engine() {
     let mut fleet = TestFleet::start("assist", 2, 2);
     fleet.site.store.refuse(true);
     fleet.engines[0].announce_departure("yes");
     fleet.run_load(20, Duration::from_secs(1));
-    assert!(fleet.engines[0].first_departure_announcement().is_some(), "a host was told");
+    assert!(
+        fleet.engines[0].first_departure_announcement().is_some(),
+        "no host got the announcement"
+    );
     let seeds = fleet.hosts.iter().map(|host| host.shared.profile.peers).collect();
     let late = fleet.site.start_host("late", seeds);
     late.wait_ready();
@@ -83,18 +85,18 @@
     let began = Instant::now();
     let (served, sent) = fleet.run_load(20, Duration::from_secs(1));
     assert_eq!(fleet.engines[0].requests_since(began), 0);
-    assert_eq!(served, sent, "the other has room for everything");
+    assert_eq!(served, sent, "the other engine has room for all requests");
 }
 
-/// The engine's entry still says that it takes requests, and the store repeats it: the announcement holds until that
-/// incarnation ends, and not beyond.
+/// The engine's entry still lists it as ready and the store repeats it; the announcement takes
+/// precedence until the incarnation ends.
 #[test]
 fn a_departure_applies_to_one_incarnation_regardless_of_its_entry() {
     let fleet = TestFleet::start("assist", 2, 2);
     let leaving = &fleet.engines[0];
     leaving.announce_departure("yes");
     fleet.run_load(20, Duration::from_secs(1));
-    let announced = leaving.first_departure_announcement().expect("a host was told");
+    let announced = leaving.first_departure_announcement().expect("a host got the announcement");
     for _ in 0..3 {
         fleet.site.store.put("engines", &leaving.name, &leaving.entry("assist", false));
         let (served, sent) = fleet.run_load(10, Duration::from_secs(1));
@@ -104,7 +106,8 @@
     leaving.restart(&[MODEL_NAME], FIRST_INCARNATION + 1);
     leaving.withdraw_departure();
     fleet.site.store.put("engines", &leaving.name, &leaving.entry("assist", false));
-    // Which of two idle engines gets a request depends on how quickly they responded before.
+    // Which of two idle engines gets a request depends on their earlier response times, so the
+    // other one is put into a cooldown.
     fleet.engines[1].reject_with_cooldown(Some(Duration::from_secs(5)));
     wait_until("the next incarnation gets requests", || {
         fleet.serves(&fleet.hosts[0], "again");
@@ -112,7 +115,7 @@
     });
 }
 
-/// An announcement that can't be read has no effect.
+/// Guards against treating a malformed announcement as a departure.
 #[test]
 fn an_unreadable_departure_has_no_effect() {
     let fleet = TestFleet::start("assist", 2, 1);
@@ -124,8 +127,8 @@
     assert_eq!(fleet.hosts[0].shared.metrics.departing_engines.get(), 0);
 }
 
-/// An engine that rejected requests for an adapter which only it held, and asked for three seconds without any, got up to ten
-/// from one host in that time, though others had room for the adapter.
+/// Guards against requests to the only engine with the adapter during its cooldown, while other
+/// engines have room to load it.
 #[test]
 fn an_engine_gets_no_requests_during_its_cooldown() {
     let mut fleet = TestFleet::start("assist", 3, 3);
@@ -134,17 +137,17 @@
     cooling.reject_with_cooldown(Some(Duration::from_secs(3)));
     let began = Instant::now();
     let (served, sent) = fleet.run_load(10, Duration::from_secs(4));
-    assert!(cooling.requests_since(began) >= 1, "it rejected a request");
+    assert!(cooling.requests_since(began) >= 1, "no request was rejected");
     let requests = cooling.max_requests_in_cooldown(COOLDOWN_GRACE);
     assert!(
         requests <= MAX_REQUESTS_IN_COOLDOWN,
         "{requests} requests of one host within a cooldown"
     );
-    // What comes while the adapter is loaded elsewhere may be told to come back.
+    // Requests that arrive while the adapter is loaded elsewhere may be refused.
     assert!(served * 20 >= sent * 19, "{served} of {sent} are served");
 }
 
-/// A server of a plain service asks for a cooldown: requests go to the others at once.
+/// Requests must go to the other servers immediately.
 #[test]
 fn a_plain_server_gets_no_requests_during_its_cooldown() {
     let fleet = TestFleet::start("plain", 3, 3);
@@ -152,16 +155,16 @@
     cooling.reject_with_cooldown(Some(Duration::from_secs(2)));
     let began = Instant::now();
     let (served, sent) = fleet.run_load(20, Duration::from_secs(5));
-    assert!(cooling.requests_since(began) >= 1, "it rejected a request");
+    assert!(cooling.requests_since(began) >= 1, "no request was rejected");
     let requests = cooling.max_requests_in_cooldown(COOLDOWN_GRACE);
     assert!(
         requests <= MAX_REQUESTS_IN_COOLDOWN,
         "{requests} requests of one host within a cooldown"
     );
-    assert_eq!(served, sent, "the others have room for everything");
+    assert_eq!(served, sent, "the other engines have room for all requests");
 }
 
-/// A repeat after an error of one server does not go to another one within its cooldown.
+/// A retry after an error must not go to another server that is cooling down.
 #[test]
 fn a_retry_is_not_sent_during_a_cooldown() {
     let fleet = TestFleet::start("plain", 2, 1);
@@ -170,11 +173,11 @@
     cooling.reject_with_cooldown(Some(Duration::from_secs(3)));
     fleet.run_load(20, Duration::from_secs(2));
     let requests = cooling.max_requests_in_cooldown(COOLDOWN_GRACE);
-    assert!(cooling.last_cooldown_end().is_some(), "it asked for a cooldown");
+    assert!(cooling.last_cooldown_end().is_some(), "no cooldown was announced");
     assert!(requests <= MAX_REQUESTS_IN_COOLDOWN, "{requests} requests within a cooldown");
 }
 
-/// Requests were held for 1.3 s and sent to each engine in turn again and again while all of them rejected everything.
+/// Guards against holding requests and sending them to each cooling engine in turn.
 #[test]
 fn requests_are_refused_immediately_when_all_engines_are_cooling_down() {
     for service in ["assist", "plain"] {
@@ -194,7 +197,7 @@
         let began = Instant::now();
         let response = fleet.post(&fleet.hosts[0], "late");
         assert!(began.elapsed() < REFUSAL_LIMIT, "{service}: refused after {:?}", began.elapsed());
-        let retry_delay = retry_after(&response).expect("a time to come back");
+        let retry_delay = retry_after(&response).expect("a Retry-After field");
         let ends = fleet.engines.iter().filter_map(StandInEngine::last_cooldown_end).min();
         let remaining = ends.expect("a cooldown").saturating_duration_since(began);
         assert!(
@@ -204,14 +207,14 @@
     }
 }
 
-/// What callers get while some engines leave, or reject everything and ask for a cooldown.
+/// Engines that leave or are cooling down, out of six.
 struct CallerCase {
     service: &'static str,
     cooling: usize,
     leaving: usize,
 }
 
-/// Callers are served by the engines that are left, or refused soon.
+/// Callers must be served by the remaining engines, or refused quickly.
 #[test]
 fn callers_are_served_by_the_engines_that_accept_requests() {
     let case = |service, cooling, leaving| CallerCase { service, cooling, leaving };
@@ -240,7 +243,7 @@
         println!(
             "{service}: {cooling} of 6 cooling, {leaving} leaving: {served} of {sent} served, refused after {mean_refusal_time:?}, {calls} rejections"
         );
-        // A route may allow one engine only, so that each rejection costs one request at most.
+        // A route may allow a single engine only, so each rejection may cost one request.
         let all_cool = cooling == fleet.engines.len();
         assert!(
             all_cool || sent - served <= calls,
@@ -253,7 +256,8 @@
     }
 }
 
-/// An engine whose cooldown ends is probed with one request of each host, and used as any other once it accepts them.
+/// After its cooldown an engine gets one probe request per host, and full load once it accepts
+/// them.
 #[test]
 fn an_engine_returns_from_a_cooldown_without_a_request_burst() {
     let fleet = TestFleet::start("plain", 2, 4);
@@ -270,21 +274,21 @@
     let (served, sent) = fleet.run_load(20, Duration::from_secs(4));
     assert_eq!(served, sent);
     let last = cooling.last_cooldown_end().expect("a cooldown") + Duration::from_secs(2);
-    assert!(cooling.requests_since(last) >= 20, "it is used as the other one");
+    assert!(cooling.requests_since(last) >= 20, "the engine does not get its usual load again");
 }
 
-/// A cooldown that can't be read has no effect beyond the rejection.
+/// A malformed cooldown must have no effect beyond the rejection itself.
 #[test]
 fn an_unreadable_cooldown_has_no_effect() {
     let fleet = TestFleet::start("plain", 1, 1);
     fleet.engines[0].reject_with_cooldown_text("soon");
     let began = Instant::now();
     fleet.run_load(20, Duration::from_secs(1));
-    assert!(fleet.engines[0].requests_since(began) >= 3, "it is asked again");
+    assert!(fleet.engines[0].requests_since(began) >= 3, "the engine gets no further requests");
     assert_eq!(fleet.hosts[0].shared.metrics.cooling_engines.get(), 0);
 }
 
-/// An answer of other weights than were asked for reaches no caller, whatever the engine takes the version to be.
+/// A response of other weights than requested must not reach a caller.
 #[test]
 fn a_response_of_another_model_version_reaches_no_caller() {
     let fleet = TestFleet::start("assist", 2, 1);
@@ -293,7 +297,7 @@
     fleet.engines[1].announce_version(1);
     let host = &fleet.hosts[0];
     let dropped = || host.shared.metrics.other_versions.get() > 0;
-    wait_until("an answer is dropped", || {
+    wait_until("a response is dropped", || {
         fleet.post(host, "drops");
         dropped()
     });
@@ -306,7 +310,7 @@
     }
 }
 
-/// What an engine says of its base model's version is no version of an adapter: answers were dropped for it.
+/// Guards against dropping responses of an adapter because of the base model's version.
 #[test]
 fn the_base_model_version_does_not_apply_to_an_adapter() {
     let mut fleet = TestFleet::start("assist", 2, 1);
@@ -321,13 +325,13 @@
     assert_eq!(fleet.hosts[0].shared.metrics.other_versions.get(), 0);
 }
 
-/// A store in need says how long it wants no calls.
+/// The store may announce a cooldown of its own when it refuses calls.
 #[test]
 fn the_store_gets_no_calls_during_its_cooldown() {
     let site = TestSite::start();
     let host = site.host("store-cooldown");
     site.store.refuse_with("0.9");
-    // Calls that are held end now.
+    // Lets the pending long polls end.
     thread::sleep(Duration::from_millis(200));
     let before = site.store.calls();
     thread::sleep(Duration::from_millis(600));
@@ -340,14 +344,14 @@
     });
 }
 
-/// A client whose request was rejected by the one engine that its route allows comes back to another engine at once: it was told to
-/// wait for the end of that engine's cooldown.
+/// Guards against a `Retry-After` that covers the cooldown of one engine although another one would
+/// accept the request.
 #[test]
 fn retry_after_ignores_a_cooldown_while_another_engine_accepts_requests() {
     let fleet = TestFleet::start("assist", 2, 1);
     fleet.engines[0].reject_with_cooldown(Some(Duration::from_secs(5)));
     let retry_delay = || {
-        let response = fleet.post(&fleet.hosts[0], &format!("told-{:?}", Instant::now()));
+        let response = fleet.post(&fleet.hosts[0], &format!("rejected-{:?}", Instant::now()));
         retry_after(&response)
     };
     let began = Instant::now();
@@ -361,8 +365,8 @@
     assert!(fleet.serves(&fleet.hosts[0], "comes back"));
 }
 
-/// A route that allows one engine refuses a request which the only holder of its adapter rejected. Nothing was loaded elsewhere until
-/// the client came back.
+/// The route allows a single engine. Guards against loading the adapter elsewhere only when the
+/// client retries.
 #[test]
 fn a_refused_request_has_its_adapter_loaded_elsewhere_before_its_client_retries() {
     let mut fleet = TestFleet::start("assist", 3, 3);
@@ -370,7 +374,7 @@
     fleet.engines[holder].reject_with_cooldown(Some(Duration::from_secs(5)));
     let response = fleet.post(&fleet.hosts[1], "rejected");
     assert!(response.starts_with("HTTP/1.1 503"), "{response}");
-    let retry_delay = retry_after(&response).expect("a time to come back");
+    let retry_delay = retry_after(&response).expect("a Retry-After field");
     let began = Instant::now();
     let other_orders = || {
         let other_orders = fleet.engines.iter().enumerate().filter(|(place, _)| *place != holder);
@@ -384,7 +388,7 @@
     );
 }
 
-/// Returns the time after which a client is told to come back.
+/// Returns the delay in the `Retry-After` field of a response.
 fn retry_after(response: &str) -> Option<Duration> {
     let line = response.lines().find_map(|line| line.strip_prefix("Retry-After: "))?;
     line.trim().parse().ok().map(Duration::from_secs_f64)
--- a/crates/gateway/tests/host/configuration.rs
+++ b/crates/gateway/tests/host/configuration.rs
@@ -1,4 +1,5 @@
-//! Configuration and engines: nothing is served before they are known, and nothing is forgotten.
+//! Configuration and engine entries: a host serves nothing before it knows them, and keeps them
+//! during outages.
 
 use std::{thread, time::Duration};
 
@@ -50,20 +51,20 @@
     }
     assert!(host.is_ready());
     let calls = site.store.calls() - before;
-    assert!(calls < 40, "{calls} calls in two seconds to a store that refuses");
+    assert!(calls < 40, "{calls} calls within 2 s to a store that refuses");
 }
 
-/// In an outage every host called the store three times a second: a tenth of a day's worth in calls.
+/// Guards against hosts that call an unavailable store at full rate.
 #[test]
 fn an_unavailable_store_is_called_rarely_and_read_soon_after_recovery() {
     let site = TestSite::start();
-    let host = site.host("patient");
+    let host = site.host("outage-calls");
     site.store.refuse(true);
     thread::sleep(Duration::from_millis(2500));
     let before = site.store.calls();
     thread::sleep(Duration::from_secs(8));
     let calls = site.store.calls() - before;
-    assert!(calls <= 18, "{calls} calls in eight seconds to a store that refuses");
+    assert!(calls <= 18, "{calls} calls within 8 s to a store that refuses");
     site.store.put("configuration", "routes", "2");
     site.store.refuse(false);
     thread::sleep(Duration::from_millis(2700));
@@ -83,8 +84,8 @@
     assert!(response.starts_with("HTTP/1.1 200"), "{response}");
 }
 
-/// The pages of a whole reading are no snapshot: what changed between two of them was read neither there nor later, since
-/// reading went on at the end that the last page told.
+/// Pages of a complete read are not a snapshot: incremental reading must resume at a position that
+/// includes changes between two pages.
 #[test]
 fn a_change_between_two_pages_of_the_initial_read_is_not_missed() {
     let site = TestSite::without_configuration();
@@ -97,7 +98,7 @@
     });
 }
 
-/// Entries that no engine has written name none to use, and every other engine serves on; its own next word brings it back.
+/// Malformed entries must not affect other engines; the engine's next valid entry lists it again.
 #[test]
 fn malformed_engine_entries_list_no_engine_and_leave_the_others() {
     let site = TestSite::start();
@@ -107,16 +108,16 @@
     for (key, value) in [("nobody", "{}"), ("bytes", "\u{1}\u{2}"), ("engine-1", "[7]")] {
         site.store.put("engines", key, value);
     }
-    wait_until("one engine is named no more", || ready() == 1);
+    wait_until("one engine is no longer listed", || ready() == 1);
     let response = host.post("/stream/a", "X-Request: w1\r\nX-Model: base\r\n", "{}");
     assert!(response.starts_with("HTTP/1.1 200"), "{response}");
     let response = host.post("/single/a", "X-Request: w2\r\n", "body");
     assert!(response.starts_with("HTTP/1.1 200"), "{response}");
     site.store.put("engines", "engine-1", &site.engines[0].entry("assist", false));
-    wait_until("it is named again", || ready() == 2);
-    // A host that starts finds the same.
+    wait_until("the engine is listed again", || ready() == 2);
+    // A host that starts must come to the same result.
     site.store.put("engines", "engine-2", "null");
     let late = site.host("writers-late");
     let late_ready = || late.shared.table.borrow().ready_engines("assist").count();
-    wait_until("a host that starts has one engine", || late_ready() == 1 && ready() == 1);
+    wait_until("a new host lists one engine", || late_ready() == 1 && ready() == 1);
 }
--- a/crates/gateway/tests/host/dialect.rs
+++ b/crates/gateway/tests/host/dialect.rs
@@ -1,4 +1,4 @@
-//! The project's own plain dialect: what the stand-ins of these tests speak.
+//! The plain dialect that the stand-ins of these tests speak.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -41,11 +41,11 @@
 pub(crate) const VERSION: &str = "X-Version";
 pub(crate) const LEAVING: &str = "X-Leaving";
 pub(crate) const COOLDOWN: &str = "X-Cooldown";
-/// The host that a test sent a request to; it is passed on to engines as any field of a client.
+/// Names the host to which a test sent the request; forwarded to engines like any client field.
 pub(crate) const ENTRY_HOST: &str = "X-Entered";
 pub(crate) const TOKENS: &str = "X-Tokens";
 
-/// The configurations that records name by their revision.
+/// Configurations by the revision that records name.
 pub(crate) type KnownRoutes = Arc<HashMap<u64, Arc<RouteTable>>>;
 
 pub(crate) struct PlainExchange;
--- a/crates/gateway/tests/host/engine.rs
+++ b/crates/gateway/tests/host/engine.rs
@@ -1,4 +1,4 @@
-//! A stand-in for an engine that admits requests by itself, and does wrong when told to.
+//! A stand-in for an engine with its own admission and configurable faults.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -16,34 +16,34 @@
     RUN_BY, VERSION,
 };
 
-/// How an engine treats the next requests.
+/// How an engine handles a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum EngineBehaviour {
-    /// It answers with the request's body.
+    /// Responds with the request's body.
     Echo,
-    /// It answers with so many events, a while apart.
+    /// Responds with this many events, with a pause between them.
     Stream(u32),
-    /// It breaks the stream off after so many events, in the middle of one.
+    /// Sends this many events, then closes the connection within the next one.
     TruncateStream(u32),
-    /// It says that it did not run the request.
+    /// Responds that the request did not run.
     NotRun,
-    /// It answers with an error of its own.
+    /// Responds with status 500.
     Error,
-    /// It closes the connection without an answer.
+    /// Closes the connection without a response.
     CloseConnection,
-    /// It gives no answer and keeps the connection.
+    /// Keeps the connection open without a response.
     Hang,
-    /// It resets the answer in the middle of its body.
+    /// Closes the connection in the middle of the body.
     TruncateBody,
-    /// It answers twice.
+    /// Responds twice.
     DuplicateResponse,
-    /// It first sends the answer to another request.
+    /// Sends the response to another request first.
     MismatchedResponseFirst,
-    /// Its answer has no length and ends with the connection.
+    /// Sends a response without a length, which ends with the connection.
     OmitLength,
-    /// It sends bytes that are no answer.
+    /// Sends bytes that are not an HTTP response.
     Garbage,
-    /// It refuses with a status that would promise what it does not know.
+    /// Responds with 503 although the request ran, without the field that says it did not run.
     UnmarkedRefusal,
 }
 
@@ -56,36 +56,36 @@
     orders: Vec<Value>,
     sequence: u64,
     client_disconnects: u32,
-    /// When the present life began; zero where it does not say.
+    /// Start of the current incarnation; zero if not reported.
     incarnation: u64,
-    /// The highest token of an order that it has taken.
+    /// The highest fence token among the orders it accepted.
     highest_token: u64,
-    /// Bodies under which it ends.
+    /// Request bodies that crash it.
     crashing_bodies: Vec<Vec<u8>>,
-    /// What it says of the requests that it takes, and in every how many answers.
+    /// The announced request limit, and the interval of responses that carry it.
     limit: Option<(String, usize)>,
-    /// The version of the weights that it says it ran requests on.
+    /// The version of the weights that it reports for the requests it ran.
     version: Option<u64>,
-    /// What it says of its departure.
+    /// The announced departure.
     leaving: Option<String>,
-    /// What it says of a cooldown while it rejects requests. Unit: seconds.
+    /// The cooldown that its rejections announce. Unit: seconds.
     cooldown: Option<String>,
-    /// When each host was first told that it leaves.
+    /// When each host was first told of the departure.
     departure_announced_at: BTreeMap<String, Instant>,
-    /// The cooldowns that each host was asked for: from when on, and until when.
+    /// The cooldowns announced to each host, with start and end.
     cooldowns: Vec<(String, Instant, Instant)>,
-    /// When requests reached it, and by which host.
+    /// The host and arrival time of each request.
     requests: Vec<(String, Instant)>,
-    /// When anything reached it: requests, orders, questions for its state.
+    /// Arrival times of all calls: requests, orders and state reports.
     calls: Vec<Instant>,
-    /// What ends with it, where it can end.
+    /// The server of a crashable engine.
     server: EndableServer,
 }
 
-/// When the first life of each engine began.
+/// Start of the first incarnation of each engine.
 pub(crate) const FIRST_INCARNATION: u64 = 1;
 
-/// How long an engine runs a request under which it ends.
+/// How long an engine runs a request that crashes it.
 const CRASH_DELAY: Duration = Duration::from_millis(20);
 
 /// A stand-in for an engine.
@@ -109,7 +109,8 @@
         Self { state, name: name.to_owned(), address }
     }
 
-    /// Starts one life of an engine that ends, with all that it runs, under a request with one of the `crashing_bodies` bodies.
+    /// Starts an engine at `address` that crashes, with everything it runs, when it gets one of the
+    /// `crashing_bodies`.
     pub(crate) fn start_crashable(
         name: &str,
         loaded_models: &[&str],
@@ -130,7 +131,7 @@
         engine
     }
 
-    /// Ends the life of an engine that can end.
+    /// Crashes a crashable engine.
     pub(crate) fn end(&self) {
         let server = self.lock().server.clone();
         server.end();
@@ -144,7 +145,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sets how the next requests are treated; the last mood stays.
+    /// Sets how the next requests are handled, in order; the last behaviour stays.
     pub(crate) fn set_behaviours(&self, behaviours: &[EngineBehaviour]) {
         self.lock().behaviours = behaviours.iter().rev().copied().collect();
     }
@@ -163,17 +164,18 @@
         self.lock().orders.clone()
     }
 
-    /// Names a limit in each answer from now on, or none.
+    /// Announces a limit in each response from now on, or none.
     pub(crate) fn announce_limit(&self, limit: Option<&str>) {
         self.announce_limit_every(limit, 1);
     }
 
-    /// Names a limit in one of so many answers from now on, or none.
+    /// Announces a limit in one of `every` responses from now on, or none.
     pub(crate) fn announce_limit_every(&self, limit: Option<&str>, every: usize) {
         self.lock().limit = limit.map(|limit| (limit.to_owned(), every));
     }
 
-    /// Returns the most calls of any kind that reached it within a time, of those after `from`.
+    /// Returns the maximum number of calls of any kind within `time`, counting calls from `from`
+    /// on.
     pub(crate) fn max_calls_within(&self, time: Duration, from: Instant) -> usize {
         let calls = self.lock().calls.clone();
         let calls: Vec<Instant> = calls.into_iter().filter(|call| *call >= from).collect();
@@ -182,38 +184,39 @@
         counts.max().unwrap_or_default()
     }
 
-    /// Returns how many calls of any kind reached it after `from`.
+    /// Returns the number of calls of any kind that reached it from `from` on.
     pub(crate) fn calls_since(&self, from: Instant) -> usize {
         self.lock().calls.iter().filter(|call| **call >= from).count()
     }
 
-    /// Says in each response from now on that it leaves, or what else stands there.
+    /// Sends `value` as departure announcement in each response from now on.
     pub(crate) fn announce_departure(&self, value: &str) {
         self.lock().leaving = Some(value.to_owned());
     }
 
-    /// Says in each response from now on that it ran the request on this version of the weights.
+    /// Reports in each response from now on that the request ran on this version of the weights.
     pub(crate) fn announce_version(&self, version: u64) {
         self.lock().version = Some(version);
     }
 
-    /// Says nothing of its departure any more.
+    /// Stops announcing a departure.
     pub(crate) fn withdraw_departure(&self) {
         self.lock().leaving = None;
     }
 
-    /// Rejects requests from now on and asks for a cooldown each time, or accepts them again.
+    /// Rejects requests with a cooldown from now on, or accepts them again.
     pub(crate) fn reject_with_cooldown(&self, cooldown: Option<Duration>) {
         let text = cooldown.map(|cooldown| cooldown.as_secs_f64().to_string());
         self.lock().cooldown = text;
     }
 
-    /// Rejects requests from now on and says this of a cooldown.
+    /// Rejects requests from now on with this text as cooldown.
     pub(crate) fn reject_with_cooldown_text(&self, cooldown: &str) {
         self.lock().cooldown = Some(cooldown.to_owned());
     }
 
-    /// Returns how many requests of a host reached it later than `bound` after that host was told that it leaves.
+    /// Returns the number of requests that a host sent later than `bound` after it was told of the
+    /// departure.
     pub(crate) fn requests_after_departure(&self, bound: Duration) -> usize {
         let state = self.lock();
         let late = state.requests.iter().filter(|(host, arrived)| {
@@ -225,12 +228,13 @@
         late.count()
     }
 
-    /// Returns when the first host was told that it leaves.
+    /// Returns when the first host was told of the departure.
     pub(crate) fn first_departure_announcement(&self) -> Option<Instant> {
         self.lock().departure_announced_at.values().min().copied()
     }
 
-    /// Returns the most requests of one host that reached it within a cooldown, from `grace` after its beginning.
+    /// Returns the maximum number of requests of one host within a cooldown, not counting the first
+    /// `grace` of it.
     pub(crate) fn max_requests_in_cooldown(&self, grace: Duration) -> usize {
         let state = self.lock();
         let within = |(host, from, until): &(String, Instant, Instant)| {
@@ -243,7 +247,7 @@
         state.cooldowns.iter().map(within).max().unwrap_or_default()
     }
 
-    /// Returns how many requests it has rejected with a cooldown.
+    /// Returns the number of requests rejected with a cooldown.
     pub(crate) fn rejections(&self) -> usize {
         self.lock().cooldowns.len()
     }
@@ -253,7 +257,7 @@
         self.lock().cooldowns.iter().map(|(_, _, until)| *until).max()
     }
 
-    /// Returns the most requests that reached it within a time.
+    /// Returns the maximum number of requests within `time`.
     pub(crate) fn max_requests_within(&self, time: Duration) -> usize {
         let requests = self.lock().requests.clone();
         let within = |(_, first): &(String, Instant)| {
@@ -262,12 +266,12 @@
         requests.iter().map(within).max().unwrap_or_default()
     }
 
-    /// Returns how many requests reached it from `from` on.
+    /// Returns the number of requests that reached it from `from` on.
     pub(crate) fn requests_since(&self, from: Instant) -> usize {
         self.lock().requests.iter().filter(|(_, arrived)| *arrived >= from).count()
     }
 
-    /// Returns how many clients left while it worked for them.
+    /// Returns the number of clients that disconnected during a response.
     pub(crate) fn client_disconnects(&self) -> u32 {
         self.lock().client_disconnects
     }
@@ -283,12 +287,12 @@
         .to_string()
     }
 
-    /// Sets when the present life began.
+    /// Sets the start of the current incarnation.
     pub(crate) fn set_incarnation(&self, incarnation: u64) {
         self.lock().incarnation = incarnation;
     }
 
-    /// Begins a life under the same name, which holds this and nothing of before.
+    /// Starts a new incarnation under the same name with these models and no other state.
     pub(crate) fn restart(&self, loaded_models: &[&str], incarnation: u64) {
         let mut state = self.lock();
         state.loaded_models = loaded_models.iter().map(|key| (*key).to_owned()).collect();
@@ -326,7 +330,7 @@
 }
 
 impl EngineState {
-    /// Returns the fields by which the next answer names a limit and says that it leaves, if it does.
+    /// Returns the header fields of the next response that announce limit, departure and version.
     fn announcement_fields(&self) -> String {
         let named =
             self.limit.as_ref().filter(|(_, every)| self.calls.len().is_multiple_of(*every));
@@ -336,7 +340,7 @@
         limit + &leaving.unwrap_or_default() + &version.unwrap_or_default()
     }
 
-    /// Counts a request, and what its host is told with the answer.
+    /// Records a request and the announcements that its response carries.
     fn record_request(&mut self, request: &ServedRequest) {
         let (host, now) =
             (request.head.fields.text(ENTRY_HOST).unwrap_or_default(), Instant::now());
@@ -418,7 +422,7 @@
     let body = String::from_utf8_lossy(&request.body).into_owned();
     match behaviour {
         EngineBehaviour::Echo => connection.answer(200, &head, &body),
-        EngineBehaviour::Error => connection.answer(500, &head, "an error of the engine"),
+        EngineBehaviour::Error => connection.answer(500, &head, "engine error"),
         EngineBehaviour::UnmarkedRefusal => connection.answer(503, &head, "busy"),
         EngineBehaviour::NotRun => {
             connection.answer(503, &format!("{REQUEST}: {id}\r\n{NOT_RUN}: 1\r\n{limit}"), "")
@@ -429,7 +433,7 @@
             None
         }
         EngineBehaviour::Garbage => {
-            connection.write("these bytes are no answer\r\n\r\n")?;
+            connection.write("not an HTTP response\r\n\r\n")?;
             None
         }
         EngineBehaviour::TruncateBody => {
@@ -439,11 +443,11 @@
         }
         EngineBehaviour::DuplicateResponse => {
             connection.answer(200, &head, &body)?;
-            connection.answer(200, &head, "a second answer")
+            connection.answer(200, &head, "surplus response")
         }
         EngineBehaviour::MismatchedResponseFirst => {
             let mismatched = format!("{REQUEST}: another\r\n{RUN_BY}: {name}\r\n{limit}");
-            connection.answer(200, &mismatched, "somebody else's")?;
+            connection.answer(200, &mismatched, "another response")?;
             connection.answer(200, &head, &body)
         }
         EngineBehaviour::OmitLength => {
@@ -484,7 +488,7 @@
     connection.write("0\r\n\r\n")
 }
 
-/// Returns what an engine was told about the time that is left.
+/// Returns the remaining deadline that a request carried. Unit: milliseconds.
 pub(crate) fn received_deadline(request: &ServedRequest) -> Option<u64> {
     request.head.fields.text(DEADLINE)?.parse().ok()
 }
--- a/crates/gateway/tests/host/engine_faults.rs
+++ b/crates/gateway/tests/host/engine_faults.rs
@@ -1,4 +1,4 @@
-//! What engines do wrong, and what the client sees of it.
+//! Faulty engines, and what the client gets.
 
 use std::{thread, time::Duration};
 
@@ -11,16 +11,16 @@
     name: &'static str,
     path: &'static str,
     behaviours: &'static [EngineBehaviour],
-    /// How the client's answer begins.
+    /// The start of the client's response.
     status_line: &'static str,
-    /// What the client's body is, where it is whole.
+    /// The client's body, where it is checked.
     body: Option<&'static str>,
     runs: usize,
 }
 
 const CASES: &[FaultCase] = &[
     FaultCase {
-        name: "a whole answer is passed on",
+        name: "a complete response is passed on",
         path: "/single/a",
         behaviours: &[EngineBehaviour::Echo],
         status_line: "HTTP/1.1 200",
@@ -32,11 +32,11 @@
         path: "/single/a",
         behaviours: &[EngineBehaviour::Error],
         status_line: "HTTP/1.1 500",
-        body: Some("an error of the engine"),
+        body: Some("engine error"),
         runs: 1,
     },
     FaultCase {
-        name: "no answer to a request that may run once is unknown",
+        name: "a missing response to a request that may run once is a 502",
         path: "/single/a",
         behaviours: &[EngineBehaviour::CloseConnection, EngineBehaviour::Echo],
         status_line: "HTTP/1.1 502",
@@ -44,7 +44,7 @@
         runs: 1,
     },
     FaultCase {
-        name: "what did not run is told so, with a time to come back",
+        name: "a request that did not run gets a 503 with Retry-After",
         path: "/single/a",
         behaviours: &[EngineBehaviour::NotRun],
         status_line: "HTTP/1.1 503",
@@ -52,7 +52,7 @@
         runs: 0,
     },
     FaultCase {
-        name: "an engine that refuses once is asked again",
+        name: "a request that an engine refuses once is sent again",
         path: "/single/a",
         behaviours: &[EngineBehaviour::NotRun, EngineBehaviour::Echo],
         status_line: "HTTP/1.1 200",
@@ -60,7 +60,7 @@
         runs: 1,
     },
     FaultCase {
-        name: "a body cut short never reaches the client",
+        name: "a truncated body never reaches the client",
         path: "/single/a",
         behaviours: &[EngineBehaviour::TruncateBody],
         status_line: "HTTP/1.1 502",
@@ -68,7 +68,7 @@
         runs: 1,
     },
     FaultCase {
-        name: "bytes that are no answer are none",
+        name: "bytes that are not a response are a 502",
         path: "/single/a",
         behaviours: &[EngineBehaviour::Garbage],
         status_line: "HTTP/1.1 502",
@@ -76,7 +76,7 @@
         runs: 1,
     },
     FaultCase {
-        name: "the answer to another request is read over",
+        name: "the response to another request is skipped",
         path: "/single/a",
         behaviours: &[EngineBehaviour::MismatchedResponseFirst],
         status_line: "HTTP/1.1 200",
@@ -84,7 +84,7 @@
         runs: 1,
     },
     FaultCase {
-        name: "an answer without length is whole when its connection ends",
+        name: "a response without length is complete when its connection ends",
         path: "/single/a",
         behaviours: &[EngineBehaviour::OmitLength],
         status_line: "HTTP/1.1 200",
@@ -92,7 +92,7 @@
         runs: 1,
     },
     FaultCase {
-        name: "a status that promises what nobody knows is not passed on",
+        name: "a 503 that does not say whether the request ran is not passed on",
         path: "/single/a",
         behaviours: &[EngineBehaviour::UnmarkedRefusal],
         status_line: "HTTP/1.1 502",
@@ -106,8 +106,8 @@
     let site = TestSite::start();
     let mut runs = 0;
     for (number, case) in CASES.iter().enumerate() {
-        // What a host learns of its engine in one case must not decide the next one.
-        let host = site.host(&format!("moods-{number}"));
+        // A new host for each case, since a host remembers failures of its engines.
+        let host = site.host(&format!("fault-{number}"));
         site.plain.set_behaviours(case.behaviours);
         let response = host.post(case.path, &format!("X-Request: m{number}\r\n"), "hello");
         assert!(response.starts_with(case.status_line), "{}: {response}", case.name);
@@ -163,7 +163,7 @@
 fn the_longest_route_prefix_wins() {
     let site = TestSite::start();
     let host = site.host("prefix");
-    // `/safe/` may be repeated, `/safe/deeper/` may not.
+    // `/safe/` is idempotent, `/safe/deeper/` is not.
     site.plain.set_behaviours(&[EngineBehaviour::CloseConnection, EngineBehaviour::Echo]);
     let response = host.get("/safe/deeper/a", "X-Request: x1\r\n");
     assert!(response.starts_with("HTTP/1.1 502"), "{response}");
@@ -178,11 +178,11 @@
     let response = host.post("/single/a", "X-Request: v1\r\n", "one");
     assert!(response.starts_with("HTTP/1.1 200"), "{response}");
     site.store.put("engines", "plain-1", &site.plain.entry("plain", true));
-    wait_until("the engine is left", || {
+    wait_until("the leaving engine is dropped", || {
         host.post("/single/a", "X-Request: v2\r\n", "two").starts_with("HTTP/1.1 503")
     });
     let before = site.plain.arrivals().len();
-    // A later entry of the same life does not undo it.
+    // A later entry of the same incarnation must not undo the departure.
     site.store.put("engines", "plain-1", &site.plain.entry("plain", false));
     thread::sleep(Duration::from_millis(900));
     let response = host.post("/single/a", "X-Request: v3\r\n", "three");
@@ -190,15 +190,15 @@
     assert_eq!(site.plain.arrivals().len(), before);
 }
 
-/// Sixteen engines of 78 crashed at once and stayed listed for some seconds: requests tried four of them within two
-/// milliseconds and were refused.
+/// Guards against refusing requests after a few failed connections to dead engines that are still
+/// listed.
 #[test]
 fn a_request_finds_the_one_live_engine_among_many_dead_ones() {
     let site = TestSite::start();
     let host = site.host("finder");
     let address = site.plain.address.to_string();
     for number in 0..12 {
-        // Nothing listens at the first port, so that a connection is refused at once.
+        // Nothing listens on port 1, so the connection is refused immediately.
         let gone = site.plain.entry("plain", false).replace(&address, "127.0.0.1:1");
         site.store.put("engines", &format!("gone-{number}"), &gone);
     }
@@ -212,7 +212,8 @@
     }
 }
 
-/// Three knocks at one full server for each request used up the retry budget and held up those who wait there.
+/// Guards against attempts at an overloaded server that use up the retry budget and delay waiting
+/// requests.
 #[test]
 fn an_overloaded_plain_server_gets_few_attempts() {
     let site = TestSite::start();
@@ -224,7 +225,7 @@
         assert!(response.contains("Retry-After: "), "{response}");
     }
     let attempts = site.plain.arrivals().len();
-    assert!(attempts <= 30, "{attempts} knocks for 100 requests");
+    assert!(attempts <= 30, "{attempts} attempts for 100 requests");
     site.plain.set_behaviours(&[EngineBehaviour::Echo]);
     thread::sleep(Duration::from_millis(3100));
     let response = host.get("/single/a", "X-Request: later\r\n");
--- a/crates/gateway/tests/host/engine_restart.rs
+++ b/crates/gateway/tests/host/engine_restart.rs
@@ -1,4 +1,4 @@
-//! An engine that starts again under the name that it had: it holds and knows nothing of before.
+//! An engine that restarts under the same name keeps no state of its previous incarnation.
 
 use crate::{
     engine::{EngineBehaviour, FIRST_INCARNATION},
@@ -10,8 +10,7 @@
     host.post("/stream/a", &fields, "{}")
 }
 
-/// A plain server was left for good once it had said that it leaves: its next life has the same name and was taken for the
-/// one before.
+/// Guards against taking the next incarnation of a departed server for the departed one.
 #[test]
 fn a_server_that_left_is_used_again_after_a_restart() {
     let site = TestSite::start();
@@ -24,8 +23,7 @@
     wait_until("its next life is used", || single().starts_with("HTTP/1.1 200"));
 }
 
-/// What an engine held in the life before is gone with it, and hosts that are told of its holdings by the placer must not
-/// go on with what they were told.
+/// Hosts must drop what the placer told them about adapters of the previous incarnation.
 #[test]
 fn adapters_of_an_earlier_incarnation_do_not_count_as_loaded() {
     let site = TestSite::start();
@@ -41,18 +39,26 @@
     let engine = &site.engines[0];
     engine.restart(&[MODEL_NAME], FIRST_INCARNATION + 1);
     site.store.put("engines", "engine-1", &engine.entry("assist", false));
-    wait_until("hosts know that it holds nothing", || {
+    wait_until("the hosts know that the engine has no adapters", || {
         let knows = |host: &TestHost| {
             !host.shared.table.borrow().copies.contains_key(&*format!("{MODEL_NAME}/early"))
         };
         hosts.iter().all(knows)
     });
     for host in &hosts {
-        wait_until("the adapter is served by the next life", || is_served(&send(host, "early")));
-        wait_until("and one that it never held", || is_served(&send(host, "later")));
+        wait_until("the adapter is served by the next incarnation", || {
+            is_served(&send(host, "early"))
+        });
+        wait_until("another adapter is served by the next incarnation", || {
+            is_served(&send(host, "later"))
+        });
     }
     let refused = engine.arrivals().len() - engine.runs().len();
-    assert_eq!(refused, 0, "requests for what the next life does not hold");
+    assert_eq!(refused, 0, "requests for adapters that the next incarnation has not loaded");
     let orders = engine.orders();
-    assert_eq!(orders[0]["sequence"].as_u64(), Some(0), "its count begins anew: {orders:?}");
+    assert_eq!(
+        orders[0]["sequence"].as_u64(),
+        Some(0),
+        "order numbers do not restart at zero: {orders:?}"
+    );
 }
--- a/crates/gateway/tests/host/events.rs
+++ b/crates/gateway/tests/host/events.rs
@@ -1,4 +1,5 @@
-//! Structured log lines: a reader that stalls delays nothing, and the page on them is complete.
+//! Structured log lines: a stalled reader blocks no writer, and the operations page lists all
+//! events.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -10,7 +11,7 @@
 use reelreel_gateway::events::{EventLog, HostEvent, RequestEvent};
 use serde_json::Value;
 
-/// Lines that are written: many times what a pipe and the queue hold.
+/// Number of lines written: far more than a pipe and the queue hold.
 const LINES: u64 = 20_000;
 
 #[test]
@@ -23,9 +24,9 @@
         log.write(HostEvent::ConfigurationInForce { revision: number, era: 0, offset: 0 });
         max_write_time = max_write_time.max(began.elapsed());
     }
-    // A write that waited for the reader would never return; the bound leaves room for a busy box.
+    // A write that waits for the reader would never return; the bound allows for a busy machine.
     assert!(max_write_time < Duration::from_secs(1), "a write took {max_write_time:?}");
-    // Once somebody reads again, what is queued comes, and a line says how many found no room.
+    // Once the reader resumes, it gets the queued lines and a line with the count of dropped ones.
     let reading = std::thread::spawn(move || {
         let lines = BufReader::new(reader).lines().map_while(Result::ok);
         let lines = lines.map(|line| serde_json::from_str(&line).expect("a JSON line"));
@@ -36,11 +37,11 @@
     drop(log);
     let lines = reading.join().expect("the reader ends");
     let dropped: u64 = lines.iter().filter_map(|line| line["left_out"].as_u64()).sum();
-    assert!(dropped > 0, "{} lines came", lines.len());
+    assert!(dropped > 0, "none of {} lines counts dropped ones", lines.len());
     assert_eq!(dropped + lines.len() as u64, LINES + 1);
 }
 
-/// One event of each kind.
+/// Returns one event of each kind.
 fn one_event_of_each_kind() -> Vec<HostEvent> {
     let address = "127.0.0.1:1".parse().expect("an address");
     let engine = || String::from("e1");
@@ -176,7 +177,7 @@
     }
 }
 
-/// Returns the events and fields that the page's table names, by event.
+/// Returns the fields in the page's table, by event.
 fn documented_fields() -> BTreeMap<String, BTreeSet<String>> {
     let documented_fields = include_str!("../../../../docs/OPERATIONS.md");
     let table = documented_fields.split("## The lines").nth(1).expect("the table of lines");
--- a/crates/gateway/tests/host/fleet.rs
+++ b/crates/gateway/tests/host/fleet.rs
@@ -1,4 +1,4 @@
-//! Several hosts before engines of one service, and a steady load.
+//! Several hosts in front of the engines of one service, under a steady load.
 
 use std::{
     thread,
@@ -11,7 +11,7 @@
     site::{MODEL_NAME, TestHost, TestSite, wait_until},
 };
 
-/// What became of a load.
+/// Results of a load.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct LoadResults {
     pub(crate) sent: usize,
@@ -20,7 +20,7 @@
     pub(crate) mean_refusal_time: Duration,
 }
 
-/// Several hosts before engines of one service.
+/// Several hosts in front of the engines of one service.
 pub(crate) struct TestFleet {
     pub(crate) site: TestSite,
     pub(crate) engines: Vec<StandInEngine>,
@@ -57,7 +57,8 @@
         fleet
     }
 
-    /// Has an adapter loaded that requests name from now on; returns the place of the one engine that holds it.
+    /// Has an adapter loaded, and names it in all later requests; returns the index of the engine
+    /// that loaded it.
     pub(crate) fn load_rare_adapter(&mut self) -> usize {
         self.fields = format!("X-Model: {MODEL_NAME}/rare\r\n");
         wait_until("the adapter is served", || self.serves(&self.hosts[0], "rare"));
@@ -70,20 +71,21 @@
         self.post(host, id).starts_with("HTTP/1.1 200")
     }
 
-    /// Sends a request to a host; returns the whole response.
+    /// Sends a request to a host; returns the complete response.
     pub(crate) fn post(&self, host: &TestHost, id: &str) -> String {
         let name = &host.shared.profile.name;
         let fields = format!("X-Request: {id}\r\n{ENTRY_HOST}: {name}\r\n{}", self.fields);
         host.post(self.path, &fields, "{}")
     }
 
-    /// Sends so many requests a second to each host for a while; returns how many were served, and of how many.
+    /// Sends requests at a steady rate to each host; returns how many were served and how many
+    /// sent.
     pub(crate) fn run_load(&self, per_second: u32, time: Duration) -> (usize, usize) {
         let figures = self.measure_load(per_second, time);
         (figures.served, figures.sent)
     }
 
-    /// Sends so many requests a second to each host for a while, and measures what becomes of them.
+    /// Sends requests at a steady rate to each host and returns the results.
     pub(crate) fn measure_load(&self, per_second: u32, time: Duration) -> LoadResults {
         let pause = Duration::from_secs(1) / per_second;
         let began = Instant::now();
@@ -100,7 +102,7 @@
                         (self.serves(host, &id), began.elapsed())
                     }));
                 }
-                served.extend(sent.into_iter().map(|sent| sent.join().expect("an answer")));
+                served.extend(sent.into_iter().map(|sent| sent.join().expect("a response")));
             });
             served
         };
--- a/crates/gateway/tests/host/following.rs
+++ b/crates/gateway/tests/host/following.rs
@@ -1,4 +1,4 @@
-//! A few hosts read the store; the others follow them, and read it themselves when they must.
+//! A few hosts read the store; the others follow them, and read it themselves when necessary.
 
 use std::{
     io::Read,
@@ -39,7 +39,7 @@
     // A group of three needs no weak member.
     let _readers = ["one", "two", "three"].map(|name| site.host(name));
     let host = follower(&site, "follower");
-    // A last look at the group may still be under way when it begins to follow.
+    // A last check of the group may still be under way when the host starts to follow.
     thread::sleep(Duration::from_millis(1200));
     let calls = host.shared.metrics.store_calls.get();
     site.store.put("configuration", "routes", "2");
@@ -55,7 +55,7 @@
     let _reader = site.host("reader");
     let host = follower(&site, "follower");
     site.store.put("engines", "plain-1", &site.plain.entry("plain", true));
-    wait_until("the engine is left", || {
+    wait_until("the leaving engine is dropped", || {
         let table = host.shared.table.borrow().clone();
         table.ready_engines("plain").next().is_none()
     });
@@ -78,7 +78,7 @@
     let _reader = site.host("reader");
     let host = follower(&site, "follower");
     site.store.refuse(true);
-    wait_until("the follower is on its own", || host.shared.metrics.following.get() == 0);
+    wait_until("the host stops following", || host.shared.metrics.following.get() == 0);
     assert!(host.is_ready());
     site.store.refuse(false);
     site.store.put("configuration", "routes", "2");
@@ -94,15 +94,15 @@
     thread::sleep(Duration::from_millis(2200));
     site.store.put("engines", "plain-1", "");
     site.store.refuse(false);
-    // The pause between two tries while the store refuses is a second and a quarter at most.
+    // While the store refuses, retries are at most 1.25 s apart.
     for number in 0..15 {
         let response = host.get("/safe/a", &format!("X-Request: l{number}\r\n"));
         assert!(response.starts_with("HTTP/1.1 200"), "{response}");
         thread::sleep(Duration::from_millis(100));
     }
-    wait_until("what did not come back is gone", || listed() == 0);
+    wait_until("the engine that did not return is removed", || listed() == 0);
     site.store.put("engines", "plain-1", &site.plain.entry("plain", false));
-    wait_until("what comes back later counts again", || listed() == 1);
+    wait_until("the engine is listed again", || listed() == 1);
 }
 
 #[test]
@@ -110,9 +110,9 @@
     let site = TestSite::start();
     let weak = site.start_host_with_capacity("weak", Vec::new(), WEAK_CAPACITY);
     weak.wait_ready();
-    wait_until("it stands in", || weak.shared.metrics.leases.get() == 1);
+    wait_until("the weak host holds the lease", || weak.shared.metrics.leases.get() == 1);
     let strong = ["one", "two", "three"].map(|name| site.host(name));
-    wait_until("it has left", || {
+    wait_until("a strong host holds the lease", || {
         let leases = strong.iter().map(|host| host.shared.metrics.leases.get());
         weak.shared.metrics.leases.get() == 0 && leases.sum::<i64>() == 1
     });
@@ -120,7 +120,7 @@
 
 struct HealthCase {
     name: &'static str,
-    /// Times of calls, and whether they were answered.
+    /// Times of calls, and whether they succeeded. Unit: milliseconds.
     calls: &'static [(u64, bool)],
     at: u64,
     fresh: bool,
@@ -128,23 +128,23 @@
 }
 
 const HEALTH_CASES: &[HealthCase] = &[
-    HealthCase { name: "nothing yet", calls: &[], at: 10, fresh: false, relisting_until: None },
+    HealthCase { name: "no call", calls: &[], at: 10, fresh: false, relisting_until: None },
     HealthCase {
-        name: "an answer just now",
+        name: "a recent response",
         calls: &[(1000, true)],
         at: 2000,
         fresh: true,
         relisting_until: None,
     },
     HealthCase {
-        name: "an answer a while ago",
+        name: "an old response",
         calls: &[(1000, true)],
         at: 2200,
         fresh: false,
         relisting_until: None,
     },
     HealthCase {
-        name: "one failure is no outage",
+        name: "a single failure",
         calls: &[(1000, true), (1700, false), (1800, true)],
         at: 1900,
         fresh: true,
@@ -158,7 +158,7 @@
         relisting_until: Some(6200),
     },
     HealthCase {
-        name: "a while after an outage",
+        name: "after the relisting time of an outage",
         calls: &[(1000, true), (1700, false), (4000, true), (6000, true)],
         at: 6300,
         fresh: true,
@@ -185,7 +185,7 @@
     }
 }
 
-/// Returns whether the first frame of a connection tells demand.
+/// Returns whether the first frame of a connection reports demand.
 fn reports_demand(socket: &mut TcpStream) -> bool {
     let mut length = [0; 4];
     if socket.read_exact(&mut length).is_err() {
@@ -196,7 +196,8 @@
     matches!(frame, Ok(Ok(PeerFrame { body: Some(FrameBody::Demand(_)) })))
 }
 
-/// A member of the group that takes every connection and never says a word; counts who tells it demand.
+/// Adds a group member that accepts connections and never sends anything; returns the count of
+/// connections that report demand.
 fn add_silent_member(site: &TestSite) -> Arc<AtomicU32> {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     site.store.add_member(&listener.local_addr().expect("an address").to_string());
@@ -209,7 +210,7 @@
                 if reports_demand(&mut socket) {
                     counter.fetch_add(1, Ordering::Relaxed);
                 }
-                // Held open until the other side closes it.
+                // Keeps the connection open until the other side closes it.
                 let _ = socket.read(&mut [0; 1024]);
             });
         }
@@ -217,20 +218,20 @@
     reports
 }
 
-/// A connection to the placer that had gone silent for good was kept, and with it a plan of long ago.
+/// Guards against keeping a stale plan and a connection to a placer that has gone silent.
 #[test]
 fn a_host_reconnects_to_a_silent_placer() {
     let site = TestSite::start();
     let reports = [(); 3].map(|()| add_silent_member(&site));
     let host = site.start_host_with_capacity("listener", Vec::new(), WEAK_CAPACITY);
     host.wait_ready();
-    wait_until("the placer is connected to again", || {
+    wait_until("the host reconnects to the placer", || {
         reports.iter().map(|reports| reports.load(Ordering::Relaxed)).sum::<u32>() >= 2
     });
 }
 
-/// A partition passes on when the member that had it has joined again: at a third of the time to live between joins
-/// nobody placed for the first two seconds of a fleet.
+/// A partition moves only when its previous owner has rejoined, so members rejoin faster than a
+/// third of their time to live while the group changes.
 #[test]
 fn a_member_rejoins_immediately_while_the_group_changes() {
     let site = TestSite::start();
@@ -238,19 +239,19 @@
     thread::sleep(Duration::from_millis(1500));
     let changed = Instant::now();
     site.store.add_member("127.0.0.1:1");
-    wait_until("it has joined twice", || site.store.joins_since(changed).len() >= 2);
+    wait_until("the member has joined twice", || site.store.joins_since(changed).len() >= 2);
     let joins = site.store.joins_since(changed);
     let gap = joins[1] - joins[0];
     assert!(gap < Duration::from_millis(300), "{} ms between two joins", gap.as_millis());
     thread::sleep(Duration::from_millis(1500));
     let joins = site.store.joins_since(changed);
-    assert!(joins.len() <= 7, "{} joins of a group that changes no more", joins.len());
+    assert!(joins.len() <= 7, "{} joins of an unchanged group", joins.len());
 }
 
-/// What a host's calls and its reader tell, and whether engines that are gone count for a while.
+/// Calls and reader updates of a host, and whether they amount to an outage.
 struct OutageCase {
     name: &'static str,
-    /// Rising times with what happened. Unit: milliseconds.
+    /// Events in order. Unit of the times: milliseconds.
     events: &'static [(u64, StoreEvent)],
     /// Whether an outage has just ended.
     outage: bool,
@@ -265,7 +266,7 @@
 
 const OUTAGE_CASES: &[OutageCase] = &[
     OutageCase {
-        name: "an outage of its own calls",
+        name: "an outage of the host's own calls",
         events: &[
             (1000, StoreEvent::Answered),
             (1500, StoreEvent::Failed),
@@ -274,7 +275,7 @@
         outage: true,
     },
     OutageCase {
-        name: "one failure long ago, a reader since, and a call again",
+        name: "an old failure, reader updates since, and a successful call",
         events: &[
             (1000, StoreEvent::Answered),
             (5000, StoreEvent::Failed),
@@ -285,7 +286,7 @@
         outage: false,
     },
     OutageCase {
-        name: "a reader for long, one failure, and an answer",
+        name: "reader updates for long, one failure, and a successful call",
         events: &[
             (1000, StoreEvent::Answered),
             (18_000, StoreEvent::ReaderUpdate),
@@ -295,7 +296,7 @@
         outage: false,
     },
     OutageCase {
-        name: "an outage that ends with a reader's word",
+        name: "an outage that ends with a reader update",
         events: &[
             (18_000, StoreEvent::ReaderUpdate),
             (18_300, StoreEvent::Failed),
@@ -305,8 +306,8 @@
     },
 ];
 
-/// A host that followed a reader for thirteen seconds took them for an outage when it called the store again, and went on
-/// sending to an engine that had left.
+/// Guards against taking the time without store calls while following a reader for an outage, which
+/// would keep departed engines listed.
 #[test]
 fn following_a_reader_does_not_count_as_an_outage() {
     for case in OUTAGE_CASES {
--- a/crates/gateway/tests/host/limits.rs
+++ b/crates/gateway/tests/host/limits.rs
@@ -1,11 +1,8 @@
-//! Engines that name a limit: how many requests a second they take from all hosts together.
+//! Engines that announce a limit: the number of requests per second they accept from all hosts
+//! together.
 //!
-//! Engines in need said in each of their answers that they take 1.7, 1.6, 1.5 or 1.4 requests a second, and got up to 24 in four seconds.
-//! Nobody read that: one got 2, 5, 5, 3, 6, 6, 8 and 6 requests in the seconds after it had said so, as many as before, the placer ordered
-//! 13 more adapters there within five seconds, and no host wrote a line. Reading it is not enough: the limit holds for all hosts
-//! together, and is less than one request a window for each of a few of them. What hosts ask an engine for themselves counts as
-//! well: of the 16 calls that another one got in four seconds at most 8 were requests, and no order was given; reports were asked
-//! for some four times in such a window, on average over all engines.
+//! The limit holds across all hosts and can be below one request per window for each of them.
+//! Orders and state reports count as calls, too.
 
 use std::{
     thread,
@@ -14,19 +11,19 @@
 
 use crate::fleet::TestFleet;
 
-/// Over which time calls to an engine are counted.
+/// Window over which calls to an engine are counted.
 const WINDOW: Duration = Duration::from_secs(4);
 
-/// Within which time all hosts keep a limit that was named.
+/// Time within which all hosts respect an announced limit.
 const LIMIT_SPREAD_TIME: Duration = Duration::from_secs(1);
 
-/// What an engine may get in a [`WINDOW`]: its limit, and a request at each end of the window.
+/// Returns the calls an engine may get in a [`WINDOW`]: its limit, and one call at each end of the
+/// window.
 fn max_calls(limit: f64) -> f64 {
     limit * WINDOW.as_secs_f64() + 2.0
 }
 
-/// An engine that said in each of its answers that it takes 1.7 requests a second from all hosts together got 18 and 24 in four
-/// seconds, and went on getting its usual five a second: no host read the word.
+/// Guards against hosts that ignore an announced limit.
 #[test]
 fn all_hosts_together_respect_an_announced_engine_limit() {
     let fleet = TestFleet::start("assist", 6, 3);
@@ -35,33 +32,34 @@
     let named = Instant::now();
     let (served, sent) = fleet.run_load(20, Duration::from_secs(6));
     let calls = limited.max_calls_within(WINDOW, named + LIMIT_SPREAD_TIME);
-    assert!(calls as f64 <= max_calls(1.7), "{calls} calls within four seconds");
-    assert!(limited.calls_since(named) >= 6, "what it takes is used");
-    assert_eq!(served, sent, "the others have room for everything");
+    assert!(calls as f64 <= max_calls(1.7), "{calls} calls within {WINDOW:?}");
+    assert!(limited.calls_since(named) >= 6, "the limit is not used");
+    assert_eq!(served, sent, "the other engines have room for all requests");
     drop(fleet.site);
 }
 
-/// An adapter that only the engine in need holds is loaded elsewhere, so that its callers are served: a copy that takes 1.5 requests a
-/// second is none for twenty.
+/// A replica that accepts 1.5 requests per second can't serve a load of twenty, so another one must
+/// be loaded.
 #[test]
 fn an_adapter_loaded_only_on_a_limited_engine_is_loaded_elsewhere() {
     let mut fleet = TestFleet::start("assist", 3, 3);
     let holder = fleet.load_rare_adapter();
     let hosts = &fleet.hosts;
     fleet.engines[holder].announce_limit(Some("1.5"));
-    // The first answer names it.
+    // The first response announces the limit.
     fleet.serves(&hosts[0], "names");
     let named = Instant::now();
     let (served, sent) = fleet.run_load(6, Duration::from_secs(5));
     let calls = fleet.engines[holder].max_calls_within(WINDOW, named + LIMIT_SPREAD_TIME);
-    assert!(calls as f64 <= max_calls(1.5), "{calls} calls within four seconds");
+    assert!(calls as f64 <= max_calls(1.5), "{calls} calls within {WINDOW:?}");
     let others = fleet.engines.iter().filter(|engine| !engine.orders().is_empty()).count();
-    assert!(others >= 2, "another copy is loaded");
-    // What comes while the other copy is loaded may be told to come back.
+    assert!(others >= 2, "no other replica was loaded");
+    // Requests that arrive while the other replica is loaded may be refused.
     assert!(served * 20 >= sent * 19, "{served} of {sent} are served");
 }
 
-/// Where every engine has named a limit there is no elsewhere: what they take is used, the rest is told at once to come back.
+/// When every engine has a limit, the limits must be used up and all other requests refused
+/// immediately.
 #[test]
 fn limits_of_all_engines_are_used_and_excess_requests_refused_immediately() {
     let fleet = TestFleet::start("assist", 2, 3);
@@ -72,9 +70,9 @@
     let (served, sent) = fleet.run_load(10, Duration::from_secs(6));
     for engine in &fleet.engines {
         let calls = engine.max_calls_within(WINDOW, named + LIMIT_SPREAD_TIME);
-        assert!(calls as f64 <= max_calls(3.0), "{calls} calls within four seconds");
+        assert!(calls as f64 <= max_calls(3.0), "{calls} calls within {WINDOW:?}");
     }
-    // Six a second for six seconds, of which the first may pass before the word is known.
+    // Six per second for six seconds; the limit may be unknown during the first one.
     assert!((30..=60).contains(&served), "{served} of {sent} are served");
     let host = &fleet.hosts[0];
     let ask = |number| {
@@ -84,19 +82,21 @@
     };
     let responses: Vec<(String, Duration)> = thread::scope(|scope| {
         let sent: Vec<_> = (0..30).map(|number| scope.spawn(move || ask(number))).collect();
-        sent.into_iter().map(|sent| sent.join().expect("an answer")).collect()
+        sent.into_iter().map(|sent| sent.join().expect("a response")).collect()
     });
     let refused = responses.iter().filter(|(response, _)| response.starts_with("HTTP/1.1 503"));
     let refused: Vec<&(String, Duration)> = refused.collect();
     assert!(refused.len() >= 15, "{} of 30 are refused", refused.len());
     for (response, time) in refused {
         assert!(response.contains("Retry-After: "), "{response}");
-        // The route's target is half a second: who would wait longer is told before.
+        // The route's latency target is 500 ms: a request that would wait longer is refused
+        // earlier.
         assert!(*time < Duration::from_millis(500), "refused after {time:?}");
     }
 }
 
-/// The host that deals permits is stopped: the next one begins with nothing saved up, and the limit holds and is used on.
+/// After the permit-granting host stops, its successor starts without accumulated permits and
+/// grants up to the limit.
 #[test]
 fn the_limit_holds_while_another_host_starts_granting_permits() {
     let mut fleet = TestFleet::start("assist", 6, 4);
@@ -111,12 +111,12 @@
         fleet.run_load(15, Duration::from_secs(8));
     });
     let calls = limited.max_calls_within(WINDOW, named + LIMIT_SPREAD_TIME);
-    assert!(calls as f64 <= max_calls(2.0), "{calls} calls within four seconds");
+    assert!(calls as f64 <= max_calls(2.0), "{calls} calls within {WINDOW:?}");
     let late = limited.calls_since(named + Duration::from_secs(7));
-    assert!(late >= 3, "{late} calls in the last three seconds");
+    assert!(late >= 3, "{late} calls in the last 3 s");
 }
 
-/// When it answers without a limit again it is used as any other, and not by a rush.
+/// Once an engine announces no limit, its load must return to normal without a burst.
 #[test]
 fn an_engine_whose_need_is_over_returns_by_steps() {
     let fleet = TestFleet::start("assist", 2, 2);
@@ -130,13 +130,13 @@
     let first_second = limited.calls_since(ended) - later;
     assert!((1..=10).contains(&first_second), "{first_second} in the first second");
     let last = limited.calls_since(ended + Duration::from_secs(4));
-    assert!(last >= 15, "{last} of some 60 calls in the last second go there");
+    assert!(last >= 15, "{last} of about 60 calls in the last second");
     for host in &fleet.hosts {
-        assert_eq!(host.shared.limits().limited(), 0, "nobody counts it as limited");
+        assert_eq!(host.shared.limits().limited(), 0, "a host still counts the engine as limited");
     }
 }
 
-/// A word that can not be read changes nothing.
+/// Guards against treating a malformed limit as a limit.
 #[test]
 fn an_unreadable_limit_has_no_effect() {
     let fleet = TestFleet::start("assist", 2, 1);
@@ -146,7 +146,7 @@
     assert_eq!(fleet.hosts[0].shared.limits().limited(), 0);
 }
 
-/// The same at a service whose engines hold no models: nobody places anything there, and the word holds as well.
+/// No models are placed on a plain service; its limits must hold nevertheless.
 #[test]
 fn all_hosts_together_respect_the_limit_of_a_plain_server() {
     let fleet = TestFleet::start("plain", 3, 3);
@@ -155,7 +155,7 @@
     let named = Instant::now();
     let (served, sent) = fleet.run_load(20, Duration::from_secs(6));
     let calls = limited.max_calls_within(WINDOW, named + LIMIT_SPREAD_TIME);
-    assert!(calls as f64 <= max_calls(2.0), "{calls} calls within four seconds");
-    assert!(limited.calls_since(named) >= 6, "what it takes is used");
-    assert_eq!(served, sent, "the others have room for everything");
+    assert!(calls as f64 <= max_calls(2.0), "{calls} calls within {WINDOW:?}");
+    assert!(limited.calls_since(named) >= 6, "the limit is not used");
+    assert_eq!(served, sent, "the other engines have room for all requests");
 }
--- a/crates/gateway/tests/host/main.rs
+++ b/crates/gateway/tests/host/main.rs
@@ -1,4 +1,4 @@
-//! A whole host over real sockets, against stand-ins that speak the project's plain dialect.
+//! Complete hosts over real sockets, against stand-ins that speak the plain dialect.
 
 mod announcements;
 mod recheck_before_send;
--- a/crates/gateway/tests/host/malformed_requests.rs
+++ b/crates/gateway/tests/host/malformed_requests.rs
@@ -1,5 +1,5 @@
-//! What no client should send: each gets a clear answer or a closed connection, and nothing of it
-//! reaches an engine.
+//! Malformed requests: each gets an error response or a closed connection, and none reaches an
+//! engine.
 
 use std::{
     io::Write,
@@ -13,7 +13,7 @@
 struct MalformedRequestCase {
     name: &'static str,
     request: &'static str,
-    /// The status; zero where the connection just ends.
+    /// The expected status.
     status: u16,
 }
 
@@ -39,17 +39,17 @@
         status: 400,
     },
     MalformedRequestCase {
-        name: "another transfer coding",
+        name: "an unsupported transfer coding",
         request: "POST /safe/a HTTP/1.1\r\nHost: site.example\r\nX-Request: h5\r\nTransfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n",
         status: 400,
     },
     MalformedRequestCase {
-        name: "bare line ends",
+        name: "bare line feeds",
         request: "GET /safe/a HTTP/1.1\nHost: site.example\nX-Request: h6\n\n",
         status: 400,
     },
     MalformedRequestCase {
-        name: "one bare line end",
+        name: "one bare line feed",
         request: "GET /safe/a HTTP/1.1\r\nHost: site.example\nX-Request: h7\r\n\r\n",
         status: 400,
     },
@@ -84,17 +84,17 @@
         status: 400,
     },
     MalformedRequestCase {
-        name: "a chunk size that is none",
+        name: "an invalid chunk size",
         request: "POST /safe/a HTTP/1.1\r\nHost: site.example\r\nX-Request: h14\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\nabc\r\n0\r\n\r\n",
         status: 400,
     },
     MalformedRequestCase {
-        name: "a chunk size beyond all bounds",
+        name: "an excessive chunk size",
         request: "POST /safe/a HTTP/1.1\r\nHost: site.example\r\nX-Request: h15\r\nTransfer-Encoding: chunked\r\n\r\nffffffffffffffff\r\nabc\r\n",
         status: 400,
     },
     MalformedRequestCase {
-        name: "a chunk with a bare line end",
+        name: "a chunk with a bare line feed",
         request: "POST /safe/a HTTP/1.1\r\nHost: site.example\r\nX-Request: h16\r\nTransfer-Encoding: chunked\r\n\r\n3\nabc\r\n0\r\n\r\n",
         status: 400,
     },
@@ -109,17 +109,17 @@
         status: 400,
     },
     MalformedRequestCase {
-        name: "a deadline that is no number",
+        name: "a deadline that is not a number",
         request: "GET /safe/a HTTP/1.1\r\nHost: site.example\r\nX-Request: h19\r\nX-Deadline: soon\r\nConnection: close\r\n\r\n",
         status: 400,
     },
     MalformedRequestCase {
-        name: "half a head",
+        name: "an incomplete head",
         request: "GET /safe/a HTTP/1.1\r\nHost: site.exa",
         status: 408,
     },
     MalformedRequestCase {
-        name: "half a body",
+        name: "an incomplete body",
         request: "POST /safe/a HTTP/1.1\r\nHost: site.example\r\nX-Request: h21\r\nContent-Length: 10\r\n\r\nabc",
         status: 408,
     },
@@ -137,7 +137,7 @@
                 let expected = format!("HTTP/1.1 {} ", case.status);
                 assert!(response.starts_with(&expected), "{}: {response}", case.name);
                 let more = response.matches("HTTP/1.1").count();
-                assert_eq!(more, 1, "{}: one answer only: {response}", case.name);
+                assert_eq!(more, 1, "{}: more than one response: {response}", case.name);
             });
         }
     });
@@ -184,10 +184,10 @@
 fn a_pipelined_request_is_handled_separately() {
     let site = TestSite::start();
     let host = site.host("pipelined");
-    // Two whole requests in one write: both are answered, in their order, each with its own body.
+    // Two complete requests in one write: both get a response, in order, each with its own body.
     let request = "POST /single/a HTTP/1.1\r\nHost: site.example\r\nX-Request: p1\r\nContent-Length: 3\r\n\r\noneGET /nowhere/ HTTP/1.1\r\nHost: site.example\r\nX-Request: p2\r\nConnection: close\r\n\r\n";
     let response = raw_exchange(host.client_address, request.as_bytes());
-    let second = response.find("HTTP/1.1 404").expect("the second answer");
+    let second = response.find("HTTP/1.1 404").expect("the second response");
     assert!(response.starts_with("HTTP/1.1 200"), "{response}");
     assert!(response[..second].ends_with("one"), "{response}");
     let runs = site.plain.runs();
--- a/crates/gateway/tests/host/organisations.rs
+++ b/crates/gateway/tests/host/organisations.rs
@@ -1,4 +1,4 @@
-//! Organisations: whose key runs what, and what engines get to see of it.
+//! Organisations: which key may run what, and what engines see of it.
 
 use std::{
     thread,
@@ -24,13 +24,13 @@
     response.split(' ').nth(1).unwrap_or_default()
 }
 
-/// What a request shows, and what becomes of it.
+/// The key and organisation fields of a request, and the expected outcome.
 struct KeyCase {
     name: &'static str,
     path: &'static str,
     fields: &'static str,
     status: &'static str,
-    /// Who the engine is told that asks, and the rank of the request there.
+    /// The organisation and priority that the engine receives.
     forwarded: Option<(Option<&'static str>, &'static str)>,
 }
 
@@ -50,14 +50,14 @@
         forwarded: Some((Some("north"), "4")),
     },
     KeyCase {
-        name: "an organisation without a rank: the route's holds",
+        name: "an organisation without a priority gets the route's",
         path: "/single/a",
         fields: "X-Key: key-s\r\n",
         status: "200",
         forwarded: Some((Some("south"), "1")),
     },
     KeyCase {
-        name: "blanks around the key are none of it",
+        name: "whitespace around the key",
         path: "/single/a",
         fields: "X-Key: \t key-s \r\n",
         status: "200",
@@ -71,7 +71,7 @@
         forwarded: Some((Some("south"), "1")),
     },
     KeyCase {
-        name: "a key that Connection names too",
+        name: "a key that is also named by Connection",
         path: "/single/a",
         fields: "Connection: X-Key, X-Organisation\r\nX-Key: key-s\r\n",
         status: "200",
@@ -121,7 +121,7 @@
         forwarded: None,
     },
     KeyCase {
-        name: "something beside the key",
+        name: "a prefix before the key",
         path: "/single/a",
         fields: "X-Key: Bearer key-n1\r\n",
         status: "401",
@@ -142,7 +142,7 @@
         forwarded: Some((None, "1")),
     },
     KeyCase {
-        name: "a public route with a key, which is passed over",
+        name: "a public route with a key, which is ignored",
         path: "/open/a",
         fields: "X-Key: key-x\r\nX-Organisation: north\r\n",
         status: "200",
@@ -170,7 +170,7 @@
             arrivals.iter().find(|arrival| arrival.head.fields.text(REQUEST) == Some(&id));
         let forwarded = arrived.map(|arrival| {
             let fields = &arrival.head.fields;
-            assert_eq!(fields.values(KEY).count(), 0, "{}: an engine saw the key", case.name);
+            assert_eq!(fields.values(KEY).count(), 0, "{}: an engine received the key", case.name);
             assert!(fields.values(ORGANISATION).count() <= 1, "{}", case.name);
             (fields.text(ORGANISATION), fields.text(PRIORITY).unwrap_or_default())
         });
@@ -187,7 +187,7 @@
     assert_eq!(status(&response), "401", "{response}");
 }
 
-/// A way on which a request reaches an engine more than once.
+/// A path on which a request reaches engines more than once.
 struct RepeatCase {
     path: &'static str,
     behaviours: &'static [EngineBehaviour],
@@ -253,7 +253,7 @@
     assert_eq!(status(&request_status("w3", "key-n2")), "200");
 }
 
-/// How long a withdrawn key may be served in these tests.
+/// How long a revoked key may be served in these tests.
 const REVOCATION_BOUND: Duration = Duration::from_millis(1500);
 
 fn request_status(host: &TestHost, id: &str, path: &str, key: &str) -> String {
@@ -264,7 +264,7 @@
 #[test]
 fn a_host_that_can_not_learn_of_revocations_serves_no_keys_after_the_bound() {
     let site = site_with_organisations();
-    let host = site.host_with_revocation_bound("deaf", REVOCATION_BOUND, true);
+    let host = site.host_with_revocation_bound("no-revocations", REVOCATION_BOUND, true);
     assert_eq!(request_status(&host, "d1", "/single/a", "key-n1"), "200");
     site.store.refuse(true);
     let lost = Instant::now();
@@ -273,25 +273,25 @@
     assert_eq!(
         request_status(&host, "d2", "/single/a", "key-n2"),
         "200",
-        "most outages withdraw nothing"
+        "keys stay valid during a short outage"
     );
     thread::sleep(REVOCATION_BOUND.saturating_sub(lost.elapsed()));
     assert_eq!(request_status(&host, "d3", "/single/a", "key-n1"), "503");
     assert_eq!(
         request_status(&host, "d4", "/single/a", "key-n2"),
         "503",
-        "no key is known to hold"
+        "no key is confirmed any more"
     );
     assert_eq!(
         request_status(&host, "d5", "/open/a", "key-n2"),
         "200",
-        "a public route needs none"
+        "a public route needs no key"
     );
-    assert!(!host.is_ready(), "the balancer sends clients to others");
+    assert!(!host.is_ready(), "the host must not be ready");
     let ran = |id: &str| {
         site.plain.arrivals().iter().any(|arrival| arrival.head.fields.text(REQUEST) == Some(id))
     };
-    assert!(!ran("d3") && !ran("d4"), "a refused request has run");
+    assert!(!ran("d3") && !ran("d4"), "a refused request reached the engine");
     site.store.refuse(false);
     host.wait_ready();
     assert_eq!(request_status(&host, "d6", "/single/a", "key-n1"), "401");
@@ -304,7 +304,7 @@
     let reader = site.host_with_revocation_bound("reader", REVOCATION_BOUND, true);
     let host = site.host_with_revocation_bound("follower", REVOCATION_BOUND, false);
     wait_until("the host follows", || host.shared.metrics.following.get() == 1);
-    // Longer than the bound: without the reader's word the key would not be served any more.
+    // Longer than the bound: keys stay valid only because the reader confirms them.
     thread::sleep(REVOCATION_BOUND * 2);
     assert_eq!(host.shared.metrics.following.get(), 1);
     assert_eq!(request_status(&host, "f1", "/single/a", "key-n1"), "200");
@@ -331,7 +331,7 @@
     assert_eq!(
         request_status(&host, "u1", "/single/a", "key-n1"),
         "200",
-        "the last good one goes on"
+        "the last valid configuration is still in force"
     );
     thread::sleep(REVOCATION_BOUND);
     assert_eq!(request_status(&host, "u2", "/single/a", "key-n1"), "503");
@@ -340,7 +340,8 @@
     assert_eq!(request_status(&host, "u3", "/single/a", "key-n1"), "401");
 }
 
-/// Asks `hosts` in turn with the bounded organisation's key; returns how many requests were granted.
+/// Sends requests to `hosts` in turn with the key of the organisation that has a quota; returns how
+/// many were granted.
 fn count_granted(hosts: &[&TestHost], attempts: usize) -> usize {
     let granted = (0..attempts).filter(|number| {
         let host = hosts[number % hosts.len()];
@@ -362,7 +363,7 @@
     let site = site_with_organisations();
     let hosts = ["one", "two", "three"].map(|name| site.host(name));
     let all_receive_ledger = || hosts.iter().all(|host| host.shared.quotas().receives_ledger());
-    wait_until("all hear the ledger", all_receive_ledger);
+    wait_until("all hosts receive the quota ledger", all_receive_ledger);
     let began = Instant::now();
     let all: Vec<&TestHost> = hosts.iter().collect();
     let mut granted = 0;
@@ -371,7 +372,7 @@
         thread::sleep(Duration::from_millis(30));
     }
     let seconds = began.elapsed().as_secs_f64();
-    // The limit within that time, with the tolerance of a window that the operator gives.
+    // The quota over that time, plus the configured tolerance of one window.
     let limit = 4.0f64.mul_add(seconds, 10.0);
     let most = (4.0f64.mul_add(8.0, 10.0)).mul_add(0.1, limit) + 20.0;
     assert!(granted as f64 <= most, "{granted} granted within {seconds:.1} s, {most:.0} allowed");
@@ -382,35 +383,35 @@
 #[test]
 fn quota_of_requests_that_did_not_run_is_refunded() {
     let site = site_with_organisations();
-    let host = site.host("given-back");
-    wait_until("it hears the ledger", || host.shared.quotas().receives_ledger());
+    let host = site.host("refunded");
+    wait_until("the host receives the quota ledger", || host.shared.quotas().receives_ledger());
     site.plain.set_behaviours(&[EngineBehaviour::NotRun]);
     for number in 0..300 {
         let response = request_status(&host, &format!("g{number}"), "/single/a", "key-q");
         assert_eq!(response, "503", "request {number}");
     }
-    // More than the burst and the tolerance: refused by the engine, none of them counts.
+    // More than burst and tolerance: rejected requests must not count against the quota.
     assert!(site.plain.arrivals().len() > 20, "{} arrivals", site.plain.arrivals().len());
     site.plain.set_behaviours(&[EngineBehaviour::Echo]);
-    // The host sends on only a part to a server that was full just before.
+    // The host sends only a part of the requests to a server that was overloaded just before.
     thread::sleep(Duration::from_millis(3100));
     assert_eq!(count_granted(&[&host], 8), 8);
 }
 
-/// A store that answered nothing for a while hid for two seconds more that it was back.
+/// Guards against long retry pauses after an outage in which the store did not respond.
 #[test]
 fn keys_are_served_again_soon_after_the_store_stops_hanging() {
     let site = site_with_organisations();
     let host = site.host_with_revocation_bound("silent", REVOCATION_BOUND, true);
     site.store.hang(true);
-    // Long enough for pauses to grow to their longest.
+    // Long enough for the retry pauses to reach their maximum.
     thread::sleep(Duration::from_millis(6500));
     assert_eq!(request_status(&host, "s1", "/single/a", "key-n1"), "503");
     site.store.hang(false);
     let back = Instant::now();
     wait_until("keys are served", || request_status(&host, "s2", "/single/a", "key-n1") == "200");
     let elapsed = back.elapsed();
-    assert!(elapsed < Duration::from_millis(800), "it took {} ms", elapsed.as_millis());
+    assert!(elapsed < Duration::from_millis(800), "served only after {} ms", elapsed.as_millis());
 }
 
 #[test]
@@ -427,5 +428,5 @@
     assert!(text.contains(r#"organisation="others",outcome="answered"} 37"#), "{text}");
     assert!(!text.contains("key-"), "a key in the metrics: {text}");
     let routes = host.shared.table.borrow().routes.clone();
-    assert!(!format!("{routes:?}").contains("key-"), "a key in what the host shows of its routes");
+    assert!(!format!("{routes:?}").contains("key-"), "a key in the debug output of the routes");
 }
--- a/crates/gateway/tests/host/placement.rs
+++ b/crates/gateway/tests/host/placement.rs
@@ -1,4 +1,4 @@
-//! Adapters that are asked for come, through whichever host holds the lease.
+//! Requested adapters are loaded by whichever host holds the lease.
 
 use std::{
     collections::BTreeSet,
@@ -29,7 +29,7 @@
         engine.set_behaviours(&[EngineBehaviour::Stream(3)]);
     }
     for (number, host) in hosts.iter().enumerate() {
-        // The first request may be refused while the lease is dealt; its client comes back.
+        // The first request may be refused while the lease is being assigned.
         wait_until("the adapter is served", || {
             let fields =
                 format!("X-Request: a{number}\r\nX-Model: {MODEL_NAME}/adapter-{number}\r\n");
@@ -40,7 +40,7 @@
     let holders: BTreeSet<&String> = tokens.iter().map(|(holder, _)| holder).collect();
     let different: BTreeSet<u64> = tokens.iter().map(|(_, token)| *token).collect();
     assert!(!tokens.is_empty());
-    assert_eq!(different.len(), tokens.len(), "one token for each holder: {tokens:?}");
+    assert_eq!(different.len(), tokens.len(), "holders share a token: {tokens:?}");
     assert!(holders.len() <= 2);
 }
 
@@ -58,17 +58,17 @@
     second.stop();
 }
 
-/// A placer that has just begun hears from nobody yet. Its count went to all hosts, which took up to a whole budget each by it:
-/// "`hosts_counted` 1, 5, 4, 3, 6" within 0.3 s.
+/// Guards against a new placer that spreads its still incomplete host count, by which each host
+/// would take too large a share of a budget.
 #[test]
 fn the_host_count_stays_stable_while_another_host_becomes_the_placer() {
     let site = TestSite::start();
     let mut hosts: Vec<_> = ["one", "two", "three", "four"].map(|name| site.host(name)).into();
     let counted = |host: &TestHost| host.shared.table.borrow().hosts;
-    wait_until("all are counted", || hosts.iter().all(|host| counted(host) == 4));
-    // The group may deal the lease to another member while the last host is being counted.
+    wait_until("all hosts are counted", || hosts.iter().all(|host| counted(host) == 4));
+    // The group may assign the lease to another member while the last host is being counted.
     let index = || hosts.iter().position(|host| host.shared.metrics.leases.get() == 1);
-    wait_until("one of them places", || index().is_some());
+    wait_until("one host holds the lease", || index().is_some());
     let placer = index().expect("a placer");
     let placer = hosts.swap_remove(placer);
     placer.shared.stop();
@@ -79,13 +79,15 @@
         }
         thread::sleep(Duration::from_millis(1));
     }
-    assert!(hosts.iter().any(|host| host.shared.metrics.leases.get() == 1), "nobody places");
+    assert!(
+        hosts.iter().any(|host| host.shared.metrics.leases.get() == 1),
+        "no host holds the lease"
+    );
     placer.stop();
 }
 
-/// The hosts asked who holds which partition once, as the group changed. A partition passes on a little later, and the group's
-/// generation does not tell: 50 of 72 hosts took another host for the placer until the lease moved half a minute later; each wrote
-/// some four lines with "`adapter_absent`" a second, the other 22 none, and none of the 50 heard a word on quotas.
+/// A partition moves later than the group's generation changes. Guards against hosts that look up
+/// the owners only once and address the wrong placer.
 #[test]
 fn every_host_finds_the_placer_when_partitions_move_after_a_group_change() {
     let site = TestSite::start();
--- a/crates/gateway/tests/host/quarantine.rs
+++ b/crates/gateway/tests/host/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests under which engines end: how many engines they take with them, and who suffers beside them.
+//! Requests that crash engines: how many engines crash, and whether other requests are affected.
 
 use std::{
     net::SocketAddr,
@@ -12,32 +12,32 @@
     store::StandInStore,
 };
 
-/// How long an engine that has ended stays away.
+/// How long a crashed engine stays down.
 const RESTART_DELAY: Duration = Duration::from_millis(300);
 
-/// How many events an innocent request's stream has.
+/// Number of events in the stream of a harmless request.
 const STREAM_EVENTS: u32 = 6;
 
-/// Engines that end under some bodies and come back at their addresses, under other names.
+/// Engines that crash on some request bodies and restart at their addresses.
 struct CrashableFleet {
     store: StandInStore,
     service: &'static str,
     loaded_models: &'static [&'static str],
     crashing_bodies: &'static [&'static str],
-    /// Whether an engine that comes back has the name that it had.
+    /// Whether a restarted engine keeps its name.
     reuses_names: bool,
     engines: Vec<StandInEngine>,
-    /// When each engine that is away ended.
+    /// When each engine that is down crashed.
     down_since: Vec<Option<Instant>>,
-    /// When engines ended, in order.
+    /// When engines crashed, in order.
     crashes: Vec<Instant>,
     incarnations: usize,
-    /// The requests of lives that have ended, by body.
+    /// The request bodies that reached earlier incarnations.
     earlier_arrivals: Vec<Vec<u8>>,
 }
 
 impl CrashableFleet {
-    /// Starts so many engines of a service that end under each of the `crashing_bodies` bodies.
+    /// Starts `count` engines of a service that crash on each of the `crashing_bodies`.
     fn start(
         site: &TestSite,
         count: usize,
@@ -58,14 +58,14 @@
             earlier_arrivals: Vec::new(),
         };
         for _ in 0..count {
-            let name = format!("mortal-{}", fleet.incarnations + 1);
+            let name = format!("crashable-{}", fleet.incarnations + 1);
             let engine = fleet.start_engine(&name, free_address());
             fleet.engines.push(engine);
         }
         fleet
     }
 
-    /// Begins a life of an engine.
+    /// Starts an incarnation of an engine.
     fn start_engine(&mut self, name: &str, address: SocketAddr) -> StandInEngine {
         self.incarnations += 1;
         let engine =
@@ -76,7 +76,7 @@
         engine
     }
 
-    /// Notes which engines have ended, and brings back those that were away for long enough.
+    /// Records crashes, and restarts engines that were down for [`RESTART_DELAY`].
     fn poll(&mut self) {
         for index in 0..self.engines.len() {
             let engine = &self.engines[index];
@@ -92,7 +92,7 @@
                     let (mut name, address) = (engine.name.clone(), engine.address);
                     if !self.reuses_names {
                         self.store.put("engines", &name, "");
-                        name = format!("mortal-{}", self.incarnations + 1);
+                        name = format!("crashable-{}", self.incarnations + 1);
                     }
                     self.engines[index] = self.start_engine(&name, address);
                     self.down_since[index] = None;
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Returns how often requests with a body reached engines.
+    /// Returns how many requests with this body reached engines.
     fn arrivals(&self, body: &str) -> usize {
         let living = self.engines.iter().flat_map(StandInEngine::arrivals);
         let bodies =
@@ -111,7 +111,7 @@
     }
 }
 
-/// Returns whether an answer is a whole stream.
+/// Returns whether a response is a complete stream.
 fn is_complete(response: &str) -> bool {
     response.starts_with("HTTP/1.1 200") && response.ends_with("0\r\n\r\n")
 }
@@ -120,7 +120,7 @@
     format!("X-Request: {id}\r\nX-Model: {MODEL_NAME}\r\n")
 }
 
-/// Starts hosts whose engines are all mortal.
+/// Starts hosts whose engines are all crashable.
 fn hosts(site: &TestSite, names: &[&str]) -> Vec<TestHost> {
     for engine in &site.engines {
         site.store.put("engines", &engine.name, "");
@@ -128,11 +128,8 @@
     names.iter().map(|name| site.host(name)).collect()
 }
 
-/// One request was sent again and again, to whichever host, and each engine that began to run it ended: 14 and 18 of twelve engines
-/// in ten seconds, since each came back and ended again. Up to 29 other streams broke off with each. Every host took each
-/// arrival for a new request, because nothing was remembered of what had been at work when an engine ended: the lines said
-/// `"outcome":"engine_failed","status":502,"sends":1` from another host each time, with the same adapter and the
-/// same length of the prompt.
+/// Guards against a request that is sent again and again by different hosts and crashes each engine
+/// that runs it, along with all other streams there.
 #[test]
 fn a_request_that_crashes_engines_is_quarantined_by_all_hosts() {
     let site = TestSite::start();
@@ -153,7 +150,7 @@
         fleet.poll();
         if number >= 30 {
             let other = &hosts[(number + 1) % hosts.len()];
-            let body = format!("innocent {number}");
+            let body = format!("unrelated {number}");
             unrelated += 1;
             served += u32::from(is_complete(&other.post(
                 "/stream/a",
@@ -165,14 +162,14 @@
         fleet.poll();
     }
     let arrivals = fleet.arrivals("deadly");
-    assert!(fleet.crashes.len() <= 4, "{} engines ended", fleet.crashes.len());
-    assert!(arrivals <= 4, "it reached engines {arrivals} times");
+    assert!(fleet.crashes.len() <= 4, "{} engines crashed", fleet.crashes.len());
+    assert!(arrivals <= 4, "the request reached engines {arrivals} times");
     assert!(refused >= 50, "{refused} of 60 were refused");
-    assert_eq!(served, unrelated, "requests that came beside it");
+    assert_eq!(served, unrelated, "unrelated requests were not served");
     assert!(fleet.crashes.iter().all(|end| end.elapsed() < WAIT_LIMIT));
 }
 
-/// Engines that come back under the names that they had are other lives of theirs: each end counts.
+/// Each incarnation of an engine counts as a crash of its own, even if it keeps its name.
 #[test]
 fn engines_that_keep_their_names_count_one_crash_per_incarnation() {
     let site = TestSite::start();
@@ -191,15 +188,15 @@
         thread::sleep(RESTART_DELAY);
         fleet.poll();
     }
-    wait_until("the third life serves", || {
+    wait_until("the third incarnation serves", || {
         send(String::from("t"), "harmless").starts_with("HTTP/1.1 200")
     });
     assert!(send(String::from("h"), "deadly").contains("engines ended"));
     assert_eq!(fleet.arrivals("deadly"), 2);
 }
 
-/// A request that may be sent again took one engine after the other with it by our own doing: each try went on to the next
-/// engine as soon as the connection broke, before anybody knew that the first engine had ended.
+/// Guards against our own retries crashing one engine after another before the first crash is
+/// known.
 #[test]
 fn retries_stop_after_the_second_engine_crash() {
     let site = TestSite::start();
@@ -210,7 +207,7 @@
         host.post("/safe/a", "X-Request: first\r\n", "first").starts_with("HTTP/1.1 200")
     });
     let first = host.post("/safe/a", "X-Request: r1\r\n", "deadly");
-    assert!(first.starts_with("HTTP/1.1 502"), "it ran: {first}");
+    assert!(first.starts_with("HTTP/1.1 502"), "{first}");
     for number in 0..5 {
         let response = host.post("/safe/a", &format!("X-Request: h{number}\r\n"), "deadly");
         assert!(response.starts_with("HTTP/1.1 503"), "{response}");
@@ -219,14 +216,14 @@
     fleet.poll();
     assert_eq!(fleet.crashes.len(), 2);
     assert_eq!(fleet.arrivals("deadly"), 2);
-    // The same body on another path, and another body on the same one, are other requests.
+    // The same body on another path, and another body on the same path, are different requests.
     for (path, body) in [("/safe/b", "harmless"), ("/safe/a", "harmless")] {
         let response = host.post(path, &format!("X-Request: o{}\r\n", path.len()), body);
         assert!(response.starts_with("HTTP/1.1 200"), "{response}");
     }
 }
 
-/// Answers break off for many reasons while engines live: nobody is to be held back for that.
+/// Responses break off for many reasons without a crash, which must not quarantine the request.
 #[test]
 fn aborted_responses_quarantine_no_request() {
     let site = TestSite::start();
@@ -238,18 +235,19 @@
         for number in 0..6 {
             let response = host.post("/single/a", &format!("X-Request: b{number}\r\n"), "usual");
             assert!(response.starts_with("HTTP/1.1 502"), "{response}");
-            // An engine that failed rests for a while, which is no hold.
+            // Short backoff of a failed engine; not a quarantine.
             thread::sleep(Duration::from_millis(5));
         }
     }
     site.plain.set_behaviours(&[EngineBehaviour::Echo]);
-    wait_until("it is served", || {
+    wait_until("the request is served", || {
         host.post("/single/a", "X-Request: w\r\n", "usual").starts_with("HTTP/1.1 200")
     });
     assert_eq!(host.shared.quarantine().counts(), (0, 0));
 }
 
-/// Engines of a rack that lose power together take the same innocent request with them at each: that is one end.
+/// Engines that lose power together interrupt the same harmless request on each of them: that
+/// counts as one crash.
 #[test]
 fn engines_that_crash_together_quarantine_no_request() {
     let site = TestSite::start();
@@ -280,7 +278,7 @@
     });
 }
 
-/// A host that starts after all this has happened knows it from its first second on.
+/// A host that starts later must get the quarantined requests from its peers.
 #[test]
 fn a_host_that_starts_later_learns_of_quarantined_requests() {
     let site = TestSite::start();
@@ -291,13 +289,13 @@
     });
     let began = Instant::now();
     while !hosts[0].post("/stream/a", &fields("d"), "deadly").contains("engines ended") {
-        assert!(began.elapsed() < WAIT_LIMIT, "it is never held back");
+        assert!(began.elapsed() < WAIT_LIMIT, "the request is never quarantined");
         fleet.poll();
         thread::sleep(Duration::from_millis(20));
     }
     let crashes_before = fleet.crashes.len();
     let late = site.host("later");
-    wait_until("the late host knows it", || late.shared.quarantine().counts().1 == 1);
+    wait_until("the late host knows of the change", || late.shared.quarantine().counts().1 == 1);
     let response = late.post("/stream/a", &fields("l"), "deadly");
     assert!(response.contains("engines ended"), "{response}");
     fleet.poll();
--- a/crates/gateway/tests/host/recheck_before_send.rs
+++ b/crates/gateway/tests/host/recheck_before_send.rs
@@ -1,8 +1,5 @@
-//! What changes between the choice of an engine and the send: a request that waited is not sent by what was known before.
-//!
-//! After an engine's end its adapter has to be loaded elsewhere, so that the same request waits on other hosts while the verdict on it
-//! falls. Whether it is held back, and whether its key holds, was asked when it arrived; when its adapter came it was sent, and ended one
-//! engine more.
+//! Checks between the choice of an engine and the send: quarantine and key may change while a
+//! request waits for its adapter.
 
 use std::{
     thread,
@@ -17,10 +14,10 @@
     site::{MODEL_NAME, REVOKED_KEY_REVISION, TestHost, TestSite, wait_until},
 };
 
-/// Within which time a request is told that it will not be sent.
+/// Time within which a waiting request is refused after the change.
 const REFUSAL_LIMIT: Duration = Duration::from_millis(400);
 
-/// Starts a host that places adapters.
+/// Starts a host and waits until it places adapters.
 fn start_placer(site: &TestSite, name: &str, key: &str) -> TestHost {
     for engine in &site.engines {
         engine.set_behaviours(&[EngineBehaviour::Stream(3)]);
@@ -37,8 +34,8 @@
     host.post("/stream/a", &fields, body)
 }
 
-/// Asks for an adapter that has to be loaded first; while the request waits for it, `change` happens. Returns the answer, and how long
-/// after the change it came.
+/// Sends a request whose adapter has to be loaded first, and calls `change` while it waits. Returns
+/// the response and the time from the change to it.
 fn send_and_change(
     site: &TestSite,
     host: &TestHost,
@@ -57,7 +54,7 @@
         }
         let changed = Instant::now();
         change();
-        let response = request.join().expect("an answer");
+        let response = request.join().expect("a response");
         (response, changed.elapsed())
     })
 }
@@ -80,7 +77,7 @@
     request.mark()
 }
 
-/// Lets two engines end under a request, as this host hears of it.
+/// Reports two engine crashes under a request to the host.
 fn quarantine_request(host: &TestHost, mark: RequestMark) {
     let now = host.shared.clock.now();
     for incarnation in 1..=2 {
@@ -98,7 +95,7 @@
     assert!(response.starts_with("HTTP/1.1 503"), "{response}");
     assert!(response.contains("Retry-After: "), "{response}");
     assert_eq!(arrivals(&site, "deadly"), 0);
-    assert!(time <= REFUSAL_LIMIT, "told only after {time:?}");
+    assert!(time <= REFUSAL_LIMIT, "refused only after {time:?}");
 }
 
 #[test]
@@ -110,7 +107,7 @@
     let (response, _) = send_and_change(&site, &host, key, "withdrawn", revoke);
     assert!(response.starts_with("HTTP/1.1 401"), "{response}");
     assert_eq!(arrivals(&site, "withdrawn"), 0);
-    // Another key of the organisation serves on.
+    // Another key of the organisation must still be accepted.
     let other = send(&host, "late", "X-Key: key-n2\r\n", "other");
     assert!(other.starts_with("HTTP/1.1 200"), "{other}");
 }
--- a/crates/gateway/tests/host/rollback_histories.rs
+++ b/crates/gateway/tests/host/rollback_histories.rs
@@ -1,5 +1,5 @@
-//! Any series of appends, falls of the store, readings, words between hosts and starts: no host goes back on what it knew, and
-//! all end with what was said last.
+//! Model-based test: for any sequence of publications, store rollbacks, reads, peer messages and
+//! restarts, no host reverts to older state, and all converge to the last published state.
 
 mod regressions;
 mod simulation;
@@ -14,27 +14,28 @@
 enum Step {
     /// The operator publishes the next revision.
     Publish,
-    /// An engine goes on: it is ready, takes orders, leaves, is gone, starts again.
+    /// An engine advances: it is ready, gets orders, leaves, is gone, and starts again.
     AdvanceEngine(usize),
     /// An engine writes its entry again, as a heartbeat.
     RewriteEntry(usize),
-    /// A copy of the store is taken.
+    /// A snapshot of the store is taken.
     TakeSnapshot,
-    /// The store comes back from the copy.
+    /// The store is restored from the snapshot.
     Restore,
-    /// Operator and engines write again what they said last, the operator first or not.
+    /// Operator and engines write their last state again; the flag tells whether the operator comes
+    /// first.
     RewriteAll(bool),
-    /// A host reads a topic on, or whole where it must.
+    /// A host reads a topic incrementally, or completely if it has to.
     Read(usize, usize),
-    /// A host reads a topic whole.
+    /// A host reads a topic completely.
     ReadComplete(usize, usize),
-    /// A host follows a reader from now on.
+    /// A host starts to follow a reader.
     Follow(usize, usize),
-    /// What was told to a host arrives.
+    /// A host receives the pending messages of its reader.
     Deliver(usize),
-    /// A host asks another one for everything that it knows.
+    /// A host asks another one for its complete state.
     PullState(usize, usize),
-    /// A host's process starts anew.
+    /// A host's process restarts.
     Restart(usize),
     /// Time passes. Unit: milliseconds.
     Wait(u64),
--- a/crates/gateway/tests/host/rollback_histories/regressions.rs
+++ b/crates/gateway/tests/host/rollback_histories/regressions.rs
@@ -1,11 +1,11 @@
-//! Histories that failed once.
+//! Histories that failed before.
 
 use super::Step::{
     self, AdvanceEngine, Deliver, Follow, Publish, Read, ReadComplete, Restore, RewriteAll,
     RewriteEntry, TakeSnapshot, Wait,
 };
 
-/// A history that once failed.
+/// A history that failed before.
 pub(super) struct RegressionCase {
     pub(super) name: &'static str,
     pub(super) steps: &'static [Step],
@@ -13,7 +13,7 @@
 
 pub(super) const REGRESSIONS: &[RegressionCase] = &[
     RegressionCase {
-        name: "a reader's old word lists an engine that an own whole reading lacked",
+        name: "an old message of a reader lists an engine that a complete read of the host lacked",
         steps: &[
             AdvanceEngine(0),
             Publish,
@@ -28,7 +28,7 @@
         ],
     },
     RegressionCase {
-        name: "an engine that lapsed writes the same again, and followers are not told",
+        name: "an engine writes the same entry again after it expired, and followers are not told",
         steps: &[
             Read(0, 1),
             Publish,
@@ -40,7 +40,7 @@
         ],
     },
     RegressionCase {
-        name: "a follower has read an empty topic that its reader never saw",
+        name: "a follower has read an empty topic that its reader has not",
         steps: &[
             Read(0, 1),
             Publish,
@@ -57,7 +57,7 @@
         ],
     },
     RegressionCase {
-        name: "the life after one that is gone is withheld, and its followers lose it",
+        name: "the incarnation after a departed one is withheld, and followers lose it",
         steps: &[
             AdvanceEngine(1),
             AdvanceEngine(1),
@@ -74,7 +74,7 @@
         ],
     },
     RegressionCase {
-        name: "a reader that lists no engine says nothing of those that are gone",
+        name: "a reader without engines does not report the departed ones",
         steps: &[
             Publish,
             Read(0, 0),
@@ -100,7 +100,7 @@
         ],
     },
     RegressionCase {
-        name: "an engine is delisted at a place that followers have passed",
+        name: "an engine is removed at a position that followers have passed",
         steps: &[
             AdvanceEngine(0),
             Publish,
@@ -118,7 +118,7 @@
         ],
     },
     RegressionCase {
-        name: "a follower has read the copy's word of an engine that its reader knows to leave",
+        name: "a follower has read the snapshot's entry of an engine that its reader knows to leave",
         steps: &[
             AdvanceEngine(1),
             Publish,
@@ -134,7 +134,7 @@
         ],
     },
     RegressionCase {
-        name: "a peer tells that an engine leaves whose entry has lapsed",
+        name: "a peer reports the departure of an engine whose entry has expired",
         steps: &[
             AdvanceEngine(1),
             AdvanceEngine(1),
@@ -159,7 +159,7 @@
         ],
     },
     RegressionCase {
-        name: "an engine that lapsed in one fall leaves before the next",
+        name: "an engine whose entry expired after one rollback leaves before the next",
         steps: &[
             AdvanceEngine(0),
             Publish,
--- a/crates/gateway/tests/host/rollback_histories/simulation.rs
+++ b/crates/gateway/tests/host/rollback_histories/simulation.rs
@@ -1,4 +1,4 @@
-//! The hosts' real control states around a store that the test plays.
+//! The real control states of several hosts, around a simulated store.
 
 use std::{
     cell::RefCell,
@@ -35,31 +35,33 @@
 
 pub(super) const HOSTS: usize = 3;
 
-/// Hosts of which the group makes readers.
+/// The first hosts, which can be readers.
 pub(super) const READERS: usize = 2;
 
 pub(super) const ENGINES: usize = 2;
 
-/// Revisions that a history may reach.
+/// Number of revisions that a history may reach.
 pub(super) const REVISION_LIMIT: u64 = 60;
 
-/// How many steps pass at most between a fall and the moment by which operator and engines have written again.
+/// Maximum number of steps between a restore and the time when operator and engines have written
+/// again.
 pub(super) const MAX_STEPS_UNTIL_REWRITE: usize = 8;
 
-/// The longest that one step takes: eight of them are less than what engines are given to write again.
+/// Maximum duration of one step: [`MAX_STEPS_UNTIL_REWRITE`] of them are shorter than the time
+/// engines get to write again.
 pub(super) const MAX_STEP_MILLIS: u64 = 400;
 
-/// How long it takes until nothing that was said before a fall is waited for any more.
+/// Time after which hosts no longer wait for state from before a restore.
 pub(super) const SETTLE_TIME: Duration = Duration::from_secs(5);
 
-/// In how many steps that time passes, so that readers are heard of all the while.
+/// Number of steps that [`SETTLE_TIME`] is divided into, so that readers are heard from throughout.
 pub(super) const SETTLE_STEPS: u64 = 20;
 
-/// The topics of the store.
+/// Indices of the store's topics.
 pub(super) const CONFIGURATION_TOPIC: usize = 0;
 pub(super) const ENGINES_TOPIC: usize = 1;
 
-/// What an engine last said, and of which life.
+/// The last published state of an engine.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 struct EngineStatus {
     incarnation: u64,
@@ -69,7 +71,7 @@
 }
 
 impl EngineStatus {
-    /// Returns what an engine says next.
+    /// Returns the state that an engine publishes next.
     fn next(self) -> Self {
         match self {
             Self { gone: true, incarnation, .. } => {
@@ -92,13 +94,13 @@
         Bytes::from(entry.to_string())
     }
 
-    /// Returns the order of what engines say: a life after the other, and in each from ready to gone.
+    /// Returns the order of an engine's states: by incarnation, then from ready to leaving to gone.
     const fn order_key(self) -> (u64, bool, bool) {
         (self.incarnation, self.leaving, self.gone)
     }
 }
 
-/// The store: an era, and topics of keys with values.
+/// The simulated store: an era, and topics of keys with values.
 #[derive(Default)]
 struct ModelStore {
     era: StoreEra,
@@ -130,14 +132,14 @@
     }
 }
 
-/// One host: the real control state, and what the tasks around it keep.
+/// One host: the real control state, and the state of the tasks around it.
 struct ModelHost {
     state: Rc<RefCell<ControlState>>,
     read_to: [Option<StorePosition>; 2],
     feed: Option<(usize, mpsc::Receiver<EncodedFrame>)>,
-    /// The highest revision that it had in force.
+    /// The highest revision in force so far.
     revision: u64,
-    /// The furthest word of each engine that it knew.
+    /// The newest known state of each engine.
     known: [EngineStatus; ENGINES],
 }
 
@@ -145,10 +147,10 @@
     clock: Arc<ManualClock>,
     store: ModelStore,
     hosts: Vec<ModelHost>,
-    /// What operator and engines said last, whether the store still has it or not.
+    /// The last published states, whether or not the store still has them.
     revision: u64,
     engines: [EngineStatus; ENGINES],
-    /// How many steps ago the store fell, where not all was written again since.
+    /// Steps since a restore after which not everything was written again.
     steps_since_restore: Option<usize>,
 }
 
@@ -181,7 +183,7 @@
 
     fn start(&self, host: usize) -> ModelHost {
         let name = format!("host-{host}");
-        // Nobody is called: the store is played here.
+        // No calls are made: the store is simulated here.
         let profile = TestProfile::new(address(host)).profile(&name);
         let tables: HashMap<u64, Arc<RouteTable>> = (1..=REVISION_LIMIT)
             .map(|revision| {
@@ -269,7 +271,7 @@
         }
     }
 
-    /// Reads a topic on as the task does that follows it.
+    /// Reads a topic incrementally, as the following task does.
     fn read(&mut self, host: usize, topic: usize) {
         let Some(from) = self.hosts[host].read_to[topic] else {
             return self.read_complete(host, topic);
@@ -293,7 +295,7 @@
         self.update(host, topic, TopicUpdate::Whole { records, end, asked }, end);
     }
 
-    /// Hears the era that each answer of the store carries.
+    /// Passes on the era that each response of the store carries.
     fn receive_era(&self, host: usize) {
         self.hosts[host].state.borrow().eras().hear(self.store.era, "store");
     }
@@ -313,7 +315,7 @@
         if host == reader {
             return;
         }
-        // The group makes it one.
+        // Makes it a reader by its share of the group.
         let share = GroupShare { era: self.store.era, generation: 1, partitions: vec![0, 1, 2, 3] };
         let sent = self.clock.now();
         let (sender, frames) = mpsc::channel(64);
@@ -343,7 +345,7 @@
         host >= READERS && feed.is_some_and(|(_, frames)| !frames.is_closed())
     }
 
-    /// Returns how a host knows an engine.
+    /// Returns the incarnation of an engine that a host knows, and whether it is leaving.
     fn known_engine(&self, host: usize, engine: usize) -> Option<(u64, bool)> {
         let state = self.hosts[host].state.borrow();
         let table = state.shared().table.borrow().clone();
@@ -352,13 +354,13 @@
         entries.next().map(|entry| (entry.incarnation - 1, entry.leaving))
     }
 
-    /// Returns what a host went back on.
+    /// Returns a description of a host that reverted to older state.
     pub(super) fn regression(&mut self) -> Option<String> {
         for host in 0..HOSTS {
             let table = self.hosts[host].state.borrow().shared().table.borrow().clone();
             let revision = table.routes.as_ref().map_or(0, |routes| routes.revision());
             if revision < self.hosts[host].revision {
-                return Some(format!("host {host} went back to revision {revision}"));
+                return Some(format!("host {host} reverted to revision {revision}"));
             }
             self.hosts[host].revision = revision;
             for engine in 0..ENGINES {
@@ -368,7 +370,9 @@
                 let now = EngineStatus { incarnation, leaving, ..EngineStatus::default() };
                 let known = &mut self.hosts[host].known[engine];
                 if now.order_key() < known.order_key() {
-                    return Some(format!("host {host}: engine {engine} was {known:?}, is {now:?}"));
+                    return Some(format!(
+                        "host {host}: engine {engine} reverted from {known:?} to {now:?}"
+                    ));
                 }
                 *known = now;
             }
@@ -376,7 +380,8 @@
         None
     }
 
-    /// Lets everybody write again, and every host read that no reader tells; returns what a host lacks then.
+    /// Rewrites everything and lets all hosts catch up; returns a description of a host that did
+    /// not converge.
     pub(super) fn settle(&mut self) -> Option<String> {
         self.rewrite_all(false);
         for _ in 0..SETTLE_STEPS {
@@ -394,7 +399,10 @@
             let table = self.hosts[host].state.borrow().shared().table.borrow().clone();
             let revision = table.routes.as_ref().map_or(0, |routes| routes.revision());
             if revision != self.revision {
-                return Some(format!("host {host} has {revision}, the operator {}", self.revision));
+                return Some(format!(
+                    "host {host} has revision {revision}, the operator published {}",
+                    self.revision
+                ));
             }
             for engine in 0..ENGINES {
                 let published = self.engines[engine];
@@ -403,7 +411,7 @@
                 let known = self.known_engine(host, engine);
                 if known != published {
                     return Some(format!(
-                        "host {host}: engine {engine} said {published:?}, known {known:?}"
+                        "host {host}: engine {engine} published {published:?}, known {known:?}"
                     ));
                 }
             }
--- a/crates/gateway/tests/host/site.rs
+++ b/crates/gateway/tests/host/site.rs
@@ -1,4 +1,4 @@
-//! Hosts with their stand-ins, started for one test, and a client that sees raw bytes.
+//! Hosts and their stand-ins for one test, and a client that sees raw bytes.
 
 use std::{
     collections::HashMap,
@@ -36,10 +36,10 @@
 
 use crate::{dialect::dialects, engine::StandInEngine, store::StandInStore};
 
-/// How long a test waits for something to come about.
+/// How long a test waits for a condition.
 pub(crate) const WAIT_LIMIT: Duration = Duration::from_secs(10);
 
-/// One host that a test started.
+/// A host started by a test.
 pub(crate) struct TestHost {
     pub(crate) shared: Arc<SharedState>,
     pub(crate) client_address: SocketAddr,
@@ -47,7 +47,7 @@
     thread: Option<JoinHandle<()>>,
 }
 
-/// What tells the hosts of tests apart.
+/// The settings in which the hosts of tests differ.
 pub(crate) struct TestProfile {
     seeds: Vec<SocketAddr>,
     capacity: HostCapacity,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Returns the whole profile of a host.
+    /// Returns the complete profile of a host.
     pub(crate) fn profile(self, name: &str) -> HostProfile {
         let Self { seeds, capacity, revocation, store, .. } = self;
         HostProfile {
@@ -172,10 +172,10 @@
 /// The revision of the configuration with organisations.
 pub(crate) const ORGANISATIONS_REVISION: u64 = 3;
 
-/// The revision that withdraws the key `key-n1` of the organisation `north`.
+/// The revision that revokes the key `key-n1` of the organisation `north`.
 pub(crate) const REVOKED_KEY_REVISION: u64 = 4;
 
-/// Returns a configuration with two organisations and one public route.
+/// Returns a configuration with four organisations and one public route.
 fn routes_with_organisations(revision: u64, north: &[&str]) -> RouteTable {
     let mut organisations = OrganisationDirectory::default();
     let digests = |keys: &[&str]| -> Vec<KeyDigest> {
@@ -223,7 +223,7 @@
         host
     }
 
-    /// Starts a host without waiting for anything.
+    /// Starts a host without waiting until it is ready.
     pub(crate) fn start_host(&self, name: &str, seeds: Vec<SocketAddr>) -> TestHost {
         self.start_host_with_capacity(
             name,
@@ -232,7 +232,7 @@
         )
     }
 
-    /// Starts a host of some strength without waiting for anything.
+    /// Starts a host of this capacity without waiting until it is ready.
     pub(crate) fn start_host_with_capacity(
         &self,
         name: &str,
@@ -243,7 +243,7 @@
         TestHost::start(name, profile)
     }
 
-    /// Starts a host that must not serve a withdrawn key for longer than `bound`; waits until it is ready.
+    /// Starts a host that may serve a revoked key for at most `bound`, and waits until it is ready.
     pub(crate) fn host_with_revocation_bound(
         &self,
         name: &str,
@@ -259,7 +259,7 @@
         host
     }
 
-    /// Starts a host with a clock that a test moves on; waits until it is ready.
+    /// Starts a host with this clock and waits until it is ready.
     pub(crate) fn host_with_clock(
         &self,
         name: &str,
@@ -273,16 +273,15 @@
     }
 }
 
-/// The ports that tests take addresses from: below those that the system gives to outgoing connections.
+/// The ports that tests use, below the ephemeral range of the system.
 ///
-/// A port of the system's own choice could be taken by one of the thousands of connections that other
-/// tests open before the host listens on it.
+/// An ephemeral port could be taken by a connection of another test before the host listens on it.
 const TEST_PORTS: std::ops::Range<u16> = 18_000..32_000;
 
 pub(crate) fn free_address() -> SocketAddr {
     static NEXT: AtomicU16 = AtomicU16::new(0);
     let width = TEST_PORTS.end - TEST_PORTS.start;
-    // Test programs that run at the same time begin at different places.
+    // Test processes that run at the same time start at different ports.
     let begin = u16::try_from(std::process::id() * 97 % u32::from(width)).unwrap_or_default();
     for _ in 0..width {
         let step = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -295,7 +294,7 @@
 }
 
 impl TestHost {
-    /// Starts a strong host that reaches the store at an address; waits until it is ready.
+    /// Starts a strong host that uses the store at `store`, and waits until it is ready.
     pub(crate) fn start_with_store(name: &str, store: SocketAddr) -> Self {
         let host = Self::start(name, TestProfile::new(store));
         host.wait_ready();
@@ -334,7 +333,7 @@
         wait_until("the host is ready", || self.is_ready());
     }
 
-    /// Stops the host in a planned way and waits until it has ended.
+    /// Stops the host gracefully and waits for its end; returns how long it took.
     pub(crate) fn stop(mut self) -> Duration {
         let began = Instant::now();
         self.shared.stop();
@@ -374,9 +373,9 @@
     }
 }
 
-/// Sends bytes and returns everything that comes back until the connection ends.
+/// Sends bytes and returns everything received until the connection ends.
 ///
-/// A reset at the end shows as the line `<reset>`.
+/// A reset at the end shows as the text `<reset>`.
 pub(crate) fn raw_exchange(address: SocketAddr, request: &[u8]) -> String {
     let Ok(mut socket) = TcpStream::connect(address) else { return String::from("<refused>") };
     let _ = socket.set_read_timeout(Some(WAIT_LIMIT));
--- a/crates/gateway/tests/host/stale_reader.rs
+++ b/crates/gateway/tests/host/stale_reader.rs
@@ -1,11 +1,7 @@
-//! Hosts that follow a reader of the store whose own reading of the configuration has stopped.
+//! Hosts whose reading of the store has stalled, and their followers.
 //!
-//! The store came back after eight silent seconds. A host that reads it for others joined the group again at once, and by that answer
-//! passed for a reader, while its reading of the configuration was still hanging in a call of the outage. The others followed it and
-//! stopped reading the store themselves: "`store_regained` engines" at 26.14 s, "following" on four hosts from 26.03 s on,
-//! "`configuration_in_force` 8" only at 29.41 s, 2.8 s after that configuration had been acknowledged, and in between a request was
-//! refused with 404 on a route that it had added. The reader's line then says how old what it passes on may be: "reading
-//! true, age 11102".
+//! A reader whose group calls succeed while its read of the configuration hangs must not pass for a
+//! working reader: its followers would stop reading the store themselves and miss changes.
 
 use std::{
     thread,
@@ -18,15 +14,15 @@
 
 const WEAK_CAPACITY: HostCapacity = HostCapacity { processor: 0.1, bandwidth: 10.0 };
 
-/// Within which time a configuration that the store has taken is in force on hosts that reach it; operators give two
-/// to three seconds.
+/// Time within which an acknowledged configuration must be in force on hosts that reach the store.
 const APPLY_LIMIT: Duration = Duration::from_secs(2);
 
 fn serves_late_route(host: &TestHost, id: &str) -> bool {
     host.get("/late/a", &format!("X-Request: {id}\r\n")).starts_with("HTTP/1.1 200")
 }
 
-/// Returns how long it takes until a configuration that is published now is in force; `None` where that is too long.
+/// Publishes a configuration and returns the time until it is in force; `None` after
+/// [`APPLY_LIMIT`].
 fn time_until_applied(site: &TestSite, host: &TestHost) -> Option<Duration> {
     let began = Instant::now();
     site.store.put("configuration", "routes", "2");
@@ -50,14 +46,14 @@
     follower.wait_ready();
     wait_until("the host follows", || follower.shared.metrics.following.get() == 1);
     endpoint.hang();
-    // They go on joining the group and reading the engines; the calls that hang are given up by then.
+    // Group calls and reads of the engines still succeed; the hanging reads have timed out by then.
     thread::sleep(Duration::from_secs(4));
     assert!(readers.iter().all(TestHost::is_ready));
     assert!(time_until_applied(&site, &follower).is_some(), "not in force in {APPLY_LIMIT:?}");
 }
 
-/// A connection that went silent without a reset hid every change for as long as the read that the store held on it was waited for:
-/// 2.7 s, although new connections were served.
+/// A connection that goes silent without a reset must not hide changes until the long poll on it
+/// times out.
 #[test]
 fn a_change_reaches_a_host_whose_store_connection_went_silent() {
     let site = TestSite::start();
@@ -67,8 +63,7 @@
     assert!(time_until_applied(&site, &host).is_some(), "not in force in {APPLY_LIMIT:?}");
 }
 
-/// The same for the engines' entries, of which the next read came a second later still: requests went to an engine for 3.8 s after
-/// the store had taken that it leaves.
+/// The same for engine entries, which are read in batches at longer intervals.
 #[test]
 fn a_leaving_engine_is_dropped_though_the_store_connection_went_silent() {
     let site = TestSite::start();
@@ -77,8 +72,8 @@
     site.store.silence_connections();
     let began = Instant::now();
     site.store.put("engines", "plain-1", &site.plain.entry("plain", true));
-    wait_until("the engine is left", || {
+    wait_until("the leaving engine is dropped", || {
         host.shared.table.borrow().ready_engines("plain").next().is_none()
     });
-    assert!(began.elapsed() <= APPLY_LIMIT, "left only after {:?}", began.elapsed());
+    assert!(began.elapsed() <= APPLY_LIMIT, "dropped only after {:?}", began.elapsed());
 }
--- a/crates/gateway/tests/host/stopping.rs
+++ b/crates/gateway/tests/host/stopping.rs
@@ -1,4 +1,5 @@
-//! A planned stop: not ready at once, open answers whole, gone within the operator's grace.
+//! A planned stop: readiness fails immediately, open responses complete, and the host ends within
+//! its grace period.
 
 use std::{thread, time::Duration};
 
@@ -32,7 +33,7 @@
     let response = raw_exchange(readiness, probe.as_bytes());
     assert!(response.starts_with("HTTP/1.1 503"), "{response}");
     let response = stream.join().expect("the client ends");
-    assert!(response.ends_with("0\r\n\r\n"), "the stream was cut: {response}");
+    assert!(response.ends_with("0\r\n\r\n"), "the stream was truncated: {response}");
     let took = stopping.join().expect("the host ends");
     assert!(took < Duration::from_secs(6), "{took:?}");
 }
--- a/crates/gateway/tests/host/store.rs
+++ b/crates/gateway/tests/host/store.rs
@@ -47,19 +47,19 @@
 /// A topic whose newest records come in pages of one record.
 struct PagedTopic {
     topic: &'static str,
-    /// What happens as soon as the first page was made.
+    /// The change to make once the first page is built.
     page_change: Option<PageChange>,
 }
 
-/// What happens to a topic between two pages.
+/// A change to a topic between two pages.
 enum PageChange {
-    /// A record is put.
+    /// Appends a record.
     Put((String, String)),
-    /// The store comes back from an older copy, in which the topic lacks so many records, and this one is put.
+    /// Rolls the topic back by this many records in a new era, and appends a record.
     RollBack(usize, (String, String)),
 }
 
-/// A copy of everything that the store keeps.
+/// A copy of the store's contents.
 #[derive(Clone)]
 pub(crate) struct StoreSnapshot {
     topics: BTreeMap<String, Topic>,
@@ -67,7 +67,7 @@
     generation: u64,
 }
 
-/// What the store tells of the partitions' holders: what they were a while ago.
+/// A lag with which the store reports the owners of partitions, and the history it needs.
 struct OwnersLag {
     lag: Duration,
     history: Vec<(Instant, BTreeMap<u32, String>)>,
@@ -79,25 +79,26 @@
     members: BTreeMap<String, Instant>,
     generation: u64,
     refuses: bool,
-    /// What it says of a cooldown when it refuses a call. Unit: seconds.
+    /// The cooldown that refusals announce. Unit: seconds.
     cooldown: Option<&'static str>,
     hangs: bool,
     calls: u64,
     joins: Vec<Instant>,
-    /// Set where the newest records of a topic come in pages of one record.
+    /// Set if the newest records of a topic come in pages of one record.
     paged: Option<PagedTopic>,
-    /// Set where what the store tells of the partitions' holders lies behind.
+    /// Set if the owners of partitions are reported with a lag.
     owners_lag: Option<OwnersLag>,
-    /// How many reads of each topic were held, from the moment they began to be.
+    /// Number of long polls of each topic, counted when they start to wait.
     long_polls: BTreeMap<String, u64>,
-    /// Counts how often the store came back from an older copy of itself.
+    /// Number of rollbacks of the store.
     era: u64,
-    /// Counts how often all connections went silent; those of an earlier count say nothing any more.
+    /// Number of times all connections were silenced; connections opened at a lower count never
+    /// respond.
     silences: u64,
 }
 
 impl StoreState {
-    /// Returns who holds each partition as the store tells it, with its lag.
+    /// Returns the owner of each partition as the store reports it, with its lag.
     fn reported_owners(&mut self) -> BTreeMap<u32, String> {
         let owners = self.owners();
         let Some(OwnersLag { lag, history }) = &mut self.owners_lag else { return owners };
@@ -121,20 +122,20 @@
     }
 }
 
-/// Another address of the store, at which calls that concern one topic may go without an answer.
+/// Another address of the store, at which calls that concern one topic can be made to hang.
 pub(crate) struct StoreEndpoint {
     pub(crate) address: SocketAddr,
     hangs: Arc<AtomicBool>,
 }
 
 impl StoreEndpoint {
-    /// Makes calls that concern the topic hang here; those that hung are never answered.
+    /// Makes calls that concern the topic hang here; hanging calls never get a response.
     pub(crate) fn hang(&self) {
         self.hangs.store(true, Ordering::Relaxed);
     }
 }
 
-/// How long a call hangs that is never answered.
+/// How long a hanging call is kept open.
 const HANG_TIME: Duration = Duration::from_secs(30);
 
 /// A stand-in for the platform's store.
@@ -182,26 +183,27 @@
         self.state.1.notify_all();
     }
 
-    /// Makes the store refuse every call, and say this of a cooldown.
+    /// Makes the store refuse every call with this cooldown.
     pub(crate) fn refuse_with(&self, cooldown: &'static str) {
         self.lock().cooldown = Some(cooldown);
         self.refuse(true);
     }
 
-    /// Makes the store take calls and answer none, or answer again; calls that hung are never answered.
+    /// Makes calls hang, or get responses again; calls that hung never get one.
     pub(crate) fn hang(&self, hangs: bool) {
         self.lock().hangs = hangs;
         self.state.1.notify_all();
     }
 
-    /// Makes pages of a topic's newest records hold one record, and puts a record after the first of them.
+    /// Pages the newest records of a topic by one record, and appends a record after the first
+    /// page.
     pub(crate) fn put_between_pages(&self, topic: &'static str, key: &str, value: &str) {
         let page_change = Some(PageChange::Put((key.to_owned(), value.to_owned())));
         self.lock().paged = Some(PagedTopic { topic, page_change });
     }
 
-    /// Makes pages of a topic's newest records hold one record, and brings the store back from an older copy after the first of
-    /// them: the topic lacks its last `lost` records, and another one is put.
+    /// Pages the newest records of a topic by one record; after the first page the topic loses its
+    /// last `lost` records in a new era, and `put` is appended.
     pub(crate) fn roll_back_between_pages(
         &self,
         topic: &'static str,
@@ -213,14 +215,15 @@
         self.lock().paged = Some(PagedTopic { topic, page_change });
     }
 
-    /// Copies everything that the store keeps.
+    /// Returns a snapshot of the store.
     pub(crate) fn snapshot(&self) -> StoreSnapshot {
         let state = self.lock();
         let (topics, members) = (state.topics.clone(), state.members.clone());
         StoreSnapshot { topics, members, generation: state.generation }
     }
 
-    /// Brings the store back from a copy: what was written since is gone, and its offsets and generations are given out again.
+    /// Restores a snapshot in a new era: later writes are lost, and their offsets and generations
+    /// are assigned again.
     pub(crate) fn restore(&self, snapshot: &StoreSnapshot) {
         let mut state = self.lock();
         let StoreSnapshot { topics, members, generation } = snapshot.clone();
@@ -230,25 +233,25 @@
         self.state.1.notify_all();
     }
 
-    /// Returns how many records a topic has.
+    /// Returns the number of records of a topic.
     pub(crate) fn end(&self, topic: &str) -> usize {
         self.lock().topics.get(topic).map_or(0, |topic| topic.records.len())
     }
 
-    /// Makes what the store tells of the partitions' holders lie behind: a partition passes on only when the member that had
-    /// it has joined again, which moves no generation.
+    /// Reports the owners of partitions with a lag: a partition moves only when its previous owner
+    /// has rejoined, which does not change the generation.
     pub(crate) fn delay_owners(&self, lag: Duration) {
         self.lock().owners_lag = Some(OwnersLag { lag, history: Vec::new() });
     }
 
-    /// Makes all connections that are open now go silent for good; new ones are served.
+    /// Silences all connections that are open now; new ones are served.
     pub(crate) fn silence_connections(&self) {
         self.lock().silences += 1;
         self.state.1.notify_all();
     }
 
-    /// Brings the store back from an older copy: the last `lost` records of a topic are gone, and their offsets are given out
-    /// again. Returns what was lost, for whoever writes it again.
+    /// Rolls a topic back in a new era: its last `lost` records are gone, and their offsets are
+    /// assigned again. Returns the lost records.
     pub(crate) fn roll_back(&self, topic: &str, lost: usize) -> Vec<(String, String)> {
         let mut state = self.lock();
         state.era += 1;
@@ -259,19 +262,19 @@
         gone
     }
 
-    /// Waits until the store holds a read of a topic that has just begun.
+    /// Waits until a new long poll of a topic begins.
     pub(crate) fn await_long_poll(&self, topic: &str) {
         let long_polls_of =
             |state: &StoreState| state.long_polls.get(topic).copied().unwrap_or_default();
         let before = long_polls_of(&self.lock());
         let began = Instant::now();
         while long_polls_of(&self.lock()) == before {
-            assert!(began.elapsed() < HANG_TIME, "nobody reads {topic}");
+            assert!(began.elapsed() < HANG_TIME, "no long poll of {topic} began");
             thread::sleep(Duration::from_millis(2));
         }
     }
 
-    /// Makes a host a member of the group for good.
+    /// Adds a member to the group that does not expire during a test.
     pub(crate) fn add_member(&self, member: &str) {
         let expires = Instant::now() + Duration::from_hours(1);
         let mut state = self.lock();
@@ -279,7 +282,7 @@
         state.generation += 1;
     }
 
-    /// Returns when members joined since a moment.
+    /// Returns when members joined from `moment` on.
     pub(crate) fn joins_since(&self, moment: Instant) -> Vec<Instant> {
         self.lock().joins.iter().copied().filter(|join| *join >= moment).collect()
     }
@@ -289,7 +292,8 @@
     }
 }
 
-/// Serves one connection; a request for which `should_hang` holds by the time of its answer gets none.
+/// Serves one connection; a request gets no response if `should_hang` holds when its response is
+/// due.
 fn serve_store(
     state: &(Mutex<StoreState>, Condvar),
     connection: &mut ServedConnection,
@@ -317,7 +321,7 @@
     }
 }
 
-/// Makes an answer, and tells in which era.
+/// Returns the response to a call with its era.
 fn respond(state: &(Mutex<StoreState>, Condvar), request: &ServedRequest) -> (u64, (u16, Value)) {
     let mut locked = state.0.lock().unwrap_or_else(PoisonError::into_inner);
     let mut era = locked.era;
--- a/crates/gateway/tests/host/store_restore.rs
+++ b/crates/gateway/tests/host/store_restore.rs
@@ -1,4 +1,5 @@
-//! What hosts believe of a store that came back from an older copy: its order, and what is newer than its own word.
+//! A store restored from an older snapshot: hosts follow the new era, and newer state that they
+//! know takes precedence.
 
 use std::{
     cell::RefCell,
@@ -29,7 +30,7 @@
 
 const WEAK_CAPACITY: HostCapacity = HostCapacity { processor: 0.1, bandwidth: 10.0 };
 
-/// Within which time what the store has acknowledged is in force on hosts that reach it; operators give two to three seconds.
+/// Time within which an acknowledged write must be in force on hosts that reach the store.
 const APPLY_LIMIT: Duration = Duration::from_secs(2);
 
 fn serves_late_route(host: &TestHost) -> bool {
@@ -44,23 +45,24 @@
     host.shared.metrics.store_era.get() == era
 }
 
-/// Waits until something holds; returns after how long.
+/// Waits until a condition holds; returns how long it took.
 fn time_until(what: &str, condition: impl Fn() -> bool) -> Duration {
     let began = Instant::now();
     wait_until(what, condition);
     began.elapsed()
 }
 
-/// Asserts that something goes on holding for a time.
+/// Asserts that a condition holds continuously for a time.
 fn assert_holds_for(time: Duration, what: &str, condition: impl Fn() -> bool) {
     let began = Instant::now();
     while began.elapsed() < time {
-        assert!(condition(), "{what}: no longer after {:?}", began.elapsed());
+        assert!(condition(), "{what}: no longer holds after {:?}", began.elapsed());
         thread::sleep(Duration::from_millis(10));
     }
 }
 
-/// A route that was in force went away with the store's copy, and a change after it came only when the topic had grown.
+/// Guards against dropping a route that the snapshot lacks, and against missing changes until the
+/// topic has grown past its former end.
 #[test]
 fn followers_enter_a_new_era_with_their_reader_without_reverting_state() {
     let site = TestSite::start();
@@ -73,14 +75,14 @@
     wait_until("the change is in force", || serves_late_route(&follower));
     let calls = follower.shared.metrics.store_calls.get();
     site.store.restore(&snapshot);
-    wait_until("the follower hears of it", || knows_era(&follower, 1));
+    wait_until("the follower knows the new era", || knows_era(&follower, 1));
     assert!(readers.iter().all(serves_late_route));
     assert_holds_for(Duration::from_millis(500), "the route", || serves_late_route(&follower));
     site.store.put("engines", "plain-1", &site.plain.entry("plain", true));
-    let left = time_until("the engine is left", || ready_plain_engines(&follower) == 0);
-    assert!(left <= APPLY_LIMIT, "left only after {left:?}");
+    let left = time_until("the leaving engine is dropped", || ready_plain_engines(&follower) == 0);
+    assert!(left <= APPLY_LIMIT, "dropped only after {left:?}");
     let calls = follower.shared.metrics.store_calls.get() - calls;
-    assert!(calls <= 2, "{calls} calls by a host whose reader reads for it");
+    assert!(calls <= 2, "{calls} store calls by a follower");
 }
 
 #[test]
@@ -104,7 +106,8 @@
     assert!(knows_era(&host, 2));
 }
 
-/// A host that starts knows only what the copy says, and the operator has not written again yet; its peers know better.
+/// A host that starts after the rollback reads only the snapshot, before the operator has written
+/// again; its peers know newer state.
 #[test]
 fn a_host_that_starts_after_a_rollback_learns_newer_state_from_peers() {
     let site = TestSite::start();
@@ -113,53 +116,53 @@
     site.store.put("configuration", "routes", "2");
     wait_until("the change is in force", || serves_late_route(&first));
     site.store.restore(&snapshot);
-    wait_until("the first hears of it", || knows_era(&first, 1));
+    wait_until("the first host knows the new era", || knows_era(&first, 1));
     for capacity in [WEAK_CAPACITY, HostCapacity { processor: 0.25, bandwidth: 1000.0 }] {
         let late =
             site.start_host_with_capacity("late", vec![first.shared.profile.peers], capacity);
         late.wait_ready();
-        let time = time_until("the late host knows it", || serves_late_route(&late));
+        let time = time_until("the late host knows of the change", || serves_late_route(&late));
         assert!(time <= APPLY_LIMIT, "known only after {time:?}");
         late.stop();
     }
 }
 
-/// A host that starts just after a fall and reaches no peer has nothing but the copy, which lists a key that was withdrawn since: it
-/// served that key until the operator wrote again, and whatever routes the copy has.
+/// Without peers a host has only the snapshot, which may list a revoked key. It must not serve from
+/// it until the operator has written again.
 #[test]
 fn a_host_that_starts_alone_after_a_rollback_serves_nothing_from_the_snapshot() {
     let site = site_with_organisations();
     let snapshot = site.store.snapshot();
     site.store.put("configuration", "routes", &REVOKED_KEY_REVISION.to_string());
     site.store.restore(&snapshot);
-    let host = site.start_host("alone-after-a-fall", Vec::new());
+    let host = site.start_host("alone-after-rollback", Vec::new());
     let send = |key: &str| host.get("/single/a", &format!("X-Request: k\r\nX-Key: {key}\r\n"));
-    wait_until("the host hears of it", || knows_era(&host, 1));
-    let revoked_key = "the withdrawn key";
-    // The operator writes again within some seconds.
+    wait_until("the host knows the new era", || knows_era(&host, 1));
+    let revoked_key = "the revoked key";
+    // The operator writes again after a few seconds.
     assert_holds_for(Duration::from_secs(2), revoked_key, || {
         !send("key-n1").starts_with("HTTP/1.1 200")
     });
     site.store.put("configuration", "routes", &REVOKED_KEY_REVISION.to_string());
-    wait_until("it serves", || send("key-n2").starts_with("HTTP/1.1 200"));
+    wait_until("the host serves", || send("key-n2").starts_with("HTTP/1.1 200"));
     assert_holds_for(APPLY_LIMIT, revoked_key, || send("key-n1").starts_with("HTTP/1.1 401"));
 }
 
-/// An entry of the plain server, absent where its key is dropped.
+/// The incarnation and leaving flag of the plain server's entry; `None` for a deleted entry.
 type Entry = Option<(u64, bool)>;
 
-/// What becomes of an engine of which a copy says something else than what is known.
+/// An engine whose entry in the snapshot differs from the known one.
 struct ListingCase {
     name: &'static str,
-    /// The entry in the copy: the life, and whether it is leaving.
+    /// The entry in the snapshot.
     snapshot_entry: Entry,
-    /// What was written after the copy was made.
+    /// The entries written after the snapshot.
     later_entries: &'static [Entry],
     /// Whether the engine is used before it has written again.
     ready_before: bool,
-    /// What is written again.
+    /// The entry written after the restore.
     rewritten: Entry,
-    /// Whether it is used then.
+    /// Whether the engine is used after that.
     ready_after: bool,
 }
 
@@ -167,7 +170,7 @@
 
 const LISTING_CASES: &[ListingCase] = &[
     ListingCase {
-        name: "ready in the copy, and has said that it leaves",
+        name: "ready in the snapshot, known to leave",
         snapshot_entry: Some((INCARNATION, false)),
         later_entries: &[Some((INCARNATION, true))],
         ready_before: false,
@@ -175,7 +178,7 @@
         ready_after: false,
     },
     ListingCase {
-        name: "ready in the copy, and writes its older word again",
+        name: "ready in the snapshot, known to leave, and writes its older entry again",
         snapshot_entry: Some((INCARNATION, false)),
         later_entries: &[Some((INCARNATION, true))],
         ready_before: false,
@@ -183,7 +186,7 @@
         ready_after: false,
     },
     ListingCase {
-        name: "listed in the copy, and is gone since",
+        name: "listed in the snapshot, known to be gone",
         snapshot_entry: Some((INCARNATION, false)),
         later_entries: &[None],
         ready_before: false,
@@ -191,7 +194,7 @@
         ready_after: false,
     },
     ListingCase {
-        name: "listed in the copy, was gone, and lives",
+        name: "listed in the snapshot, known to be gone, and writes an entry again",
         snapshot_entry: Some((INCARNATION, false)),
         later_entries: &[None],
         ready_before: false,
@@ -199,7 +202,7 @@
         ready_after: true,
     },
     ListingCase {
-        name: "unknown to the copy, and lives",
+        name: "missing in the snapshot, known to be ready",
         snapshot_entry: None,
         later_entries: &[Some((INCARNATION, false))],
         ready_before: true,
@@ -207,7 +210,7 @@
         ready_after: true,
     },
     ListingCase {
-        name: "unknown to the copy, and leaves when it writes again",
+        name: "missing in the snapshot, and leaves when it writes again",
         snapshot_entry: None,
         later_entries: &[Some((INCARNATION, false))],
         ready_before: true,
@@ -215,7 +218,7 @@
         ready_after: false,
     },
     ListingCase {
-        name: "leaving in the copy, and its next life is listed since",
+        name: "leaving in the snapshot, its next incarnation known to be ready",
         snapshot_entry: Some((INCARNATION, true)),
         later_entries: &[None, Some((INCARNATION + 1, false))],
         ready_before: true,
@@ -223,7 +226,7 @@
         ready_after: true,
     },
     ListingCase {
-        name: "in the copy in the life before one that leaves",
+        name: "ready in the snapshot, its next incarnation known to leave",
         snapshot_entry: Some((INCARNATION, false)),
         later_entries: &[None, Some((INCARNATION + 1, true))],
         ready_before: false,
@@ -257,7 +260,7 @@
     let snapshot = site.store.snapshot();
     for entry in case.later_entries {
         put_entry(&site, *entry);
-        // Each is read by itself.
+        // Each entry must be read on its own.
         let end = i64::try_from(site.store.end("engines")).expect("a short topic");
         wait_until(case.name, || known_to(end));
     }
@@ -277,7 +280,7 @@
     });
 }
 
-/// The copy still lists the key; the operator writes the withdrawal again seconds later.
+/// The snapshot still lists the key; the operator writes the revocation again seconds later.
 #[test]
 fn a_revoked_key_stays_revoked_after_a_rollback() {
     let site = site_with_organisations();
@@ -288,15 +291,15 @@
     site.store.put("configuration", "routes", &REVOKED_KEY_REVISION.to_string());
     wait_until("the key is refused", || send().starts_with("HTTP/1.1 401"));
     site.store.restore(&snapshot);
-    wait_until("the host hears of it", || knows_era(&host, 1));
-    assert_holds_for(APPLY_LIMIT, "the withdrawal", || send().starts_with("HTTP/1.1 401"));
+    wait_until("the host knows the new era", || knows_era(&host, 1));
+    assert_holds_for(APPLY_LIMIT, "the revocation", || send().starts_with("HTTP/1.1 401"));
     site.store.put("configuration", "routes", &REVOKED_KEY_REVISION.to_string());
-    assert_holds_for(Duration::from_millis(300), "the withdrawal", || {
+    assert_holds_for(Duration::from_millis(300), "the revocation", || {
         send().starts_with("HTTP/1.1 401")
     });
 }
 
-/// Tokens of the orders that engines took, by holder, in the order in which each engine took them.
+/// Returns holders and tokens of the orders that each engine accepted, in order.
 fn tokens(site: &TestSite) -> Vec<Vec<(String, u64)>> {
     let of = |order: &serde_json::Value| {
         let holder = order["holder"].as_str().unwrap_or_default().to_owned();
@@ -305,8 +308,8 @@
     site.engines.iter().map(|engine| engine.orders().iter().map(of).collect()).collect()
 }
 
-/// The group counts its generations again. A token that is only a generation would be given out twice, or lie below what engines have
-/// seen, which then refuse everybody until the count has caught up.
+/// Generations of the group repeat after a rollback. Tokens derived from them alone would repeat,
+/// or be below the ones engines have seen, which then refuse all orders.
 #[test]
 fn fence_tokens_keep_rising_after_a_rollback() {
     let site = TestSite::start();
@@ -324,14 +327,16 @@
         site.store.restore(&snapshot);
         let began = Instant::now();
         let adapter = format!("after-{rollback}");
-        wait_until("an adapter is served after the fall", || served(&hosts[0], &adapter));
-        println!("served {:?} after fall {rollback}", began.elapsed());
-        wait_until("all know", || hosts.iter().all(|host| knows_era(host, rollback)));
+        wait_until("an adapter is served after the rollback", || served(&hosts[0], &adapter));
+        println!("served {:?} after rollback {rollback}", began.elapsed());
+        wait_until("all hosts know the new era", || {
+            hosts.iter().all(|host| knows_era(host, rollback))
+        });
     }
     let orders_by_engine = tokens(&site);
     let mut holders: BTreeMap<u64, String> = BTreeMap::new();
     for orders in &orders_by_engine {
-        assert!(orders.is_sorted_by_key(|(_, token)| *token), "tokens fall: {orders:?}");
+        assert!(orders.is_sorted_by_key(|(_, token)| *token), "tokens decrease: {orders:?}");
         for (holder, token) in orders {
             let known = holders.entry(*token).or_insert_with(|| holder.clone());
             assert_eq!(known, holder, "two holders with token {token}: {orders_by_engine:?}");
@@ -340,10 +345,11 @@
     assert!(holders.len() >= 2, "{holders:?}");
 }
 
-/// What one task that follows a topic was told.
+/// The updates of one task that follows a topic.
 type Updates = RefCell<Vec<TopicUpdate>>;
 
-/// Follows the configuration of a site with a task alone, until `enough` holds or the patience is over; `eras` was heard of before.
+/// Follows the configuration with a single task until `enough` holds or [`APPLY_LIMIT`] has passed;
+/// `eras` is what the host knew before.
 fn follow_until(
     site: &TestSite,
     eras: &StoreEras,
@@ -397,7 +403,7 @@
     for (key, value) in [("a", "1"), ("b", "1"), ("c", "1"), ("a", "2")] {
         site.store.put("configuration", key, value);
     }
-    // Read at once, the first page tells "a" as it was before the fall.
+    // Combined with later pages, the first page would report "a" as it was before the rollback.
     site.store.roll_back_between_pages("configuration", 1, ("b", "3"));
     let is_complete = |update: &TopicUpdate| matches!(update, TopicUpdate::Whole { .. });
     let updates =
@@ -405,7 +411,7 @@
     let Some(TopicUpdate::Whole { records, end, .. }) =
         updates.iter().find(|update| is_complete(update))
     else {
-        panic!("no whole reading: {updates:?}")
+        panic!("no complete read: {updates:?}")
     };
     let read: Vec<(&str, &[u8])> =
         records.iter().map(|record| (record.key.as_str(), &*record.value)).collect();
--- a/crates/gateway/tests/host/streams.rs
+++ b/crates/gateway/tests/host/streams.rs
@@ -1,4 +1,4 @@
-//! Streams of events: whole, broken, taken up elsewhere, and left by their clients.
+//! Event streams: complete, broken, resumed, and abandoned by their clients.
 
 use std::{
     io::{Read, Write},
@@ -43,7 +43,7 @@
     assert!(response.starts_with("HTTP/1.1 200"), "{response}");
     assert!(!response.ends_with("0\r\n\r\n"), "{response}");
     let runs: usize = site.engines.iter().map(|engine| engine.runs().len()).sum();
-    assert_eq!(runs, 1, "what can not be resumed runs once");
+    assert_eq!(runs, 1, "a stream that can't be resumed ran again");
 }
 
 #[test]
@@ -63,7 +63,7 @@
             return;
         }
     }
-    panic!("no stream was ever taken up");
+    panic!("no stream was resumed");
 }
 
 #[test]
@@ -80,10 +80,10 @@
     );
     socket.write_all(request.as_bytes()).expect("the request is sent");
     let mut bytes = [0; 512];
-    let count = socket.read(&mut bytes).expect("the answer begins");
+    let count = socket.read(&mut bytes).expect("the start of the response");
     assert!(count > 0);
     drop(socket);
-    wait_until("the engine sees that its client is gone", || {
+    wait_until("the engine sees the disconnect", || {
         site.engines.iter().map(crate::engine::StandInEngine::client_disconnects).sum::<u32>() == 1
     });
 }
@@ -102,5 +102,5 @@
             return;
         }
     }
-    panic!("the hanging engine was never asked");
+    panic!("the hanging engine got no request");
 }
--- a/crates/gateway/tests/host/suspended.rs
+++ b/crates/gateway/tests/host/suspended.rs
@@ -1,4 +1,4 @@
-//! A host that is suspended and comes back: whatever it believed has an age, and the time that it was away counts.
+//! A suspended host: the time of the suspension counts towards the age of its state.
 
 use std::{
     sync::{
@@ -17,10 +17,10 @@
     site::{TestSite, wait_until},
 };
 
-/// For how long hosts are suspended: longer than anything that they may believe for a time.
+/// Duration of a suspension: longer than the validity of any cached state.
 const SUSPENSION: Duration = Duration::from_secs(20);
 
-/// The clock of a host that can be suspended: its timers stand still meanwhile, and this goes on.
+/// A clock that advances during a simulated suspension, while timers stand still.
 struct SuspendableClock {
     clock: MonotonicClock,
     suspended_millis: AtomicU64,
@@ -42,7 +42,8 @@
     }
 }
 
-/// A key was served for as long as the host had been away beyond the bound: the clock that it was timed by had stood still.
+/// Guards against a clock that stands still during a suspension and thereby extends the validity of
+/// keys.
 #[test]
 fn no_key_is_served_from_state_older_than_a_suspension() {
     let site = site_with_organisations();
@@ -59,7 +60,7 @@
     wait_until("the key is served again", || request_status().starts_with("HTTP/1.1 200"));
 }
 
-/// A request whose time ended while the host was away is over, and its engine is not kept at work.
+/// The request must end, and its engine must be released.
 #[test]
 fn a_request_whose_deadline_passed_during_a_suspension_ends() {
     let site = TestSite::start();
@@ -70,16 +71,17 @@
     thread::scope(|scope| {
         let sent = Instant::now();
         let request = scope.spawn(|| host.post("/single/a", "X-Request: o\r\n", "body"));
-        wait_until("it is at its engine", || !site.plain.arrivals().is_empty());
+        wait_until("the request reaches its engine", || !site.plain.arrivals().is_empty());
         clock.suspend();
-        let response = request.join().expect("an answer");
+        let response = request.join().expect("a response");
         assert!(response.starts_with("HTTP/1.1 504"), "{response}");
-        // The route's 1,500 ms had hardly begun.
+        // The route's timeout of 1,500 ms has not passed in real time.
         assert!(sent.elapsed() < Duration::from_secs(1), "{:?}", sent.elapsed());
     });
 }
 
-/// A placer that fell silent while this host was away is left at once, not after its patience has begun anew.
+/// A placer that has been silent since before the suspension must be left immediately, without
+/// another full timeout.
 #[test]
 fn peer_state_from_before_a_suspension_is_stale() {
     let site = TestSite::start();
@@ -87,11 +89,13 @@
     let source: Arc<dyn ClockSource> = clock.clone();
     wait_until("the first host holds the lease", || peer.shared.metrics.leases.get() == 1);
     let host = site.host_with_clock("suspended-peer", source, None);
-    wait_until("both are counted", || host.shared.table.borrow().hosts == 2);
+    wait_until("both hosts are counted", || host.shared.table.borrow().hosts == 2);
     clock.suspend();
-    // It goes on with the placer's next word, and nothing is broken.
+    // The host continues with the placer's next message.
     wait_until("requests are served", || {
         host.post("/single/a", "X-Request: p\r\n", "body").starts_with("HTTP/1.1 200")
     });
-    wait_until("the placer is heard again", || host.shared.table.borrow().hosts == 2);
+    wait_until("the placer's messages are received again", || {
+        host.shared.table.borrow().hosts == 2
+    });
 }
--- a/crates/gateway/tests/host/system_fields.rs
+++ b/crates/gateway/tests/host/system_fields.rs
@@ -1,4 +1,4 @@
-//! Header fields that only the system sets: what a client writes there never reaches an engine.
+//! Header fields reserved for the system: values from clients must never reach an engine.
 
 use reelreel_stand_ins::connection::ServedRequest;
 
@@ -8,7 +8,7 @@
     site::{MODEL_NAME, TestHost, TestSite, raw_exchange},
 };
 
-/// How a client writes the fields that are not its own.
+/// A spelling of reserved fields in a client's request.
 struct ForgedCase {
     name: &'static str,
     fields: &'static str,
@@ -19,23 +19,23 @@
     ForgedCase { name: "in odd case", fields: "x-hOLD: h-1\r\nX-PIN: 4000\r\n" },
     ForgedCase { name: "twice", fields: "X-Hold: h-1\r\nX-Hold: h-2\r\nX-Pin: 1\r\nX-Pin: 2\r\n" },
     ForgedCase { name: "empty", fields: "X-Hold:\r\nX-Pin: \r\n" },
-    ForgedCase { name: "surrounded by blanks", fields: "X-Hold: \t h-1 \r\nX-Pin:4000\t\r\n" },
+    ForgedCase { name: "surrounded by whitespace", fields: "X-Hold: \t h-1 \r\nX-Pin:4000\t\r\n" },
     ForgedCase {
-        name: "named by Connection too",
+        name: "also named by Connection",
         fields: "Connection: X-Pin, X-Hold\r\nX-Hold: h-1\r\nX-Pin: 4000\r\n",
     },
     ForgedCase {
-        name: "with bytes that are no text",
+        name: "with bytes that are not ASCII",
         fields: "X-Hold: \u{e9}\r\nX-Pin: \u{fc}\r\n",
     },
 ];
 
-/// A way on which a request reaches an engine.
+/// A path on which a request reaches an engine.
 struct ForwardPath {
     name: &'static str,
     path: &'static str,
     body: ForwardBody,
-    /// Whether an engine with models serves it.
+    /// Whether it is a model service.
     streams: bool,
     behaviours: &'static [EngineBehaviour],
 }
@@ -61,21 +61,21 @@
         behaviours: &[EngineBehaviour::Echo],
     },
     ForwardPath {
-        name: "sent again after an error",
+        name: "retry after an error",
         path: "/safe/a",
         body: ForwardBody::Length,
         streams: false,
         behaviours: &[EngineBehaviour::Error, EngineBehaviour::Echo],
     },
     ForwardPath {
-        name: "sent again after a refusal",
+        name: "retry after a refusal",
         path: "/stream/a",
         body: ForwardBody::Length,
         streams: true,
         behaviours: &[EngineBehaviour::NotRun, EngineBehaviour::Stream(3)],
     },
     ForwardPath {
-        name: "stream taken up again",
+        name: "resumed stream",
         path: "/resumable/a",
         body: ForwardBody::Length,
         streams: true,
