--- a/crates/gateway/tests/host/announcements.rs
+++ b/crates/gateway/tests/host/announcements.rs
@@ -244,9 +244,9 @@
             "{service}: {cooling} of 6 cooling, {leaving} leaving: {served} of {sent} served, refused after {mean_refusal_time:?}, {calls} rejections"
         );
         // A route may allow a single engine only, so each rejection may cost one request.
-        let all_cool = cooling == fleet.engines.len();
+        let all_cooling = cooling == fleet.engines.len();
         assert!(
-            all_cool || sent - served <= calls,
+            all_cooling || sent - served <= calls,
             "{service} {cooling} {leaving}: {served} of {sent}"
         );
         assert!(
--- a/crates/gateway/tests/host/dialect.rs
+++ b/crates/gateway/tests/host/dialect.rs
@@ -133,7 +133,7 @@
     CallRequest { head, body: Bytes::from(body) }
 }
 
-fn read(answer: &CallAnswer) -> Result<Value, BorderError> {
+fn parse_json(answer: &CallAnswer) -> Result<Value, BorderError> {
     match answer.head.status {
         200 => serde_json::from_slice(&answer.body)
             .map_err(|error| BorderError::Malformed(error.to_string())),
@@ -174,7 +174,7 @@
     }
 
     fn report_answer(&self, answer: &CallAnswer) -> Result<EngineReport, BorderError> {
-        let body = read(answer)?;
+        let body = parse_json(answer)?;
         Ok(EngineReport {
             born: body["born"].as_u64().unwrap_or_default(),
             sequence: body["sequence"].as_u64().unwrap_or_default(),
@@ -225,7 +225,7 @@
     }
 
     fn newest_answer(&self, answer: &CallAnswer) -> Result<NewestPage, BorderError> {
-        let body = read(answer)?;
+        let body = parse_json(answer)?;
         let era = self.era(answer);
         let more = body["more"].as_bool().unwrap_or_default();
         Ok(NewestPage { records: records(era, &body), more, end: position(era, &body["end"]) })
@@ -242,7 +242,7 @@
         from: StorePosition,
         answer: &CallAnswer,
     ) -> Result<RecordBatch, BorderError> {
-        let body = read(answer)?;
+        let body = parse_json(answer)?;
         let era = self.era(answer);
         let records = records(era, &body);
         let last = records.last().map(|record| record.position.next());
@@ -263,7 +263,7 @@
     }
 
     fn join_answer(&self, answer: &CallAnswer) -> Result<GroupShare, BorderError> {
-        let body = read(answer)?;
+        let body = parse_json(answer)?;
         let parts = body["partitions"].as_array().into_iter().flatten().filter_map(Value::as_u64);
         Ok(GroupShare {
             era: self.era(answer),
@@ -281,7 +281,7 @@
     }
 
     fn owners_answer(&self, answer: &CallAnswer) -> Result<HashMap<u32, String>, BorderError> {
-        let body = read(answer)?;
+        let body = parse_json(answer)?;
         let owners =
             body.as_object().into_iter().flatten().filter_map(|(part, member)| {
                 Some((part.parse().ok()?, member.as_str()?.to_owned()))
--- a/crates/gateway/tests/host/engine.rs
+++ b/crates/gateway/tests/host/engine.rs
@@ -104,8 +104,8 @@
         locked.incarnation = FIRST_INCARNATION;
         drop(locked);
         let served = Arc::clone(&state);
-        let own = name.to_owned();
-        let address = serve(move |connection| serve_engine(&served, &own, connection));
+        let own_name = name.to_owned();
+        let address = serve(move |connection| serve_engine(&served, &own_name, connection));
         Self { state, name: name.to_owned(), address }
     }
 
@@ -126,18 +126,18 @@
             crashing_bodies.iter().map(|body| body.as_bytes().to_vec()).collect();
         let server = locked.server.clone();
         drop(locked);
-        let own = name.to_owned();
-        server.start(address, move |connection| serve_engine(&state, &own, connection));
+        let own_name = name.to_owned();
+        server.start(address, move |connection| serve_engine(&state, &own_name, connection));
         engine
     }
 
     /// Crashes a crashable engine.
-    pub(crate) fn end(&self) {
+    pub(crate) fn crash(&self) {
         let server = self.lock().server.clone();
         server.end();
     }
 
-    pub(crate) fn has_ended(&self) -> bool {
+    pub(crate) fn has_crashed(&self) -> bool {
         self.lock().server.has_ended()
     }
 
@@ -309,17 +309,17 @@
     while let Some(request) = connection.next_request() {
         let locked = || state.lock().unwrap_or_else(PoisonError::into_inner);
         locked().calls.push(Instant::now());
-        let limit = locked().announcement_fields();
+        let announcements = locked().announcement_fields();
         let served = match request.head.target.as_str() {
             "/orders" => {
-                let response = apply_order(&mut locked(), &request);
-                connection.answer(response, &limit, "null")
+                let status = apply_order(&mut locked(), &request);
+                connection.answer(status, &announcements, "null")
             }
             "/state" => {
                 let state = locked();
                 let report = json!({ "sequence": state.sequence, "held": state.loaded_models, "pending": [], "born": state.incarnation });
                 drop(state);
-                connection.answer(200, &limit, &report.to_string())
+                connection.answer(200, &announcements, &report.to_string())
             }
             _ => run(state, name, &request, connection),
         };
@@ -332,9 +332,10 @@
 impl EngineState {
     /// Returns the header fields of the next response that announce limit, departure and version.
     fn announcement_fields(&self) -> String {
-        let named =
+        let announced =
             self.limit.as_ref().filter(|(_, every)| self.calls.len().is_multiple_of(*every));
-        let limit = named.map_or_else(String::new, |(limit, _)| format!("{LIMIT}: {limit}\r\n"));
+        let limit =
+            announced.map_or_else(String::new, |(limit, _)| format!("{LIMIT}: {limit}\r\n"));
         let leaving = self.leaving.as_ref().map(|value| format!("{LEAVING}: {value}\r\n"));
         let version = self.version.map(|version| format!("{VERSION}: {version}\r\n"));
         limit + &leaving.unwrap_or_default() + &version.unwrap_or_default()
@@ -388,17 +389,18 @@
     let mut locked = state.lock().unwrap_or_else(PoisonError::into_inner);
     locked.arrivals.push(request.clone());
     locked.record_request(request);
-    let limit = locked.announcement_fields();
-    let expected = request.head.fields.text(ENGINE);
+    let announcements = locked.announcement_fields();
+    let expected_engine = request.head.fields.text(ENGINE);
     let key = request.head.fields.text(MODEL);
-    let absent = key.is_some_and(|key| !locked.loaded_models.contains(key));
-    if expected != Some(name) || absent {
+    let model_missing = key.is_some_and(|key| !locked.loaded_models.contains(key));
+    if expected_engine != Some(name) || model_missing {
         drop(locked);
-        return connection.answer(421, &format!("{REQUEST}: {id}\r\n{limit}"), "");
+        return connection.answer(421, &format!("{REQUEST}: {id}\r\n{announcements}"), "");
     }
     if let Some(seconds) = locked.cooldown.clone() {
         drop(locked);
-        let head = format!("{REQUEST}: {id}\r\n{NOT_RUN}: 1\r\n{COOLDOWN}: {seconds}\r\n{limit}");
+        let head =
+            format!("{REQUEST}: {id}\r\n{NOT_RUN}: 1\r\n{COOLDOWN}: {seconds}\r\n{announcements}");
         return connection.answer(503, &head, "");
     }
     if locked.crashing_bodies.contains(&request.body) {
@@ -418,15 +420,17 @@
         locked.runs.push(request.clone());
     }
     drop(locked);
-    let head = format!("{REQUEST}: {id}\r\n{RUN_BY}: {name}\r\n{limit}");
+    let head = format!("{REQUEST}: {id}\r\n{RUN_BY}: {name}\r\n{announcements}");
     let body = String::from_utf8_lossy(&request.body).into_owned();
     match behaviour {
         EngineBehaviour::Echo => connection.answer(200, &head, &body),
         EngineBehaviour::Error => connection.answer(500, &head, "engine error"),
         EngineBehaviour::UnmarkedRefusal => connection.answer(503, &head, "busy"),
-        EngineBehaviour::NotRun => {
-            connection.answer(503, &format!("{REQUEST}: {id}\r\n{NOT_RUN}: 1\r\n{limit}"), "")
-        }
+        EngineBehaviour::NotRun => connection.answer(
+            503,
+            &format!("{REQUEST}: {id}\r\n{NOT_RUN}: 1\r\n{announcements}"),
+            "",
+        ),
         EngineBehaviour::CloseConnection => None,
         EngineBehaviour::Hang => {
             connection.closes_within(Duration::from_secs(5));
@@ -446,7 +450,7 @@
             connection.answer(200, &head, "surplus response")
         }
         EngineBehaviour::MismatchedResponseFirst => {
-            let mismatched = format!("{REQUEST}: another\r\n{RUN_BY}: {name}\r\n{limit}");
+            let mismatched = format!("{REQUEST}: another\r\n{RUN_BY}: {name}\r\n{announcements}");
             connection.answer(200, &mismatched, "another response")?;
             connection.answer(200, &head, &body)
         }
@@ -467,11 +471,11 @@
     connection: &mut ServedConnection,
     head: &str,
     count: u32,
-    cut: Option<&str>,
+    partial_event: Option<&str>,
 ) -> Option<()> {
-    let first = request.head.fields.text(RESUME_AFTER).and_then(|after| after.parse().ok());
+    let resume_after = request.head.fields.text(RESUME_AFTER).and_then(|after| after.parse().ok());
     connection.write(&format!("HTTP/1.1 200 OK\r\n{head}Transfer-Encoding: chunked\r\n\r\n"))?;
-    for number in first.map_or(0, |after: u32| after + 1)..count {
+    for number in resume_after.map_or(0, |after: u32| after + 1)..count {
         let event = format!("id: {number}\ndata: {number}\n\n");
         let chunk = format!("{:x}\r\n{event}\r\n", event.len());
         if connection.write(&chunk).is_none() || connection.closes_within(Duration::from_millis(15))
@@ -480,7 +484,7 @@
             return None;
         }
     }
-    if let Some(partial) = cut {
+    if let Some(partial) = partial_event {
         connection.write(&format!("{:x}\r\n{partial}\r\n", partial.len()))?;
         thread::sleep(Duration::from_millis(5));
         return None;
--- a/crates/gateway/tests/host/engine_restart.rs
+++ b/crates/gateway/tests/host/engine_restart.rs
@@ -16,18 +16,18 @@
     let site = TestSite::start();
     let host = site.host("left-again");
     site.store.put("engines", "plain-1", &site.plain.entry("plain", true));
-    let single = || host.post("/single/a", "X-Request: l\r\n", "body");
-    wait_until("it is left", || single().starts_with("HTTP/1.1 503"));
+    let send_plain = || host.post("/single/a", "X-Request: l\r\n", "body");
+    wait_until("the server is dropped", || send_plain().starts_with("HTTP/1.1 503"));
     site.plain.restart(&[], FIRST_INCARNATION + 1);
     site.store.put("engines", "plain-1", &site.plain.entry("plain", false));
-    wait_until("its next life is used", || single().starts_with("HTTP/1.1 200"));
+    wait_until("the next incarnation is used", || send_plain().starts_with("HTTP/1.1 200"));
 }
 
 /// Hosts must drop what the placer told them about adapters of the previous incarnation.
 #[test]
 fn adapters_of_an_earlier_incarnation_do_not_count_as_loaded() {
     let site = TestSite::start();
-    let hosts = [site.host("held-1"), site.host("held-2")];
+    let hosts = [site.host("restart-1"), site.host("restart-2")];
     site.store.put("engines", "engine-2", "");
     for engine in &site.engines {
         engine.set_behaviours(&[EngineBehaviour::Stream(3)]);
--- a/crates/gateway/tests/host/events.rs
+++ b/crates/gateway/tests/host/events.rs
@@ -179,39 +179,33 @@
 
 /// Returns the fields in the page's table, by event.
 fn documented_fields() -> BTreeMap<String, BTreeSet<String>> {
-    let documented_fields = include_str!("../../../../docs/OPERATIONS.md");
-    let table = documented_fields.split("## The lines").nth(1).expect("the table of lines");
+    let page = include_str!("../../../../docs/OPERATIONS.md");
+    let table = page.split("## The lines").nth(1).expect("the table of lines");
     let rows = table.lines().filter(|line| line.starts_with("| `"));
-    let mut named = BTreeMap::new();
+    let mut fields_by_event = BTreeMap::new();
     for row in rows.take_while(|row| !row.contains("reelreel_")) {
         let cells: Vec<&str> = row.split('|').collect();
-        let words = |cell: &str| -> BTreeSet<String> {
+        let code_spans = |cell: &str| -> BTreeSet<String> {
             cell.split('`').skip(1).step_by(2).map(ToOwned::to_owned).collect()
         };
-        for event in words(cells[1]) {
-            named.insert(event, words(cells[2]));
+        for event in code_spans(cells[1]) {
+            fields_by_event.insert(event, code_spans(cells[2]));
         }
     }
-    named
+    fields_by_event
 }
 
 #[test]
 fn the_operations_page_lists_every_event_and_field() {
-    let documented_fields = documented_fields();
+    let documented = documented_fields();
     let events = one_event_of_each_kind();
-    assert_eq!(
-        events.len(),
-        documented_fields.len(),
-        "the page names {:?}",
-        documented_fields.keys()
-    );
+    assert_eq!(events.len(), documented.len(), "the page lists {:?}", documented.keys());
     for event in events {
         assert!(is_listed(&event));
         let line = serde_json::to_value(&event).expect("a JSON value");
         let line = line.as_object().expect("an object");
         let name = line["event"].as_str().expect("a name");
-        let fields =
-            documented_fields.get(name).unwrap_or_else(|| panic!("the page lacks `{name}`"));
+        let fields = documented.get(name).unwrap_or_else(|| panic!("the page lacks `{name}`"));
         for field in line.keys().filter(|field| *field != "event") {
             assert!(fields.contains(field), "the page lacks field `{field}` of `{name}`");
         }
--- a/crates/gateway/tests/host/fleet.rs
+++ b/crates/gateway/tests/host/fleet.rs
@@ -62,8 +62,8 @@
     pub(crate) fn load_rare_adapter(&mut self) -> usize {
         self.fields = format!("X-Model: {MODEL_NAME}/rare\r\n");
         wait_until("the adapter is served", || self.serves(&self.hosts[0], "rare"));
-        let holds = |engine: &StandInEngine| !engine.orders().is_empty();
-        self.engines.iter().position(holds).expect("one engine holds it")
+        let has_orders = |engine: &StandInEngine| !engine.orders().is_empty();
+        self.engines.iter().position(has_orders).expect("an engine loaded it")
     }
 
     /// Sends a request to a host; returns whether it was served.
@@ -81,20 +81,20 @@
     /// Sends requests at a steady rate to each host; returns how many were served and how many
     /// sent.
     pub(crate) fn run_load(&self, per_second: u32, time: Duration) -> (usize, usize) {
-        let figures = self.measure_load(per_second, time);
-        (figures.served, figures.sent)
+        let results = self.measure_load(per_second, time);
+        (results.served, results.sent)
     }
 
     /// Sends requests at a steady rate to each host and returns the results.
     pub(crate) fn measure_load(&self, per_second: u32, time: Duration) -> LoadResults {
-        let pause = Duration::from_secs(1) / per_second;
+        let interval = Duration::from_secs(1) / per_second;
         let began = Instant::now();
-        let clients = |index: usize, host: &TestHost| {
+        let send_load = |index: usize, host: &TestHost| {
             let mut served = Vec::new();
             thread::scope(|requests| {
                 let mut sent = Vec::new();
                 for number in 0..per_second * u32::try_from(time.as_secs()).unwrap_or(u32::MAX) {
-                    let due = began + pause * number;
+                    let due = began + interval * number;
                     thread::sleep(due.saturating_duration_since(Instant::now()));
                     let id = format!("l{index}-{number}");
                     sent.push(requests.spawn(move || {
@@ -109,8 +109,8 @@
         let results: Vec<(bool, Duration)> = thread::scope(|scope| {
             let hosts = self.hosts.iter().enumerate();
             let loads: Vec<_> =
-                hosts.map(|(index, host)| scope.spawn(move || clients(index, host))).collect();
-            loads.into_iter().flat_map(|run_load| run_load.join().expect("the load ends")).collect()
+                hosts.map(|(index, host)| scope.spawn(move || send_load(index, host))).collect();
+            loads.into_iter().flat_map(|load| load.join().expect("the load ends")).collect()
         });
         let refused = results.iter().filter(|(served, _)| !served).map(|(_, time)| *time);
         let refused: Vec<Duration> = refused.collect();
--- a/crates/gateway/tests/host/limits.rs
+++ b/crates/gateway/tests/host/limits.rs
@@ -29,11 +29,11 @@
     let fleet = TestFleet::start("assist", 6, 3);
     let limited = &fleet.engines[0];
     limited.announce_limit(Some("1.7"));
-    let named = Instant::now();
+    let announced_at = Instant::now();
     let (served, sent) = fleet.run_load(20, Duration::from_secs(6));
-    let calls = limited.max_calls_within(WINDOW, named + LIMIT_SPREAD_TIME);
+    let calls = limited.max_calls_within(WINDOW, announced_at + LIMIT_SPREAD_TIME);
     assert!(calls as f64 <= max_calls(1.7), "{calls} calls within {WINDOW:?}");
-    assert!(limited.calls_since(named) >= 6, "the limit is not used");
+    assert!(limited.calls_since(announced_at) >= 6, "the limit is not used");
     assert_eq!(served, sent, "the other engines have room for all requests");
     drop(fleet.site);
 }
@@ -47,13 +47,13 @@
     let hosts = &fleet.hosts;
     fleet.engines[holder].announce_limit(Some("1.5"));
     // The first response announces the limit.
-    fleet.serves(&hosts[0], "names");
-    let named = Instant::now();
+    fleet.serves(&hosts[0], "announces");
+    let announced_at = Instant::now();
     let (served, sent) = fleet.run_load(6, Duration::from_secs(5));
-    let calls = fleet.engines[holder].max_calls_within(WINDOW, named + LIMIT_SPREAD_TIME);
+    let calls = fleet.engines[holder].max_calls_within(WINDOW, announced_at + LIMIT_SPREAD_TIME);
     assert!(calls as f64 <= max_calls(1.5), "{calls} calls within {WINDOW:?}");
-    let others = fleet.engines.iter().filter(|engine| !engine.orders().is_empty()).count();
-    assert!(others >= 2, "no other replica was loaded");
+    let loaded_engines = fleet.engines.iter().filter(|engine| !engine.orders().is_empty()).count();
+    assert!(loaded_engines >= 2, "no other replica was loaded");
     // Requests that arrive while the other replica is loaded may be refused.
     assert!(served * 20 >= sent * 19, "{served} of {sent} are served");
 }
@@ -66,22 +66,23 @@
     for engine in &fleet.engines {
         engine.announce_limit(Some("3"));
     }
-    let named = Instant::now();
+    let announced_at = Instant::now();
     let (served, sent) = fleet.run_load(10, Duration::from_secs(6));
     for engine in &fleet.engines {
-        let calls = engine.max_calls_within(WINDOW, named + LIMIT_SPREAD_TIME);
+        let calls = engine.max_calls_within(WINDOW, announced_at + LIMIT_SPREAD_TIME);
         assert!(calls as f64 <= max_calls(3.0), "{calls} calls within {WINDOW:?}");
     }
     // Six per second for six seconds; the limit may be unknown during the first one.
     assert!((30..=60).contains(&served), "{served} of {sent} are served");
     let host = &fleet.hosts[0];
-    let ask = |number| {
+    let timed_request = |number| {
         let began = Instant::now();
         let fields = format!("X-Request: late-{number}\r\n{}", fleet.fields);
         (host.post(fleet.path, &fields, "{}"), began.elapsed())
     };
     let responses: Vec<(String, Duration)> = thread::scope(|scope| {
-        let sent: Vec<_> = (0..30).map(|number| scope.spawn(move || ask(number))).collect();
+        let sent: Vec<_> =
+            (0..30).map(|number| scope.spawn(move || timed_request(number))).collect();
         sent.into_iter().map(|sent| sent.join().expect("a response")).collect()
     });
     let refused = responses.iter().filter(|(response, _)| response.starts_with("HTTP/1.1 503"));
@@ -102,17 +103,17 @@
     let mut fleet = TestFleet::start("assist", 6, 4);
     let limited = fleet.engines[0].clone();
     limited.announce_limit(Some("2"));
-    let named = Instant::now();
+    let announced_at = Instant::now();
     fleet.run_load(15, Duration::from_secs(2));
-    let dealer = fleet.hosts.iter().position(|host| host.shared.metrics.leases.get() > 0);
-    let stopped = fleet.hosts.remove(dealer.expect("one host holds the lease"));
+    let lease_holder = fleet.hosts.iter().position(|host| host.shared.metrics.leases.get() > 0);
+    let stopped = fleet.hosts.remove(lease_holder.expect("one host holds the lease"));
     thread::scope(|scope| {
         scope.spawn(|| stopped.stop());
         fleet.run_load(15, Duration::from_secs(8));
     });
-    let calls = limited.max_calls_within(WINDOW, named + LIMIT_SPREAD_TIME);
+    let calls = limited.max_calls_within(WINDOW, announced_at + LIMIT_SPREAD_TIME);
     assert!(calls as f64 <= max_calls(2.0), "{calls} calls within {WINDOW:?}");
-    let late = limited.calls_since(named + Duration::from_secs(7));
+    let late = limited.calls_since(announced_at + Duration::from_secs(7));
     assert!(late >= 3, "{late} calls in the last 3 s");
 }
 
@@ -152,10 +153,10 @@
     let fleet = TestFleet::start("plain", 3, 3);
     let limited = &fleet.engines[0];
     limited.announce_limit(Some("2"));
-    let named = Instant::now();
+    let announced_at = Instant::now();
     let (served, sent) = fleet.run_load(20, Duration::from_secs(6));
-    let calls = limited.max_calls_within(WINDOW, named + LIMIT_SPREAD_TIME);
+    let calls = limited.max_calls_within(WINDOW, announced_at + LIMIT_SPREAD_TIME);
     assert!(calls as f64 <= max_calls(2.0), "{calls} calls within {WINDOW:?}");
-    assert!(limited.calls_since(named) >= 6, "the limit is not used");
+    assert!(limited.calls_since(announced_at) >= 6, "the limit is not used");
     assert_eq!(served, sent, "the other engines have room for all requests");
 }
--- a/crates/gateway/tests/host/malformed_requests.rs
+++ b/crates/gateway/tests/host/malformed_requests.rs
@@ -131,13 +131,13 @@
     let host = site.host("hostile");
     thread::scope(|scope| {
         for case in CASES {
-            let clients = host.client_address;
+            let address = host.client_address;
             scope.spawn(move || {
-                let response = raw_exchange(clients, case.request.as_bytes());
+                let response = raw_exchange(address, case.request.as_bytes());
                 let expected = format!("HTTP/1.1 {} ", case.status);
                 assert!(response.starts_with(&expected), "{}: {response}", case.name);
-                let more = response.matches("HTTP/1.1").count();
-                assert_eq!(more, 1, "{}: more than one response: {response}", case.name);
+                let response_count = response.matches("HTTP/1.1").count();
+                assert_eq!(response_count, 1, "{}: more than one response: {response}", case.name);
             });
         }
     });
--- a/crates/gateway/tests/host/organisations.rs
+++ b/crates/gateway/tests/host/organisations.rs
@@ -188,18 +188,18 @@
 }
 
 /// A path on which a request reaches engines more than once.
-struct RepeatCase {
+struct RetryCase {
     path: &'static str,
     behaviours: &'static [EngineBehaviour],
 }
 
-const REPEATS: &[RepeatCase] = &[
-    RepeatCase { path: "/safe/a", behaviours: &[EngineBehaviour::NotRun, EngineBehaviour::Echo] },
-    RepeatCase {
+const RETRY_CASES: &[RetryCase] = &[
+    RetryCase { path: "/safe/a", behaviours: &[EngineBehaviour::NotRun, EngineBehaviour::Echo] },
+    RetryCase {
         path: "/stream/a",
         behaviours: &[EngineBehaviour::NotRun, EngineBehaviour::Stream(3)],
     },
-    RepeatCase {
+    RetryCase {
         path: "/resumable/a",
         behaviours: &[EngineBehaviour::TruncateStream(2), EngineBehaviour::Stream(4)],
     },
@@ -217,9 +217,9 @@
 
 #[test]
 fn retries_and_resumed_streams_carry_the_same_organisation_and_no_key() {
-    for case in REPEATS {
+    for case in RETRY_CASES {
         let site = site_with_organisations();
-        let host = site.host("repeats");
+        let host = site.host("retries");
         for engine in site.engines.iter().chain([&site.plain]) {
             engine.set_behaviours(case.behaviours);
         }
@@ -239,18 +239,18 @@
 #[test]
 fn a_revoked_key_runs_nothing_once_the_configuration_applies() {
     let site = site_with_organisations();
-    let host = site.host("withdrawn");
-    let request_status = |id: &str, key: &str| {
+    let host = site.host("revoked");
+    let send = |id: &str, key: &str| {
         host.get("/single/a", &format!("X-Request: {id}\r\nX-Key: {key}\r\n"))
     };
-    assert_eq!(status(&request_status("w1", "key-n1")), "200");
+    assert_eq!(status(&send("w1", "key-n1")), "200");
     site.store.put("configuration", "routes", &REVOKED_KEY_REVISION.to_string());
     wait_until("the new configuration is in force", || {
         let table = host.shared.table.borrow().clone();
         table.routes.as_ref().is_some_and(|routes| routes.revision() == REVOKED_KEY_REVISION)
     });
-    assert_eq!(status(&request_status("w2", "key-n1")), "401");
-    assert_eq!(status(&request_status("w3", "key-n2")), "200");
+    assert_eq!(status(&send("w2", "key-n1")), "401");
+    assert_eq!(status(&send("w3", "key-n2")), "200");
 }
 
 /// How long a revoked key may be served in these tests.
@@ -267,7 +267,7 @@
     let host = site.host_with_revocation_bound("no-revocations", REVOCATION_BOUND, true);
     assert_eq!(request_status(&host, "d1", "/single/a", "key-n1"), "200");
     site.store.refuse(true);
-    let lost = Instant::now();
+    let outage_began = Instant::now();
     site.store.put("configuration", "routes", &REVOKED_KEY_REVISION.to_string());
     thread::sleep(REVOCATION_BOUND / 4);
     assert_eq!(
@@ -275,7 +275,7 @@
         "200",
         "keys stay valid during a short outage"
     );
-    thread::sleep(REVOCATION_BOUND.saturating_sub(lost.elapsed()));
+    thread::sleep(REVOCATION_BOUND.saturating_sub(outage_began.elapsed()));
     assert_eq!(request_status(&host, "d3", "/single/a", "key-n1"), "503");
     assert_eq!(
         request_status(&host, "d4", "/single/a", "key-n2"),
@@ -288,10 +288,13 @@
         "a public route needs no key"
     );
     assert!(!host.is_ready(), "the host must not be ready");
-    let ran = |id: &str| {
+    let arrived_at_engine = |id: &str| {
         site.plain.arrivals().iter().any(|arrival| arrival.head.fields.text(REQUEST) == Some(id))
     };
-    assert!(!ran("d3") && !ran("d4"), "a refused request reached the engine");
+    assert!(
+        !arrived_at_engine("d3") && !arrived_at_engine("d4"),
+        "a refused request reached the engine"
+    );
     site.store.refuse(false);
     host.wait_ready();
     assert_eq!(request_status(&host, "d6", "/single/a", "key-n1"), "401");
@@ -374,8 +377,11 @@
     let seconds = began.elapsed().as_secs_f64();
     // The quota over that time, plus the configured tolerance of one window.
     let limit = 4.0f64.mul_add(seconds, 10.0);
-    let most = (4.0f64.mul_add(8.0, 10.0)).mul_add(0.1, limit) + 20.0;
-    assert!(granted as f64 <= most, "{granted} granted within {seconds:.1} s, {most:.0} allowed");
+    let max_granted = (4.0f64.mul_add(8.0, 10.0)).mul_add(0.1, limit) + 20.0;
+    assert!(
+        granted as f64 <= max_granted,
+        "{granted} granted within {seconds:.1} s, {max_granted:.0} allowed"
+    );
     assert!(granted as f64 >= limit * 0.9, "{granted} granted within {seconds:.1} s of {limit:.0}");
     assert_eq!(request_status(&hosts[0], "other", "/single/a", "key-s"), "200");
 }
@@ -408,9 +414,9 @@
     thread::sleep(Duration::from_millis(6500));
     assert_eq!(request_status(&host, "s1", "/single/a", "key-n1"), "503");
     site.store.hang(false);
-    let back = Instant::now();
+    let recovered_at = Instant::now();
     wait_until("keys are served", || request_status(&host, "s2", "/single/a", "key-n1") == "200");
-    let elapsed = back.elapsed();
+    let elapsed = recovered_at.elapsed();
     assert!(elapsed < Duration::from_millis(800), "served only after {} ms", elapsed.as_millis());
 }
 
--- a/crates/gateway/tests/host/placement.rs
+++ b/crates/gateway/tests/host/placement.rs
@@ -38,9 +38,9 @@
     }
     let tokens = tokens(&site);
     let holders: BTreeSet<&String> = tokens.iter().map(|(holder, _)| holder).collect();
-    let different: BTreeSet<u64> = tokens.iter().map(|(_, token)| *token).collect();
+    let distinct: BTreeSet<u64> = tokens.iter().map(|(_, token)| *token).collect();
     assert!(!tokens.is_empty());
-    assert_eq!(different.len(), tokens.len(), "holders share a token: {tokens:?}");
+    assert_eq!(distinct.len(), tokens.len(), "holders share a token: {tokens:?}");
     assert!(holders.len() <= 2);
 }
 
@@ -64,18 +64,23 @@
 fn the_host_count_stays_stable_while_another_host_becomes_the_placer() {
     let site = TestSite::start();
     let mut hosts: Vec<_> = ["one", "two", "three", "four"].map(|name| site.host(name)).into();
-    let counted = |host: &TestHost| host.shared.table.borrow().hosts;
-    wait_until("all hosts are counted", || hosts.iter().all(|host| counted(host) == 4));
+    let host_count = |host: &TestHost| host.shared.table.borrow().hosts;
+    wait_until("all hosts are counted", || hosts.iter().all(|host| host_count(host) == 4));
     // The group may assign the lease to another member while the last host is being counted.
-    let index = || hosts.iter().position(|host| host.shared.metrics.leases.get() == 1);
-    wait_until("one host holds the lease", || index().is_some());
-    let placer = index().expect("a placer");
+    let placer_index = || hosts.iter().position(|host| host.shared.metrics.leases.get() == 1);
+    wait_until("one host holds the lease", || placer_index().is_some());
+    let placer = placer_index().expect("a placer");
     let placer = hosts.swap_remove(placer);
     placer.shared.stop();
     let began = Instant::now();
     while began.elapsed() < Duration::from_secs(3) {
         for host in &hosts {
-            assert!(counted(host) >= 3, "{} hosts after {:?}", counted(host), began.elapsed());
+            assert!(
+                host_count(host) >= 3,
+                "{} hosts after {:?}",
+                host_count(host),
+                began.elapsed()
+            );
         }
         thread::sleep(Duration::from_millis(1));
     }
--- a/crates/gateway/tests/host/quarantine.rs
+++ b/crates/gateway/tests/host/quarantine.rs
@@ -81,12 +81,12 @@
         for index in 0..self.engines.len() {
             let engine = &self.engines[index];
             match self.down_since[index] {
-                None if engine.has_ended() => {
+                None if engine.has_crashed() => {
                     let now = Instant::now();
                     self.crashes.push(now);
                     self.down_since[index] = Some(now);
                 }
-                Some(crashes_before) if crashes_before.elapsed() >= RESTART_DELAY => {
+                Some(crashed_at) if crashed_at.elapsed() >= RESTART_DELAY => {
                     self.earlier_arrivals
                         .extend(engine.arrivals().into_iter().map(|request| request.body));
                     let (mut name, address) = (engine.name.clone(), engine.address);
@@ -104,10 +104,10 @@
 
     /// Returns how many requests with this body reached engines.
     fn arrivals(&self, body: &str) -> usize {
-        let living = self.engines.iter().flat_map(StandInEngine::arrivals);
+        let current = self.engines.iter().flat_map(StandInEngine::arrivals);
         let bodies =
-            living.map(|request| request.body).chain(self.earlier_arrivals.iter().cloned());
-        bodies.filter(|earlier_arrivals| earlier_arrivals == body.as_bytes()).count()
+            current.map(|request| request.body).chain(self.earlier_arrivals.iter().cloned());
+        bodies.filter(|received| received == body.as_bytes()).count()
     }
 }
 
@@ -121,7 +121,7 @@
 }
 
 /// Starts hosts whose engines are all crashable.
-fn hosts(site: &TestSite, names: &[&str]) -> Vec<TestHost> {
+fn start_hosts(site: &TestSite, names: &[&str]) -> Vec<TestHost> {
     for engine in &site.engines {
         site.store.put("engines", &engine.name, "");
     }
@@ -133,15 +133,15 @@
 #[test]
 fn a_request_that_crashes_engines_is_quarantined_by_all_hosts() {
     let site = TestSite::start();
-    let mut fleet = CrashableFleet::start(&site, 6, "assist", &["deadly"]);
-    let hosts = hosts(&site, &["deadly-1", "deadly-2", "deadly-3"]);
+    let mut fleet = CrashableFleet::start(&site, 6, "assist", &["crashing"]);
+    let hosts = start_hosts(&site, &["crashing-1", "crashing-2", "crashing-3"]);
     wait_until("a stream is served", || {
         is_complete(&hosts[0].post("/stream/a", &fields("first"), "first"))
     });
     let (mut refused, mut served, mut unrelated) = (0, 0, 0);
     for number in 0..60 {
         let host = &hosts[number % hosts.len()];
-        let response = host.post("/stream/a", &fields(&format!("d{number}")), "deadly");
+        let response = host.post("/stream/a", &fields(&format!("d{number}")), "crashing");
         assert!(!response.starts_with("HTTP/1.1 200"), "{response}");
         if response.starts_with("HTTP/1.1 503") {
             assert!(response.contains("Retry-After: "), "{response}");
@@ -161,19 +161,19 @@
         thread::sleep(Duration::from_millis(30));
         fleet.poll();
     }
-    let arrivals = fleet.arrivals("deadly");
+    let arrivals = fleet.arrivals("crashing");
     assert!(fleet.crashes.len() <= 4, "{} engines crashed", fleet.crashes.len());
     assert!(arrivals <= 4, "the request reached engines {arrivals} times");
     assert!(refused >= 50, "{refused} of 60 were refused");
     assert_eq!(served, unrelated, "unrelated requests were not served");
-    assert!(fleet.crashes.iter().all(|end| end.elapsed() < WAIT_LIMIT));
+    assert!(fleet.crashes.iter().all(|crashed_at| crashed_at.elapsed() < WAIT_LIMIT));
 }
 
 /// Each incarnation of an engine counts as a crash of its own, even if it keeps its name.
 #[test]
 fn engines_that_keep_their_names_count_one_crash_per_incarnation() {
     let site = TestSite::start();
-    let mut fleet = CrashableFleet::start(&site, 1, "plain", &["deadly"]);
+    let mut fleet = CrashableFleet::start(&site, 1, "plain", &["crashing"]);
     fleet.reuses_names = true;
     site.store.put("engines", "plain-1", "");
     let host = site.host("one-name");
@@ -183,7 +183,7 @@
         wait_until("the engine serves", || {
             send(format!("s{incarnation}"), "harmless").starts_with("HTTP/1.1 200")
         });
-        assert!(send(format!("d{incarnation}"), "deadly").starts_with("HTTP/1.1 502"));
+        assert!(send(format!("d{incarnation}"), "crashing").starts_with("HTTP/1.1 502"));
         fleet.poll();
         thread::sleep(RESTART_DELAY);
         fleet.poll();
@@ -191,8 +191,8 @@
     wait_until("the third incarnation serves", || {
         send(String::from("t"), "harmless").starts_with("HTTP/1.1 200")
     });
-    assert!(send(String::from("h"), "deadly").contains("engines ended"));
-    assert_eq!(fleet.arrivals("deadly"), 2);
+    assert!(send(String::from("h"), "crashing").contains("engines ended"));
+    assert_eq!(fleet.arrivals("crashing"), 2);
 }
 
 /// Guards against our own retries crashing one engine after another before the first crash is
@@ -201,21 +201,21 @@
 fn retries_stop_after_the_second_engine_crash() {
     let site = TestSite::start();
     site.store.put("engines", "plain-1", "");
-    let mut fleet = CrashableFleet::start(&site, 4, "plain", &["deadly"]);
-    let host = site.host("repeats");
+    let mut fleet = CrashableFleet::start(&site, 4, "plain", &["crashing"]);
+    let host = site.host("retries");
     wait_until("a request is served", || {
         host.post("/safe/a", "X-Request: first\r\n", "first").starts_with("HTTP/1.1 200")
     });
-    let first = host.post("/safe/a", "X-Request: r1\r\n", "deadly");
+    let first = host.post("/safe/a", "X-Request: r1\r\n", "crashing");
     assert!(first.starts_with("HTTP/1.1 502"), "{first}");
     for number in 0..5 {
-        let response = host.post("/safe/a", &format!("X-Request: h{number}\r\n"), "deadly");
+        let response = host.post("/safe/a", &format!("X-Request: h{number}\r\n"), "crashing");
         assert!(response.starts_with("HTTP/1.1 503"), "{response}");
         assert!(response.contains("Retry-After: "), "{response}");
     }
     fleet.poll();
     assert_eq!(fleet.crashes.len(), 2);
-    assert_eq!(fleet.arrivals("deadly"), 2);
+    assert_eq!(fleet.arrivals("crashing"), 2);
     // The same body on another path, and another body on the same path, are different requests.
     for (path, body) in [("/safe/b", "harmless"), ("/safe/a", "harmless")] {
         let response = host.post(path, &format!("X-Request: o{}\r\n", path.len()), body);
@@ -227,7 +227,7 @@
 #[test]
 fn aborted_responses_quarantine_no_request() {
     let site = TestSite::start();
-    let host = site.host("breaks");
+    let host = site.host("aborted");
     for behaviour in
         [EngineBehaviour::CloseConnection, EngineBehaviour::TruncateBody, EngineBehaviour::Garbage]
     {
@@ -235,7 +235,7 @@
         for number in 0..6 {
             let response = host.post("/single/a", &format!("X-Request: b{number}\r\n"), "usual");
             assert!(response.starts_with("HTTP/1.1 502"), "{response}");
-            // Short backoff of a failed engine; not a quarantine.
+            // The host backs off briefly from the failed engine, which is not a quarantine.
             thread::sleep(Duration::from_millis(5));
         }
     }
@@ -252,7 +252,7 @@
 fn engines_that_crash_together_quarantine_no_request() {
     let site = TestSite::start();
     let mut fleet = CrashableFleet::start(&site, 4, "assist", &[]);
-    let hosts = hosts(&site, &["rack-1", "rack-2"]);
+    let hosts = start_hosts(&site, &["rack-1", "rack-2"]);
     wait_until("a stream is served", || {
         is_complete(&hosts[0].post("/stream/a", &fields("first"), "first"))
     });
@@ -266,7 +266,7 @@
         }
         thread::sleep(Duration::from_millis(150));
         for engine in &fleet.engines {
-            engine.end();
+            engine.crash();
         }
     });
     fleet.poll();
@@ -282,13 +282,13 @@
 #[test]
 fn a_host_that_starts_later_learns_of_quarantined_requests() {
     let site = TestSite::start();
-    let mut fleet = CrashableFleet::start(&site, 6, "assist", &["deadly"]);
-    let hosts = hosts(&site, &["earlier-1", "earlier-2"]);
+    let mut fleet = CrashableFleet::start(&site, 6, "assist", &["crashing"]);
+    let hosts = start_hosts(&site, &["earlier-1", "earlier-2"]);
     wait_until("a stream is served", || {
         is_complete(&hosts[0].post("/stream/a", &fields("first"), "first"))
     });
     let began = Instant::now();
-    while !hosts[0].post("/stream/a", &fields("d"), "deadly").contains("engines ended") {
+    while !hosts[0].post("/stream/a", &fields("d"), "crashing").contains("engines ended") {
         assert!(began.elapsed() < WAIT_LIMIT, "the request is never quarantined");
         fleet.poll();
         thread::sleep(Duration::from_millis(20));
@@ -296,7 +296,7 @@
     let crashes_before = fleet.crashes.len();
     let late = site.host("later");
     wait_until("the late host knows of the change", || late.shared.quarantine().counts().1 == 1);
-    let response = late.post("/stream/a", &fields("l"), "deadly");
+    let response = late.post("/stream/a", &fields("l"), "crashing");
     assert!(response.contains("engines ended"), "{response}");
     fleet.poll();
     assert_eq!(fleet.crashes.len(), crashes_before);
--- a/crates/gateway/tests/host/rollback_histories.rs
+++ b/crates/gateway/tests/host/rollback_histories.rs
@@ -64,7 +64,7 @@
     let mut simulation = Simulation::new();
     for (index, step) in steps.iter().enumerate() {
         simulation.apply(*step);
-        if let Some(regression) = simulation.regression() {
+        if let Some(regression) = simulation.find_regression() {
             return Err(format!("step {index}, {step:?}: {regression}"));
         }
     }
--- a/crates/gateway/tests/host/rollback_histories/simulation.rs
+++ b/crates/gateway/tests/host/rollback_histories/simulation.rs
@@ -28,14 +28,14 @@
 
 use crate::{
     dialect::dialects,
-    site::{TestProfile, limits},
+    site::{TestProfile, client_limits},
 };
 
 use super::Step;
 
 pub(super) const HOSTS: usize = 3;
 
-/// The first hosts, which can be readers.
+/// Number of hosts that can be readers: the first ones.
 pub(super) const READERS: usize = 2;
 
 pub(super) const ENGINES: usize = 2;
@@ -150,7 +150,7 @@
     /// The last published states, whether or not the store still has them.
     revision: u64,
     engines: [EngineStatus; ENGINES],
-    /// Steps since a restore after which not everything was written again.
+    /// Steps since the last restore; `None` once everything was written again.
     steps_since_restore: Option<usize>,
 }
 
@@ -187,7 +187,7 @@
         let profile = TestProfile::new(address(host)).profile(&name);
         let tables: HashMap<u64, Arc<RouteTable>> = (1..=REVISION_LIMIT)
             .map(|revision| {
-                (revision, Arc::new(RouteTable::new(revision, limits(), vec![], vec![])))
+                (revision, Arc::new(RouteTable::new(revision, client_limits(), vec![], vec![])))
             })
             .collect();
         let events = EventLog::start_to(Arc::from(name), std::io::sink()).expect("a thread");
@@ -301,9 +301,9 @@
     }
 
     fn update(&mut self, host: usize, topic: usize, update: TopicUpdate, end: StorePosition) {
-        let known = &mut self.hosts[host];
-        known.read_to[topic] = Some(end);
-        let mut state = known.state.borrow_mut();
+        let target = &mut self.hosts[host];
+        target.read_to[topic] = Some(end);
+        let mut state = target.state.borrow_mut();
         if topic == CONFIGURATION_TOPIC {
             state.configuration_updated(update);
         } else {
@@ -322,9 +322,9 @@
         let mut source = self.hosts[reader].state.borrow_mut();
         source.eras().hear(self.store.era, "store");
         source.membership_updated(MembershipUpdate::Joined { share, sent });
-        let taken = source.add_follower(sender, 0);
+        let accepted = source.add_follower(sender, 0);
         drop(source);
-        if taken {
+        if accepted {
             self.hosts[host].feed = Some((reader, frames));
         }
     }
@@ -355,7 +355,7 @@
     }
 
     /// Returns a description of a host that reverted to older state.
-    pub(super) fn regression(&mut self) -> Option<String> {
+    pub(super) fn find_regression(&mut self) -> Option<String> {
         for host in 0..HOSTS {
             let table = self.hosts[host].state.borrow().shared().table.borrow().clone();
             let revision = table.routes.as_ref().map_or(0, |routes| routes.revision());
--- a/crates/gateway/tests/host/site.rs
+++ b/crates/gateway/tests/host/site.rs
@@ -128,7 +128,7 @@
     }
 }
 
-pub(crate) fn limits() -> ClientLimits {
+pub(crate) fn client_limits() -> ClientLimits {
     ClientLimits {
         head_bytes: 4096,
         body_bytes: 256 * 1024,
@@ -166,7 +166,7 @@
         hosting,
     };
     let services = vec![service("plain", None), service("assist", Some(hosting))];
-    RouteTable::new(revision, limits(), routes, services)
+    RouteTable::new(revision, client_limits(), routes, services)
 }
 
 /// The revision of the configuration with organisations.
@@ -176,14 +176,14 @@
 pub(crate) const REVOKED_KEY_REVISION: u64 = 4;
 
 /// Returns a configuration with four organisations and one public route.
-fn routes_with_organisations(revision: u64, north: &[&str]) -> RouteTable {
+fn routes_with_organisations(revision: u64, north_keys: &[&str]) -> RouteTable {
     let mut organisations = OrganisationDirectory::default();
     let digests = |keys: &[&str]| -> Vec<KeyDigest> {
         keys.iter().map(|key| KeyDigest::of(key.as_bytes())).collect()
     };
     let entry =
         |name: &str, priority| OrganisationEntry { name: Arc::from(name), priority, quota: None };
-    organisations.insert(entry("north", Some(4)), digests(north));
+    organisations.insert(entry("north", Some(4)), digests(north_keys));
     organisations.insert(entry("south", None), digests(&["key-s", "key-both"]));
     organisations.insert(entry("west", None), digests(&["key-both"]));
     let quota = QuotaLimit { per_second: 4.0, burst: 10.0, unit: QuotaUnit::Requests };
@@ -280,12 +280,12 @@
 
 pub(crate) fn free_address() -> SocketAddr {
     static NEXT: AtomicU16 = AtomicU16::new(0);
-    let width = TEST_PORTS.end - TEST_PORTS.start;
+    let port_count = TEST_PORTS.end - TEST_PORTS.start;
     // Test processes that run at the same time start at different ports.
-    let begin = u16::try_from(std::process::id() * 97 % u32::from(width)).unwrap_or_default();
-    for _ in 0..width {
+    let offset = u16::try_from(std::process::id() * 97 % u32::from(port_count)).unwrap_or_default();
+    for _ in 0..port_count {
         let step = NEXT.fetch_add(1, Ordering::Relaxed);
-        let port = TEST_PORTS.start + (begin.wrapping_add(step)) % width;
+        let port = TEST_PORTS.start + (offset.wrapping_add(step)) % port_count;
         if let Ok(listener) = TcpListener::bind(("127.0.0.1", port)) {
             return listener.local_addr().expect("an address");
         }
@@ -302,7 +302,7 @@
     }
 
     fn start(name: &str, profile: TestProfile) -> Self {
-        let known = HashMap::from([
+        let routes_by_revision = HashMap::from([
             (1, Arc::new(routes(1, false))),
             (2, Arc::new(routes(2, true))),
             (
@@ -318,7 +318,12 @@
         let profile = profile.profile(name);
         let (client_address, readiness_address) = (profile.clients, profile.readiness);
         let events = EventLog::start(Arc::from(name)).expect("a thread for log lines");
-        let shared = Arc::new(SharedState::new(profile, dialects(Arc::new(known)), events, clock));
+        let shared = Arc::new(SharedState::new(
+            profile,
+            dialects(Arc::new(routes_by_revision)),
+            events,
+            clock,
+        ));
         let run = Arc::clone(&shared);
         let thread = thread::spawn(move || run_host(&run).expect("the host runs"));
         Self { shared, client_address, readiness_address, thread: Some(thread) }
--- a/crates/gateway/tests/host/stopping.rs
+++ b/crates/gateway/tests/host/stopping.rs
@@ -34,6 +34,6 @@
     assert!(response.starts_with("HTTP/1.1 503"), "{response}");
     let response = stream.join().expect("the client ends");
     assert!(response.ends_with("0\r\n\r\n"), "the stream was truncated: {response}");
-    let took = stopping.join().expect("the host ends");
-    assert!(took < Duration::from_secs(6), "{took:?}");
+    let elapsed = stopping.join().expect("the host ends");
+    assert!(elapsed < Duration::from_secs(6), "{elapsed:?}");
 }
--- a/crates/gateway/tests/host/store.rs
+++ b/crates/gateway/tests/host/store.rs
@@ -256,10 +256,10 @@
         let mut state = self.lock();
         state.era += 1;
         let records = &mut state.topics.entry(topic.to_owned()).or_default().records;
-        let gone = records.split_off(records.len().saturating_sub(lost));
+        let lost_records = records.split_off(records.len().saturating_sub(lost));
         drop(state);
         self.state.1.notify_all();
-        gone
+        lost_records
     }
 
     /// Waits until a new long poll of a topic begins.
@@ -326,8 +326,8 @@
     let mut locked = state.0.lock().unwrap_or_else(PoisonError::into_inner);
     let mut era = locked.era;
     locked.calls += 1;
-    let answer = respond_to_call(locked, &state.1, request, &mut era);
-    (era, answer)
+    let response = respond_to_call(locked, &state.1, request, &mut era);
+    (era, response)
 }
 
 fn respond_to_call(
@@ -365,8 +365,8 @@
         ["read", topic, from, wait] => {
             let from: usize = from.parse().unwrap_or_default();
             let wait = Duration::from_millis(wait.parse().unwrap_or_default());
-            let known = locked.topics.get(*topic).map_or(0, |topic| topic.records.len());
-            if known <= from && !wait.is_zero() {
+            let count = locked.topics.get(*topic).map_or(0, |topic| topic.records.len());
+            if count <= from && !wait.is_zero() {
                 *locked.long_polls.entry((*topic).to_owned()).or_default() += 1;
             }
             let (locked, _) = changes
@@ -395,10 +395,10 @@
             let now = Instant::now();
             let before = locked.members.len();
             locked.members.retain(|_, until| *until > now);
-            let gone = locked.members.len() != before;
+            let expired = locked.members.len() != before;
             let until = now + Duration::from_millis(millis);
-            let new = locked.members.insert(member.clone(), until).is_none();
-            if new || gone {
+            let is_new = locked.members.insert(member.clone(), until).is_none();
+            if is_new || expired {
                 locked.generation += 1;
             }
             let owned = locked.owners().into_iter().filter(|(_, owner)| *owner == member);
--- a/crates/gateway/tests/host/store_restore.rs
+++ b/crates/gateway/tests/host/store_restore.rs
@@ -79,8 +79,8 @@
     assert!(readers.iter().all(serves_late_route));
     assert_holds_for(Duration::from_millis(500), "the route", || serves_late_route(&follower));
     site.store.put("engines", "plain-1", &site.plain.entry("plain", true));
-    let left = time_until("the leaving engine is dropped", || ready_plain_engines(&follower) == 0);
-    assert!(left <= APPLY_LIMIT, "dropped only after {left:?}");
+    let time = time_until("the leaving engine is dropped", || ready_plain_engines(&follower) == 0);
+    assert!(time <= APPLY_LIMIT, "dropped only after {time:?}");
     let calls = follower.shared.metrics.store_calls.get() - calls;
     assert!(calls <= 2, "{calls} store calls by a follower");
 }
@@ -138,14 +138,14 @@
     let host = site.start_host("alone-after-rollback", Vec::new());
     let send = |key: &str| host.get("/single/a", &format!("X-Request: k\r\nX-Key: {key}\r\n"));
     wait_until("the host knows the new era", || knows_era(&host, 1));
-    let revoked_key = "the revoked key";
+    let key_refused = "the refusal of the key";
     // The operator writes again after a few seconds.
-    assert_holds_for(Duration::from_secs(2), revoked_key, || {
+    assert_holds_for(Duration::from_secs(2), key_refused, || {
         !send("key-n1").starts_with("HTTP/1.1 200")
     });
     site.store.put("configuration", "routes", &REVOKED_KEY_REVISION.to_string());
     wait_until("the host serves", || send("key-n2").starts_with("HTTP/1.1 200"));
-    assert_holds_for(APPLY_LIMIT, revoked_key, || send("key-n1").starts_with("HTTP/1.1 401"));
+    assert_holds_for(APPLY_LIMIT, key_refused, || send("key-n1").starts_with("HTTP/1.1 401"));
 }
 
 /// The incarnation and leaving flag of the plain server's entry; `None` for a deleted entry.
@@ -284,7 +284,7 @@
 #[test]
 fn a_revoked_key_stays_revoked_after_a_rollback() {
     let site = site_with_organisations();
-    let host = site.host("withdrawn-key");
+    let host = site.host("revoked-key");
     let snapshot = site.store.snapshot();
     let send = || host.get("/single/a", "X-Request: k\r\nX-Key: key-n1\r\n");
     assert!(send().starts_with("HTTP/1.1 200"));
@@ -301,11 +301,14 @@
 
 /// Returns holders and tokens of the orders that each engine accepted, in order.
 fn tokens(site: &TestSite) -> Vec<Vec<(String, u64)>> {
-    let of = |order: &serde_json::Value| {
+    let holder_and_token = |order: &serde_json::Value| {
         let holder = order["holder"].as_str().unwrap_or_default().to_owned();
         (holder, order["token"].as_u64().unwrap_or_default())
     };
-    site.engines.iter().map(|engine| engine.orders().iter().map(of).collect()).collect()
+    site.engines
+        .iter()
+        .map(|engine| engine.orders().iter().map(holder_and_token).collect())
+        .collect()
 }
 
 /// Generations of the group repeat after a rollback. Tokens derived from them alone would repeat,
--- a/crates/gateway/tests/host/store_rollback.rs
+++ b/crates/gateway/tests/host/store_rollback.rs
@@ -61,8 +61,8 @@
     site.store.refuse(false);
     wait_until("the store is read again", || host.shared.metrics.store_era.get() == 1);
     site.store.put("engines", "plain-1", &site.plain.entry("plain", true));
-    let left = || host.shared.table.borrow().ready_engines("plain").next().is_none();
-    assert!(holds_in_time(left), "not dropped in {APPLY_LIMIT:?}");
+    let is_dropped = || host.shared.table.borrow().ready_engines("plain").next().is_none();
+    assert!(holds_in_time(is_dropped), "not dropped in {APPLY_LIMIT:?}");
 }
 
 /// If the topic has grown past the host's read position, no response tells that records are gone.
--- a/crates/gateway/tests/host/streams.rs
+++ b/crates/gateway/tests/host/streams.rs
@@ -23,7 +23,7 @@
 #[test]
 fn a_stream_is_delivered_completely() {
     let site = TestSite::start();
-    let host = site.host("whole");
+    let host = site.host("complete");
     for engine in &site.engines {
         engine.set_behaviours(&[EngineBehaviour::Stream(6)]);
     }
@@ -53,11 +53,11 @@
     site.engines[0].set_behaviours(&[EngineBehaviour::TruncateStream(3)]);
     site.engines[1].set_behaviours(&[EngineBehaviour::Stream(7)]);
     for number in 0..20 {
-        let broken = site.engines[0].arrivals().len();
+        let arrivals_before = site.engines[0].arrivals().len();
         let response = host.post("/resumable/a", &fields(&format!("r{number}")), "{}");
         assert_eq!(events(&response), [0, 1, 2, 3, 4, 5, 6], "{response}");
         assert!(response.ends_with("0\r\n\r\n"), "{response}");
-        if site.engines[0].arrivals().len() > broken {
+        if site.engines[0].arrivals().len() > arrivals_before {
             let resumed = site.engines[1].runs().pop().expect("the second engine ran it");
             assert_eq!(resumed.head.fields.text(RESUME_AFTER), Some("2"));
             return;
@@ -95,10 +95,10 @@
     site.engines[0].set_behaviours(&[EngineBehaviour::Hang]);
     site.engines[1].set_behaviours(&[EngineBehaviour::Stream(3)]);
     for number in 0..20 {
-        let hung = site.engines[0].arrivals().len();
+        let arrivals_before = site.engines[0].arrivals().len();
         let response = host.post("/resumable/a", &fields(&format!("h{number}")), "{}");
         assert_eq!(events(&response), [0, 1, 2], "{response}");
-        if site.engines[0].arrivals().len() > hung {
+        if site.engines[0].arrivals().len() > arrivals_before {
             return;
         }
     }
--- a/crates/gateway/tests/host/suspended.rs
+++ b/crates/gateway/tests/host/suspended.rs
@@ -50,14 +50,14 @@
     let clock = SuspendableClock::new();
     let source: Arc<dyn ClockSource> = clock.clone();
     let host = site.host_with_clock("suspended-keys", source, Some(Duration::from_secs(4)));
-    let request_status = || host.get("/single/a", "X-Request: k\r\nX-Key: key-n1\r\n");
-    assert!(request_status().starts_with("HTTP/1.1 200"));
+    let send = || host.get("/single/a", "X-Request: k\r\nX-Key: key-n1\r\n");
+    assert!(send().starts_with("HTTP/1.1 200"));
     site.store.refuse(true);
     clock.suspend();
-    let response = request_status();
+    let response = send();
     assert!(response.starts_with("HTTP/1.1 503"), "{response}");
     site.store.refuse(false);
-    wait_until("the key is served again", || request_status().starts_with("HTTP/1.1 200"));
+    wait_until("the key is served again", || send().starts_with("HTTP/1.1 200"));
 }
 
 /// The request must end, and its engine must be released.
@@ -85,9 +85,9 @@
 #[test]
 fn peer_state_from_before_a_suspension_is_stale() {
     let site = TestSite::start();
-    let (clock, peer) = (SuspendableClock::new(), site.host("stays-awake"));
+    let (clock, placer) = (SuspendableClock::new(), site.host("stays-awake"));
     let source: Arc<dyn ClockSource> = clock.clone();
-    wait_until("the first host holds the lease", || peer.shared.metrics.leases.get() == 1);
+    wait_until("the first host holds the lease", || placer.shared.metrics.leases.get() == 1);
     let host = site.host_with_clock("suspended-peer", source, None);
     wait_until("both hosts are counted", || host.shared.table.borrow().hosts == 2);
     clock.suspend();
--- a/crates/gateway/tests/host/system_fields.rs
+++ b/crates/gateway/tests/host/system_fields.rs
@@ -119,8 +119,8 @@
             let fields = &arrival.head.fields;
             let case = &CASES[case_number(fields.text(REQUEST).expect("an id"))];
             for name in [HOLD, PIN] {
-                let passed = fields.values(name).count();
-                assert_eq!(passed, 0, "{}, {}: {:?}", path.name, case.name, arrival.head);
+                let forwarded = fields.values(name).count();
+                assert_eq!(forwarded, 0, "{}, {}: {:?}", path.name, case.name, arrival.head);
             }
             assert_eq!(fields.text("X-Kept"), Some("yes"), "{}: other fields pass", path.name);
         }
