--- a/crates/gateway/tests/host/announcements.rs
+++ b/crates/gateway/tests/host/announcements.rs
@@ -362,7 +362,7 @@
         assert!(began.elapsed() < WAIT_LIMIT, "no request was rejected");
     };
     assert!(retry_delay <= Duration::from_millis(250), "Retry-After {retry_delay:?}");
-    assert!(fleet.serves(&fleet.hosts[0], "comes back"));
+    assert!(fleet.serves(&fleet.hosts[0], "retry"));
 }
 
 /// The route allows a single engine. Guards against loading the adapter elsewhere only when the
@@ -377,8 +377,8 @@
     let retry_delay = retry_after(&response).expect("a Retry-After field");
     let began = Instant::now();
     let other_orders = || {
-        let other_orders = fleet.engines.iter().enumerate().filter(|(place, _)| *place != holder);
-        other_orders.map(|(_, engine)| engine.orders().len()).sum::<usize>()
+        let others = fleet.engines.iter().enumerate().filter(|(index, _)| *index != holder);
+        others.map(|(_, engine)| engine.orders().len()).sum::<usize>()
     };
     wait_until("another engine gets an order", || other_orders() > 0);
     assert!(
--- a/crates/gateway/tests/host/dialect.rs
+++ b/crates/gateway/tests/host/dialect.rs
@@ -46,7 +46,7 @@
 pub(crate) const TOKENS: &str = "X-Tokens";
 
 /// Configurations by the revision that records name.
-pub(crate) type KnownRoutes = Arc<HashMap<u64, Arc<RouteTable>>>;
+pub(crate) type RoutesByRevision = Arc<HashMap<u64, Arc<RouteTable>>>;
 
 pub(crate) struct PlainExchange;
 
@@ -186,7 +186,7 @@
 }
 
 pub(crate) struct PlainStore {
-    pub(crate) routes: KnownRoutes,
+    pub(crate) routes: RoutesByRevision,
 }
 
 const fn topic_name(topic: KeyedTopic) -> &'static str {
@@ -320,7 +320,7 @@
     }
 }
 
-pub(crate) fn dialects(routes: KnownRoutes) -> BorderDialects {
+pub(crate) fn dialects(routes: RoutesByRevision) -> BorderDialects {
     BorderDialects {
         exchange: Arc::new(PlainExchange),
         engine: Arc::new(PlainEngines),
--- a/crates/gateway/tests/host/engine.rs
+++ b/crates/gateway/tests/host/engine.rs
@@ -179,8 +179,9 @@
     pub(crate) fn max_calls_within(&self, time: Duration, from: Instant) -> usize {
         let calls = self.lock().calls.clone();
         let calls: Vec<Instant> = calls.into_iter().filter(|call| *call >= from).collect();
-        let until = |first: &Instant| calls.partition_point(|call| *call < *first + time);
-        let counts = calls.iter().enumerate().map(|(index, first)| until(first) - index);
+        let calls_before_end =
+            |first: &Instant| calls.partition_point(|call| *call < *first + time);
+        let counts = calls.iter().enumerate().map(|(index, first)| calls_before_end(first) - index);
         counts.max().unwrap_or_default()
     }
 
--- a/crates/gateway/tests/host/engine_faults.rs
+++ b/crates/gateway/tests/host/engine_faults.rs
@@ -125,7 +125,7 @@
 #[test]
 fn a_surplus_response_never_reaches_the_next_request() {
     let site = TestSite::start();
-    let host = site.host("twice");
+    let host = site.host("duplicate");
     site.plain.set_behaviours(&[EngineBehaviour::DuplicateResponse, EngineBehaviour::Echo]);
     for number in 0..4 {
         let body = format!("body {number}");
@@ -195,12 +195,12 @@
 #[test]
 fn a_request_finds_the_one_live_engine_among_many_dead_ones() {
     let site = TestSite::start();
-    let host = site.host("finder");
+    let host = site.host("dead-engines");
     let address = site.plain.address.to_string();
     for number in 0..12 {
         // Nothing listens on port 1, so the connection is refused immediately.
-        let gone = site.plain.entry("plain", false).replace(&address, "127.0.0.1:1");
-        site.store.put("engines", &format!("gone-{number}"), &gone);
+        let dead_entry = site.plain.entry("plain", false).replace(&address, "127.0.0.1:1");
+        site.store.put("engines", &format!("dead-{number}"), &dead_entry);
     }
     wait_until("the engines are listed", || {
         let table = host.shared.table.borrow().clone();
@@ -217,7 +217,7 @@
 #[test]
 fn an_overloaded_plain_server_gets_few_attempts() {
     let site = TestSite::start();
-    let host = site.host("full");
+    let host = site.host("overloaded");
     site.plain.set_behaviours(&[EngineBehaviour::NotRun]);
     for number in 0..100 {
         let response = host.get("/single/a", &format!("X-Request: f{number}\r\n"));
--- a/crates/gateway/tests/host/events.rs
+++ b/crates/gateway/tests/host/events.rs
@@ -27,7 +27,7 @@
     // A write that waits for the reader would never return; the bound allows for a busy machine.
     assert!(max_write_time < Duration::from_secs(1), "a write took {max_write_time:?}");
     // Once the reader resumes, it gets the queued lines and a line with the count of dropped ones.
-    let reading = std::thread::spawn(move || {
+    let reader_thread = std::thread::spawn(move || {
         let lines = BufReader::new(reader).lines().map_while(Result::ok);
         let lines = lines.map(|line| serde_json::from_str(&line).expect("a JSON line"));
         lines.collect::<Vec<Value>>()
@@ -35,7 +35,7 @@
     std::thread::sleep(Duration::from_millis(300));
     log.write(HostEvent::ConfigurationInForce { revision: LINES, era: 0, offset: 0 });
     drop(log);
-    let lines = reading.join().expect("the reader ends");
+    let lines = reader_thread.join().expect("the reader ends");
     let dropped: u64 = lines.iter().filter_map(|line| line["left_out"].as_u64()).sum();
     assert!(dropped > 0, "none of {} lines counts dropped ones", lines.len());
     assert_eq!(dropped + lines.len() as u64, LINES + 1);
--- a/crates/gateway/tests/host/following.rs
+++ b/crates/gateway/tests/host/following.rs
@@ -22,7 +22,7 @@
 
 const WEAK_CAPACITY: HostCapacity = HostCapacity { processor: 0.1, bandwidth: 10.0 };
 
-fn follower(site: &TestSite, name: &str) -> TestHost {
+fn start_follower(site: &TestSite, name: &str) -> TestHost {
     let host = site.start_host_with_capacity(name, Vec::new(), WEAK_CAPACITY);
     host.wait_ready();
     wait_until("the host follows", || host.shared.metrics.following.get() == 1);
@@ -38,7 +38,7 @@
     let site = TestSite::start();
     // A group of three needs no weak member.
     let _readers = ["one", "two", "three"].map(|name| site.host(name));
-    let host = follower(&site, "follower");
+    let host = start_follower(&site, "follower");
     // A last check of the group may still be under way when the host starts to follow.
     thread::sleep(Duration::from_millis(1200));
     let calls = host.shared.metrics.store_calls.get();
@@ -53,7 +53,7 @@
 fn a_follower_learns_that_an_engine_leaves() {
     let site = TestSite::start();
     let _reader = site.host("reader");
-    let host = follower(&site, "follower");
+    let host = start_follower(&site, "follower");
     site.store.put("engines", "plain-1", &site.plain.entry("plain", true));
     wait_until("the leaving engine is dropped", || {
         let table = host.shared.table.borrow().clone();
@@ -65,7 +65,7 @@
 fn a_follower_whose_reader_stops_reads_the_store_itself() {
     let site = TestSite::start();
     let reader = site.host("reader");
-    let host = follower(&site, "follower");
+    let host = start_follower(&site, "follower");
     reader.stop();
     site.store.put("configuration", "routes", "2");
     wait_until("the change is in force", || serves_late_route(&host, "s1"));
@@ -76,7 +76,7 @@
 fn a_reader_that_the_store_refuses_drops_its_followers() {
     let site = TestSite::start();
     let _reader = site.host("reader");
-    let host = follower(&site, "follower");
+    let host = start_follower(&site, "follower");
     site.store.refuse(true);
     wait_until("the host stops following", || host.shared.metrics.following.get() == 0);
     assert!(host.is_ready());
--- a/crates/gateway/tests/host/malformed_requests.rs
+++ b/crates/gateway/tests/host/malformed_requests.rs
@@ -128,7 +128,7 @@
 #[test]
 fn malformed_requests_never_reach_an_engine() {
     let site = TestSite::start();
-    let host = site.host("hostile");
+    let host = site.host("malformed");
     thread::scope(|scope| {
         for case in CASES {
             let address = host.client_address;
@@ -148,9 +148,9 @@
 fn a_head_over_the_limit_is_refused() {
     let site = TestSite::start();
     let host = site.host("long-head");
-    let long = "a".repeat(5000);
+    let long_value = "a".repeat(5000);
     let request = format!(
-        "GET /safe/a HTTP/1.1\r\nHost: site.example\r\nX-Request: l1\r\nX-Long: {long}\r\n\r\n"
+        "GET /safe/a HTTP/1.1\r\nHost: site.example\r\nX-Request: l1\r\nX-Long: {long_value}\r\n\r\n"
     );
     let response = raw_exchange(host.client_address, request.as_bytes());
     assert!(response.starts_with("HTTP/1.1 431 "), "{response}");
@@ -164,7 +164,7 @@
     let began = Instant::now();
     let mut socket = TcpStream::connect(host.client_address).expect("a connection");
     let mut writer = socket.try_clone().expect("a second handle");
-    let trickle = thread::spawn(move || {
+    let slow_writer = thread::spawn(move || {
         for byte in b"GET /safe/a HTTP/1.1\r\nHost: site.example\r\nX-Request: s1\r\n" {
             if writer.write_all(&[*byte]).is_err() {
                 return;
@@ -176,7 +176,7 @@
     drop(socket);
     assert!(response.starts_with("HTTP/1.1 408 "), "{response}");
     assert!(began.elapsed() < Duration::from_millis(1500), "{:?}", began.elapsed());
-    trickle.join().expect("the sender ends");
+    slow_writer.join().expect("the sender ends");
     assert_eq!(site.plain.arrivals().len(), 0);
 }
 
@@ -198,7 +198,7 @@
 #[test]
 fn two_thousand_idle_connections_are_accepted() {
     let site = TestSite::start();
-    let host = site.host("crowd");
+    let host = site.host("idle-connections");
     let idle: Vec<TcpStream> =
         (0..2000).filter_map(|_| TcpStream::connect(host.client_address).ok()).collect();
     assert!(idle.len() >= 1990, "{} connections", idle.len());
--- a/crates/gateway/tests/host/stopping.rs
+++ b/crates/gateway/tests/host/stopping.rs
@@ -15,22 +15,22 @@
     for engine in &site.engines {
         engine.set_behaviours(&[EngineBehaviour::Stream(60)]);
     }
-    let clients = host.client_address;
+    let client_address = host.client_address;
     let stream = thread::spawn(move || {
         let request = format!(
             "POST /stream/a HTTP/1.1\r\nHost: site.example\r\nX-Request: t1\r\nX-Model: {MODEL_NAME}\r\nContent-Length: 2\r\n\r\n{{}}"
         );
-        raw_exchange(clients, request.as_bytes())
+        raw_exchange(client_address, request.as_bytes())
     });
     thread::sleep(Duration::from_millis(150));
-    let readiness = host.readiness_address;
+    let readiness_address = host.readiness_address;
     let shared = std::sync::Arc::clone(&host.shared);
     let stopping = thread::spawn(move || host.stop());
     while !shared.is_stopping() {
         thread::sleep(Duration::from_millis(1));
     }
     let probe = "GET /ready HTTP/1.1\r\nHost: probe\r\nConnection: close\r\n\r\n";
-    let response = raw_exchange(readiness, probe.as_bytes());
+    let response = raw_exchange(readiness_address, probe.as_bytes());
     assert!(response.starts_with("HTTP/1.1 503"), "{response}");
     let response = stream.join().expect("the client ends");
     assert!(response.ends_with("0\r\n\r\n"), "the stream was truncated: {response}");
--- a/crates/gateway/tests/host/store_restore.rs
+++ b/crates/gateway/tests/host/store_restore.rs
@@ -88,7 +88,7 @@
 #[test]
 fn a_second_rollback_soon_after_the_first_is_handled() {
     let site = TestSite::start();
-    let host = site.host("twice");
+    let host = site.host("two-rollbacks");
     for _ in 0..6 {
         site.store.put("configuration", "other", "1");
     }
--- a/crates/gateway/tests/host/streams.rs
+++ b/crates/gateway/tests/host/streams.rs
@@ -69,7 +69,7 @@
 #[test]
 fn a_client_disconnect_ends_its_run() {
     let site = TestSite::start();
-    let host = site.host("left");
+    let host = site.host("disconnect");
     for engine in &site.engines {
         engine.set_behaviours(&[EngineBehaviour::Stream(200)]);
     }
--- a/crates/gateway/tests/host/system_fields.rs
+++ b/crates/gateway/tests/host/system_fields.rs
@@ -36,7 +36,7 @@
     path: &'static str,
     body: ForwardBody,
     /// Whether it is a model service.
-    streams: bool,
+    needs_model: bool,
     behaviours: &'static [EngineBehaviour],
 }
 
@@ -50,35 +50,35 @@
         name: "plain service",
         path: "/single/a",
         body: ForwardBody::Length,
-        streams: false,
+        needs_model: false,
         behaviours: &[EngineBehaviour::Echo],
     },
     ForwardPath {
         name: "chunked body",
         path: "/single/a",
         body: ForwardBody::Chunked,
-        streams: false,
+        needs_model: false,
         behaviours: &[EngineBehaviour::Echo],
     },
     ForwardPath {
         name: "retry after an error",
         path: "/safe/a",
         body: ForwardBody::Length,
-        streams: false,
+        needs_model: false,
         behaviours: &[EngineBehaviour::Error, EngineBehaviour::Echo],
     },
     ForwardPath {
         name: "retry after a refusal",
         path: "/stream/a",
         body: ForwardBody::Length,
-        streams: true,
+        needs_model: true,
         behaviours: &[EngineBehaviour::NotRun, EngineBehaviour::Stream(3)],
     },
     ForwardPath {
         name: "resumed stream",
         path: "/resumable/a",
         body: ForwardBody::Length,
-        streams: true,
+        needs_model: true,
         behaviours: &[EngineBehaviour::TruncateStream(2), EngineBehaviour::Stream(4)],
     },
 ];
@@ -90,7 +90,7 @@
             "Transfer-Encoding: chunked\r\n\r\n2\r\n{}\r\n0\r\nX-Hold: late\r\n\r\n"
         }
     };
-    let model = if path.streams { format!("X-Model: {MODEL_NAME}\r\n") } else { String::new() };
+    let model = if path.needs_model { format!("X-Model: {MODEL_NAME}\r\n") } else { String::new() };
     let head = format!("POST {} HTTP/1.1\r\nHost: site.example\r\nX-Request: {id}\r\n", path.path);
     let fields = format!("{model}X-Kept: yes\r\nConnection: close\r\n{}", case.fields);
     let request = format!("{head}{fields}{body}");
