--- a/crates/gateway/tests/host/announcements.rs
+++ b/crates/gateway/tests/host/announcements.rs
@@ -46,8 +46,9 @@
     fleet.site.store.refuse(true);
     let leaving = &fleet.engines[0];
     leaving.announce_departure("yes");
+    // The choice among idle engines depends on the request id; this one leads to the leaving engine.
     wait_until("the first host gets the announcement", || {
-        fleet.serves(&fleet.hosts[0], "departure");
+        fleet.serves(&fleet.hosts[0], "told");
         leaving.first_departure_announcement().is_some()
     });
     let all_know = || {
@@ -351,7 +352,7 @@
     let fleet = TestFleet::start("assist", 2, 1);
     fleet.engines[0].reject_with_cooldown(Some(Duration::from_secs(5)));
     let retry_delay = || {
-        let response = fleet.post(&fleet.hosts[0], &format!("rejected-{:?}", Instant::now()));
+        let response = fleet.post(&fleet.hosts[0], &format!("told-{:?}", Instant::now()));
         retry_after(&response)
     };
     let began = Instant::now();
@@ -362,7 +363,7 @@
         assert!(began.elapsed() < WAIT_LIMIT, "no request was rejected");
     };
     assert!(retry_delay <= Duration::from_millis(250), "Retry-After {retry_delay:?}");
-    assert!(fleet.serves(&fleet.hosts[0], "retry"));
+    assert!(fleet.serves(&fleet.hosts[0], "comes back"));
 }
 
 /// The route allows a single engine. Guards against loading the adapter elsewhere only when the
--- a/crates/gateway/tests/host/configuration.rs
+++ b/crates/gateway/tests/host/configuration.rs
@@ -8,7 +8,7 @@
 #[test]
 fn without_configuration_the_host_is_not_ready_and_refuses() {
     let site = TestSite::without_configuration();
-    let host = site.start_host("no-configuration", Vec::new());
+    let host = site.start_host("cold", Vec::new());
     wait_until("the host listens", || {
         host.get("/single/a", "X-Request: a1\r\n").starts_with("HTTP/1.1")
     });
@@ -58,7 +58,7 @@
 #[test]
 fn an_unavailable_store_is_called_rarely_and_read_soon_after_recovery() {
     let site = TestSite::start();
-    let host = site.host("outage-calls");
+    let host = site.host("patient");
     site.store.refuse(true);
     thread::sleep(Duration::from_millis(2500));
     let before = site.store.calls();
@@ -102,7 +102,7 @@
 #[test]
 fn malformed_engine_entries_list_no_engine_and_leave_the_others() {
     let site = TestSite::start();
-    let host = site.host("malformed-entries");
+    let host = site.host("writers");
     let ready = || host.shared.table.borrow().ready_engines("assist").count();
     assert_eq!(ready(), 2);
     for (key, value) in [("nobody", "{}"), ("bytes", "\u{1}\u{2}"), ("engine-1", "[7]")] {
@@ -117,7 +117,7 @@
     wait_until("the engine is listed again", || ready() == 2);
     // A host that starts must come to the same result.
     site.store.put("engines", "engine-2", "null");
-    let late = site.host("malformed-entries-late");
+    let late = site.host("writers-late");
     let late_ready = || late.shared.table.borrow().ready_engines("assist").count();
     wait_until("a new host lists one engine", || late_ready() == 1 && ready() == 1);
 }
--- a/crates/gateway/tests/host/engine_faults.rs
+++ b/crates/gateway/tests/host/engine_faults.rs
@@ -107,7 +107,7 @@
     let mut runs = 0;
     for (number, case) in CASES.iter().enumerate() {
         // A new host for each case, since a host remembers failures of its engines.
-        let host = site.host(&format!("fault-{number}"));
+        let host = site.host(&format!("moods-{number}"));
         site.plain.set_behaviours(case.behaviours);
         let response = host.post(case.path, &format!("X-Request: m{number}\r\n"), "hello");
         assert!(response.starts_with(case.status_line), "{}: {response}", case.name);
@@ -125,7 +125,7 @@
 #[test]
 fn a_surplus_response_never_reaches_the_next_request() {
     let site = TestSite::start();
-    let host = site.host("duplicate");
+    let host = site.host("twice");
     site.plain.set_behaviours(&[EngineBehaviour::DuplicateResponse, EngineBehaviour::Echo]);
     for number in 0..4 {
         let body = format!("body {number}");
@@ -195,12 +195,12 @@
 #[test]
 fn a_request_finds_the_one_live_engine_among_many_dead_ones() {
     let site = TestSite::start();
-    let host = site.host("dead-engines");
+    let host = site.host("finder");
     let address = site.plain.address.to_string();
     for number in 0..12 {
         // Nothing listens on port 1, so the connection is refused immediately.
         let dead_entry = site.plain.entry("plain", false).replace(&address, "127.0.0.1:1");
-        site.store.put("engines", &format!("dead-{number}"), &dead_entry);
+        site.store.put("engines", &format!("gone-{number}"), &dead_entry);
     }
     wait_until("the engines are listed", || {
         let table = host.shared.table.borrow().clone();
@@ -217,7 +217,7 @@
 #[test]
 fn an_overloaded_plain_server_gets_few_attempts() {
     let site = TestSite::start();
-    let host = site.host("overloaded");
+    let host = site.host("full");
     site.plain.set_behaviours(&[EngineBehaviour::NotRun]);
     for number in 0..100 {
         let response = host.get("/single/a", &format!("X-Request: f{number}\r\n"));
--- a/crates/gateway/tests/host/engine_restart.rs
+++ b/crates/gateway/tests/host/engine_restart.rs
@@ -27,7 +27,7 @@
 #[test]
 fn adapters_of_an_earlier_incarnation_do_not_count_as_loaded() {
     let site = TestSite::start();
-    let hosts = [site.host("restart-1"), site.host("restart-2")];
+    let hosts = [site.host("held-1"), site.host("held-2")];
     site.store.put("engines", "engine-2", "");
     for engine in &site.engines {
         engine.set_behaviours(&[EngineBehaviour::Stream(3)]);
--- a/crates/gateway/tests/host/following.rs
+++ b/crates/gateway/tests/host/following.rs
@@ -88,7 +88,7 @@
 #[test]
 fn engines_whose_entries_expire_in_an_outage_stay_listed_until_they_could_relist() {
     let site = TestSite::start();
-    let host = site.host("expiry");
+    let host = site.host("lapse");
     let listed = || host.shared.table.borrow().ready_engines("plain").count();
     site.store.refuse(true);
     thread::sleep(Duration::from_millis(2200));
--- a/crates/gateway/tests/host/limits.rs
+++ b/crates/gateway/tests/host/limits.rs
@@ -47,7 +47,7 @@
     let hosts = &fleet.hosts;
     fleet.engines[holder].announce_limit(Some("1.5"));
     // The first response announces the limit.
-    fleet.serves(&hosts[0], "announces");
+    fleet.serves(&hosts[0], "names");
     let announced_at = Instant::now();
     let (served, sent) = fleet.run_load(6, Duration::from_secs(5));
     let calls = fleet.engines[holder].max_calls_within(WINDOW, announced_at + LIMIT_SPREAD_TIME);
--- a/crates/gateway/tests/host/malformed_requests.rs
+++ b/crates/gateway/tests/host/malformed_requests.rs
@@ -128,7 +128,7 @@
 #[test]
 fn malformed_requests_never_reach_an_engine() {
     let site = TestSite::start();
-    let host = site.host("malformed");
+    let host = site.host("hostile");
     thread::scope(|scope| {
         for case in CASES {
             let address = host.client_address;
@@ -198,7 +198,7 @@
 #[test]
 fn two_thousand_idle_connections_are_accepted() {
     let site = TestSite::start();
-    let host = site.host("idle-connections");
+    let host = site.host("crowd");
     let idle: Vec<TcpStream> =
         (0..2000).filter_map(|_| TcpStream::connect(host.client_address).ok()).collect();
     assert!(idle.len() >= 1990, "{} connections", idle.len());
--- a/crates/gateway/tests/host/organisations.rs
+++ b/crates/gateway/tests/host/organisations.rs
@@ -219,7 +219,7 @@
 fn retries_and_resumed_streams_carry_the_same_organisation_and_no_key() {
     for case in RETRY_CASES {
         let site = site_with_organisations();
-        let host = site.host("retries");
+        let host = site.host("repeats");
         for engine in site.engines.iter().chain([&site.plain]) {
             engine.set_behaviours(case.behaviours);
         }
@@ -239,7 +239,7 @@
 #[test]
 fn a_revoked_key_runs_nothing_once_the_configuration_applies() {
     let site = site_with_organisations();
-    let host = site.host("revoked");
+    let host = site.host("withdrawn");
     let send = |id: &str, key: &str| {
         host.get("/single/a", &format!("X-Request: {id}\r\nX-Key: {key}\r\n"))
     };
@@ -264,7 +264,7 @@
 #[test]
 fn a_host_that_can_not_learn_of_revocations_serves_no_keys_after_the_bound() {
     let site = site_with_organisations();
-    let host = site.host_with_revocation_bound("no-revocations", REVOCATION_BOUND, true);
+    let host = site.host_with_revocation_bound("deaf", REVOCATION_BOUND, true);
     assert_eq!(request_status(&host, "d1", "/single/a", "key-n1"), "200");
     site.store.refuse(true);
     let outage_began = Instant::now();
@@ -389,7 +389,7 @@
 #[test]
 fn quota_of_requests_that_did_not_run_is_refunded() {
     let site = site_with_organisations();
-    let host = site.host("refunded");
+    let host = site.host("given-back");
     wait_until("the host receives the quota ledger", || host.shared.quotas().receives_ledger());
     site.plain.set_behaviours(&[EngineBehaviour::NotRun]);
     for number in 0..300 {
--- a/crates/gateway/tests/host/quarantine.rs
+++ b/crates/gateway/tests/host/quarantine.rs
@@ -58,7 +58,7 @@
             earlier_arrivals: Vec::new(),
         };
         for _ in 0..count {
-            let name = format!("crashable-{}", fleet.incarnations + 1);
+            let name = format!("mortal-{}", fleet.incarnations + 1);
             let engine = fleet.start_engine(&name, free_address());
             fleet.engines.push(engine);
         }
@@ -92,7 +92,7 @@
                     let (mut name, address) = (engine.name.clone(), engine.address);
                     if !self.reuses_names {
                         self.store.put("engines", &name, "");
-                        name = format!("crashable-{}", self.incarnations + 1);
+                        name = format!("mortal-{}", self.incarnations + 1);
                     }
                     self.engines[index] = self.start_engine(&name, address);
                     self.down_since[index] = None;
@@ -133,15 +133,15 @@
 #[test]
 fn a_request_that_crashes_engines_is_quarantined_by_all_hosts() {
     let site = TestSite::start();
-    let mut fleet = CrashableFleet::start(&site, 6, "assist", &["crashing"]);
-    let hosts = start_hosts(&site, &["crashing-1", "crashing-2", "crashing-3"]);
+    let mut fleet = CrashableFleet::start(&site, 6, "assist", &["deadly"]);
+    let hosts = start_hosts(&site, &["deadly-1", "deadly-2", "deadly-3"]);
     wait_until("a stream is served", || {
         is_complete(&hosts[0].post("/stream/a", &fields("first"), "first"))
     });
     let (mut refused, mut served, mut unrelated) = (0, 0, 0);
     for number in 0..60 {
         let host = &hosts[number % hosts.len()];
-        let response = host.post("/stream/a", &fields(&format!("d{number}")), "crashing");
+        let response = host.post("/stream/a", &fields(&format!("d{number}")), "deadly");
         assert!(!response.starts_with("HTTP/1.1 200"), "{response}");
         if response.starts_with("HTTP/1.1 503") {
             assert!(response.contains("Retry-After: "), "{response}");
@@ -150,7 +150,7 @@
         fleet.poll();
         if number >= 30 {
             let other = &hosts[(number + 1) % hosts.len()];
-            let body = format!("unrelated {number}");
+            let body = format!("innocent {number}");
             unrelated += 1;
             served += u32::from(is_complete(&other.post(
                 "/stream/a",
@@ -161,7 +161,7 @@
         thread::sleep(Duration::from_millis(30));
         fleet.poll();
     }
-    let arrivals = fleet.arrivals("crashing");
+    let arrivals = fleet.arrivals("deadly");
     assert!(fleet.crashes.len() <= 4, "{} engines crashed", fleet.crashes.len());
     assert!(arrivals <= 4, "the request reached engines {arrivals} times");
     assert!(refused >= 50, "{refused} of 60 were refused");
@@ -173,7 +173,7 @@
 #[test]
 fn engines_that_keep_their_names_count_one_crash_per_incarnation() {
     let site = TestSite::start();
-    let mut fleet = CrashableFleet::start(&site, 1, "plain", &["crashing"]);
+    let mut fleet = CrashableFleet::start(&site, 1, "plain", &["deadly"]);
     fleet.reuses_names = true;
     site.store.put("engines", "plain-1", "");
     let host = site.host("one-name");
@@ -183,7 +183,7 @@
         wait_until("the engine serves", || {
             send(format!("s{incarnation}"), "harmless").starts_with("HTTP/1.1 200")
         });
-        assert!(send(format!("d{incarnation}"), "crashing").starts_with("HTTP/1.1 502"));
+        assert!(send(format!("d{incarnation}"), "deadly").starts_with("HTTP/1.1 502"));
         fleet.poll();
         thread::sleep(RESTART_DELAY);
         fleet.poll();
@@ -191,8 +191,8 @@
     wait_until("the third incarnation serves", || {
         send(String::from("t"), "harmless").starts_with("HTTP/1.1 200")
     });
-    assert!(send(String::from("h"), "crashing").contains("engines ended"));
-    assert_eq!(fleet.arrivals("crashing"), 2);
+    assert!(send(String::from("h"), "deadly").contains("engines ended"));
+    assert_eq!(fleet.arrivals("deadly"), 2);
 }
 
 /// Guards against our own retries crashing one engine after another before the first crash is
@@ -201,21 +201,21 @@
 fn retries_stop_after_the_second_engine_crash() {
     let site = TestSite::start();
     site.store.put("engines", "plain-1", "");
-    let mut fleet = CrashableFleet::start(&site, 4, "plain", &["crashing"]);
-    let host = site.host("retries");
+    let mut fleet = CrashableFleet::start(&site, 4, "plain", &["deadly"]);
+    let host = site.host("repeats");
     wait_until("a request is served", || {
         host.post("/safe/a", "X-Request: first\r\n", "first").starts_with("HTTP/1.1 200")
     });
-    let first = host.post("/safe/a", "X-Request: r1\r\n", "crashing");
+    let first = host.post("/safe/a", "X-Request: r1\r\n", "deadly");
     assert!(first.starts_with("HTTP/1.1 502"), "{first}");
     for number in 0..5 {
-        let response = host.post("/safe/a", &format!("X-Request: h{number}\r\n"), "crashing");
+        let response = host.post("/safe/a", &format!("X-Request: h{number}\r\n"), "deadly");
         assert!(response.starts_with("HTTP/1.1 503"), "{response}");
         assert!(response.contains("Retry-After: "), "{response}");
     }
     fleet.poll();
     assert_eq!(fleet.crashes.len(), 2);
-    assert_eq!(fleet.arrivals("crashing"), 2);
+    assert_eq!(fleet.arrivals("deadly"), 2);
     // The same body on another path, and another body on the same path, are different requests.
     for (path, body) in [("/safe/b", "harmless"), ("/safe/a", "harmless")] {
         let response = host.post(path, &format!("X-Request: o{}\r\n", path.len()), body);
@@ -227,7 +227,7 @@
 #[test]
 fn aborted_responses_quarantine_no_request() {
     let site = TestSite::start();
-    let host = site.host("aborted");
+    let host = site.host("breaks");
     for behaviour in
         [EngineBehaviour::CloseConnection, EngineBehaviour::TruncateBody, EngineBehaviour::Garbage]
     {
@@ -282,13 +282,13 @@
 #[test]
 fn a_host_that_starts_later_learns_of_quarantined_requests() {
     let site = TestSite::start();
-    let mut fleet = CrashableFleet::start(&site, 6, "assist", &["crashing"]);
+    let mut fleet = CrashableFleet::start(&site, 6, "assist", &["deadly"]);
     let hosts = start_hosts(&site, &["earlier-1", "earlier-2"]);
     wait_until("a stream is served", || {
         is_complete(&hosts[0].post("/stream/a", &fields("first"), "first"))
     });
     let began = Instant::now();
-    while !hosts[0].post("/stream/a", &fields("d"), "crashing").contains("engines ended") {
+    while !hosts[0].post("/stream/a", &fields("d"), "deadly").contains("engines ended") {
         assert!(began.elapsed() < WAIT_LIMIT, "the request is never quarantined");
         fleet.poll();
         thread::sleep(Duration::from_millis(20));
@@ -296,7 +296,7 @@
     let crashes_before = fleet.crashes.len();
     let late = site.host("later");
     wait_until("the late host knows of the change", || late.shared.quarantine().counts().1 == 1);
-    let response = late.post("/stream/a", &fields("l"), "crashing");
+    let response = late.post("/stream/a", &fields("l"), "deadly");
     assert!(response.contains("engines ended"), "{response}");
     fleet.poll();
     assert_eq!(fleet.crashes.len(), crashes_before);
--- a/crates/gateway/tests/host/recheck_before_send.rs
+++ b/crates/gateway/tests/host/recheck_before_send.rs
@@ -89,12 +89,12 @@
 #[test]
 fn a_waiting_request_that_is_quarantined_is_not_sent() {
     let site = TestSite::start();
-    let host = start_placer(&site, "quarantined", "");
-    let quarantine = || quarantine_request(&host, mark("crashing"));
-    let (response, time) = send_and_change(&site, &host, "", "crashing", quarantine);
+    let host = start_placer(&site, "held-waiting", "");
+    let quarantine = || quarantine_request(&host, mark("deadly"));
+    let (response, time) = send_and_change(&site, &host, "", "deadly", quarantine);
     assert!(response.starts_with("HTTP/1.1 503"), "{response}");
     assert!(response.contains("Retry-After: "), "{response}");
-    assert_eq!(arrivals(&site, "crashing"), 0);
+    assert_eq!(arrivals(&site, "deadly"), 0);
     assert!(time <= REFUSAL_LIMIT, "refused only after {time:?}");
 }
 
@@ -104,9 +104,9 @@
     let key = "X-Key: key-n1\r\n";
     let host = start_placer(&site, "key-waiting", key);
     let revoke = || site.store.put("configuration", "routes", &REVOKED_KEY_REVISION.to_string());
-    let (response, _) = send_and_change(&site, &host, key, "revoked", revoke);
+    let (response, _) = send_and_change(&site, &host, key, "withdrawn", revoke);
     assert!(response.starts_with("HTTP/1.1 401"), "{response}");
-    assert_eq!(arrivals(&site, "revoked"), 0);
+    assert_eq!(arrivals(&site, "withdrawn"), 0);
     // Another key of the organisation must still be accepted.
     let other = send(&host, "late", "X-Key: key-n2\r\n", "other");
     assert!(other.starts_with("HTTP/1.1 200"), "{other}");
--- a/crates/gateway/tests/host/store_restore.rs
+++ b/crates/gateway/tests/host/store_restore.rs
@@ -88,7 +88,7 @@
 #[test]
 fn a_second_rollback_soon_after_the_first_is_handled() {
     let site = TestSite::start();
-    let host = site.host("two-rollbacks");
+    let host = site.host("twice");
     for _ in 0..6 {
         site.store.put("configuration", "other", "1");
     }
@@ -135,7 +135,7 @@
     let snapshot = site.store.snapshot();
     site.store.put("configuration", "routes", &REVOKED_KEY_REVISION.to_string());
     site.store.restore(&snapshot);
-    let host = site.start_host("alone-after-rollback", Vec::new());
+    let host = site.start_host("alone-after-a-fall", Vec::new());
     let send = |key: &str| host.get("/single/a", &format!("X-Request: k\r\nX-Key: {key}\r\n"));
     wait_until("the host knows the new era", || knows_era(&host, 1));
     let key_refused = "the refusal of the key";
@@ -284,7 +284,7 @@
 #[test]
 fn a_revoked_key_stays_revoked_after_a_rollback() {
     let site = site_with_organisations();
-    let host = site.host("revoked-key");
+    let host = site.host("withdrawn-key");
     let snapshot = site.store.snapshot();
     let send = || host.get("/single/a", "X-Request: k\r\nX-Key: key-n1\r\n");
     assert!(send().starts_with("HTTP/1.1 200"));
--- a/crates/gateway/tests/host/store_rollback.rs
+++ b/crates/gateway/tests/host/store_rollback.rs
@@ -45,7 +45,7 @@
 #[test]
 fn a_change_after_a_store_rollback_applies() {
     let site = TestSite::start();
-    let host = site.host("rollback-change");
+    let host = site.host("older-change");
     lose_records(&site, &host, "configuration", "routes", "1");
     site.store.refuse(false);
     wait_until("the store is read again", || host.shared.metrics.store_era.get() == 1);
@@ -56,7 +56,7 @@
 #[test]
 fn an_engine_that_leaves_after_a_store_rollback_is_dropped() {
     let site = TestSite::start();
-    let host = site.host("rollback-leaving");
+    let host = site.host("older-leaving");
     lose_records(&site, &host, "engines", "plain-1", &site.plain.entry("plain", false));
     site.store.refuse(false);
     wait_until("the store is read again", || host.shared.metrics.store_era.get() == 1);
@@ -69,7 +69,7 @@
 #[test]
 fn a_change_below_the_read_offset_applies() {
     let site = TestSite::start();
-    let host = site.host("rollback-below");
+    let host = site.host("older-below");
     lose_records(&site, &host, "configuration", "other", "1");
     site.store.put("configuration", "routes", "2");
     for _ in 0..4 {
--- a/crates/gateway/tests/host/streams.rs
+++ b/crates/gateway/tests/host/streams.rs
@@ -23,7 +23,7 @@
 #[test]
 fn a_stream_is_delivered_completely() {
     let site = TestSite::start();
-    let host = site.host("complete");
+    let host = site.host("whole");
     for engine in &site.engines {
         engine.set_behaviours(&[EngineBehaviour::Stream(6)]);
     }
@@ -69,7 +69,7 @@
 #[test]
 fn a_client_disconnect_ends_its_run() {
     let site = TestSite::start();
-    let host = site.host("disconnect");
+    let host = site.host("left");
     for engine in &site.engines {
         engine.set_behaviours(&[EngineBehaviour::Stream(200)]);
     }
