--- a/crates/gateway/tests/host/dialect.rs
+++ b/crates/gateway/tests/host/dialect.rs
@@ -1,4 +1,4 @@
-//! The project's own plain dialect: what the stand-ins of these tests speak.
+//! The plain dialect that the stand-ins of these tests speak.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -30,23 +30,23 @@
 pub(crate) const ENGINE: &str = "X-Engine";
 pub(crate) const NOT_RUN: &str = "X-Not-Run";
 pub(crate) const RUN_BY: &str = "X-Run-By";
-pub(crate) const AFTER: &str = "X-After";
+pub(crate) const RESUME_AFTER: &str = "X-After";
 pub(crate) const HOLD: &str = "X-Hold";
 pub(crate) const PIN: &str = "X-Pin";
 pub(crate) const KEY: &str = "X-Key";
 pub(crate) const ORGANISATION: &str = "X-Organisation";
-pub(crate) const RANK: &str = "X-Rank";
+pub(crate) const PRIORITY: &str = "X-Rank";
 pub(crate) const ERA: &str = "X-Era";
 pub(crate) const LIMIT: &str = "X-Limit";
 pub(crate) const VERSION: &str = "X-Version";
 pub(crate) const LEAVING: &str = "X-Leaving";
 pub(crate) const COOLDOWN: &str = "X-Cooldown";
-/// The host that a test sent a request to; it is passed on to engines as any field of a client.
-pub(crate) const ENTERED: &str = "X-Entered";
+/// Names the host to which a test sent the request; forwarded to engines like any client field.
+pub(crate) const ENTRY_HOST: &str = "X-Entered";
 pub(crate) const TOKENS: &str = "X-Tokens";
 
-/// The configurations that records name by their revision.
-pub(crate) type KnownRoutes = Arc<HashMap<u64, Arc<RouteTable>>>;
+/// Configurations by the revision that records name.
+pub(crate) type RoutesByRevision = Arc<HashMap<u64, Arc<RouteTable>>>;
 
 pub(crate) struct PlainExchange;
 
@@ -67,18 +67,18 @@
     }
 
     fn reserved_fields(&self) -> &'static [&'static str] {
-        &[DEADLINE, ENGINE, HOLD, PIN, RANK, KEY, ORGANISATION]
+        &[DEADLINE, ENGINE, HOLD, PIN, PRIORITY, KEY, ORGANISATION]
     }
 
     fn set_forward_metadata(&self, fields: &mut HeaderFields, terms: &ForwardMetadata<'_>) {
         fields.push(DEADLINE, terms.remaining.as_millis().to_string());
         fields.push(ENGINE, terms.engine);
-        fields.push(RANK, terms.priority.to_string());
+        fields.push(PRIORITY, terms.priority.to_string());
         if let Some(organisation) = terms.organisation {
             fields.push(ORGANISATION, organisation);
         }
         if let Some(event) = terms.resume_after {
-            fields.replace(AFTER, event);
+            fields.replace(RESUME_AFTER, event);
         }
     }
 
@@ -133,7 +133,7 @@
     CallRequest { head, body: Bytes::from(body) }
 }
 
-fn read(answer: &CallResponse) -> Result<Value, CodecError> {
+fn parse_json(answer: &CallResponse) -> Result<Value, CodecError> {
     match answer.head.status {
         200 => serde_json::from_slice(&answer.body)
             .map_err(|error| CodecError::Malformed(error.to_string())),
@@ -144,7 +144,7 @@
 
 pub(crate) struct PlainEngines;
 
-fn held(value: &Value) -> Vec<LoadedModel> {
+fn loaded_models(value: &Value) -> Vec<LoadedModel> {
     let keys = value.as_array().into_iter().flatten().filter_map(Value::as_str);
     keys.map(|key| LoadedModel { key: Arc::from(key), version: 1 }).collect()
 }
@@ -174,19 +174,19 @@
     }
 
     fn decode_report(&self, answer: &CallResponse) -> Result<EngineReport, CodecError> {
-        let body = read(answer)?;
+        let body = parse_json(answer)?;
         Ok(EngineReport {
             incarnation: body["born"].as_u64().unwrap_or_default(),
             sequence: body["sequence"].as_u64().unwrap_or_default(),
             model_change_in_progress: false,
-            held: held(&body["held"]),
-            pending: held(&body["pending"]),
+            held: loaded_models(&body["held"]),
+            pending: loaded_models(&body["pending"]),
         })
     }
 }
 
 pub(crate) struct PlainStore {
-    pub(crate) routes: KnownRoutes,
+    pub(crate) routes: RoutesByRevision,
 }
 
 const fn topic_name(topic: KeyedTopic) -> &'static str {
@@ -211,8 +211,8 @@
 
 impl StoreCodec for PlainStore {
     fn decode_era(&self, answer: &CallResponse) -> StoreEra {
-        let told = answer.head.fields.text(ERA);
-        told.and_then(|era| era.parse().ok()).unwrap_or_default()
+        let era = answer.head.fields.text(ERA);
+        era.and_then(|era| era.parse().ok()).unwrap_or_default()
     }
 
     fn decode_cooldown(&self, answer: &CallResponse) -> Option<Cooldown> {
@@ -225,7 +225,7 @@
     }
 
     fn decode_snapshot_page(&self, answer: &CallResponse) -> Result<SnapshotPage, CodecError> {
-        let body = read(answer)?;
+        let body = parse_json(answer)?;
         let era = self.decode_era(answer);
         let more = body["more"].as_bool().unwrap_or_default();
         Ok(SnapshotPage { records: records(era, &body), more, end: position(era, &body["end"]) })
@@ -247,7 +247,7 @@
         from: StorePosition,
         answer: &CallResponse,
     ) -> Result<RecordBatch, CodecError> {
-        let body = read(answer)?;
+        let body = parse_json(answer)?;
         let era = self.decode_era(answer);
         let records = records(era, &body);
         let last = records.last().map(|record| record.position.next());
@@ -268,7 +268,7 @@
     }
 
     fn decode_assignment(&self, answer: &CallResponse) -> Result<GroupAssignment, CodecError> {
-        let body = read(answer)?;
+        let body = parse_json(answer)?;
         let parts = body["partitions"].as_array().into_iter().flatten().filter_map(Value::as_u64);
         Ok(GroupAssignment {
             era: self.decode_era(answer),
@@ -286,7 +286,7 @@
     }
 
     fn decode_owners(&self, answer: &CallResponse) -> Result<HashMap<u32, String>, CodecError> {
-        let body = read(answer)?;
+        let body = parse_json(answer)?;
         let owners =
             body.as_object().into_iter().flatten().filter_map(|(part, member)| {
                 Some((part.parse().ok()?, member.as_str()?.to_owned()))
@@ -323,12 +323,12 @@
             slots: 16,
             leaving: body["leaving"].as_bool().unwrap_or_default(),
             sequence: body["sequence"].as_u64().unwrap_or_default(),
-            loaded_models: held(&body["held"]),
+            loaded_models: loaded_models(&body["held"]),
         })
     }
 }
 
-pub(crate) fn dialects(routes: KnownRoutes) -> Codecs {
+pub(crate) fn dialects(routes: RoutesByRevision) -> Codecs {
     Codecs {
         request: Arc::new(PlainExchange),
         engine: Arc::new(PlainEngines),
--- a/crates/gateway/tests/host/events.rs
+++ b/crates/gateway/tests/host/events.rs
@@ -1,4 +1,5 @@
-//! Structured log lines: a reader that stalls delays nothing, and the page on them is complete.
+//! Structured log lines: a stalled reader blocks no writer, and the operations page lists all
+//! events.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -10,23 +11,23 @@
 use reelreel_gateway::events::{EventLog, HostEvent, RequestEvent};
 use serde_json::Value;
 
-/// Lines that are written: many times what a pipe and the queue hold.
+/// Number of lines written: far more than a pipe and the queue hold.
 const LINES: u64 = 20_000;
 
 #[test]
-fn a_reader_that_stalls_delays_nothing_and_hears_how_much_was_left_out() {
+fn a_stalled_log_reader_blocks_no_writer_and_gets_the_count_of_dropped_lines() {
     let (reader, writer) = std::io::pipe().expect("a pipe");
     let log = EventLog::start_to(Arc::from("stalled"), writer).expect("a thread");
-    let mut longest = Duration::ZERO;
+    let mut max_write_time = Duration::ZERO;
     for number in 0..LINES {
         let began = Instant::now();
         log.write(HostEvent::ConfigurationInForce { revision: number, era: 0, offset: 0 });
-        longest = longest.max(began.elapsed());
+        max_write_time = max_write_time.max(began.elapsed());
     }
-    // A write that waited for the reader would never return; the bound leaves room for a busy box.
-    assert!(longest < Duration::from_secs(1), "a write took {longest:?}");
-    // Once somebody reads again, what is queued comes, and a line says how many found no room.
-    let reading = std::thread::spawn(move || {
+    // A write that waits for the reader would never return; the bound allows for a busy machine.
+    assert!(max_write_time < Duration::from_secs(1), "a write took {max_write_time:?}");
+    // Once the reader resumes, it gets the queued lines and a line with the count of dropped ones.
+    let reader_thread = std::thread::spawn(move || {
         let lines = BufReader::new(reader).lines().map_while(Result::ok);
         let lines = lines.map(|line| serde_json::from_str(&line).expect("a JSON line"));
         lines.collect::<Vec<Value>>()
@@ -34,14 +35,14 @@
     std::thread::sleep(Duration::from_millis(300));
     log.write(HostEvent::ConfigurationInForce { revision: LINES, era: 0, offset: 0 });
     drop(log);
-    let lines = reading.join().expect("the reader ends");
-    let left_out: u64 = lines.iter().filter_map(|line| line["left_out"].as_u64()).sum();
-    assert!(left_out > 0, "{} lines came", lines.len());
-    assert_eq!(left_out + lines.len() as u64, LINES + 1);
+    let lines = reader_thread.join().expect("the reader ends");
+    let dropped: u64 = lines.iter().filter_map(|line| line["left_out"].as_u64()).sum();
+    assert!(dropped > 0, "none of {} lines counts dropped ones", lines.len());
+    assert_eq!(dropped + lines.len() as u64, LINES + 1);
 }
 
-/// One event of each kind.
-fn one_of_each() -> Vec<HostEvent> {
+/// Returns one event of each kind.
+fn one_event_of_each_kind() -> Vec<HostEvent> {
     let address = "127.0.0.1:1".parse().expect("an address");
     let engine = || String::from("e1");
     vec![
@@ -142,7 +143,7 @@
     ]
 }
 
-/// Fails to compile when a kind of event is added and [`one_of_each`] is not extended.
+/// Fails to compile when a kind of event is added and [`one_event_of_each_kind`] is not extended.
 fn is_listed(event: &HostEvent) -> bool {
     use HostEvent as Event;
     match event {
@@ -181,35 +182,35 @@
     }
 }
 
-/// Returns the events and fields that the page's table names, by event.
-fn page() -> BTreeMap<String, BTreeSet<String>> {
+/// Returns the fields in the page's table, by event.
+fn documented_fields() -> BTreeMap<String, BTreeSet<String>> {
     let page = include_str!("../../../../docs/OPERATIONS.md");
     let table = page.split("## The lines").nth(1).expect("the table of lines");
     let rows = table.lines().filter(|line| line.starts_with("| `"));
-    let mut named = BTreeMap::new();
+    let mut fields_by_event = BTreeMap::new();
     for row in rows.take_while(|row| !row.contains("reelreel_")) {
         let cells: Vec<&str> = row.split('|').collect();
-        let words = |cell: &str| -> BTreeSet<String> {
+        let code_spans = |cell: &str| -> BTreeSet<String> {
             cell.split('`').skip(1).step_by(2).map(ToOwned::to_owned).collect()
         };
-        for event in words(cells[1]) {
-            named.insert(event, words(cells[2]));
+        for event in code_spans(cells[1]) {
+            fields_by_event.insert(event, code_spans(cells[2]));
         }
     }
-    named
+    fields_by_event
 }
 
 #[test]
-fn the_page_names_every_event_and_field() {
-    let page = page();
-    let events = one_of_each();
-    assert_eq!(events.len(), page.len(), "the page names {:?}", page.keys());
+fn the_operations_page_lists_every_event_and_field() {
+    let documented = documented_fields();
+    let events = one_event_of_each_kind();
+    assert_eq!(events.len(), documented.len(), "the page lists {:?}", documented.keys());
     for event in events {
         assert!(is_listed(&event));
         let line = serde_json::to_value(&event).expect("a JSON value");
         let line = line.as_object().expect("an object");
         let name = line["event"].as_str().expect("a name");
-        let fields = page.get(name).unwrap_or_else(|| panic!("the page lacks `{name}`"));
+        let fields = documented.get(name).unwrap_or_else(|| panic!("the page lacks `{name}`"));
         for field in line.keys().filter(|field| *field != "event") {
             assert!(fields.contains(field), "the page lacks field `{field}` of `{name}`");
         }
--- a/crates/gateway/tests/host/following.rs
+++ b/crates/gateway/tests/host/following.rs
@@ -1,4 +1,4 @@
-//! A few hosts read the store; the others follow them, and read it themselves when they must.
+//! A few hosts read the store; the others follow them, and read it themselves when necessary.
 
 use std::{
     io::Read,
@@ -20,32 +20,32 @@
 
 use crate::site::{TestHost, TestSite, wait_until};
 
-const WEAK: HostCapacity = HostCapacity { cpu_share: 0.1, bandwidth_mbps: 10.0 };
+const WEAK_CAPACITY: HostCapacity = HostCapacity { cpu_share: 0.1, bandwidth_mbps: 10.0 };
 
-fn follower(site: &TestSite, name: &str) -> TestHost {
-    let host = site.host_with(name, Vec::new(), WEAK);
+fn start_follower(site: &TestSite, name: &str) -> TestHost {
+    let host = site.start_host_with_capacity(name, Vec::new(), WEAK_CAPACITY);
     host.wait_ready();
     wait_until("the host follows", || host.shared.metrics.following.get() == 1);
     host
 }
 
-fn serves_the_late_route(host: &TestHost, id: &str) -> bool {
+fn serves_late_route(host: &TestHost, id: &str) -> bool {
     host.get("/late/a", &format!("X-Request: {id}\r\n")).starts_with("HTTP/1.1 200")
 }
 
 #[test]
-fn a_follower_learns_a_configuration_without_a_call_of_its_own() {
+fn a_follower_gets_a_configuration_without_calling_the_store() {
     let site = TestSite::start();
     // A group of three needs no weak member.
     let _readers = ["one", "two", "three"].map(|name| site.host(name));
-    let host = follower(&site, "follower");
-    // A last look at the group may still be under way when it begins to follow.
+    let host = start_follower(&site, "follower");
+    // A last check of the group may still be under way when the host starts to follow.
     thread::sleep(Duration::from_millis(1200));
     let calls = host.shared.metrics.store_calls.get();
     site.store.put("configuration", "routes", "2");
     thread::sleep(Duration::from_millis(300));
-    let answer = host.get("/late/a", "X-Request: f1\r\n");
-    assert!(answer.starts_with("HTTP/1.1 200"), "not passed on in 0.3 s: {answer}");
+    let response = host.get("/late/a", "X-Request: f1\r\n");
+    assert!(response.starts_with("HTTP/1.1 200"), "not passed on in 0.3 s: {response}");
     assert_eq!(host.shared.metrics.store_calls.get(), calls);
 }
 
@@ -53,9 +53,9 @@
 fn a_follower_learns_that_an_engine_leaves() {
     let site = TestSite::start();
     let _reader = site.host("reader");
-    let host = follower(&site, "follower");
+    let host = start_follower(&site, "follower");
     site.store.put("engines", "plain-1", &site.plain.entry("plain", true));
-    wait_until("the engine is left", || {
+    wait_until("the leaving engine is dropped", || {
         let table = host.shared.table.borrow().clone();
         table.ready_engines("plain").next().is_none()
     });
@@ -65,28 +65,28 @@
 fn a_follower_whose_reader_stops_reads_the_store_itself() {
     let site = TestSite::start();
     let reader = site.host("reader");
-    let host = follower(&site, "follower");
+    let host = start_follower(&site, "follower");
     reader.stop();
     site.store.put("configuration", "routes", "2");
-    wait_until("the change is in force", || serves_the_late_route(&host, "s1"));
+    wait_until("the change is in force", || serves_late_route(&host, "s1"));
     assert_eq!(host.shared.metrics.following.get(), 0);
 }
 
 #[test]
-fn a_reader_that_the_store_refuses_lets_its_followers_go() {
+fn a_reader_that_the_store_refuses_drops_its_followers() {
     let site = TestSite::start();
     let _reader = site.host("reader");
-    let host = follower(&site, "follower");
+    let host = start_follower(&site, "follower");
     site.store.refuse(true);
-    wait_until("the follower is on its own", || host.shared.metrics.following.get() == 0);
+    wait_until("the host stops following", || host.shared.metrics.following.get() == 0);
     assert!(host.is_ready());
     site.store.refuse(false);
     site.store.put("configuration", "routes", "2");
-    wait_until("the change is in force", || serves_the_late_route(&host, "r1"));
+    wait_until("the change is in force", || serves_late_route(&host, "r1"));
 }
 
 #[test]
-fn engines_that_lapse_in_an_outage_count_until_they_can_have_listed_themselves_again() {
+fn engines_whose_entries_expire_in_an_outage_stay_listed_until_they_could_relist() {
     let site = TestSite::start();
     let host = site.host("lapse");
     let listed = || host.shared.table.borrow().ready_engines("plain").count();
@@ -94,25 +94,25 @@
     thread::sleep(Duration::from_millis(2200));
     site.store.put("engines", "plain-1", "");
     site.store.refuse(false);
-    // The pause between two tries while the store refuses is a second and a quarter at most.
+    // While the store refuses, retries are at most 1.25 s apart.
     for number in 0..15 {
-        let answer = host.get("/safe/a", &format!("X-Request: l{number}\r\n"));
-        assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
+        let response = host.get("/safe/a", &format!("X-Request: l{number}\r\n"));
+        assert!(response.starts_with("HTTP/1.1 200"), "{response}");
         thread::sleep(Duration::from_millis(100));
     }
-    wait_until("what did not come back is gone", || listed() == 0);
+    wait_until("the engine that did not return is removed", || listed() == 0);
     site.store.put("engines", "plain-1", &site.plain.entry("plain", false));
-    wait_until("what comes back later counts again", || listed() == 1);
+    wait_until("the engine is listed again", || listed() == 1);
 }
 
 #[test]
-fn a_weak_host_stands_in_and_leaves_when_strong_ones_are_back() {
+fn a_weak_host_joins_the_group_until_strong_hosts_return() {
     let site = TestSite::start();
-    let weak = site.host_with("weak", Vec::new(), WEAK);
+    let weak = site.start_host_with_capacity("weak", Vec::new(), WEAK_CAPACITY);
     weak.wait_ready();
-    wait_until("it stands in", || weak.shared.metrics.leases.get() == 1);
+    wait_until("the weak host holds the lease", || weak.shared.metrics.leases.get() == 1);
     let strong = ["one", "two", "three"].map(|name| site.host(name));
-    wait_until("it has left", || {
+    wait_until("a strong host holds the lease", || {
         let leases = strong.iter().map(|host| host.shared.metrics.leases.get());
         weak.shared.metrics.leases.get() == 0 && leases.sum::<i64>() == 1
     });
@@ -120,7 +120,7 @@
 
 struct HealthCase {
     name: &'static str,
-    /// Times of calls, and whether they were answered.
+    /// Times of calls, and whether they succeeded. Unit: milliseconds.
     calls: &'static [(u64, bool)],
     at: u64,
     fresh: bool,
@@ -128,23 +128,23 @@
 }
 
 const HEALTH_CASES: &[HealthCase] = &[
-    HealthCase { name: "nothing yet", calls: &[], at: 10, fresh: false, relisting_until: None },
+    HealthCase { name: "no call", calls: &[], at: 10, fresh: false, relisting_until: None },
     HealthCase {
-        name: "an answer just now",
+        name: "a recent response",
         calls: &[(1000, true)],
         at: 2000,
         fresh: true,
         relisting_until: None,
     },
     HealthCase {
-        name: "an answer a while ago",
+        name: "an old response",
         calls: &[(1000, true)],
         at: 2200,
         fresh: false,
         relisting_until: None,
     },
     HealthCase {
-        name: "one failure is no outage",
+        name: "a single failure",
         calls: &[(1000, true), (1700, false), (1800, true)],
         at: 1900,
         fresh: true,
@@ -158,7 +158,7 @@
         relisting_until: Some(6200),
     },
     HealthCase {
-        name: "a while after an outage",
+        name: "after the relisting time of an outage",
         calls: &[(1000, true), (1700, false), (4000, true), (6000, true)],
         at: 6300,
         fresh: true,
@@ -167,7 +167,7 @@
 ];
 
 #[test]
-fn health_tells_freshness_and_outages() {
+fn store_health_reports_freshness_and_outages() {
     for case in HEALTH_CASES {
         let mut health = StoreHealth::default();
         for (at, answered) in case.calls {
@@ -185,8 +185,8 @@
     }
 }
 
-/// Returns whether the first frame of a connection tells demand.
-fn tells_demand(socket: &mut TcpStream) -> bool {
+/// Returns whether the first frame of a connection reports demand.
+fn reports_demand(socket: &mut TcpStream) -> bool {
     let mut length = [0; 4];
     if socket.read_exact(&mut length).is_err() {
         return false;
@@ -196,126 +196,131 @@
     matches!(frame, Ok(Ok(PeerFrame { body: Some(FrameBody::Demand(_)) })))
 }
 
-/// A member of the group that takes every connection and never says a word; counts who tells it demand.
-fn silent_member(site: &TestSite) -> Arc<AtomicU32> {
+/// Adds a group member that accepts connections and never sends anything; returns the count of
+/// connections that report demand.
+fn add_silent_member(site: &TestSite) -> Arc<AtomicU32> {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    site.store.enlist(&listener.local_addr().expect("an address").to_string());
-    let told: Arc<AtomicU32> = Arc::default();
-    let counted = Arc::clone(&told);
+    site.store.add_member(&listener.local_addr().expect("an address").to_string());
+    let reports: Arc<AtomicU32> = Arc::default();
+    let counter = Arc::clone(&reports);
     thread::spawn(move || {
         for mut socket in listener.incoming().flatten() {
-            let counted = Arc::clone(&counted);
+            let counter = Arc::clone(&counter);
             thread::spawn(move || {
-                if tells_demand(&mut socket) {
-                    counted.fetch_add(1, Ordering::Relaxed);
+                if reports_demand(&mut socket) {
+                    counter.fetch_add(1, Ordering::Relaxed);
                 }
-                // Held open until the other side closes it.
+                // Keeps the connection open until the other side closes it.
                 let _ = socket.read(&mut [0; 1024]);
             });
         }
     });
-    told
+    reports
 }
 
-/// A connection to the placer that had gone silent for good was kept, and with it a plan of long ago.
+/// Guards against keeping a stale plan and a connection to a placer that has gone silent.
 #[test]
-fn a_silent_placer_is_connected_to_again() {
+fn a_host_reconnects_to_a_silent_placer() {
     let site = TestSite::start();
-    let told = [(); 3].map(|()| silent_member(&site));
-    let host = site.host_with("listener", Vec::new(), WEAK);
+    let reports = [(); 3].map(|()| add_silent_member(&site));
+    let host = site.start_host_with_capacity("listener", Vec::new(), WEAK_CAPACITY);
     host.wait_ready();
-    wait_until("the placer is connected to again", || {
-        told.iter().map(|told| told.load(Ordering::Relaxed)).sum::<u32>() >= 2
+    wait_until("the host reconnects to the placer", || {
+        reports.iter().map(|reports| reports.load(Ordering::Relaxed)).sum::<u32>() >= 2
     });
 }
 
-/// A partition passes on when the member that had it has joined again: at a third of the time to live between joins
-/// nobody placed for the first two seconds of a fleet.
+/// A partition moves only when its previous owner has rejoined, so members rejoin faster than a
+/// third of their time to live while the group changes.
 #[test]
-fn a_member_joins_again_at_once_while_the_group_changes() {
+fn a_member_rejoins_immediately_while_the_group_changes() {
     let site = TestSite::start();
     let _host = site.host("member");
     thread::sleep(Duration::from_millis(1500));
     let changed = Instant::now();
-    site.store.enlist("127.0.0.1:1");
-    wait_until("it has joined twice", || site.store.joins_since(changed).len() >= 2);
+    site.store.add_member("127.0.0.1:1");
+    wait_until("the member has joined twice", || site.store.joins_since(changed).len() >= 2);
     let joins = site.store.joins_since(changed);
     let gap = joins[1] - joins[0];
     assert!(gap < Duration::from_millis(300), "{} ms between two joins", gap.as_millis());
     thread::sleep(Duration::from_millis(1500));
     let joins = site.store.joins_since(changed);
-    assert!(joins.len() <= 7, "{} joins of a group that changes no more", joins.len());
+    assert!(joins.len() <= 7, "{} joins of an unchanged group", joins.len());
 }
 
-/// What a host's calls and its reader tell, and whether engines that are gone count for a while.
-struct StoryCase {
+/// Calls and reader updates of a host, and whether they amount to an outage.
+struct OutageCase {
     name: &'static str,
-    /// Rising times with what happened. Unit: milliseconds.
-    story: &'static [(u64, StoreSign)],
+    /// Events in order. Unit of the times: milliseconds.
+    events: &'static [(u64, StoreEvent)],
     /// Whether an outage has just ended.
     outage: bool,
 }
 
 #[derive(Clone, Copy)]
-enum StoreSign {
+enum StoreEvent {
     Answered,
     Failed,
-    Told,
+    ReaderUpdate,
 }
 
-const STORY_CASES: &[StoryCase] = &[
-    StoryCase {
-        name: "an outage of its own calls",
-        story: &[
-            (1000, StoreSign::Answered),
-            (1500, StoreSign::Failed),
-            (4000, StoreSign::Answered),
+const OUTAGE_CASES: &[OutageCase] = &[
+    OutageCase {
+        name: "an outage of the host's own calls",
+        events: &[
+            (1000, StoreEvent::Answered),
+            (1500, StoreEvent::Failed),
+            (4000, StoreEvent::Answered),
         ],
         outage: true,
     },
-    StoryCase {
-        name: "one failure long ago, a reader since, and a call again",
-        story: &[
-            (1000, StoreSign::Answered),
-            (5000, StoreSign::Failed),
-            (5200, StoreSign::Told),
-            (18_000, StoreSign::Told),
-            (18_400, StoreSign::Answered),
+    OutageCase {
+        name: "an old failure, reader updates since, and a successful call",
+        events: &[
+            (1000, StoreEvent::Answered),
+            (5000, StoreEvent::Failed),
+            (5200, StoreEvent::ReaderUpdate),
+            (18_000, StoreEvent::ReaderUpdate),
+            (18_400, StoreEvent::Answered),
         ],
         outage: false,
     },
-    StoryCase {
-        name: "a reader for long, one failure, and an answer",
-        story: &[
-            (1000, StoreSign::Answered),
-            (18_000, StoreSign::Told),
-            (18_300, StoreSign::Failed),
-            (18_500, StoreSign::Answered),
+    OutageCase {
+        name: "reader updates for long, one failure, and a successful call",
+        events: &[
+            (1000, StoreEvent::Answered),
+            (18_000, StoreEvent::ReaderUpdate),
+            (18_300, StoreEvent::Failed),
+            (18_500, StoreEvent::Answered),
         ],
         outage: false,
     },
-    StoryCase {
-        name: "an outage that ends with a reader's word",
-        story: &[(18_000, StoreSign::Told), (18_300, StoreSign::Failed), (21_000, StoreSign::Told)],
+    OutageCase {
+        name: "an outage that ends with a reader update",
+        events: &[
+            (18_000, StoreEvent::ReaderUpdate),
+            (18_300, StoreEvent::Failed),
+            (21_000, StoreEvent::ReaderUpdate),
+        ],
         outage: true,
     },
 ];
 
-/// A host that followed a reader for thirteen seconds took them for an outage when it called the store again, and went on
-/// sending to an engine that had left.
+/// Guards against taking the time without store calls while following a reader for an outage, which
+/// would keep departed engines listed.
 #[test]
-fn following_a_reader_is_no_outage() {
-    for case in STORY_CASES {
+fn following_a_reader_does_not_count_as_an_outage() {
+    for case in OUTAGE_CASES {
         let mut health = StoreHealth::default();
         let mut now = ClockMillis::default();
-        for (at, sign) in case.story {
+        for (at, event) in case.events {
             now = ClockMillis::from_millis(*at);
-            match sign {
-                StoreSign::Answered => {
+            match event {
+                StoreEvent::Answered => {
                     health.record_response(now);
                 }
-                StoreSign::Failed => health.record_failure(now),
-                StoreSign::Told => health.record_reader_update(now),
+                StoreEvent::Failed => health.record_failure(now),
+                StoreEvent::ReaderUpdate => health.record_reader_update(now),
             }
         }
         assert_eq!(health.reregistration_until(now).is_some(), case.outage, "{}", case.name);
--- a/crates/gateway/tests/host/suspended.rs
+++ b/crates/gateway/tests/host/suspended.rs
@@ -1,4 +1,4 @@
-//! A host that is suspended and comes back: whatever it believed has an age, and the time that it was away counts.
+//! A suspended host: the time of the suspension counts towards the age of its state.
 
 use std::{
     sync::{
@@ -12,86 +12,90 @@
 use reelreel_core::{ClockMillis, ClockSource, MonotonicClock, clock::duration_millis};
 
 use crate::{
-    engine::EngineMood,
-    organisations::site_with_keys,
+    engine::EngineBehaviour,
+    organisations::site_with_organisations,
     site::{TestSite, wait_until},
 };
 
-/// For how long hosts are suspended: longer than anything that they may believe for a time.
-const AWAY: Duration = Duration::from_secs(20);
+/// Duration of a suspension: longer than the validity of any cached state.
+const SUSPENSION: Duration = Duration::from_secs(20);
 
-/// The clock of a host that can be suspended: its timers stand still meanwhile, and this goes on.
+/// A clock that advances during a simulated suspension, while timers stand still.
 struct SuspendableClock {
     clock: MonotonicClock,
-    away: AtomicU64,
+    suspended_millis: AtomicU64,
 }
 
 impl SuspendableClock {
     fn new() -> Arc<Self> {
-        Arc::new(Self { clock: MonotonicClock::new(), away: AtomicU64::new(0) })
+        Arc::new(Self { clock: MonotonicClock::new(), suspended_millis: AtomicU64::new(0) })
     }
 
     fn suspend(&self) {
-        self.away.fetch_add(duration_millis(AWAY), Ordering::Relaxed);
+        self.suspended_millis.fetch_add(duration_millis(SUSPENSION), Ordering::Relaxed);
     }
 }
 
 impl ClockSource for SuspendableClock {
     fn now(&self) -> ClockMillis {
-        self.clock.now() + Duration::from_millis(self.away.load(Ordering::Relaxed))
+        self.clock.now() + Duration::from_millis(self.suspended_millis.load(Ordering::Relaxed))
     }
 }
 
-/// A key was served for as long as the host had been away beyond the bound: the clock that it was timed by had stood still.
+/// Guards against a clock that stands still during a suspension and thereby extends the validity of
+/// keys.
 #[test]
-fn no_key_is_served_by_what_was_known_before() {
-    let site = site_with_keys();
+fn no_key_is_served_from_state_older_than_a_suspension() {
+    let site = site_with_organisations();
     let clock = SuspendableClock::new();
-    let own: Arc<dyn ClockSource> = clock.clone();
-    let host = site.host_by("suspended-keys", own, Some(Duration::from_secs(4)));
-    let ask = || host.get("/single/a", "X-Request: k\r\nX-Key: key-n1\r\n");
-    assert!(ask().starts_with("HTTP/1.1 200"));
+    let source: Arc<dyn ClockSource> = clock.clone();
+    let host = site.host_with_clock("suspended-keys", source, Some(Duration::from_secs(4)));
+    let send = || host.get("/single/a", "X-Request: k\r\nX-Key: key-n1\r\n");
+    assert!(send().starts_with("HTTP/1.1 200"));
     site.store.refuse(true);
     clock.suspend();
-    let answer = ask();
-    assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
+    let response = send();
+    assert!(response.starts_with("HTTP/1.1 503"), "{response}");
     site.store.refuse(false);
-    wait_until("the key is served again", || ask().starts_with("HTTP/1.1 200"));
+    wait_until("the key is served again", || send().starts_with("HTTP/1.1 200"));
 }
 
-/// A request whose time ended while the host was away is over, and its engine is not kept at work.
+/// The request must end, and its engine must be released.
 #[test]
-fn a_request_whose_time_ended_meanwhile_is_over() {
+fn a_request_whose_deadline_passed_during_a_suspension_ends() {
     let site = TestSite::start();
     let clock = SuspendableClock::new();
-    let own: Arc<dyn ClockSource> = clock.clone();
-    let host = site.host_by("suspended-request", own, None);
-    site.plain.treat(&[EngineMood::Hangs]);
+    let source: Arc<dyn ClockSource> = clock.clone();
+    let host = site.host_with_clock("suspended-request", source, None);
+    site.plain.set_behaviours(&[EngineBehaviour::Hang]);
     thread::scope(|scope| {
         let sent = Instant::now();
         let request = scope.spawn(|| host.post("/single/a", "X-Request: o\r\n", "body"));
-        wait_until("it is at its engine", || !site.plain.arrivals().is_empty());
+        wait_until("the request reaches its engine", || !site.plain.arrivals().is_empty());
         clock.suspend();
-        let answer = request.join().expect("an answer");
-        assert!(answer.starts_with("HTTP/1.1 504"), "{answer}");
-        // The route's 1,500 ms had hardly begun.
+        let response = request.join().expect("a response");
+        assert!(response.starts_with("HTTP/1.1 504"), "{response}");
+        // The route's timeout of 1,500 ms has not passed in real time.
         assert!(sent.elapsed() < Duration::from_secs(1), "{:?}", sent.elapsed());
     });
 }
 
-/// A placer that fell silent while this host was away is left at once, not after its patience has begun anew.
+/// A placer that has been silent since before the suspension must be left immediately, without
+/// another full timeout.
 #[test]
-fn a_peers_word_from_before_is_old() {
+fn peer_state_from_before_a_suspension_is_stale() {
     let site = TestSite::start();
-    let (clock, other) = (SuspendableClock::new(), site.host("stays-awake"));
-    let own: Arc<dyn ClockSource> = clock.clone();
-    wait_until("the first host holds the lease", || other.shared.metrics.leases.get() == 1);
-    let host = site.host_by("suspended-peer", own, None);
-    wait_until("both are counted", || host.shared.table.borrow().hosts == 2);
+    let (clock, placer) = (SuspendableClock::new(), site.host("stays-awake"));
+    let source: Arc<dyn ClockSource> = clock.clone();
+    wait_until("the first host holds the lease", || placer.shared.metrics.leases.get() == 1);
+    let host = site.host_with_clock("suspended-peer", source, None);
+    wait_until("both hosts are counted", || host.shared.table.borrow().hosts == 2);
     clock.suspend();
-    // It goes on with the placer's next word, and nothing is broken.
+    // The host continues with the placer's next message.
     wait_until("requests are served", || {
         host.post("/single/a", "X-Request: p\r\n", "body").starts_with("HTTP/1.1 200")
     });
-    wait_until("the placer is heard again", || host.shared.table.borrow().hosts == 2);
+    wait_until("the placer's messages are received again", || {
+        host.shared.table.borrow().hosts == 2
+    });
 }
--- a/crates/gateway/tests/host/system_fields.rs
+++ b/crates/gateway/tests/host/system_fields.rs
@@ -1,14 +1,14 @@
-//! Header fields that only the system sets: what a client writes there never reaches an engine.
+//! Header fields reserved for the system: values from clients must never reach an engine.
 
 use reelreel_stand_ins::connection::ServedRequest;
 
 use crate::{
     dialect::{HOLD, PIN, REQUEST},
-    engine::{EngineMood, StandInEngine},
+    engine::{EngineBehaviour, StandInEngine},
     site::{MODEL_NAME, TestHost, TestSite, raw_exchange},
 };
 
-/// How a client writes the fields that are not its own.
+/// A spelling of reserved fields in a client's request.
 struct ForgedCase {
     name: &'static str,
     fields: &'static str,
@@ -19,25 +19,25 @@
     ForgedCase { name: "in odd case", fields: "x-hOLD: h-1\r\nX-PIN: 4000\r\n" },
     ForgedCase { name: "twice", fields: "X-Hold: h-1\r\nX-Hold: h-2\r\nX-Pin: 1\r\nX-Pin: 2\r\n" },
     ForgedCase { name: "empty", fields: "X-Hold:\r\nX-Pin: \r\n" },
-    ForgedCase { name: "surrounded by blanks", fields: "X-Hold: \t h-1 \r\nX-Pin:4000\t\r\n" },
+    ForgedCase { name: "surrounded by whitespace", fields: "X-Hold: \t h-1 \r\nX-Pin:4000\t\r\n" },
     ForgedCase {
-        name: "named by Connection too",
+        name: "also named by Connection",
         fields: "Connection: X-Pin, X-Hold\r\nX-Hold: h-1\r\nX-Pin: 4000\r\n",
     },
     ForgedCase {
-        name: "with bytes that are no text",
+        name: "with bytes that are not ASCII",
         fields: "X-Hold: \u{e9}\r\nX-Pin: \u{fc}\r\n",
     },
 ];
 
-/// A way on which a request reaches an engine.
+/// A path on which a request reaches an engine.
 struct ForwardPath {
     name: &'static str,
     path: &'static str,
     body: ForwardBody,
-    /// Whether an engine with models serves it.
-    streams: bool,
-    moods: &'static [EngineMood],
+    /// Whether it is a model service.
+    needs_model: bool,
+    behaviours: &'static [EngineBehaviour],
 }
 
 enum ForwardBody {
@@ -50,36 +50,36 @@
         name: "plain service",
         path: "/single/a",
         body: ForwardBody::Length,
-        streams: false,
-        moods: &[EngineMood::Well],
+        needs_model: false,
+        behaviours: &[EngineBehaviour::Echo],
     },
     ForwardPath {
         name: "chunked body",
         path: "/single/a",
         body: ForwardBody::Chunked,
-        streams: false,
-        moods: &[EngineMood::Well],
+        needs_model: false,
+        behaviours: &[EngineBehaviour::Echo],
     },
     ForwardPath {
         name: "sent again after an error",
         path: "/safe/a",
         body: ForwardBody::Length,
-        streams: false,
-        moods: &[EngineMood::Error, EngineMood::Well],
+        needs_model: false,
+        behaviours: &[EngineBehaviour::Error, EngineBehaviour::Echo],
     },
     ForwardPath {
         name: "sent again after a refusal",
         path: "/stream/a",
         body: ForwardBody::Length,
-        streams: true,
-        moods: &[EngineMood::NotRun, EngineMood::Stream(3)],
+        needs_model: true,
+        behaviours: &[EngineBehaviour::NotRun, EngineBehaviour::Stream(3)],
     },
     ForwardPath {
         name: "stream taken up again",
         path: "/resumable/a",
         body: ForwardBody::Length,
-        streams: true,
-        moods: &[EngineMood::StreamCut(2), EngineMood::Stream(4)],
+        needs_model: true,
+        behaviours: &[EngineBehaviour::TruncateStream(2), EngineBehaviour::Stream(4)],
     },
 ];
 
@@ -90,11 +90,11 @@
             "Transfer-Encoding: chunked\r\n\r\n2\r\n{}\r\n0\r\nX-Hold: late\r\n\r\n"
         }
     };
-    let model = if path.streams { format!("X-Model: {MODEL_NAME}\r\n") } else { String::new() };
+    let model = if path.needs_model { format!("X-Model: {MODEL_NAME}\r\n") } else { String::new() };
     let head = format!("POST {} HTTP/1.1\r\nHost: site.example\r\nX-Request: {id}\r\n", path.path);
     let fields = format!("{model}X-Kept: yes\r\nConnection: close\r\n{}", case.fields);
     let request = format!("{head}{fields}{body}");
-    raw_exchange(host.clients, request.as_bytes());
+    raw_exchange(host.client_address, request.as_bytes());
 }
 
 fn arrivals(site: &TestSite) -> Vec<ServedRequest> {
@@ -109,7 +109,7 @@
         let host = site.host(&path.name.replace(' ', "-"));
         for (number, case) in CASES.iter().enumerate() {
             for engine in site.engines.iter().chain([&site.plain]) {
-                engine.treat(path.moods);
+                engine.set_behaviours(path.behaviours);
             }
             send(&host, path, case, &format!("f{number}"));
         }
@@ -119,8 +119,8 @@
             let fields = &arrival.head.fields;
             let case = &CASES[case_number(fields.text(REQUEST).expect("an id"))];
             for name in [HOLD, PIN] {
-                let passed = fields.values(name).count();
-                assert_eq!(passed, 0, "{}, {}: {:?}", path.name, case.name, arrival.head);
+                let forwarded = fields.values(name).count();
+                assert_eq!(forwarded, 0, "{}, {}: {:?}", path.name, case.name, arrival.head);
             }
             assert_eq!(fields.text("X-Kept"), Some("yes"), "{}: other fields pass", path.name);
         }
@@ -136,7 +136,7 @@
     let site = TestSite::start();
     let host = site.host("folded-forged");
     let request = "GET /safe/a HTTP/1.1\r\nHost: site.example\r\nX-Request: o1\r\nX-Kept: a\r\n X-Hold: h-1\r\n\r\n";
-    let answer = raw_exchange(host.clients, request.as_bytes());
-    assert!(answer.starts_with("HTTP/1.1 400 "), "{answer}");
+    let response = raw_exchange(host.client_address, request.as_bytes());
+    assert!(response.starts_with("HTTP/1.1 400 "), "{response}");
     assert_eq!(site.plain.arrivals().len(), 0);
 }
