--- a/crates/cli/src/soak.rs
+++ b/crates/cli/src/soak.rs
@@ -7,7 +7,7 @@
 use eyre::OptionExt;
 use reelreel_soak::{
     plan::SoakPlan,
-    run::{SoakOptions, run_soak, usual_folder},
+    run::{SoakOptions, default_directory, run_soak},
 };
 
 use crate::options::SoakCommand;
@@ -23,21 +23,21 @@
     };
     let mut code = ExitCode::SUCCESS;
     for seed in command.seed..command.seed + command.seeds {
-        let troubled = Duration::from_secs(command.seconds);
+        let fault_period = Duration::from_secs(command.seconds);
         if command.plan {
-            println!("{:#?}", SoakPlan::draw(seed, command.hosts, troubled));
+            println!("{:#?}", SoakPlan::generate(seed, command.hosts, fault_period));
             continue;
         }
         let options = SoakOptions {
             seed,
             hosts: command.hosts,
-            troubled,
+            fault_period,
             program: program.clone(),
-            folder: command.folder.clone().unwrap_or_else(usual_folder),
+            directory: command.folder.clone().unwrap_or_else(default_directory),
         };
         let report = run_soak(&options)?;
         print!("{}", report.text(seed));
-        if !report.broken.is_empty() {
+        if !report.violations.is_empty() {
             code = ExitCode::FAILURE;
         }
     }
--- a/crates/cli/tests/soak/main.rs
+++ b/crates/cli/tests/soak/main.rs
@@ -4,7 +4,7 @@
 
 use std::{path::PathBuf, time::Duration};
 
-use reelreel_soak::run::{SoakOptions, run_soak, usual_folder};
+use reelreel_soak::run::{SoakOptions, default_directory, run_soak};
 
 /// One soak that is played each time.
 struct SoakCase {
@@ -18,13 +18,13 @@
     let options = SoakOptions {
         seed: case.seed,
         hosts: case.hosts,
-        troubled: Duration::from_secs(case.seconds),
+        fault_period: Duration::from_secs(case.seconds),
         program: PathBuf::from(env!("CARGO_BIN_EXE_reelreeld")),
-        folder: usual_folder(),
+        directory: default_directory(),
     };
     let report = run_soak(&options).expect("hosts start");
     println!("{}", report.text(case.seed));
-    assert!(report.broken.is_empty(), "{}", report.text(case.seed));
+    assert!(report.violations.is_empty(), "{}", report.text(case.seed));
     // A soak in which nothing happens, or nobody is served, shows nothing.
     let (sent, served) = report.requests;
     assert!(report.faults.values().sum::<usize>() >= 10, "{:?}", report.faults);
