--- a/crates/gateway/src/control/aggregates/limits.rs
+++ b/crates/gateway/src/control/aggregates/limits.rs
@@ -114,17 +114,17 @@
         let now = context.now;
         ledger.retain(|engine| context.active_incarnation(engine));
         ledger.set_confirmed(context.confirmed);
-        let changes = ledger.take_changes(now);
-        frame.limits = changes.iter().map(Into::into).collect();
+        let limit_changes = ledger.take_changes(now);
+        frame.limits = limit_changes.iter().map(Into::into).collect();
         let mut granted = ledger.grant_permits(now);
         let own_grants = granted.remove(context.host).unwrap_or_default();
         self.unsent_grants.append(&mut granted);
         let mut share = self.shared.limits();
         share.record_ledger_frame(now);
-        for report in &changes {
+        for report in &limit_changes {
             share.receive(report, now);
         }
-        let changed = share.receive_grants(&own_grants, now) || !changes.is_empty();
+        let changed = share.receive_grants(&own_grants, now) || !limit_changes.is_empty();
         drop(share);
         if changed {
             self.shared.permits_changed();
--- a/crates/gateway/src/traffic.rs
+++ b/crates/gateway/src/traffic.rs
@@ -295,7 +295,7 @@
         }
         // Requests are served without metrics too.
         Err(error) => {
-            log::warn!("no metrics endpoint at {}: {error}", shared.profile.metrics_address)
+            log::warn!("no metrics endpoint at {}: {error}", shared.profile.metrics_address);
         }
     }
     shared.events.write(crate::events::HostEvent::Started {
