--- a/crates/cli/src/bench/figures.rs
+++ b/crates/cli/src/bench/figures.rs
@@ -40,9 +40,9 @@
 }
 
 fn served(caller: &CallerRecord) -> bool {
-    let whole = matches!(caller.told, Some((CallerOutcome::Answered, _)));
-    let due = caller.arrived + caller.patience;
-    whole && caller.first_token.is_some_and(|first| first <= due)
+    let whole = matches!(caller.outcome, Some((CallerOutcome::Answered, _)));
+    let due = caller.arrived_at + caller.max_wait_ms;
+    whole && caller.first_token_at.is_some_and(|first| first <= due)
 }
 
 fn quantile(sorted: &[f64], quantile: f64) -> f64 {
@@ -57,7 +57,7 @@
 /// Works the figures out.
 pub(crate) fn figures(scenario: &Scenario, policy: &str, site: &FakeSite) -> PolicyFigures {
     let (from, until) = scenario.counted();
-    let counted = |caller: &&CallerRecord| (from..until).contains(&caller.arrived);
+    let counted = |caller: &&CallerRecord| (from..until).contains(&caller.arrived_at);
     let callers: Vec<&CallerRecord> = site.evidence.callers.values().filter(counted).collect();
     let worth: f64 = callers.iter().map(|caller| caller.worth).sum();
     let mut waits = Vec::new();
@@ -72,12 +72,12 @@
             share.0 += caller.worth;
             served_worth += caller.worth;
             served_count += 1;
-            let waited = caller.sent.unwrap_or(caller.arrived) - caller.arrived;
+            let waited = caller.first_run_at.unwrap_or(caller.arrived_at) - caller.arrived_at;
             if waited > WAITED {
                 waits.push(waited as f64 / 1_000.0);
             }
-        } else if let Some((_, at)) = caller.told {
-            refusals.push((at - caller.arrived) as f64 / 1_000.0);
+        } else if let Some((_, at)) = caller.outcome {
+            refusals.push((at - caller.arrived_at) as f64 / 1_000.0);
         }
     }
     waits.sort_by(f64::total_cmp);
@@ -88,7 +88,7 @@
     let squares: f64 = shares.iter().map(|share| share * share).sum();
     let busy = site
         .evidence
-        .busy
+        .busy_time
         .values()
         .fold((0.0, 0.0), |sum, (running, time)| (sum.0 + running, sum.1 + time));
     PolicyFigures {
@@ -104,7 +104,7 @@
         batch_fill: busy.0 / (busy.1 * f64::from(scenario.streams)).max(1e-9),
         loads_per_thousand: site.evidence.loads as f64 * 1_000.0
             / site.evidence.callers.len().max(1) as f64,
-        wasted_share: site.evidence.wasted_loads as f64 / (site.evidence.loads as f64).max(1.0),
+        wasted_share: site.evidence.unused_loads as f64 / (site.evidence.loads as f64).max(1.0),
         refused_after: quantile(&refusals, 0.5),
         jain_index: sum * sum / (shares.len() as f64 * squares).max(1e-9),
         worst_organisation: shares.iter().copied().fold(1.0, f64::min),
--- a/crates/cli/src/bench/scenario.rs
+++ b/crates/cli/src/bench/scenario.rs
@@ -11,7 +11,7 @@
         change::RECORD_FORMAT,
     },
 };
-use reelreel_fakes::{CallerCall, EngineShape, FakeSite, FaultPlan, SiteAction, SiteShape};
+use reelreel_fakes::{CallerRequest, EngineConfig, FakeSite, FaultPlan, SiteAction, SiteConfig};
 use serde::Deserialize;
 
 /// Hosts and engines settle before callers come, in milliseconds.
@@ -93,11 +93,11 @@
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum EventKind {
-    StoreAway,
+    StoreUnavailable,
     RestartEngine,
     KillHost,
     DrainHost,
-    LeaveEngine,
+    DrainEngine,
 }
 
 impl Scenario {
@@ -110,7 +110,7 @@
     /// Plays it.
     pub(crate) fn play(&self, policy: Arc<dyn ResidencyPolicy>, seed: u64) -> FakeSite {
         let mut site = FakeSite::new(self.shape(policy, seed), FaultPlan::default());
-        site.act_at(1, SiteAction::Publish(self.tree()));
+        site.schedule_action(1, SiteAction::Publish(self.tree()));
         self.plan_events(&mut site);
         self.plan_calls(&mut site, seed);
         let (_, until) = self.counted();
@@ -118,12 +118,12 @@
         site
     }
 
-    fn shape(&self, policy: Arc<dyn ResidencyPolicy>, seed: u64) -> SiteShape {
+    fn shape(&self, policy: Arc<dyn ResidencyPolicy>, seed: u64) -> SiteConfig {
         let hall = |index: u32| 1 + u16::try_from(index % u32::from(self.halls)).unwrap_or(0);
-        let mut shape = SiteShape::new(seed);
+        let mut shape = SiteConfig::new(seed);
         shape.hosts = (1..=self.hosts).map(|host| (host, hall(host))).collect();
         shape.engines = (1..=self.engines)
-            .map(|engine| EngineShape {
+            .map(|engine| EngineConfig {
                 engine,
                 hall: hall(engine),
                 service: String::from("assist"),
@@ -169,13 +169,13 @@
             let SiteEvent { at, what, which, seconds } = event;
             let at = SETTLED + at * 1_000;
             let action = match what {
-                EventKind::StoreAway => SiteAction::StoreAway(seconds * 1_000),
+                EventKind::StoreUnavailable => SiteAction::StoreUnavailable(seconds * 1_000),
                 EventKind::RestartEngine => SiteAction::RestartEngine(*which),
                 EventKind::KillHost => SiteAction::KillHost(*which, seconds * 1_000),
                 EventKind::DrainHost => SiteAction::DrainHost(*which),
-                EventKind::LeaveEngine => SiteAction::LeaveEngine(*which),
+                EventKind::DrainEngine => SiteAction::DrainEngine(*which),
             };
-            site.act_at(at, action);
+            site.schedule_action(at, action);
         }
     }
 
@@ -216,17 +216,17 @@
 
     fn plan_call(&self, site: &mut FakeSite, rng: &mut Pcg64Mcg, at: f64, adapter: u32) {
         let low = self.tokens / 2;
-        let call = CallerCall {
+        let call = CallerRequest {
             host: None,
             adapter: self.adapter(adapter),
             version: None,
             key: None,
             repeatable: Some(true),
-            patience: self.patience_ms,
+            max_wait_ms: self.patience_ms,
             tokens: rng.random_range(low..=low * 3).max(1),
         };
         #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "a time")]
-        site.call_at(at as u64, call);
+        site.schedule_request(at as u64, call);
     }
 }
 
--- a/crates/cli/src/capacity/decisions.rs
+++ b/crates/cli/src/capacity/decisions.rs
@@ -10,7 +10,7 @@
     node::{ClockReading, HostEntry, HostKind, HostListChange, LogStream},
     request::{ArrivedRequest, RequestTarget},
 };
-use reelreel_fakes::{CallerCall, EngineShape, FakeSite, FaultPlan, SiteAction, SiteShape};
+use reelreel_fakes::{CallerRequest, EngineConfig, FakeSite, FaultPlan, SiteAction, SiteConfig};
 
 use super::{
     CapacityTable, live_bytes, micros_each,
@@ -167,9 +167,9 @@
 
 /// Times whole requests through one host and one engine, fakes included.
 fn whole_requests(table: &mut CapacityTable) -> eyre::Result<()> {
-    let mut shape = SiteShape::new(1);
+    let mut shape = SiteConfig::new(1);
     shape.hosts = vec![(1, 1)];
-    shape.engines = vec![EngineShape {
+    shape.engines = vec![EngineConfig {
         engine: 1,
         hall: 1,
         service: String::from("assist"),
@@ -178,23 +178,23 @@
         checks_fence: true,
     }];
     let mut site = FakeSite::new(shape, FaultPlan::default());
-    site.act_at(1, SiteAction::Publish(adapters_record(8)));
+    site.schedule_action(1, SiteAction::Publish(adapters_record(8)));
     let calls: u32 = 20_000;
     for number in 0..calls {
-        let call = CallerCall {
+        let call = CallerRequest {
             host: Some(1),
             adapter: adapter_path(number as usize % 8),
             version: None,
             key: None,
             repeatable: Some(true),
-            patience: 20_000,
+            max_wait_ms: 20_000,
             tokens: 20,
         };
-        site.call_at(10_000 + u64::from(number), call);
+        site.schedule_request(10_000 + u64::from(number), call);
     }
     site.run_until(9_999);
     let (micros, ()) = micros_each(calls as usize, || site.run_until(40_000));
-    let answered = site.evidence.callers.values().filter(|caller| caller.told.is_some()).count();
+    let answered = site.evidence.callers.values().filter(|caller| caller.outcome.is_some()).count();
     eyre::ensure!(answered == calls as usize, "{answered} of {calls} calls were told");
     table.add("core and fakes: a whole request, entry and owner", "20000 requests", micros, "us");
     Ok(())
--- a/crates/cli/src/capacity/hosts.rs
+++ b/crates/cli/src/capacity/hosts.rs
@@ -12,7 +12,7 @@
     request::PermitRequest,
     settings::{EditAction, SettingKey, SettingValue, SettingsEdit, SettingsPath},
 };
-use reelreel_fakes::{EngineShape, FakeSite, FaultPlan, SiteAction, SiteShape};
+use reelreel_fakes::{EngineConfig, FakeSite, FaultPlan, SiteAction, SiteConfig};
 use reelreel_wire::{FrameCodec, PeerFrame};
 use tokio_util::codec::Encoder;
 
@@ -36,10 +36,10 @@
 /// Makes a site of that many hosts in halls of equal size.
 fn site(hosts: u32, halls: u16) -> FakeSite {
     let hall = |index: u32| 1 + u16::try_from(index % u32::from(halls)).unwrap_or_default();
-    let mut shape = SiteShape::new(u64::from(hosts));
+    let mut shape = SiteConfig::new(u64::from(hosts));
     shape.hosts = (1..=hosts).map(|host| (host, hall(host))).collect();
     shape.engines = (1..=hosts * ENGINES_PER_HOST)
-        .map(|engine| EngineShape {
+        .map(|engine| EngineConfig {
             engine,
             hall: hall(engine),
             service: String::from("assist"),
@@ -49,7 +49,7 @@
         })
         .collect();
     let mut site = FakeSite::new(shape, FaultPlan::default());
-    site.act_at(1, SiteAction::Publish(adapters_record(1_000)));
+    site.schedule_action(1, SiteAction::Publish(adapters_record(1_000)));
     site.measure = Some(frame_bytes);
     site
 }
@@ -120,7 +120,7 @@
     let orders = fakes.evidence.orders as f64 / f64::from(hosts * ENGINES_PER_HOST);
     table.add("fakes: orders per engine for that", &scale, orders, "orders");
     let (messages, bytes) = (fakes.evidence.messages, fakes.evidence.message_bytes);
-    let reports = fakes.evidence.reports;
+    let reports = fakes.evidence.report_fetches;
     let begun = Instant::now();
     fakes.run_until(SETTLED + SECONDS * 1_000);
     let host_seconds = f64::from(hosts) * SECONDS as f64;
@@ -130,7 +130,7 @@
     table.add("fakes: idle messages sent, per host and second", &scale, messages, "messages");
     let bytes = (fakes.evidence.message_bytes - bytes) as f64 / host_seconds;
     table.add("fakes: idle bytes sent, per host and second", &scale, bytes, "bytes");
-    let reports = (fakes.evidence.reports - reports) as f64 / host_seconds;
+    let reports = (fakes.evidence.report_fetches - reports) as f64 / host_seconds;
     table.add("fakes: engine reports asked, per host and second", &scale, reports, "reports");
 }
 
@@ -153,7 +153,7 @@
     record.edits = vec![SettingsEdit { path, action: EditAction::Set(SettingKey::Worth, value) }];
     fakes.publish(&record);
     fakes.run_until(SETTLED + 15_000);
-    let last = fakes.evidence.forced.iter().filter(|forced| forced.revision == 2);
+    let last = fakes.evidence.revision_changes.iter().filter(|forced| forced.revision == 2);
     let count = last.clone().count();
     eyre::ensure!(count == hosts as usize, "{count} of {hosts} hosts have the change");
     let last = last.map(|forced| forced.at).max().unwrap_or(0);
@@ -182,7 +182,7 @@
     let scale = format!("{hosts} hosts, one killed");
     fakes.run_until(SETTLED);
     let orders = fakes.evidence.orders;
-    fakes.act_at(SETTLED, SiteAction::KillHost(1, 1_000_000));
+    fakes.schedule_action(SETTLED, SiteAction::KillHost(1, 1_000_000));
     fakes.run_until(SETTLED + 100);
     let settled = until_owned(&mut fakes, engines_of(hosts), 60_000);
     table.add("fakes: every engine owned again", &scale, settled, "ms");
@@ -196,7 +196,7 @@
     let orders = fakes.evidence.orders;
     let (messages, bytes) = (fakes.evidence.messages, fakes.evidence.message_bytes);
     for host in (1..=hosts).filter(|host| host % 3 == 0) {
-        fakes.act_at(SETTLED, SiteAction::KillHost(host, 10_000));
+        fakes.schedule_action(SETTLED, SiteAction::KillHost(host, 10_000));
     }
     fakes.run_until(SETTLED + 10_000);
     let settled = until_owned(&mut fakes, engines_of(hosts), 60_000);
@@ -219,7 +219,7 @@
     let restarted = (hosts / 10).max(1);
     for index in 0..restarted {
         let at = SETTLED + u64::from(index) * 2_000;
-        fakes.act_at(at, SiteAction::DrainHost(1 + index * 10));
+        fakes.schedule_action(at, SiteAction::DrainHost(1 + index * 10));
     }
     fakes.run_until(SETTLED + u64::from(restarted) * 2_000 + 40_000);
     let orders = (fakes.evidence.orders - orders) as f64 / f64::from(restarted);
--- a/crates/core/tests/fault_free_run.rs
+++ b/crates/core/tests/fault_free_run.rs
@@ -14,7 +14,7 @@
             .evidence
             .callers
             .values()
-            .filter(|caller| matches!(caller.told, Some((CallerOutcome::Answered, _))))
+            .filter(|caller| matches!(caller.outcome, Some((CallerOutcome::Answered, _))))
             .count();
         let all = site.evidence.callers.len();
         assert!(answered * 10 >= all * 7, "seed {seed}: {answered} of {all} answered");
@@ -28,8 +28,8 @@
         let mut site = standard_site(script, FaultPlan::default());
         site.run_until(script.end);
         let outcomes: Vec<_> =
-            site.evidence.callers.values().map(|caller| (caller.request, caller.told)).collect();
-        (outcomes, site.evidence.steps, site.evidence.messages)
+            site.evidence.callers.values().map(|caller| (caller.request, caller.outcome)).collect();
+        (outcomes, site.evidence.step_counts, site.evidence.messages)
     };
     assert_eq!(run_script(), run_script());
 }
--- a/crates/core/tests/fault_matrix.rs
+++ b/crates/core/tests/fault_matrix.rs
@@ -7,7 +7,7 @@
 use std::{collections::BTreeMap, fmt::Write, path::Path};
 
 use reelreel_fakes::{
-    BrokenPromise, FaultKind, FaultPlan, PlannedFault, SiteScript, StepKind, check_promises,
+    FaultKind, FaultPlan, PlannedFault, PromiseViolation, SiteScript, StepKind, check_promises,
     standard_site,
 };
 use serde::Deserialize;
@@ -50,23 +50,23 @@
 }
 
 fn fault_plans(table: &MatrixTable, step: StepKind, nth: u64) -> Vec<Vec<PlannedFault>> {
-    let first = PlannedFault { fault: table.fault, step, nth, lasts: table.lasts };
+    let first = PlannedFault { fault: table.fault, step, nth, duration_ms: table.lasts };
     if table.with.is_empty() {
         return vec![vec![first]];
     }
     let second = |fault: &FaultKind| {
         let nth = nth + table.with_after;
-        vec![first, PlannedFault { fault: *fault, step, nth, lasts: table.lasts }]
+        vec![first, PlannedFault { fault: *fault, step, nth, duration_ms: table.lasts }]
     };
     table.with.iter().map(second).collect()
 }
 
 /// Runs one cell; returns `None` if a fault was not injected.
-fn run_cell(seed: u64, fenced: bool, faults: Vec<PlannedFault>) -> Option<Vec<BrokenPromise>> {
+fn run_cell(seed: u64, fenced: bool, faults: Vec<PlannedFault>) -> Option<Vec<PromiseViolation>> {
     let script = SiteScript { fenced, ..SiteScript::new(seed) };
     let mut site = standard_site(script, FaultPlan::new(faults));
     site.run_until(script.end);
-    site.all_struck().then(|| check_promises(&site))
+    site.all_faults_injected().then(|| check_promises(&site))
 }
 
 #[expect(clippy::needless_pass_by_value, reason = "signature required by the harness")]
--- a/crates/core/tests/herd.rs
+++ b/crates/core/tests/herd.rs
@@ -5,7 +5,7 @@
     chart::EngineState,
     settings::{ChangeRecord, SettingsTree, read_tree},
 };
-use reelreel_fakes::{EngineShape, FakeSite, FaultPlan, SiteAction, SiteShape};
+use reelreel_fakes::{EngineConfig, FakeSite, FaultPlan, SiteAction, SiteConfig};
 
 const HOSTS: u32 = 21;
 const ENGINES: u32 = HOSTS * 16;
@@ -13,10 +13,10 @@
 
 fn site() -> FakeSite {
     let hall = |index: u32| 1 + u16::try_from(index % 3).expect("three halls");
-    let mut shape = SiteShape::new(7);
+    let mut shape = SiteConfig::new(7);
     shape.hosts = (1..=HOSTS).map(|host| (host, hall(host))).collect();
     shape.engines = (1..=ENGINES)
-        .map(|engine| EngineShape {
+        .map(|engine| EngineConfig {
             engine,
             hall: hall(engine),
             service: String::from("assist"),
@@ -27,7 +27,7 @@
         .collect();
     let mut site = FakeSite::new(shape, FaultPlan::default());
     let tree = read_tree("[service.assist]\n").expect("the tree is valid");
-    site.act_at(
+    site.schedule_action(
         1,
         SiteAction::Publish(ChangeRecord {
             format: 1,
@@ -63,7 +63,7 @@
     let mut site = site();
     let orders = site.evidence.orders;
     for host in (1..=HOSTS).filter(|host| host % 3 == 0) {
-        site.act_at(STABLE_AT, SiteAction::KillHost(host, 20_000));
+        site.schedule_action(STABLE_AT, SiteAction::KillHost(host, 20_000));
     }
     site.run_until(STABLE_AT + 15_000);
     let reachable = ENGINES as usize * 2 / 3;
@@ -78,7 +78,7 @@
 fn a_partitioned_hall_keeps_its_engines_and_rejoins() {
     let mut site = site();
     let (orders, messages) = (site.evidence.orders, site.evidence.messages);
-    site.act_at(STABLE_AT, SiteAction::CutHall(2, 60_000));
+    site.schedule_action(STABLE_AT, SiteAction::PartitionHall(2, 60_000));
     site.run_until(STABLE_AT + 50_000);
     assert_eq!(owned_count(&site), ENGINES as usize, "each hall owns its own engines throughout");
     for (host, core) in site.cores() {
--- a/crates/core/tests/mutations.rs
+++ b/crates/core/tests/mutations.rs
@@ -21,21 +21,21 @@
     },
     MutationCase {
         mutation: SiteMutation::IgnoreFence,
-        faults: &[(FaultKind::PeersCutBothWays, StepKind::GrantArrives, 6)],
-        promise: Promise::ServingStays,
+        faults: &[(FaultKind::PeersPartitionedBothWays, StepKind::PermitGrantArrives, 6)],
+        promise: Promise::ServingAdapterNotUnloaded,
     },
     MutationCase {
         mutation: SiteMutation::AnswerFirstWaiting,
         faults: &[],
-        promise: Promise::OwnAnswer,
+        promise: Promise::OwnCompleteAnswer,
     },
     MutationCase {
-        mutation: SiteMutation::BrokenMeansNotRun,
+        mutation: SiteMutation::InterruptedMeansNotRun,
         faults: &[(FaultKind::EngineRestarted, StepKind::RequestRuns, 20)],
-        promise: Promise::NotRunIsTrue,
+        promise: Promise::NotRunIsAccurate,
     },
     MutationCase {
-        mutation: SiteMutation::BrokenMeansNotRun,
+        mutation: SiteMutation::InterruptedMeansNotRun,
         faults: &[(FaultKind::EngineRestarted, StepKind::RequestRuns, 20)],
         promise: Promise::AtMostOnce,
     },
@@ -47,17 +47,17 @@
     MutationCase {
         mutation: SiteMutation::HideLeaving,
         faults: &[],
-        promise: Promise::LeavingGetsNothing,
+        promise: Promise::NoNewRequestsWhenLeaving,
     },
     MutationCase {
         mutation: SiteMutation::ExitAtOnce,
         faults: &[],
-        promise: Promise::StopCutsNothing,
+        promise: Promise::GracefulStop,
     },
     MutationCase {
         mutation: SiteMutation::ShuffleSettings,
         faults: &[(FaultKind::OperatorsRace, StepKind::RequestRuns, 30)],
-        promise: Promise::ConfigurationHolds,
+        promise: Promise::ConfigurationConverges,
     },
 ];
 
@@ -65,12 +65,12 @@
 const SEEDS: std::ops::Range<u64> = 0..48;
 
 fn violates_promise(case: &MutationCase, mutation: Option<SiteMutation>, seed: u64) -> bool {
-    let lasts = 6_000;
+    let duration_ms = 6_000;
     let planned = |(fault, step, nth): &(FaultKind, StepKind, u64)| PlannedFault {
         fault: *fault,
         step: *step,
         nth: *nth,
-        lasts,
+        duration_ms,
     };
     let plan = FaultPlan::new(case.faults.iter().map(planned).collect());
     let script = SiteScript { mutation, ..SiteScript::new(seed) };
--- a/crates/core/tests/promises.rs
+++ b/crates/core/tests/promises.rs
@@ -8,7 +8,7 @@
     test_runner::{Config, RngSeed},
 };
 use reelreel_fakes::{
-    BrokenPromise, FaultKind, FaultPlan, PlannedFault, SiteScript, StepKind, check_promises,
+    FaultKind, FaultPlan, PlannedFault, PromiseViolation, SiteScript, StepKind, check_promises,
     standard_site,
 };
 
@@ -30,19 +30,20 @@
 fn any_fault() -> impl Strategy<Value = PlannedFault> {
     let fault = prop::sample::select(FaultKind::ALL.to_vec());
     let step = prop::sample::select(StepKind::ALL.to_vec());
-    (fault, step, 1..40u64, 300..12_000u64).prop_map(|(fault, step, nth, lasts)| PlannedFault {
-        fault,
-        step,
-        nth,
-        lasts,
-    })
+    (fault, step, 1..40u64, 300..12_000u64)
+        .prop_map(|(fault, step, nth, duration_ms)| PlannedFault { fault, step, nth, duration_ms })
 }
 
 fn short_site_script(seed: u64) -> SiteScript {
-    SiteScript { calls_until: 24_000, call_every: 100, end: 56_000, ..SiteScript::new(seed) }
+    SiteScript {
+        calls_until: 24_000,
+        mean_call_interval_ms: 100,
+        end: 56_000,
+        ..SiteScript::new(seed)
+    }
 }
 
-fn run_script(script: SiteScript, faults: Vec<PlannedFault>) -> Vec<BrokenPromise> {
+fn run_script(script: SiteScript, faults: Vec<PlannedFault>) -> Vec<PromiseViolation> {
     let mut site = standard_site(script, FaultPlan::new(faults));
     site.run_until(script.end);
     check_promises(&site)
@@ -78,7 +79,7 @@
     // A host raised its own fence above that of a host that had taken over the engine.
     RegressionCase {
         seed: 1,
-        faults: &[(FaultKind::MessageLost, StepKind::GrantArrives, 1, 6_000)],
+        faults: &[(FaultKind::MessageLost, StepKind::PermitGrantArrives, 1, 6_000)],
     },
     // A request was retried after a restart of its engine and then reported as not run.
     RegressionCase {
@@ -97,8 +98,8 @@
     RegressionCase {
         seed: 756_212,
         faults: &[
-            (FaultKind::HallCutOff, StepKind::UnloadArrives, 17, 608),
-            (FaultKind::PeersCutBothWays, StepKind::RequestSends, 36, 8_457),
+            (FaultKind::HallPartitioned, StepKind::UnloadArrives, 17, 608),
+            (FaultKind::PeersPartitionedBothWays, StepKind::RequestSends, 36, 8_457),
         ],
     },
     // A read of the claims stream that overtook an earlier one was taken for a gap.
@@ -115,11 +116,8 @@
 #[test]
 fn regression_cases_hold() {
     for case in REGRESSION_CASES {
-        let planned = |(fault, step, nth, lasts): &(FaultKind, StepKind, u64, u64)| PlannedFault {
-            fault: *fault,
-            step: *step,
-            nth: *nth,
-            lasts: *lasts,
+        let planned = |(fault, step, nth, duration_ms): &(FaultKind, StepKind, u64, u64)| {
+            PlannedFault { fault: *fault, step: *step, nth: *nth, duration_ms: *duration_ms }
         };
         let faults: Vec<PlannedFault> = case.faults.iter().map(planned).collect();
         for script in [SiteScript::new(case.seed), short_site_script(case.seed)] {
--- a/crates/fakes/src/actions.rs
+++ b/crates/fakes/src/actions.rs
@@ -15,8 +15,8 @@
 };
 
 /// Plans a fault that a script lets strike, whatever the step.
-const fn at_once(fault: FaultKind, lasts: u64) -> PlannedFault {
-    PlannedFault { fault, step: StepKind::LoadBegins, nth: 0, lasts }
+const fn at_once(fault: FaultKind, duration_ms: u64) -> PlannedFault {
+    PlannedFault { fault, step: StepKind::LoadBegins, nth: 0, duration_ms }
 }
 
 impl FakeSite {
@@ -69,7 +69,7 @@
         }
         let after = self.reference.revision();
         if after > before {
-            self.evidence.accepted.insert(after, self.now);
+            self.evidence.accepted_at.insert(after, self.now);
         }
         self.wake_readers(LogStream::Settings);
     }
@@ -78,7 +78,7 @@
         match action {
             SiteAction::Publish(record) => self.publish(&record),
             SiteAction::DrainHost(id) => {
-                self.step(StepKind::DrainBegins, Some(id), None, None);
+                self.step(StepKind::HostDrainBegins, Some(id), None, None);
                 let life = self.hosts.get(&id).map_or(0, |host| host.life);
                 if self.shape.mutation == Some(SiteMutation::ExitAtOnce) {
                     self.host_stopped(id);
@@ -86,19 +86,22 @@
                 }
                 self.input(id, life, HostInput::Event(NodeEvent::StopRequested));
             }
-            SiteAction::LeaveEngine(engine) => self.leave_engine(engine),
+            SiteAction::DrainEngine(engine) => self.leave_engine(engine),
             SiteAction::KillHost(id, back) => {
                 self.kill_host(id);
                 self.push(back, Arrival::Return(id));
             }
             SiteAction::RestartEngine(engine) => self.restart_engine(engine),
-            SiteAction::StoreAway(millis) => {
-                self.begin_fault(at_once(FaultKind::StoreAway, millis), FaultTarget::default());
+            SiteAction::StoreUnavailable(millis) => {
+                self.begin_fault(
+                    at_once(FaultKind::StoreUnavailable, millis),
+                    FaultTarget::default(),
+                );
             }
-            SiteAction::CutHall(hall, millis) => {
+            SiteAction::PartitionHall(hall, millis) => {
                 let hall = Some(hall);
                 let target = FaultTarget { hall, host: self.host_in(hall), ..Default::default() };
-                self.begin_fault(at_once(FaultKind::HallCutOff, millis), target);
+                self.begin_fault(at_once(FaultKind::HallPartitioned, millis), target);
             }
         }
     }
@@ -113,7 +116,7 @@
         fake.leaving = Some(now);
         fake.changed(now);
         let kind = HostKind::Engine(fake.info());
-        self.step(StepKind::LeaveBegins, None, Some(engine), None);
+        self.step(StepKind::EngineDrainBegins, None, Some(engine), None);
         if !hide {
             let entries = vec![HostEntry { kind, leaving: true }];
             self.change_hosts(HostListChange { entries, ..HostListChange::default() });
@@ -168,7 +171,7 @@
             .map(|(request, _)| *request)
             .collect();
         let cut = open.into_iter().filter(|request| {
-            self.evidence.callers.get(request).is_some_and(|caller| caller.told.is_none())
+            self.evidence.callers.get(request).is_some_and(|caller| caller.outcome.is_none())
         });
         self.evidence.cut_by_stop.extend(cut);
         self.kill_host(id);
--- a/crates/fakes/src/check.rs
+++ b/crates/fakes/src/check.rs
@@ -12,26 +12,26 @@
     /// Every request runs on the adapter and version it named, or on none.
     NamedAdapter,
     /// An adapter that is serving is never unloaded.
-    ServingStays,
+    ServingAdapterNotUnloaded,
     /// Each caller receives the whole answer to its own request.
-    OwnAnswer,
+    OwnCompleteAnswer,
     /// What is told as not run was not run.
-    NotRunIsTrue,
+    NotRunIsAccurate,
     /// What is not repeatable runs at most once.
     AtMostOnce,
     /// A leaving backend server gets nothing new after a few seconds.
-    LeavingGetsNothing,
+    NoNewRequestsWhenLeaving,
     /// A planned stop cuts nothing off.
-    StopCutsNothing,
+    GracefulStop,
     /// A configuration is in force within seconds and never goes back.
-    ConfigurationHolds,
+    ConfigurationConverges,
     /// Callers get final answers, and the site serves again once the faults are over.
-    GoesOn,
+    Recovery,
 }
 
 /// A promise that did not hold.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct BrokenPromise {
+pub struct PromiseViolation {
     /// Which.
     pub promise: Promise,
     /// What was seen.
@@ -51,7 +51,7 @@
 const TOLD_WITHIN: u64 = 3_000;
 
 /// Checks all promises.
-pub fn check_promises(site: &FakeSite) -> Vec<BrokenPromise> {
+pub fn check_promises(site: &FakeSite) -> Vec<PromiseViolation> {
     let mut checker = PromiseChecker { site, evidence: &site.evidence, broken: Vec::new() };
     checker.named_adapter();
     checker.serving_stays();
@@ -68,12 +68,12 @@
 struct PromiseChecker<'a> {
     site: &'a FakeSite,
     evidence: &'a Evidence,
-    broken: Vec<BrokenPromise>,
+    broken: Vec<PromiseViolation>,
 }
 
 impl PromiseChecker<'_> {
     fn breaks(&mut self, promise: Promise, detail: String) {
-        self.broken.push(BrokenPromise { promise, detail });
+        self.broken.push(PromiseViolation { promise, detail });
     }
 
     fn runs_by_request(&self) -> BTreeMap<RequestId, usize> {
@@ -107,29 +107,33 @@
     fn serving_stays(&mut self) {
         for request in &self.evidence.cut_by_unload {
             let detail = format!("{request:x} was cut by an unload");
-            self.broken.push(BrokenPromise { promise: Promise::ServingStays, detail });
+            self.broken
+                .push(PromiseViolation { promise: Promise::ServingAdapterNotUnloaded, detail });
         }
     }
 
     fn own_answer(&mut self) {
-        for request in &self.evidence.crossed {
+        for request in &self.evidence.misdelivered {
             let detail = format!("{request:x} got another run's answer");
-            self.broken.push(BrokenPromise { promise: Promise::OwnAnswer, detail });
+            self.broken.push(PromiseViolation { promise: Promise::OwnCompleteAnswer, detail });
         }
         let whole = |request: &RequestId| {
-            self.evidence.runs.iter().any(|run| run.request == *request && run.ended.is_some())
+            self.evidence
+                .runs
+                .iter()
+                .any(|run| run.request == *request && run.completed_at.is_some())
         };
         let answered = self
             .evidence
             .callers
             .values()
-            .filter(|caller| matches!(caller.told, Some((CallerOutcome::Answered, _))));
+            .filter(|caller| matches!(caller.outcome, Some((CallerOutcome::Answered, _))));
         let torn: Vec<String> = answered
             .filter(|caller| !whole(&caller.request))
             .map(|caller| format!("{:x} was answered without a whole run", caller.request))
             .collect();
         for detail in torn {
-            self.breaks(Promise::OwnAnswer, detail);
+            self.breaks(Promise::OwnCompleteAnswer, detail);
         }
     }
 
@@ -139,12 +143,12 @@
             .evidence
             .callers
             .values()
-            .filter(|caller| matches!(caller.told, Some((CallerOutcome::NotRun, _))))
+            .filter(|caller| matches!(caller.outcome, Some((CallerOutcome::NotRun, _))))
             .filter(|caller| runs.contains_key(&caller.request))
             .map(|caller| format!("{:x} was told not run ({:?})", caller.request, caller.refusal))
             .collect();
         for detail in details {
-            self.breaks(Promise::NotRunIsTrue, detail);
+            self.breaks(Promise::NotRunIsAccurate, detail);
         }
     }
 
@@ -172,10 +176,11 @@
     }
 
     fn leaving_gets_nothing(&mut self) {
-        for (request, late) in &self.evidence.after_leaving {
+        for (request, late) in &self.evidence.received_while_leaving {
             if *late > LEAVING_GRACE {
                 let detail = format!("{request:x} came {late} ms after the engine was leaving");
-                self.broken.push(BrokenPromise { promise: Promise::LeavingGetsNothing, detail });
+                self.broken
+                    .push(PromiseViolation { promise: Promise::NoNewRequestsWhenLeaving, detail });
             }
         }
     }
@@ -183,21 +188,21 @@
     fn stop_cuts_nothing(&mut self) {
         for request in &self.evidence.cut_by_stop {
             let detail = format!("{request:x} was cut by a planned stop");
-            self.broken.push(BrokenPromise { promise: Promise::StopCutsNothing, detail });
+            self.broken.push(PromiseViolation { promise: Promise::GracefulStop, detail });
         }
     }
 
     fn configuration_holds(&mut self) {
         let mut details = Vec::new();
         let mut last: BTreeMap<(u32, u64), u64> = BTreeMap::new();
-        for record in &self.evidence.forced {
+        for record in &self.evidence.revision_changes {
             let known = last.insert((record.host, record.life), record.revision);
             if known.is_some_and(|known| known > record.revision) {
                 details.push(format!("host {} went back to {}", record.host, record.revision));
             }
         }
         let newest = self.site.reference.revision();
-        let accepted = self.evidence.accepted.get(&newest).copied().unwrap_or(0);
+        let accepted = self.evidence.accepted_at.get(&newest).copied().unwrap_or(0);
         let settled = self.site.now >= accepted + FORCE_WITHIN;
         let reference = self.site.reference.snapshot();
         for (host, core) in self.site.cores() {
@@ -217,7 +222,7 @@
             }
         }
         for detail in details {
-            self.breaks(Promise::ConfigurationHolds, detail);
+            self.breaks(Promise::ConfigurationConverges, detail);
         }
     }
 
@@ -228,17 +233,17 @@
         let mut late = (0, 0);
         let mut unanswered = Vec::new();
         for caller in self.evidence.callers.values() {
-            if caller.hung_up {
+            if caller.disconnected {
                 continue;
             }
-            let due = caller.arrived + caller.patience + TOLD_WITHIN;
-            let begun = caller.first_token.is_some() || caller.sent.is_some();
-            if caller.told.is_none() && due < end && !begun {
+            let due = caller.arrived_at + caller.max_wait_ms + TOLD_WITHIN;
+            let started = caller.first_token_at.is_some() || caller.first_run_at.is_some();
+            if caller.outcome.is_none() && due < end && !started {
                 details.push(format!("{:x} was never told anything", caller.request));
             }
-            if caller.arrived >= end.saturating_sub(LATE_CALLS).max(over) {
+            if caller.arrived_at >= end.saturating_sub(LATE_CALLS).max(over) {
                 late.1 += 1;
-                let answered = matches!(caller.told, Some((CallerOutcome::Answered, _)));
+                let answered = matches!(caller.outcome, Some((CallerOutcome::Answered, _)));
                 late.0 += u32::from(answered);
                 if !answered {
                     unanswered.push(format!("{:x} {:?}", caller.request, caller.refusal));
@@ -250,7 +255,7 @@
             details.push(format!("{answered} of the last {all} calls answered: {unanswered:?}"));
         }
         for detail in details {
-            self.breaks(Promise::GoesOn, detail);
+            self.breaks(Promise::Recovery, detail);
         }
     }
 }
--- a/crates/fakes/src/engine.rs
+++ b/crates/fakes/src/engine.rs
@@ -12,7 +12,7 @@
 
 /// How an engine is made.
 #[derive(Debug, Clone)]
-pub struct EngineShape {
+pub struct EngineConfig {
     /// Its number.
     pub engine: EngineId,
     /// Its hall.
@@ -45,7 +45,7 @@
 #[derive(Debug)]
 pub struct FakeEngine {
     /// How it was made.
-    pub shape: EngineShape,
+    pub shape: EngineConfig,
     /// Its life.
     pub incarnation: u64,
     /// Since when it is leaving.
@@ -65,7 +65,7 @@
 
 impl FakeEngine {
     /// Starts an engine with nothing loaded.
-    pub fn new(shape: EngineShape) -> Self {
+    pub fn new(shape: EngineConfig) -> Self {
         Self {
             shape,
             incarnation: 1,
--- a/crates/fakes/src/evidence.rs
+++ b/crates/fakes/src/evidence.rs
@@ -17,9 +17,9 @@
     /// The adapter's name as the engine ran it.
     pub adapter: String,
     /// When it began, in milliseconds.
-    pub begun: u64,
+    pub started_at: u64,
     /// When it ended whole, if it did.
-    pub ended: Option<u64>,
+    pub completed_at: Option<u64>,
 }
 
 /// Plain servers are numbered from here in [`RunRecord::backend`].
@@ -43,24 +43,24 @@
     /// The organisation's name.
     pub organisation: String,
     /// When it came, in milliseconds.
-    pub arrived: u64,
+    pub arrived_at: u64,
     /// How long the caller waits for the first token.
-    pub patience: u64,
+    pub max_wait_ms: u64,
     /// When the first token came.
-    pub first_token: Option<u64>,
+    pub first_token_at: Option<u64>,
     /// What the caller was told in the end, and when.
-    pub told: Option<(CallerOutcome, u64)>,
+    pub outcome: Option<(CallerOutcome, u64)>,
     /// Why it was refused.
     pub refusal: Option<RefusalKind>,
     /// Whether the caller itself hung up.
-    pub hung_up: bool,
+    pub disconnected: bool,
     /// When it had to wait for a load: how long, in milliseconds.
-    pub sent: Option<u64>,
+    pub first_run_at: Option<u64>,
 }
 
 /// A moment at which a configuration came into force on a host.
 #[derive(Debug, Clone, Copy)]
-pub struct ForceRecord {
+pub struct RevisionChange {
     /// The host.
     pub host: HostId,
     /// The host's life.
@@ -83,33 +83,33 @@
     /// Requests cut because an engine or host that stopped as planned went away.
     pub cut_by_stop: Vec<RequestId>,
     /// Answers that reached a caller from another request's run.
-    pub crossed: Vec<RequestId>,
+    pub misdelivered: Vec<RequestId>,
     /// Requests that a leaving backend server got, with how late in milliseconds.
-    pub after_leaving: Vec<(RequestId, u64)>,
+    pub received_while_leaving: Vec<(RequestId, u64)>,
     /// Configurations coming into force.
-    pub forced: Vec<ForceRecord>,
+    pub revision_changes: Vec<RevisionChange>,
     /// Configurations accepted by the log: revision and time.
-    pub accepted: BTreeMap<Revision, u64>,
+    pub accepted_at: BTreeMap<Revision, u64>,
     /// Loads begun, and those that failed.
     pub loads: u64,
     /// Loads of adapters that ran nothing before they were unloaded again.
-    pub wasted_loads: u64,
+    pub unused_loads: u64,
     /// Messages between hosts.
     pub messages: u64,
     /// Their bytes, where a measure is set.
     pub message_bytes: u64,
     /// Reports asked of engines.
-    pub reports: u64,
+    pub report_fetches: u64,
     /// Orders to engines.
     pub orders: u64,
     /// Appends to the log.
     pub appends: u64,
     /// Running requests times milliseconds, and milliseconds in which anything ran, by engine.
-    pub busy: BTreeMap<u32, (f64, f64)>,
+    pub busy_time: BTreeMap<u32, (f64, f64)>,
     /// Since when each engine's share of `busy` is added up.
-    pub busy_since: BTreeMap<u32, f64>,
+    pub busy_updated_at: BTreeMap<u32, f64>,
     /// When the last fault ended, or will.
     pub last_fault_end: Option<u64>,
     /// How often each step happened.
-    pub steps: BTreeMap<crate::StepKind, u64>,
+    pub step_counts: BTreeMap<crate::StepKind, u64>,
 }
--- a/crates/fakes/src/exchange.rs
+++ b/crates/fakes/src/exchange.rs
@@ -13,7 +13,7 @@
     evidence::{CallerRecord, RunRecord, SERVER_BASE},
     fault::StepKind,
     host::{HostInput, OpenExchange},
-    site::{Arrival, CallerCall, FakeSite, NEAR, SiteMutation},
+    site::{Arrival, CallerRequest, FakeSite, NEAR, SiteMutation},
 };
 
 /// Milliseconds of one engine step, in which each running request gets a token.
@@ -26,7 +26,7 @@
 pub(crate) const UNREACHED: u64 = 1_000;
 
 impl FakeSite {
-    pub(crate) fn call(&mut self, call: CallerCall) {
+    pub(crate) fn call(&mut self, call: CallerRequest) {
         let host = call.host.or_else(|| self.ready_host());
         let Some(id) = host else { return };
         let Some(host) = self.hosts.get_mut(&id) else { return };
@@ -56,13 +56,13 @@
                 repeatable,
                 worth: settings.worth,
                 organisation,
-                arrived: self.now,
-                patience: call.patience,
-                first_token: None,
-                told: None,
+                arrived_at: self.now,
+                max_wait_ms: call.max_wait_ms,
+                first_token_at: None,
+                outcome: None,
                 refusal: None,
-                hung_up: false,
-                sent: None,
+                disconnected: false,
+                first_run_at: None,
             },
         );
         self.step(StepKind::RequestArrives, Some(id), None, Some(request));
@@ -74,7 +74,7 @@
         let arrived = ArrivedRequest {
             id: request,
             target,
-            max_wait: Some(std::time::Duration::from_millis(call.patience)),
+            max_wait: Some(std::time::Duration::from_millis(call.max_wait_ms)),
             repeatable: call.repeatable,
             key: call.key.map(|text| IdempotencyKey { text, created_millis: None }),
             max_tokens: Some(call.tokens),
@@ -83,10 +83,10 @@
     }
 
     /// Notes what a caller was told.
-    pub(crate) fn told(&mut self, request: RequestId, refusal: &RequestRefusal) {
+    pub(crate) fn record_refusal(&mut self, request: RequestId, refusal: &RequestRefusal) {
         let now = self.now;
         if let Some(caller) = self.evidence.callers.get_mut(&request) {
-            caller.told.get_or_insert((refusal.outcome, now));
+            caller.outcome.get_or_insert((refusal.outcome, now));
             caller.refusal.get_or_insert(refusal.kind);
         }
         let host = self.evidence.callers.get(&request).map(|caller| caller.host);
@@ -119,7 +119,7 @@
             return;
         }
         let backend = backend_of(&order.address);
-        let exchange = OpenExchange { backend, run: None, first_token: false };
+        let exchange = OpenExchange { backend, run: None, first_token_received: false };
         host.exchanges.insert(order.request, exchange);
         self.push(NEAR, Arrival::Request { host: id, life, order });
     }
@@ -134,7 +134,7 @@
         delay: u64,
     ) {
         let result = match (self.shape.mutation, result) {
-            (Some(SiteMutation::BrokenMeansNotRun), DispatchResult::Interrupted { .. }) => {
+            (Some(SiteMutation::InterruptedMeansNotRun), DispatchResult::Interrupted { .. }) => {
                 DispatchResult::NotRun(NotRunReason::NoConnection)
             }
             (_, result) => result,
@@ -219,7 +219,7 @@
             return;
         }
         if let Some(leaving) = engine.leaving {
-            self.evidence.after_leaving.push((order.request, now - leaving));
+            self.evidence.received_while_leaving.push((order.request, now - leaving));
         }
         let incarnation = engine.incarnation;
         if let Some(FakeSlot::Loaded { used }) = engine.slots.get_mut(&key) {
@@ -253,11 +253,17 @@
         backend: u32,
         adapter: String,
     ) {
-        let begun = self.now;
-        self.evidence.runs.push(RunRecord { request, backend, adapter, begun, ended: None });
+        let started_at = self.now;
+        self.evidence.runs.push(RunRecord {
+            request,
+            backend,
+            adapter,
+            started_at,
+            completed_at: None,
+        });
         let run = self.evidence.runs.len() - 1;
         if let Some(caller) = self.evidence.callers.get_mut(&request) {
-            caller.sent.get_or_insert(begun);
+            caller.first_run_at.get_or_insert(started_at);
         }
         let host = self.hosts.get_mut(&id);
         if let Some(exchange) = host.and_then(|host| host.exchanges.get_mut(&request)) {
@@ -270,15 +276,20 @@
         let now = self.now as f64;
         let Some(fake) = self.engines.get(&engine) else { return };
         let running = fake.running.len() as f64;
-        let busy = self.evidence.busy.entry(engine).or_default();
-        let since = self.evidence.busy_since.insert(engine, now).unwrap_or(now);
+        let busy = self.evidence.busy_time.entry(engine).or_default();
+        let since = self.evidence.busy_updated_at.insert(engine, now).unwrap_or(now);
         if running > 0.0 {
             busy.0 += running * (now - since);
             busy.1 += now - since;
         }
     }
 
-    pub(crate) fn first_token(&mut self, backend: u32, incarnation: u64, request: RequestId) {
+    pub(crate) fn record_first_token(
+        &mut self,
+        backend: u32,
+        incarnation: u64,
+        request: RequestId,
+    ) {
         let runs = self.engines.get(&backend).is_some_and(|engine| {
             engine.incarnation == incarnation && engine.running.contains_key(&request)
         });
@@ -290,8 +301,8 @@
         let host = caller.host;
         let exchange = self.hosts.get_mut(&host).filter(|host| host.runs());
         if let Some(exchange) = exchange.and_then(|host| host.exchanges.get_mut(&request)) {
-            exchange.first_token = true;
-            caller.first_token.get_or_insert(now);
+            exchange.first_token_received = true;
+            caller.first_token_at.get_or_insert(now);
         }
     }
 
@@ -311,7 +322,7 @@
             })
         };
         let Some(run) = run else { return };
-        self.evidence.runs[run].ended = Some(now);
+        self.evidence.runs[run].completed_at = Some(now);
         let Some(caller) = self.evidence.callers.get(&request) else { return };
         let host = caller.host;
         self.step(StepKind::RequestEnds, Some(host), Some(backend), Some(request));
@@ -329,23 +340,23 @@
         let first = waiting.next().map(|(first, _)| *first);
         let request = first.filter(|_| first_waiting).unwrap_or(request);
         let Some(exchange) = host.exchanges.get(&request) else { return };
-        let (begun, own) = (exchange.first_token, exchange.run == Some(run));
+        let (token_received, own) = (exchange.first_token_received, exchange.run == Some(run));
         if !own && !first_waiting {
             return;
         }
         if !reached {
-            let result = DispatchResult::Interrupted { answer_started: begun };
+            let result = DispatchResult::Interrupted { answer_started: token_received };
             self.exchange_ended(id, life, request, result, UNREACHED);
             return;
         }
         host.exchanges.remove(&request);
         if !own {
-            self.evidence.crossed.push(request);
+            self.evidence.misdelivered.push(request);
         }
         if let Some(caller) = self.evidence.callers.get_mut(&request) {
-            caller.first_token.get_or_insert(now);
-            if !caller.hung_up {
-                caller.told.get_or_insert((CallerOutcome::Answered, now + NEAR));
+            caller.first_token_at.get_or_insert(now);
+            if !caller.disconnected {
+                caller.outcome.get_or_insert((CallerOutcome::Answered, now + NEAR));
             }
         }
         self.exchange_ended(id, life, request, DispatchResult::Answered, NEAR);
@@ -359,7 +370,8 @@
             let Some(host) = self.hosts.get_mut(&id) else { continue };
             let life = host.life;
             let Some(exchange) = host.exchanges.remove(&request) else { continue };
-            let result = DispatchResult::Interrupted { answer_started: exchange.first_token };
+            let result =
+                DispatchResult::Interrupted { answer_started: exchange.first_token_received };
             self.exchange_ended(id, life, request, result, NEAR);
         }
     }
--- a/crates/fakes/src/fault.rs
+++ b/crates/fakes/src/fault.rs
@@ -9,9 +9,11 @@
     /// A caller's request arrives at a host.
     RequestArrives,
     /// An ask for a permit arrives at an owner.
-    AskArrives,
+    #[serde(rename = "ask_arrives")]
+    PermitAskArrives,
     /// A grant arrives at the host that asked.
-    GrantArrives,
+    #[serde(rename = "grant_arrives")]
+    PermitGrantArrives,
     /// A request is about to be written to a backend server.
     RequestSends,
     /// A backend server begins to run a request.
@@ -19,11 +21,14 @@
     /// A backend server has ended a request.
     RequestEnds,
     /// The word of a request's end arrives at the owner.
-    DoneArrives,
+    #[serde(rename = "done_arrives")]
+    PermitDoneArrives,
     /// An ask for a turn at the store arrives.
-    TurnAsked,
+    #[serde(rename = "turn_asked")]
+    LoadAskArrives,
     /// A turn arrives at the owner.
-    TurnArrives,
+    #[serde(rename = "turn_arrives")]
+    LoadGrantArrives,
     /// An engine begins a load.
     LoadBegins,
     /// An engine has ended a load.
@@ -31,7 +36,8 @@
     /// An unload order arrives at an engine.
     UnloadArrives,
     /// A raise order arrives at an engine.
-    RaiseArrives,
+    #[serde(rename = "raise_arrives")]
+    RaiseFenceArrives,
     /// A claim is appended.
     ClaimAppends,
     /// A claim is read back.
@@ -43,34 +49,36 @@
     /// A heartbeat arrives.
     HeartbeatArrives,
     /// A host begins a planned stop.
-    DrainBegins,
+    #[serde(rename = "drain_begins")]
+    HostDrainBegins,
     /// An engine begins a planned stop.
-    LeaveBegins,
+    #[serde(rename = "leave_begins")]
+    EngineDrainBegins,
 }
 
 impl StepKind {
     /// All steps.
     pub const ALL: [Self; 20] = [
         Self::RequestArrives,
-        Self::AskArrives,
-        Self::GrantArrives,
+        Self::PermitAskArrives,
+        Self::PermitGrantArrives,
         Self::RequestSends,
         Self::RequestRuns,
         Self::RequestEnds,
-        Self::DoneArrives,
-        Self::TurnAsked,
-        Self::TurnArrives,
+        Self::PermitDoneArrives,
+        Self::LoadAskArrives,
+        Self::LoadGrantArrives,
         Self::LoadBegins,
         Self::LoadEnds,
         Self::UnloadArrives,
-        Self::RaiseArrives,
+        Self::RaiseFenceArrives,
         Self::ClaimAppends,
         Self::ClaimReads,
         Self::PublicationAppends,
         Self::PublicationReads,
         Self::HeartbeatArrives,
-        Self::DrainBegins,
-        Self::LeaveBegins,
+        Self::HostDrainBegins,
+        Self::EngineDrainBegins,
     ];
 }
 
@@ -91,31 +99,39 @@
     /// Orders to engines are late.
     OrderLate,
     /// Orders to engines are given up by their sender and take effect seconds later.
-    OrderGivenUp,
+    #[serde(rename = "order_given_up")]
+    OrderAbandoned,
     /// The weight store gives nothing.
-    StoreAway,
+    #[serde(rename = "store_away")]
+    StoreUnavailable,
     /// The weight store is ten times as slow.
     StoreSlow,
     /// The log can neither be read nor appended to.
-    LogAway,
+    #[serde(rename = "log_away")]
+    LogUnavailable,
     /// The log takes seconds.
     LogSlow,
     /// The log is away, and comes back from a copy some seconds old; operators write again what it lost.
-    LogFallsBack,
+    #[serde(rename = "log_falls_back")]
+    LogRestoredOlder,
     /// Appends take effect, their answers are lost.
     AppendAnswerLost,
     /// The host list does not change.
     HostListStale,
     /// The host at the step gets no messages from its peers.
-    PeersCutOneWay,
+    #[serde(rename = "peers_cut_one_way")]
+    PeersPartitionedOneWay,
     /// The host at the step and its peers hear nothing of each other.
-    PeersCutBothWays,
+    #[serde(rename = "peers_cut_both_ways")]
+    PeersPartitionedBothWays,
     /// A hall is cut off from the other halls and from the platform.
-    HallCutOff,
+    #[serde(rename = "hall_cut_off")]
+    HallPartitioned,
     /// The caller at the step hangs up.
     CallerGone,
     /// Messages between hosts come twice, the second time late.
-    MessageDoubled,
+    #[serde(rename = "message_doubled")]
+    MessageDuplicated,
     /// Messages between hosts are late by seconds.
     MessageLate,
     /// Messages between hosts overtake one another.
@@ -137,19 +153,19 @@
         Self::LoadFails,
         Self::OrderAnswerLost,
         Self::OrderLate,
-        Self::OrderGivenUp,
-        Self::StoreAway,
+        Self::OrderAbandoned,
+        Self::StoreUnavailable,
         Self::StoreSlow,
-        Self::LogAway,
+        Self::LogUnavailable,
         Self::LogSlow,
-        Self::LogFallsBack,
+        Self::LogRestoredOlder,
         Self::AppendAnswerLost,
         Self::HostListStale,
-        Self::PeersCutOneWay,
-        Self::PeersCutBothWays,
-        Self::HallCutOff,
+        Self::PeersPartitionedOneWay,
+        Self::PeersPartitionedBothWays,
+        Self::HallPartitioned,
         Self::CallerGone,
-        Self::MessageDoubled,
+        Self::MessageDuplicated,
         Self::MessageLate,
         Self::MessageOutOfOrder,
         Self::MessageLost,
@@ -170,15 +186,15 @@
     #[serde(default = "first")]
     pub nth: u64,
     /// For how long, in milliseconds.
-    #[serde(default = "usual_length")]
-    pub lasts: u64,
+    #[serde(rename = "lasts", default = "default_duration_ms")]
+    pub duration_ms: u64,
 }
 
 const fn first() -> u64 {
     1
 }
 
-const fn usual_length() -> u64 {
+const fn default_duration_ms() -> u64 {
     6_000
 }
 
--- a/crates/fakes/src/host.rs
+++ b/crates/fakes/src/host.rs
@@ -13,7 +13,7 @@
 pub(crate) struct OpenExchange {
     pub(crate) backend: u32,
     pub(crate) run: Option<usize>,
-    pub(crate) first_token: bool,
+    pub(crate) first_token_received: bool,
 }
 
 /// What comes to a host, and waits while it is frozen.
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -19,11 +19,11 @@
 mod store;
 mod strike;
 
-pub use check::{BrokenPromise, Promise, check_promises};
-pub use engine::{EngineShape, FakeEngine};
+pub use check::{Promise, PromiseViolation, check_promises};
+pub use engine::{EngineConfig, FakeEngine};
 pub use evidence::{CallerRecord, Evidence, RunRecord};
 pub use fault::{FaultKind, FaultPlan, PlannedFault, StepKind};
 pub use log::FakeLog;
 pub use script::{SiteScript, standard_site, standard_tree};
-pub use site::{CallerCall, FakeSite, SiteAction, SiteMutation, SiteShape};
+pub use site::{CallerRequest, FakeSite, SiteAction, SiteConfig, SiteMutation};
 pub use store::FakeStore;
--- a/crates/fakes/src/orders.rs
+++ b/crates/fakes/src/orders.rs
@@ -22,7 +22,7 @@
             return;
         }
         let kind = match order.action {
-            OrderAction::RaiseFence => StepKind::RaiseArrives,
+            OrderAction::RaiseFence => StepKind::RaiseFenceArrives,
             OrderAction::Load(_) => StepKind::LoadBegins,
             OrderAction::Unload(_) | OrderAction::UnloadUnknown(_) => StepKind::UnloadArrives,
         };
@@ -162,7 +162,7 @@
             }
             engine.changed(now);
             self.note(|| format!("engine {} unloads {adapter:?}, cuts {cut:x?}", order.engine));
-            self.evidence.wasted_loads += u64::from(!used);
+            self.evidence.unused_loads += u64::from(!used);
             self.evidence.cut_by_unload.extend(&cut);
             self.cut(cut);
         }
--- a/crates/fakes/src/script.rs
+++ b/crates/fakes/src/script.rs
@@ -8,9 +8,9 @@
 };
 
 use crate::{
-    engine::EngineShape,
+    engine::EngineConfig,
     fault::FaultPlan,
-    site::{CallerCall, FakeSite, SiteAction, SiteMutation, SiteShape},
+    site::{CallerRequest, FakeSite, SiteAction, SiteConfig, SiteMutation},
 };
 
 /// The adapters of the site, more than its engines have slots for.
@@ -32,7 +32,7 @@
     /// Callers call from 3 s until then, in milliseconds.
     pub calls_until: u64,
     /// Milliseconds between calls, on average.
-    pub call_every: u64,
+    pub mean_call_interval_ms: u64,
     /// The run ends then.
     pub end: u64,
     /// Whether engine 2 checks fences.
@@ -47,7 +47,7 @@
         Self {
             seed,
             calls_until: 32_000,
-            call_every: 120,
+            mean_call_interval_ms: 120,
             end: 60_000,
             fenced: true,
             mutation: None,
@@ -85,7 +85,7 @@
 /// Makes the site of the fault matrix: two halls with two hosts each, three engines with two
 /// slots each, two plain servers, seven adapters in two versions.
 pub fn standard_site(script: SiteScript, plan: FaultPlan) -> FakeSite {
-    let engine = |engine, hall, checks_fence| EngineShape {
+    let engine = |engine, hall, checks_fence| EngineConfig {
         engine,
         hall,
         service: String::from("assist"),
@@ -93,17 +93,17 @@
         streams: 8,
         checks_fence,
     };
-    let mut shape = SiteShape::new(script.seed);
+    let mut shape = SiteConfig::new(script.seed);
     shape.hosts = vec![(1, 1), (2, 1), (3, 2), (4, 2)];
     shape.engines = vec![engine(1, 1, true), engine(2, 1, script.fenced), engine(3, 2, true)];
     shape.servers = vec![(1, 1), (2, 2)];
     shape.mutation = script.mutation;
     let mut site = FakeSite::new(shape, plan);
     let edits = SettingsTree::default().diff_edits(&standard_tree());
-    site.act_at(10, SiteAction::Publish(publication("first", 0, edits)));
+    site.schedule_action(10, SiteAction::Publish(publication("first", 0, edits)));
     plan_publications(&mut site);
-    site.act_at(12_000, SiteAction::DrainHost(2));
-    site.act_at(18_000, SiteAction::LeaveEngine(3));
+    site.schedule_action(12_000, SiteAction::DrainHost(2));
+    site.schedule_action(18_000, SiteAction::DrainEngine(3));
     plan_calls(&mut site, script);
     site
 }
@@ -120,7 +120,7 @@
         // Only the place's own last change matters, so a race elsewhere does not refuse these.
         let base = u64::try_from(index).unwrap_or(0) + 1;
         let record = publication(&format!("version-{index}"), base, edits);
-        site.act_at(at, SiteAction::Publish(record));
+        site.schedule_action(at, SiteAction::Publish(record));
     }
 }
 
@@ -131,32 +131,32 @@
     while at < script.calls_until {
         number += 1;
         plan_call(site, &mut rng, at, number);
-        at += rng.random_range(1..2 * script.call_every);
+        at += rng.random_range(1..2 * script.mean_call_interval_ms);
     }
     // Some come late, for adapters that fit into the slots, and must be answered if no fault holds.
     let fitting = ADAPTERS.iter().take(4).cycle();
     for (index, (organisation, adapter)) in (0..20).zip(fitting) {
-        let call = CallerCall {
+        let call = CallerRequest {
             adapter: format!("assist/{organisation}/{adapter}"),
             version: Some(1),
             repeatable: Some(true),
-            patience: 9_000,
+            max_wait_ms: 9_000,
             ..usual_call(&mut rng)
         };
-        site.call_at(script.end - LATE_CALLS + index * 500, call);
+        site.schedule_request(script.end - LATE_CALLS + index * 500, call);
     }
 }
 
-fn usual_call(rng: &mut Pcg64Mcg) -> CallerCall {
+fn usual_call(rng: &mut Pcg64Mcg) -> CallerRequest {
     let skewed = rng.random_range(0..ADAPTERS.len()).min(rng.random_range(0..ADAPTERS.len()));
     let (organisation, adapter) = ADAPTERS[skewed];
-    CallerCall {
+    CallerRequest {
         host: None,
         adapter: format!("assist/{organisation}/{adapter}"),
         version: [None, None, Some(1), Some(2)].choose(rng).copied().flatten(),
         key: None,
         repeatable: [None, Some(true), Some(false)].choose(rng).copied().flatten(),
-        patience: rng.random_range(2_000..9_000),
+        max_wait_ms: rng.random_range(2_000..9_000),
         tokens: rng.random_range(5..250),
     }
 }
@@ -168,15 +168,15 @@
         0 => {
             call.key = Some(format!("key-{number}"));
             call.repeatable = None;
-            site.call_at(at, call.clone());
-            site.call_at(at + rng.random_range(0..400), call);
+            site.schedule_request(at, call.clone());
+            site.schedule_request(at + rng.random_range(0..400), call);
         }
         1 => {
             call.adapter = String::new();
             call.version = None;
             call.repeatable = None;
-            site.call_at(at, call);
+            site.schedule_request(at, call);
         }
-        _ => site.call_at(at, call),
+        _ => site.schedule_request(at, call),
     }
 }
--- a/crates/fakes/src/site.rs
+++ b/crates/fakes/src/site.rs
@@ -33,7 +33,7 @@
 
 use queue::QueueEntry;
 pub(crate) use queue::{Arrival, FaultTarget};
-pub use shape::{CallerCall, SiteAction, SiteMutation, SiteShape};
+pub use shape::{CallerRequest, SiteAction, SiteConfig, SiteMutation};
 
 /// The wall clock at time zero, in milliseconds since the Unix epoch.
 pub(crate) const WALL_START: u64 = 1_800_000_000_000;
@@ -79,7 +79,7 @@
 pub struct FakeSite {
     /// Milliseconds since the start.
     pub now: u64,
-    pub(crate) shape: SiteShape,
+    pub(crate) shape: SiteConfig,
     pub(crate) rng: Pcg64Mcg,
     queue: BinaryHeap<Reverse<QueueEntry>>,
     entries: u64,
@@ -111,7 +111,7 @@
 
 impl FakeSite {
     /// Makes a site and starts its hosts.
-    pub fn new(shape: SiteShape, plan: FaultPlan) -> Self {
+    pub fn new(shape: SiteConfig, plan: FaultPlan) -> Self {
         let mut site = Self {
             now: 0,
             rng: Pcg64Mcg::seed_from_u64(shape.seed),
@@ -195,12 +195,12 @@
     }
 
     /// Has a caller call at a time.
-    pub fn call_at(&mut self, at: u64, call: CallerCall) {
+    pub fn schedule_request(&mut self, at: u64, call: CallerRequest) {
         self.push(at.saturating_sub(self.now), Arrival::Call(call));
     }
 
     /// Has something done at a time.
-    pub fn act_at(&mut self, at: u64, action: SiteAction) {
+    pub fn schedule_action(&mut self, at: u64, action: SiteAction) {
         self.push(at.saturating_sub(self.now), Arrival::Act(action));
     }
 
@@ -230,7 +230,7 @@
             Arrival::AskReport { host, life, engine } => self.engine_report(host, life, engine),
             Arrival::Request { host, life, order } => self.backend_request(host, life, &order),
             Arrival::FirstToken { backend, incarnation, request } => {
-                self.first_token(backend, incarnation, request);
+                self.record_first_token(backend, incarnation, request);
             }
             Arrival::Finish { backend, incarnation, request } => {
                 self.finish(backend, incarnation, request);
@@ -274,7 +274,7 @@
         if revision != host.last_revision {
             host.last_revision = revision;
             let life = host.life;
-            self.evidence.forced.push(crate::evidence::ForceRecord {
+            self.evidence.revision_changes.push(crate::evidence::RevisionChange {
                 host: id,
                 life,
                 revision,
@@ -319,7 +319,7 @@
         engine: Option<EngineId>,
         request: Option<RequestId>,
     ) {
-        let count = self.evidence.steps.entry(kind).or_default();
+        let count = self.evidence.step_counts.entry(kind).or_default();
         *count += 1;
         let count = *count;
         for planned in self.plan.strike(kind, count) {
@@ -342,7 +342,7 @@
             NodeAction::Dispatch(order) => {
                 self.push(0, Arrival::Input(id, life, HostInput::Send(order)));
             }
-            NodeAction::Refuse { request, refusal } => self.told(request, &refusal),
+            NodeAction::Refuse { request, refusal } => self.record_refusal(request, &refusal),
             NodeAction::SendOrder { order, .. } if self.active.order_given_up > 0 => {
                 let result = OrderResult::NoAnswer;
                 let event = NodeEvent::OrderEnded { order: order.clone(), result };
@@ -357,7 +357,7 @@
                 self.push(NEAR + late, Arrival::Order { host: id, life, order });
             }
             NodeAction::FetchReport { engine, .. } => {
-                self.evidence.reports += 1;
+                self.evidence.report_fetches += 1;
                 self.push(NEAR, Arrival::AskReport { host: id, life, engine });
             }
             NodeAction::Append { stream, payload, ticket } => {
@@ -405,7 +405,7 @@
     }
 
     /// Says whether all planned faults struck.
-    pub fn all_struck(&self) -> bool {
+    pub fn all_faults_injected(&self) -> bool {
         self.plan.struck.len() >= self.plan.faults.len()
     }
 
--- a/crates/fakes/src/site/lives.rs
+++ b/crates/fakes/src/site/lives.rs
@@ -58,8 +58,8 @@
         host.exchanges.clear();
         host.waiting.clear();
         for caller in self.evidence.callers.values_mut() {
-            if caller.host == id && caller.told.is_none() {
-                caller.hung_up = true;
+            if caller.host == id && caller.outcome.is_none() {
+                caller.disconnected = true;
             }
         }
     }
--- a/crates/fakes/src/site/post.rs
+++ b/crates/fakes/src/site/post.rs
@@ -72,16 +72,16 @@
     pub(crate) fn step_of_message(&mut self, to: HostId, message: &PeerMessage) {
         let (kind, engine, request) = match message {
             PeerMessage::PermitAsk(ask) => {
-                (StepKind::AskArrives, Some(ask.engine), Some(ask.request.request))
+                (StepKind::PermitAskArrives, Some(ask.engine), Some(ask.request.request))
             }
             PeerMessage::PermitGranted(granted) => {
-                (StepKind::GrantArrives, Some(granted.engine), Some(granted.request))
+                (StepKind::PermitGrantArrives, Some(granted.engine), Some(granted.request))
             }
             PeerMessage::PermitDone(done) => {
-                (StepKind::DoneArrives, Some(done.engine), Some(done.request))
+                (StepKind::PermitDoneArrives, Some(done.engine), Some(done.request))
             }
-            PeerMessage::LoadAsk(ask) => (StepKind::TurnAsked, Some(ask.engine), None),
-            PeerMessage::LoadGrant(turn) => (StepKind::TurnArrives, Some(turn.engine), None),
+            PeerMessage::LoadAsk(ask) => (StepKind::LoadAskArrives, Some(ask.engine), None),
+            PeerMessage::LoadGrant(turn) => (StepKind::LoadGrantArrives, Some(turn.engine), None),
             PeerMessage::Heartbeat(_) => (StepKind::HeartbeatArrives, None, None),
             _ => return,
         };
--- a/crates/fakes/src/site/queue.rs
+++ b/crates/fakes/src/site/queue.rs
@@ -11,7 +11,7 @@
 use crate::{
     fault::PlannedFault,
     host::HostInput,
-    site::{CallerCall, SiteAction},
+    site::{CallerRequest, SiteAction},
 };
 
 #[derive(Debug, Clone)]
@@ -28,7 +28,7 @@
     Finish { backend: u32, incarnation: u64, request: RequestId },
     StoreCheck,
     Append { host: HostId, life: u64, stream: LogStream, payload: Vec<u8>, ticket: u64 },
-    Call(CallerCall),
+    Call(CallerRequest),
     Act(SiteAction),
     EndFault(PlannedFault, FaultTarget),
     Return(HostId),
--- a/crates/fakes/src/site/shape.rs
+++ b/crates/fakes/src/site/shape.rs
@@ -9,11 +9,11 @@
     settings::ChangeRecord,
 };
 
-use crate::engine::EngineShape;
+use crate::engine::EngineConfig;
 
 /// A call by a caller.
 #[derive(Debug, Clone)]
-pub struct CallerCall {
+pub struct CallerRequest {
     /// The host it goes to; the balancer picks a ready one where it is `None`.
     pub host: Option<HostId>,
     /// The adapter as service/organisation/adapter; empty for the plain service.
@@ -25,7 +25,7 @@
     /// What the caller says of repeating it.
     pub repeatable: Option<bool>,
     /// How long it waits for the first token, in milliseconds.
-    pub patience: u64,
+    pub max_wait_ms: u64,
     /// Tokens of the answer.
     pub tokens: u32,
 }
@@ -37,7 +37,7 @@
     /// every end as clean.
     IgnoreFence,
     /// A broken exchange is taken for one that never began.
-    BrokenMeansNotRun,
+    InterruptedMeansNotRun,
     /// Every host reads its own claims first.
     OwnClaimsFirst,
     /// Nobody shows that a backend server is leaving.
@@ -54,11 +54,11 @@
 
 /// What a site is made of.
 #[derive(Clone)]
-pub struct SiteShape {
+pub struct SiteConfig {
     /// Hosts and their halls.
     pub hosts: Vec<(HostId, HallId)>,
     /// Engines.
-    pub engines: Vec<EngineShape>,
+    pub engines: Vec<EngineConfig>,
     /// Plain servers and their halls.
     pub servers: Vec<(ServerId, HallId)>,
     /// The service of the plain servers.
@@ -75,7 +75,7 @@
     pub mutation: Option<SiteMutation>,
 }
 
-impl SiteShape {
+impl SiteConfig {
     /// Makes a shape with nothing in it.
     pub fn new(seed: u64) -> Self {
         Self {
@@ -100,13 +100,13 @@
     /// Begins a host's planned stop; it comes back 15 s after it ended.
     DrainHost(HostId),
     /// Begins an engine's planned stop; it comes back 10 s after it ended.
-    LeaveEngine(EngineId),
+    DrainEngine(EngineId),
     /// Kills a host; it comes back after that many milliseconds.
     KillHost(HostId, u64),
     /// Restarts an engine with nothing loaded.
     RestartEngine(EngineId),
     /// Switches the store off for that many milliseconds.
-    StoreAway(u64),
+    StoreUnavailable(u64),
     /// Cuts a hall off from the others and from the platform for that many milliseconds.
-    CutHall(HallId, u64),
+    PartitionHall(HallId, u64),
 }
--- a/crates/fakes/src/strike.rs
+++ b/crates/fakes/src/strike.rs
@@ -30,16 +30,16 @@
         if target.engine.is_none_or(|engine| !self.engines.contains_key(&engine)) {
             target.engine = self.engines.keys().next().copied();
         }
-        let over = Some(self.now + planned.lasts);
+        let over = Some(self.now + planned.duration_ms);
         self.evidence.last_fault_end = self.evidence.last_fault_end.max(over);
         self.switch_fault(planned.fault, target, true);
-        self.push(planned.lasts, Arrival::EndFault(planned, target));
+        self.push(planned.duration_ms, Arrival::EndFault(planned, target));
     }
 
     pub(crate) fn end_fault(&mut self, planned: PlannedFault, target: FaultTarget) {
         self.switch_fault(planned.fault, target, false);
-        if planned.fault == FaultKind::LogFallsBack {
-            let began = self.now.saturating_sub(planned.lasts);
+        if planned.fault == FaultKind::LogRestoredOlder {
+            let began = self.now.saturating_sub(planned.duration_ms);
             self.fall_back_log(began.saturating_sub(COPY_AGE));
         }
     }
@@ -79,8 +79,8 @@
             FaultKind::LoadFails => count(&mut self.active.load_fails),
             FaultKind::OrderAnswerLost => count(&mut self.active.order_answer_lost),
             FaultKind::OrderLate => count(&mut self.active.order_late),
-            FaultKind::OrderGivenUp => count(&mut self.active.order_given_up),
-            FaultKind::StoreAway => {
+            FaultKind::OrderAbandoned => count(&mut self.active.order_given_up),
+            FaultKind::StoreUnavailable => {
                 count(&mut self.active.store_away);
                 self.change_store();
             }
@@ -88,22 +88,24 @@
                 count(&mut self.active.store_slow);
                 self.change_store();
             }
-            FaultKind::LogAway | FaultKind::LogFallsBack => count(&mut self.active.log_away),
+            FaultKind::LogUnavailable | FaultKind::LogRestoredOlder => {
+                count(&mut self.active.log_away)
+            }
             FaultKind::LogSlow => count(&mut self.active.log_slow),
             FaultKind::AppendAnswerLost => count(&mut self.active.append_lost),
             FaultKind::HostListStale => count(&mut self.active.hosts_stale),
-            FaultKind::PeersCutOneWay | FaultKind::PeersCutBothWays => {
+            FaultKind::PeersPartitionedOneWay | FaultKind::PeersPartitionedBothWays => {
                 let host = target.host.and_then(|id| self.hosts.get_mut(&id));
                 if let Some(host) = host {
                     count(&mut host.deaf);
-                    if fault == FaultKind::PeersCutBothWays {
+                    if fault == FaultKind::PeersPartitionedBothWays {
                         count(&mut host.mute);
                     }
                 }
             }
-            FaultKind::HallCutOff => self.switch_hall(target, on),
+            FaultKind::HallPartitioned => self.switch_hall(target, on),
             FaultKind::CallerGone if on => self.hang_up(target),
-            FaultKind::MessageDoubled => count(&mut self.active.doubled),
+            FaultKind::MessageDuplicated => count(&mut self.active.doubled),
             FaultKind::MessageLate => count(&mut self.active.late),
             FaultKind::MessageOutOfOrder => count(&mut self.active.disorder),
             FaultKind::MessageLost => count(&mut self.active.lossy),
@@ -161,10 +163,10 @@
     pub(crate) fn hang_up(&mut self, target: FaultTarget) {
         let Some(request) = target.request else { return };
         let Some(caller) = self.evidence.callers.get_mut(&request) else { return };
-        if caller.told.is_some() {
+        if caller.outcome.is_some() {
             return;
         }
-        caller.hung_up = true;
+        caller.disconnected = true;
         let id = caller.host;
         let Some(host) = self.hosts.get_mut(&id) else { return };
         let life = host.life;
--- a/crates/gateway/tests/host/engine.rs
+++ b/crates/gateway/tests/host/engine.rs
@@ -8,7 +8,7 @@
     time::{Duration, Instant},
 };
 
-use reelreel_stand_ins::connection::{EndableServer, ServedConnection, ServedRequest, serve};
+use reelreel_stand_ins::connection::{ServedConnection, ServedRequest, StoppableServer, serve};
 use serde_json::{Value, json};
 
 use crate::dialect::{
@@ -79,7 +79,7 @@
     /// When anything reached it: requests, orders, questions for its state.
     calls: Vec<Instant>,
     /// What ends with it, where it can end.
-    server: EndableServer,
+    server: StoppableServer,
 }
 
 /// When the first life of each engine began.
@@ -132,11 +132,11 @@
     /// Ends the life of an engine that can end.
     pub(crate) fn end(&self) {
         let server = self.lock().server.clone();
-        server.end();
+        server.stop();
     }
 
     pub(crate) fn has_ended(&self) -> bool {
-        self.lock().server.has_ended()
+        self.lock().server.has_stopped()
     }
 
     fn lock(&self) -> MutexGuard<'_, EngineState> {
@@ -397,7 +397,7 @@
         let server = locked.server.clone();
         drop(locked);
         thread::sleep(DEADLY_RUN);
-        server.end();
+        server.stop();
         return None;
     }
     let mood = match locked.moods.len() {
--- a/crates/stand-ins/src/connection.rs
+++ b/crates/stand-ins/src/connection.rs
@@ -119,13 +119,13 @@
 
 /// A server that can end as a process does: nothing listens at its address, and its connections break off.
 #[derive(Clone, Default)]
-pub struct EndableServer {
+pub struct StoppableServer {
     ending: Arc<AtomicBool>,
     closed: Arc<AtomicBool>,
     sockets: Arc<Mutex<Vec<TcpStream>>>,
 }
 
-impl EndableServer {
+impl StoppableServer {
     /// Serves connections at an address until it ends.
     ///
     /// # Panics
@@ -158,7 +158,7 @@
     }
 
     /// Ends it; returns once nothing listens any more.
-    pub fn end(&self) {
+    pub fn stop(&self) {
         self.ending.store(true, Ordering::Release);
         while !self.closed.load(Ordering::Acquire) {
             thread::sleep(END_LOOK);
@@ -169,7 +169,7 @@
     }
 
     /// Returns whether it has ended.
-    pub fn has_ended(&self) -> bool {
+    pub fn has_stopped(&self) -> bool {
         self.closed.load(Ordering::Acquire)
     }
 }
