--- a/crates/cli/src/bench/scenario.rs
+++ b/crates/cli/src/bench/scenario.rs
@@ -93,11 +93,11 @@
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum EventKind {
-    StoreUnavailable,
+    StoreAway,
     RestartEngine,
     KillHost,
     DrainHost,
-    DrainEngine,
+    LeaveEngine,
 }
 
 impl Scenario {
@@ -169,11 +169,11 @@
             let SiteEvent { at, what, which, seconds } = event;
             let at = SETTLED + at * 1_000;
             let action = match what {
-                EventKind::StoreUnavailable => SiteAction::StoreUnavailable(seconds * 1_000),
+                EventKind::StoreAway => SiteAction::StoreUnavailable(seconds * 1_000),
                 EventKind::RestartEngine => SiteAction::RestartEngine(*which),
                 EventKind::KillHost => SiteAction::KillHost(*which, seconds * 1_000),
                 EventKind::DrainHost => SiteAction::DrainHost(*which),
-                EventKind::DrainEngine => SiteAction::DrainEngine(*which),
+                EventKind::LeaveEngine => SiteAction::DrainEngine(*which),
             };
             site.schedule_action(at, action);
         }
--- a/crates/fakes/src/actions.rs
+++ b/crates/fakes/src/actions.rs
@@ -11,11 +11,14 @@
 use crate::{
     fault::{FaultKind, PlannedFault, StepKind},
     host::HostInput,
-    site::{Arrival, FAR, FakeSite, FaultTarget, NEAR, SiteAction, SiteMutation, WALL_START},
+    site::{
+        FakeSite, FaultTarget, HALL_DELAY_MS, INTER_HALL_DELAY_MS, SiteAction, SiteEvent,
+        SiteMutation, WALL_CLOCK_START_MS,
+    },
 };
 
 /// Plans a fault that a script lets strike, whatever the step.
-const fn at_once(fault: FaultKind, duration_ms: u64) -> PlannedFault {
+const fn immediate_fault(fault: FaultKind, duration_ms: u64) -> PlannedFault {
     PlannedFault { fault, step: StepKind::LoadBegins, nth: 0, duration_ms }
 }
 
@@ -27,42 +30,46 @@
     pub(crate) fn append(
         &mut self,
         id: HostId,
-        life: u64,
+        generation: u64,
         stream: LogStream,
         payload: Vec<u8>,
         ticket: u64,
     ) {
-        let result = if self.active.log_away > 0 || !self.reaches_platform(id) {
+        let result = if self.active.log_unavailable > 0 || !self.reaches_platform(id) {
             // The platform can not be reached at all, so nothing is written.
             AppendResult::Refused
         } else {
             if stream == LogStream::Claims {
-                self.step(StepKind::ClaimAppends, Some(id), None, None);
+                self.record_step(StepKind::ClaimAppends, Some(id), None, None);
+            }
+            self.log.append(stream, payload, WALL_CLOCK_START_MS + self.now);
+            self.notify_readers(stream);
+            if self.active.append_answer_lost > 0 {
+                AppendResult::NoAnswer
+            } else {
+                AppendResult::Written
             }
-            self.log.append(stream, payload, WALL_START + self.now);
-            self.wake_readers(stream);
-            if self.active.append_lost > 0 { AppendResult::NoAnswer } else { AppendResult::Written }
         };
         let delay = if result == AppendResult::NoAnswer { 3_000 } else { 2 };
         let event = NodeEvent::AppendEnded { ticket, result };
-        self.push(delay, Arrival::Input(id, life, HostInput::Event(event)));
+        self.push(delay, SiteEvent::Input(id, generation, HostInput::Event(event)));
     }
 
     /// Readers that wait at the end of a stream get new records at once.
-    pub(crate) fn wake_readers(&mut self, stream: LogStream) {
+    pub(crate) fn notify_readers(&mut self, stream: LogStream) {
         let readers: Vec<(HostId, u64)> =
-            self.hosts.values().map(|host| (host.host, host.life)).collect();
-        for (host, life) in readers {
-            self.push(FAR, Arrival::ReadLog(host, life, stream));
+            self.hosts.values().map(|host| (host.host, host.generation)).collect();
+        for (host, generation) in readers {
+            self.push(INTER_HALL_DELAY_MS, SiteEvent::ReadLog(host, generation, stream));
         }
     }
 
     /// Publishes a change into the log.
     pub fn publish(&mut self, record: &ChangeRecord) {
-        self.step(StepKind::PublicationAppends, None, None, None);
+        self.record_step(StepKind::PublicationAppends, None, None, None);
         let payload = serde_json::to_vec(record).unwrap_or_default();
         let before = self.reference.revision();
-        self.log.append(LogStream::Settings, payload, WALL_START + self.now);
+        self.log.append(LogStream::Settings, payload, WALL_CLOCK_START_MS + self.now);
         let (records, _) = self.log.read(LogStream::Settings, self.reference.next_offset());
         for record in records {
             self.reference.fold(record);
@@ -71,94 +78,94 @@
         if after > before {
             self.evidence.accepted_at.insert(after, self.now);
         }
-        self.wake_readers(LogStream::Settings);
+        self.notify_readers(LogStream::Settings);
     }
 
-    pub(crate) fn act(&mut self, action: SiteAction) {
+    pub(crate) fn execute_action(&mut self, action: SiteAction) {
         match action {
             SiteAction::Publish(record) => self.publish(&record),
             SiteAction::DrainHost(id) => {
-                self.step(StepKind::HostDrainBegins, Some(id), None, None);
-                let life = self.hosts.get(&id).map_or(0, |host| host.life);
-                if self.shape.mutation == Some(SiteMutation::ExitAtOnce) {
+                self.record_step(StepKind::HostDrainBegins, Some(id), None, None);
+                let generation = self.hosts.get(&id).map_or(0, |host| host.generation);
+                if self.config.mutation == Some(SiteMutation::ExitAtOnce) {
                     self.host_stopped(id);
                     return;
                 }
-                self.input(id, life, HostInput::Event(NodeEvent::StopRequested));
+                self.deliver_input(id, generation, HostInput::Event(NodeEvent::StopRequested));
             }
-            SiteAction::DrainEngine(engine) => self.leave_engine(engine),
+            SiteAction::DrainEngine(engine) => self.drain_engine(engine),
             SiteAction::KillHost(id, back) => {
                 self.kill_host(id);
-                self.push(back, Arrival::Return(id));
+                self.push(back, SiteEvent::StartHost(id));
             }
             SiteAction::RestartEngine(engine) => self.restart_engine(engine),
             SiteAction::StoreUnavailable(millis) => {
                 self.begin_fault(
-                    at_once(FaultKind::StoreUnavailable, millis),
+                    immediate_fault(FaultKind::StoreUnavailable, millis),
                     FaultTarget::default(),
                 );
             }
             SiteAction::PartitionHall(hall, millis) => {
                 let hall = Some(hall);
                 let target = FaultTarget { hall, host: self.host_in(hall), ..Default::default() };
-                self.begin_fault(at_once(FaultKind::HallPartitioned, millis), target);
+                self.begin_fault(immediate_fault(FaultKind::HallPartitioned, millis), target);
             }
         }
     }
 
-    pub(crate) fn leave_engine(&mut self, engine: EngineId) {
+    pub(crate) fn drain_engine(&mut self, engine: EngineId) {
         let now = self.now;
-        let hide = self.shape.mutation == Some(SiteMutation::HideLeaving);
+        let hide = self.config.mutation == Some(SiteMutation::HideLeaving);
         let Some(fake) = self.engines.get_mut(&engine) else { return };
-        if fake.leaving.is_some() {
+        if fake.leaving_since.is_some() {
             return;
         }
-        fake.leaving = Some(now);
-        fake.changed(now);
+        fake.leaving_since = Some(now);
+        fake.record_change(now);
         let kind = HostKind::Engine(fake.info());
-        self.step(StepKind::EngineDrainBegins, None, Some(engine), None);
+        self.record_step(StepKind::EngineDrainBegins, None, Some(engine), None);
         if !hide {
             let entries = vec![HostEntry { kind, leaving: true }];
-            self.change_hosts(HostListChange { entries, ..HostListChange::default() });
+            self.change_host_list(HostListChange { entries, ..HostListChange::default() });
         }
-        self.push(6_000, Arrival::EngineGone(engine));
+        self.push(6_000, SiteEvent::RemoveEngine(engine));
     }
 
     /// A leaving engine goes away once nothing runs on it.
-    pub(crate) fn engine_gone(&mut self, engine: EngineId) {
+    pub(crate) fn remove_drained_engine(&mut self, engine: EngineId) {
         let Some(fake) = self.engines.get_mut(&engine) else { return };
-        if fake.leaving.is_none() {
+        if fake.leaving_since.is_none() {
             return;
         }
         if !fake.running.is_empty() {
-            self.push(500, Arrival::EngineGone(engine));
+            self.push(500, SiteEvent::RemoveEngine(engine));
             return;
         }
-        fake.gone = true;
+        fake.removed = true;
         let removed_engines = vec![engine];
-        self.change_hosts(HostListChange { removed_engines, ..HostListChange::default() });
-        self.push(10_000, Arrival::EngineBack(engine));
+        self.change_host_list(HostListChange { removed_engines, ..HostListChange::default() });
+        self.push(10_000, SiteEvent::ReturnEngine(engine));
     }
 
-    pub(crate) fn engine_back(&mut self, engine: EngineId) {
+    pub(crate) fn return_engine(&mut self, engine: EngineId) {
         self.restart_engine(engine);
         let Some(fake) = self.engines.get(&engine) else { return };
         let entries = vec![HostEntry { kind: HostKind::Engine(fake.info()), leaving: false }];
-        self.change_hosts(HostListChange { entries, ..HostListChange::default() });
+        self.change_host_list(HostListChange { entries, ..HostListChange::default() });
     }
 
     pub(crate) fn restart_engine(&mut self, engine: EngineId) {
         let now = self.now;
-        self.note_busy(engine);
+        self.record_busy_time(engine);
         let Some(fake) = self.engines.get_mut(&engine) else { return };
-        let (cut, loads) = fake.restart(now);
+        let (interrupted, loads) = fake.restart(now);
         for load in loads {
             self.store.drop_load(load, now);
-            if let Some((id, life, order)) = self.store_loads.remove(&load) {
-                self.order_result(id, life, order, OrderResult::NoAnswer, NEAR);
+            if let Some((id, generation, order)) = self.store_loads.remove(&load) {
+                self.order_result(id, generation, order, OrderResult::NoAnswer, HALL_DELAY_MS);
             }
         }
-        self.cut(cut);
+        self.interrupt_requests(interrupted);
     }
 
     pub(crate) fn host_stopped(&mut self, id: HostId) {
@@ -170,11 +177,11 @@
             .filter(|(_, exchange)| exchange.run.is_some())
             .map(|(request, _)| *request)
             .collect();
-        let cut = open.into_iter().filter(|request| {
+        let interrupted = open.into_iter().filter(|request| {
             self.evidence.callers.get(request).is_some_and(|caller| caller.outcome.is_none())
         });
-        self.evidence.cut_by_stop.extend(cut);
+        self.evidence.interrupted_by_stop.extend(interrupted);
         self.kill_host(id);
-        self.push(15_000, Arrival::Return(id));
+        self.push(15_000, SiteEvent::StartHost(id));
     }
 }
--- a/crates/fakes/src/check.rs
+++ b/crates/fakes/src/check.rs
@@ -4,7 +4,7 @@
 
 use reelreel_core::{CallerOutcome, id::RequestId};
 
-use crate::{evidence::Evidence, script::LATE_CALLS, site::FakeSite};
+use crate::{evidence::Evidence, script::FINAL_REQUESTS_MS, site::FakeSite};
 
 /// A promise of the brief, in its order; the last one is that things go on afterwards.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -39,41 +39,41 @@
 }
 
 /// How long a leaving backend server may still get requests, in milliseconds.
-const LEAVING_GRACE: u64 = 5_000;
+const LEAVING_GRACE_MS: u64 = 5_000;
 
 /// How long an accepted configuration may take to be in force everywhere, in milliseconds.
-const FORCE_WITHIN: u64 = 15_000;
+const MAX_APPLY_MS: u64 = 15_000;
 
 /// How long after the last fault the site may take to serve again, in milliseconds.
-const RECOVERED_WITHIN: u64 = 8_000;
+const MAX_RECOVERY_MS: u64 = 8_000;
 
 /// How late beyond its patience a caller may be told, in milliseconds.
-const TOLD_WITHIN: u64 = 3_000;
+const ANSWER_GRACE_MS: u64 = 3_000;
 
 /// Checks all promises.
 pub fn check_promises(site: &FakeSite) -> Vec<PromiseViolation> {
-    let mut checker = PromiseChecker { site, evidence: &site.evidence, broken: Vec::new() };
+    let mut checker = PromiseChecker { site, evidence: &site.evidence, violations: Vec::new() };
     checker.named_adapter();
-    checker.serving_stays();
-    checker.own_answer();
-    checker.not_run_is_true();
+    checker.serving_adapter_not_unloaded();
+    checker.own_complete_answer();
+    checker.not_run_is_accurate();
     checker.at_most_once();
-    checker.leaving_gets_nothing();
-    checker.stop_cuts_nothing();
-    checker.configuration_holds();
-    checker.goes_on();
-    checker.broken
+    checker.no_new_requests_when_leaving();
+    checker.graceful_stop();
+    checker.configuration_converges();
+    checker.recovery();
+    checker.violations
 }
 
 struct PromiseChecker<'a> {
     site: &'a FakeSite,
     evidence: &'a Evidence,
-    broken: Vec<PromiseViolation>,
+    violations: Vec<PromiseViolation>,
 }
 
 impl PromiseChecker<'_> {
-    fn breaks(&mut self, promise: Promise, detail: String) {
-        self.broken.push(PromiseViolation { promise, detail });
+    fn report_violation(&mut self, promise: Promise, detail: String) {
+        self.violations.push(PromiseViolation { promise, detail });
     }
 
     fn runs_by_request(&self) -> BTreeMap<RequestId, usize> {
@@ -100,24 +100,24 @@
             }
         }
         for detail in details {
-            self.breaks(Promise::NamedAdapter, detail);
+            self.report_violation(Promise::NamedAdapter, detail);
         }
     }
 
-    fn serving_stays(&mut self) {
-        for request in &self.evidence.cut_by_unload {
+    fn serving_adapter_not_unloaded(&mut self) {
+        for request in &self.evidence.interrupted_by_unload {
             let detail = format!("{request:x} was cut by an unload");
-            self.broken
+            self.violations
                 .push(PromiseViolation { promise: Promise::ServingAdapterNotUnloaded, detail });
         }
     }
 
-    fn own_answer(&mut self) {
+    fn own_complete_answer(&mut self) {
         for request in &self.evidence.misdelivered {
             let detail = format!("{request:x} got another run's answer");
-            self.broken.push(PromiseViolation { promise: Promise::OwnCompleteAnswer, detail });
+            self.violations.push(PromiseViolation { promise: Promise::OwnCompleteAnswer, detail });
         }
-        let whole = |request: &RequestId| {
+        let has_completed_run = |request: &RequestId| {
             self.evidence
                 .runs
                 .iter()
@@ -128,16 +128,16 @@
             .callers
             .values()
             .filter(|caller| matches!(caller.outcome, Some((CallerOutcome::Answered, _))));
-        let torn: Vec<String> = answered
-            .filter(|caller| !whole(&caller.request))
+        let incomplete: Vec<String> = answered
+            .filter(|caller| !has_completed_run(&caller.request))
             .map(|caller| format!("{:x} was answered without a whole run", caller.request))
             .collect();
-        for detail in torn {
-            self.breaks(Promise::OwnCompleteAnswer, detail);
+        for detail in incomplete {
+            self.report_violation(Promise::OwnCompleteAnswer, detail);
         }
     }
 
-    fn not_run_is_true(&mut self) {
+    fn not_run_is_accurate(&mut self) {
         let runs = self.runs_by_request();
         let details: Vec<String> = self
             .evidence
@@ -148,7 +148,7 @@
             .map(|caller| format!("{:x} was told not run ({:?})", caller.request, caller.refusal))
             .collect();
         for detail in details {
-            self.breaks(Promise::NotRunIsAccurate, detail);
+            self.report_violation(Promise::NotRunIsAccurate, detail);
         }
     }
 
@@ -171,39 +171,40 @@
             }
         }
         for detail in details {
-            self.breaks(Promise::AtMostOnce, detail);
+            self.report_violation(Promise::AtMostOnce, detail);
         }
     }
 
-    fn leaving_gets_nothing(&mut self) {
-        for (request, late) in &self.evidence.received_while_leaving {
-            if *late > LEAVING_GRACE {
-                let detail = format!("{request:x} came {late} ms after the engine was leaving");
-                self.broken
+    fn no_new_requests_when_leaving(&mut self) {
+        for (request, delay) in &self.evidence.received_while_leaving {
+            if *delay > LEAVING_GRACE_MS {
+                let detail =
+                    format!("{request:x} was received {delay} ms after the engine started leaving");
+                self.violations
                     .push(PromiseViolation { promise: Promise::NoNewRequestsWhenLeaving, detail });
             }
         }
     }
 
-    fn stop_cuts_nothing(&mut self) {
-        for request in &self.evidence.cut_by_stop {
+    fn graceful_stop(&mut self) {
+        for request in &self.evidence.interrupted_by_stop {
             let detail = format!("{request:x} was cut by a planned stop");
-            self.broken.push(PromiseViolation { promise: Promise::GracefulStop, detail });
+            self.violations.push(PromiseViolation { promise: Promise::GracefulStop, detail });
         }
     }
 
-    fn configuration_holds(&mut self) {
+    fn configuration_converges(&mut self) {
         let mut details = Vec::new();
         let mut last: BTreeMap<(u32, u64), u64> = BTreeMap::new();
         for record in &self.evidence.revision_changes {
-            let known = last.insert((record.host, record.life), record.revision);
+            let known = last.insert((record.host, record.generation), record.revision);
             if known.is_some_and(|known| known > record.revision) {
                 details.push(format!("host {} went back to {}", record.host, record.revision));
             }
         }
         let newest = self.site.reference.revision();
         let accepted = self.evidence.accepted_at.get(&newest).copied().unwrap_or(0);
-        let settled = self.site.now >= accepted + FORCE_WITHIN;
+        let settled = self.site.now >= accepted + MAX_APPLY_MS;
         let reference = self.site.reference.snapshot();
         for (host, core) in self.site.cores() {
             if settled && core.settings().revision() != newest {
@@ -217,45 +218,45 @@
         }
         for host in self.site.hosts.values() {
             let ready = host.core.as_ref().is_some_and(reelreel_core::NodeCore::is_ready);
-            if ready && host.last_revision < host.best_revision {
+            if ready && host.last_revision < host.highest_past_revision {
                 details.push(format!("host {} serves an older revision", host.host));
             }
         }
         for detail in details {
-            self.breaks(Promise::ConfigurationConverges, detail);
+            self.report_violation(Promise::ConfigurationConverges, detail);
         }
     }
 
-    fn goes_on(&mut self) {
+    fn recovery(&mut self) {
         let end = self.site.now;
-        let over = self.evidence.last_fault_end.map_or(0, |at| at + RECOVERED_WITHIN);
+        let over = self.evidence.last_fault_end.map_or(0, |at| at + MAX_RECOVERY_MS);
         let mut details = Vec::new();
-        let mut late = (0, 0);
+        let mut final_requests = (0, 0);
         let mut unanswered = Vec::new();
         for caller in self.evidence.callers.values() {
             if caller.disconnected {
                 continue;
             }
-            let due = caller.arrived_at + caller.max_wait_ms + TOLD_WITHIN;
+            let due = caller.arrived_at + caller.max_wait_ms + ANSWER_GRACE_MS;
             let started = caller.first_token_at.is_some() || caller.first_run_at.is_some();
             if caller.outcome.is_none() && due < end && !started {
                 details.push(format!("{:x} was never told anything", caller.request));
             }
-            if caller.arrived_at >= end.saturating_sub(LATE_CALLS).max(over) {
-                late.1 += 1;
+            if caller.arrived_at >= end.saturating_sub(FINAL_REQUESTS_MS).max(over) {
+                final_requests.1 += 1;
                 let answered = matches!(caller.outcome, Some((CallerOutcome::Answered, _)));
-                late.0 += u32::from(answered);
+                final_requests.0 += u32::from(answered);
                 if !answered {
                     unanswered.push(format!("{:x} {:?}", caller.request, caller.refusal));
                 }
             }
         }
-        if late.0 * 10 < late.1 * 9 {
-            let (answered, all) = late;
+        if final_requests.0 * 10 < final_requests.1 * 9 {
+            let (answered, all) = final_requests;
             details.push(format!("{answered} of the last {all} calls answered: {unanswered:?}"));
         }
         for detail in details {
-            self.breaks(Promise::Recovery, detail);
+            self.report_violation(Promise::Recovery, detail);
         }
     }
 }
--- a/crates/fakes/src/engine.rs
+++ b/crates/fakes/src/engine.rs
@@ -45,13 +45,13 @@
 #[derive(Debug)]
 pub struct FakeEngine {
     /// How it was made.
-    pub shape: EngineConfig,
+    pub config: EngineConfig,
     /// Its life.
     pub incarnation: u64,
     /// Since when it is leaving.
-    pub leaving: Option<u64>,
+    pub leaving_since: Option<u64>,
     /// Gone from the site.
-    pub gone: bool,
+    pub removed: bool,
     pub(crate) sequence: u64,
     pub(crate) token: FenceToken,
     pub(crate) slots: BTreeMap<AdapterKey, FakeSlot>,
@@ -61,16 +61,16 @@
 }
 
 /// How late a report is, in milliseconds.
-const REPORT_LAG: u64 = 200;
+const REPORT_LAG_MS: u64 = 200;
 
 impl FakeEngine {
     /// Starts an engine with nothing loaded.
-    pub fn new(shape: EngineConfig) -> Self {
+    pub fn new(config: EngineConfig) -> Self {
         Self {
-            shape,
+            config,
             incarnation: 1,
-            leaving: None,
-            gone: false,
+            leaving_since: None,
+            removed: false,
             sequence: 1,
             token: 0,
             slots: BTreeMap::new(),
@@ -83,22 +83,22 @@
     /// Returns the engine's entry of the host list.
     pub fn info(&self) -> EngineInfo {
         EngineInfo {
-            engine: self.shape.engine,
-            hall: self.shape.hall,
-            service: self.shape.service.clone(),
-            address: format!("engine-{}", self.shape.engine),
-            slots: self.shape.slots,
-            streams: self.shape.streams,
-            checks_fence: self.shape.checks_fence,
+            engine: self.config.engine,
+            hall: self.config.hall,
+            service: self.config.service.clone(),
+            address: format!("engine-{}", self.config.engine),
+            slots: self.config.slots,
+            streams: self.config.streams,
+            checks_fence: self.config.checks_fence,
             incarnation: self.incarnation,
         }
     }
 
-    pub(crate) fn changed(&mut self, now: u64) {
+    pub(crate) fn record_change(&mut self, now: u64) {
         self.sequence += 1;
         self.changed_at = now;
         self.reports.push_back((now, self.report_now()));
-        while self.reports.get(1).is_some_and(|(at, _)| at + REPORT_LAG <= now) {
+        while self.reports.get(1).is_some_and(|(at, _)| at + REPORT_LAG_MS <= now) {
             self.reports.pop_front();
         }
     }
@@ -122,7 +122,7 @@
             incarnation: self.incarnation,
             sequence: self.sequence,
             token: self.token,
-            leaving: self.leaving.is_some(),
+            leaving: self.leaving_since.is_some(),
             adapters: self.slots.iter().filter_map(loaded).collect(),
             loading: self.slots.iter().filter_map(loading).collect(),
             unknown_adapters: Vec::new(),
@@ -131,20 +131,20 @@
 
     /// Returns the newest report that is old enough to be shown.
     pub fn report(&self, now: u64) -> EngineReport {
-        let old = self.reports.iter().rev().find(|(at, _)| at + REPORT_LAG <= now);
+        let old = self.reports.iter().rev().find(|(at, _)| at + REPORT_LAG_MS <= now);
         match old.or(self.reports.front()) {
             Some((_, report)) => report.clone(),
             None => self.report_now(),
         }
     }
 
-    pub(crate) fn done(&self) -> OrderResult {
+    pub(crate) fn order_done(&self) -> OrderResult {
         OrderResult::Done { incarnation: self.incarnation, sequence: self.sequence }
     }
 
     /// Checks a token, as far as the engine checks any.
-    pub(crate) fn pass_fence(&mut self, token: FenceToken, now: u64) -> Result<(), FenceToken> {
-        if !self.shape.checks_fence {
+    pub(crate) fn check_fence(&mut self, token: FenceToken, now: u64) -> Result<(), FenceToken> {
+        if !self.config.checks_fence {
             return Ok(());
         }
         if token < self.token {
@@ -152,26 +152,26 @@
         }
         if token > self.token {
             self.token = token;
-            self.changed(now);
+            self.record_change(now);
         }
         Ok(())
     }
 
     /// Says why a request would not be run, if it would not.
-    pub(crate) fn refusal(
+    pub(crate) fn not_run_reason(
         &mut self,
         adapter: AdapterKey,
         token: FenceToken,
         now: u64,
     ) -> Option<NotRunReason> {
-        if self.pass_fence(token, now).is_err() {
+        if self.check_fence(token, now).is_err() {
             return Some(NotRunReason::StaleToken);
         }
         match self.slots.get(&adapter) {
             Some(FakeSlot::Loaded { .. }) => {}
             _ => return Some(NotRunReason::NotResident),
         }
-        let room = 2 * self.shape.streams as usize;
+        let room = 2 * self.config.streams as usize;
         (self.running.len() >= room).then_some(NotRunReason::Full)
     }
 
@@ -180,10 +180,10 @@
         self.incarnation += 1;
         self.sequence = 0;
         self.token = 0;
-        self.leaving = None;
-        self.gone = false;
+        self.leaving_since = None;
+        self.removed = false;
         self.reports.clear();
-        let cut = std::mem::take(&mut self.running).into_keys().collect();
+        let interrupted = std::mem::take(&mut self.running).into_keys().collect();
         let loads = std::mem::take(&mut self.slots)
             .into_values()
             .filter_map(|slot| match slot {
@@ -191,7 +191,7 @@
                 FakeSlot::Loaded { .. } => None,
             })
             .collect();
-        self.changed(now);
-        (cut, loads)
+        self.record_change(now);
+        (interrupted, loads)
     }
 }
--- a/crates/fakes/src/evidence.rs
+++ b/crates/fakes/src/evidence.rs
@@ -23,7 +23,7 @@
 }
 
 /// Plain servers are numbered from here in [`RunRecord::backend`].
-pub(crate) const SERVER_BASE: u32 = 1_000_000;
+pub(crate) const SERVER_NUMBER_OFFSET: u32 = 1_000_000;
 
 /// One caller's request, from its side.
 #[derive(Debug, Clone)]
@@ -64,7 +64,7 @@
     /// The host.
     pub host: HostId,
     /// The host's life.
-    pub life: u64,
+    pub generation: u64,
     /// The revision.
     pub revision: Revision,
     /// When, in milliseconds.
@@ -79,9 +79,9 @@
     /// Callers' requests by id.
     pub callers: BTreeMap<RequestId, CallerRecord>,
     /// Requests cut because their adapter was unloaded while they ran.
-    pub cut_by_unload: Vec<RequestId>,
+    pub interrupted_by_unload: Vec<RequestId>,
     /// Requests cut because an engine or host that stopped as planned went away.
-    pub cut_by_stop: Vec<RequestId>,
+    pub interrupted_by_stop: Vec<RequestId>,
     /// Answers that reached a caller from another request's run.
     pub misdelivered: Vec<RequestId>,
     /// Requests that a leaving backend server got, with how late in milliseconds.
--- a/crates/fakes/src/exchange.rs
+++ b/crates/fakes/src/exchange.rs
@@ -10,32 +10,32 @@
 
 use crate::{
     engine::{FakeSlot, RunningRequest},
-    evidence::{CallerRecord, RunRecord, SERVER_BASE},
+    evidence::{CallerRecord, RunRecord, SERVER_NUMBER_OFFSET},
     fault::StepKind,
     host::{HostInput, OpenExchange},
-    site::{Arrival, CallerRequest, FakeSite, NEAR, SiteMutation},
+    site::{CallerRequest, FakeSite, HALL_DELAY_MS, SiteEvent, SiteMutation},
 };
 
 /// Milliseconds of one engine step, in which each running request gets a token.
-const STEP_MILLIS: u64 = 10;
+const ENGINE_STEP_MS: u64 = 10;
 
 /// Milliseconds that a plain call runs.
-const PLAIN_MILLIS: u64 = 40;
+const PLAIN_RUN_MS: u64 = 40;
 
 /// How long a host waits for a backend server that it can not reach.
-pub(crate) const UNREACHED: u64 = 1_000;
+pub(crate) const CONNECT_TIMEOUT_MS: u64 = 1_000;
 
 impl FakeSite {
-    pub(crate) fn call(&mut self, call: CallerRequest) {
+    pub(crate) fn submit_request(&mut self, call: CallerRequest) {
         let host = call.host.or_else(|| self.ready_host());
         let Some(id) = host else { return };
         let Some(host) = self.hosts.get_mut(&id) else { return };
         if host.core.is_none() {
             return;
         }
-        host.counter += 1;
-        let life = host.life;
-        let request = request_id(id, host.incarnation, host.counter);
+        host.request_count += 1;
+        let generation = host.generation;
+        let request = request_id(id, host.incarnation, host.request_count);
         let plain = call.adapter.is_empty();
         let model = match call.version {
             Some(version) => format!("{}@{version}", call.adapter),
@@ -65,7 +65,7 @@
                 first_run_at: None,
             },
         );
-        self.step(StepKind::RequestArrives, Some(id), None, Some(request));
+        self.record_step(StepKind::RequestArrives, Some(id), None, Some(request));
         let target = if plain {
             RequestTarget::Path(String::from("/orders/new"))
         } else {
@@ -79,7 +79,7 @@
             key: call.key.map(|text| IdempotencyKey { text, created_millis: None }),
             max_tokens: Some(call.tokens),
         };
-        self.input(id, life, HostInput::Event(NodeEvent::RequestArrived(arrived)));
+        self.deliver_input(id, generation, HostInput::Event(NodeEvent::RequestArrived(arrived)));
     }
 
     /// Notes what a caller was told.
@@ -96,157 +96,173 @@
     }
 
     /// A traffic thread writes a request to a backend server.
-    pub(crate) fn send_request(&mut self, id: HostId, order: RequestDispatch) {
-        self.step(StepKind::RequestSends, Some(id), None, Some(order.request));
+    pub(crate) fn send_request(&mut self, id: HostId, dispatch: RequestDispatch) {
+        self.record_step(StepKind::RequestSends, Some(id), None, Some(dispatch.request));
         let Some(host) = self.hosts.get_mut(&id) else { return };
-        let life = host.life;
+        let generation = host.generation;
         if host.core.is_none() {
             return;
         }
         if host.frozen {
-            host.waiting.push_back(HostInput::Send(order));
+            host.queued_inputs.push_back(HostInput::Send(dispatch));
             return;
         }
-        let age = (self.now + 1).saturating_sub(order.issued_at.as_millis());
+        let age = (self.now + 1).saturating_sub(dispatch.issued_at.as_millis());
         if age > Self::millis(MAX_DISPATCH_DELAY) {
             self.exchange_ended(
                 id,
-                life,
-                order.request,
+                generation,
+                dispatch.request,
                 DispatchResult::NotRun(NotRunReason::DispatchTooLate),
                 0,
             );
             return;
         }
-        let backend = backend_of(&order.address);
+        let backend = backend_of(&dispatch.address);
         let exchange = OpenExchange { backend, run: None, first_token_received: false };
-        host.exchanges.insert(order.request, exchange);
-        self.push(NEAR, Arrival::Request { host: id, life, order });
+        host.exchanges.insert(dispatch.request, exchange);
+        self.push(HALL_DELAY_MS, SiteEvent::Request { host: id, generation, dispatch });
     }
 
     /// Tells a host how an exchange ended.
     pub(crate) fn exchange_ended(
         &mut self,
         id: HostId,
-        life: u64,
+        generation: u64,
         request: RequestId,
         result: DispatchResult,
         delay: u64,
     ) {
-        let result = match (self.shape.mutation, result) {
+        let result = match (self.config.mutation, result) {
             (Some(SiteMutation::InterruptedMeansNotRun), DispatchResult::Interrupted { .. }) => {
                 DispatchResult::NotRun(NotRunReason::NoConnection)
             }
             (_, result) => result,
         };
         let event = NodeEvent::DispatchEnded { request, result };
-        self.push(delay, Arrival::Input(id, life, HostInput::Event(event)));
+        self.push(delay, SiteEvent::Input(id, generation, HostInput::Event(event)));
     }
 
-    pub(crate) fn reaches(&self, id: HostId, backend: u32) -> bool {
+    pub(crate) fn reaches_backend(&self, id: HostId, backend: u32) -> bool {
         let host = self.hosts.get(&id).map(|host| host.hall);
-        let backend = if backend >= SERVER_BASE {
-            self.servers.get(&(backend - SERVER_BASE)).map(|server| server.hall)
+        let backend = if backend >= SERVER_NUMBER_OFFSET {
+            self.servers.get(&(backend - SERVER_NUMBER_OFFSET)).map(|server| server.hall)
         } else {
-            self.engines.get(&backend).map(|engine| engine.shape.hall)
+            self.engines.get(&backend).map(|engine| engine.config.hall)
         };
-        let cut = |hall| self.active.cut_halls.contains(hall);
+        let partitioned = |hall| self.active.partitioned_halls.contains(hall);
         match (host, backend) {
-            (Some(host), Some(backend)) => host == backend || !(cut(&host) || cut(&backend)),
+            (Some(host), Some(backend)) => {
+                host == backend || !(partitioned(&host) || partitioned(&backend))
+            }
             _ => false,
         }
     }
 
-    pub(crate) fn backend_request(&mut self, id: HostId, life: u64, order: &RequestDispatch) {
-        let backend = backend_of(&order.address);
-        if !self.reaches(id, backend) {
+    pub(crate) fn backend_request(
+        &mut self,
+        id: HostId,
+        generation: u64,
+        dispatch: &RequestDispatch,
+    ) {
+        let backend = backend_of(&dispatch.address);
+        if !self.reaches_backend(id, backend) {
             let result = DispatchResult::NotRun(NotRunReason::NoConnection);
-            self.exchange_ended(id, life, order.request, result, UNREACHED);
+            self.exchange_ended(id, generation, dispatch.request, result, CONNECT_TIMEOUT_MS);
             return;
         }
-        if backend >= SERVER_BASE {
-            self.run_plain(id, order, backend);
+        if backend >= SERVER_NUMBER_OFFSET {
+            self.run_plain(id, dispatch, backend);
         } else {
-            self.run_on_engine(id, life, order, backend);
+            self.run_on_engine(id, generation, dispatch, backend);
         }
     }
 
-    pub(crate) fn run_plain(&mut self, id: HostId, order: &RequestDispatch, backend: u32) {
-        self.note_run(id, order.request, backend, String::new());
+    pub(crate) fn run_plain(&mut self, id: HostId, dispatch: &RequestDispatch, backend: u32) {
+        self.record_run(id, dispatch.request, backend, String::new());
         self.push(
-            PLAIN_MILLIS,
-            Arrival::Finish { backend, incarnation: 1, request: order.request },
+            PLAIN_RUN_MS,
+            SiteEvent::Finish { backend, incarnation: 1, request: dispatch.request },
         );
         let run = self.evidence.runs.len() - 1;
-        if let Some(server) = self.servers.get_mut(&(backend - SERVER_BASE)) {
-            server.running.insert(order.request, run);
+        if let Some(server) = self.servers.get_mut(&(backend - SERVER_NUMBER_OFFSET)) {
+            server.running.insert(dispatch.request, run);
         }
     }
 
     pub(crate) fn run_on_engine(
         &mut self,
         id: HostId,
-        life: u64,
-        order: &RequestDispatch,
+        generation: u64,
+        dispatch: &RequestDispatch,
         backend: u32,
     ) {
         let now = self.now;
-        let key = self.reference.tree().adapter_key(&order.adapter_name);
-        let wrong = self.shape.mutation == Some(SiteMutation::WrongVersion);
-        let Some(engine) = self.engines.get_mut(&backend).filter(|engine| !engine.gone) else {
+        let key = self.reference.tree().adapter_key(&dispatch.adapter_name);
+        let wrong = self.config.mutation == Some(SiteMutation::WrongVersion);
+        let Some(engine) = self.engines.get_mut(&backend).filter(|engine| !engine.removed) else {
             let result = DispatchResult::NotRun(NotRunReason::NoConnection);
-            self.exchange_ended(id, life, order.request, result, NEAR);
+            self.exchange_ended(id, generation, dispatch.request, result, HALL_DELAY_MS);
             return;
         };
         let Some(key) = key else {
             let result = DispatchResult::NotRun(NotRunReason::NotResident);
-            self.exchange_ended(id, life, order.request, result, NEAR);
+            self.exchange_ended(id, generation, dispatch.request, result, HALL_DELAY_MS);
             return;
         };
-        let refusal = engine.refusal(key, order.token, now);
+        let refusal = engine.not_run_reason(key, dispatch.token, now);
         let token = engine.token;
-        self.note(|| {
-            let (request, adapter) = (order.request, &order.adapter_name);
+        self.trace_line(|| {
+            let (request, adapter) = (dispatch.request, &dispatch.adapter_name);
             format!(
                 "request {request:x} from host {id} for {adapter} with {:x} at engine {backend} \
                  ({token:x}): {refusal:?}",
-                order.token
+                dispatch.token
             )
         });
         let Some(engine) = self.engines.get_mut(&backend) else { return };
         if let Some(reason) = refusal {
-            self.exchange_ended(id, life, order.request, DispatchResult::NotRun(reason), NEAR);
+            self.exchange_ended(
+                id,
+                generation,
+                dispatch.request,
+                DispatchResult::NotRun(reason),
+                HALL_DELAY_MS,
+            );
             return;
         }
-        if let Some(leaving) = engine.leaving {
-            self.evidence.received_while_leaving.push((order.request, now - leaving));
+        if let Some(leaving) = engine.leaving_since {
+            self.evidence.received_while_leaving.push((dispatch.request, now - leaving));
         }
         let incarnation = engine.incarnation;
         if let Some(FakeSlot::Loaded { used }) = engine.slots.get_mut(&key) {
             *used = true;
         }
-        let name =
-            if wrong { order.adapter_name.replace("@1", "@9") } else { order.adapter_name.clone() };
-        self.step(StepKind::RequestRuns, Some(id), Some(backend), Some(order.request));
-        self.note_run(id, order.request, backend, name);
+        let name = if wrong {
+            dispatch.adapter_name.replace("@1", "@9")
+        } else {
+            dispatch.adapter_name.clone()
+        };
+        self.record_step(StepKind::RequestRuns, Some(id), Some(backend), Some(dispatch.request));
+        self.record_run(id, dispatch.request, backend, name);
         let run = self.evidence.runs.len() - 1;
-        self.note_busy(backend);
+        self.record_busy_time(backend);
         let engine = self.engines.get_mut(&backend);
         if engine.as_ref().is_none_or(|engine| engine.incarnation != incarnation) {
             // The step restarted the engine with the request on it.
-            self.cut(vec![order.request]);
+            self.interrupt_requests(vec![dispatch.request]);
             return;
         }
         if let Some(engine) = engine {
-            engine.running.insert(order.request, RunningRequest { adapter: key, run });
-            engine.changed(now);
+            engine.running.insert(dispatch.request, RunningRequest { adapter: key, run });
+            engine.record_change(now);
         }
-        let (request, tokens) = (order.request, u64::from(order.max_tokens.max(1)));
-        self.push(STEP_MILLIS, Arrival::FirstToken { backend, incarnation, request });
-        self.push(STEP_MILLIS * tokens, Arrival::Finish { backend, incarnation, request });
+        let (request, tokens) = (dispatch.request, u64::from(dispatch.max_tokens.max(1)));
+        self.push(ENGINE_STEP_MS, SiteEvent::FirstToken { backend, incarnation, request });
+        self.push(ENGINE_STEP_MS * tokens, SiteEvent::Finish { backend, incarnation, request });
     }
 
-    pub(crate) fn note_run(
+    pub(crate) fn record_run(
         &mut self,
         id: HostId,
         request: RequestId,
@@ -272,7 +288,7 @@
     }
 
     /// Adds up how full an engine was since its last change.
-    pub(crate) fn note_busy(&mut self, engine: EngineId) {
+    pub(crate) fn record_busy_time(&mut self, engine: EngineId) {
         let now = self.now as f64;
         let Some(fake) = self.engines.get(&engine) else { return };
         let running = fake.running.len() as f64;
@@ -299,25 +315,25 @@
         let now = self.now;
         let Some(caller) = self.evidence.callers.get_mut(&request) else { return };
         let host = caller.host;
-        let exchange = self.hosts.get_mut(&host).filter(|host| host.runs());
+        let exchange = self.hosts.get_mut(&host).filter(|host| host.is_running());
         if let Some(exchange) = exchange.and_then(|host| host.exchanges.get_mut(&request)) {
             exchange.first_token_received = true;
             caller.first_token_at.get_or_insert(now);
         }
     }
 
-    pub(crate) fn finish(&mut self, backend: u32, incarnation: u64, request: RequestId) {
+    pub(crate) fn complete_request(&mut self, backend: u32, incarnation: u64, request: RequestId) {
         let now = self.now;
-        let run = if backend >= SERVER_BASE {
-            let server = self.servers.get_mut(&(backend - SERVER_BASE));
+        let run = if backend >= SERVER_NUMBER_OFFSET {
+            let server = self.servers.get_mut(&(backend - SERVER_NUMBER_OFFSET));
             server.and_then(|server| server.running.remove(&request))
         } else {
-            self.note_busy(backend);
+            self.record_busy_time(backend);
             let engine = self.engines.get_mut(&backend);
             let engine = engine.filter(|engine| engine.incarnation == incarnation);
             engine.and_then(|engine| {
                 let running = engine.running.remove(&request)?;
-                engine.changed(now);
+                engine.record_change(now);
                 Some(running.run)
             })
         };
@@ -325,17 +341,23 @@
         self.evidence.runs[run].completed_at = Some(now);
         let Some(caller) = self.evidence.callers.get(&request) else { return };
         let host = caller.host;
-        self.step(StepKind::RequestEnds, Some(host), Some(backend), Some(request));
-        self.answer(host, request, run, backend);
+        self.record_step(StepKind::RequestEnds, Some(host), Some(backend), Some(request));
+        self.deliver_answer(host, request, run, backend);
     }
 
     /// Brings an answer to the host, which has passed it on to the caller by then.
-    pub(crate) fn answer(&mut self, id: HostId, request: RequestId, run: usize, backend: u32) {
-        let reached = self.reaches(id, backend);
+    pub(crate) fn deliver_answer(
+        &mut self,
+        id: HostId,
+        request: RequestId,
+        run: usize,
+        backend: u32,
+    ) {
+        let reached = self.reaches_backend(id, backend);
         let now = self.now;
-        let first_waiting = self.shape.mutation == Some(SiteMutation::AnswerFirstWaiting);
+        let first_waiting = self.config.mutation == Some(SiteMutation::AnswerFirstWaiting);
         let Some(host) = self.hosts.get_mut(&id) else { return };
-        let life = host.life;
+        let generation = host.generation;
         let mut waiting = host.exchanges.iter().filter(|(_, open)| open.backend == backend);
         let first = waiting.next().map(|(first, _)| *first);
         let request = first.filter(|_| first_waiting).unwrap_or(request);
@@ -346,7 +368,7 @@
         }
         if !reached {
             let result = DispatchResult::Interrupted { answer_started: token_received };
-            self.exchange_ended(id, life, request, result, UNREACHED);
+            self.exchange_ended(id, generation, request, result, CONNECT_TIMEOUT_MS);
             return;
         }
         host.exchanges.remove(&request);
@@ -356,23 +378,23 @@
         if let Some(caller) = self.evidence.callers.get_mut(&request) {
             caller.first_token_at.get_or_insert(now);
             if !caller.disconnected {
-                caller.outcome.get_or_insert((CallerOutcome::Answered, now + NEAR));
+                caller.outcome.get_or_insert((CallerOutcome::Answered, now + HALL_DELAY_MS));
             }
         }
-        self.exchange_ended(id, life, request, DispatchResult::Answered, NEAR);
+        self.exchange_ended(id, generation, request, DispatchResult::Answered, HALL_DELAY_MS);
     }
 
     /// Breaks off what ran on an engine.
-    pub(crate) fn cut(&mut self, requests: Vec<RequestId>) {
+    pub(crate) fn interrupt_requests(&mut self, requests: Vec<RequestId>) {
         for request in requests {
             let Some(caller) = self.evidence.callers.get(&request) else { continue };
             let id = caller.host;
             let Some(host) = self.hosts.get_mut(&id) else { continue };
-            let life = host.life;
+            let generation = host.generation;
             let Some(exchange) = host.exchanges.remove(&request) else { continue };
             let result =
                 DispatchResult::Interrupted { answer_started: exchange.first_token_received };
-            self.exchange_ended(id, life, request, result, NEAR);
+            self.exchange_ended(id, generation, request, result, HALL_DELAY_MS);
         }
     }
 }
@@ -381,7 +403,7 @@
 fn backend_of(address: &str) -> u32 {
     let number = |text: &str| text.parse().unwrap_or(0);
     match address.split_once('-') {
-        Some(("server", id)) => SERVER_BASE + number(id),
+        Some(("server", id)) => SERVER_NUMBER_OFFSET + number(id),
         Some((_, id)) => number(id),
         None => 0,
     }
--- a/crates/fakes/src/fault.rs
+++ b/crates/fakes/src/fault.rs
@@ -204,24 +204,24 @@
     /// The faults.
     pub faults: Vec<PlannedFault>,
     /// Indexes of those that struck.
-    pub struck: Vec<usize>,
+    pub injected: Vec<usize>,
 }
 
 impl FaultPlan {
     /// Plans these faults.
     pub const fn new(faults: Vec<PlannedFault>) -> Self {
-        Self { faults, struck: Vec::new() }
+        Self { faults, injected: Vec::new() }
     }
 
     /// Returns the faults that strike at the `count`-th time of a step.
-    pub(crate) fn strike(&mut self, step: StepKind, count: u64) -> Vec<PlannedFault> {
-        let mut striking = Vec::new();
+    pub(crate) fn take_due_faults(&mut self, step: StepKind, count: u64) -> Vec<PlannedFault> {
+        let mut due = Vec::new();
         for (index, planned) in self.faults.iter().enumerate() {
             if planned.step == step && planned.nth == count {
-                striking.push(*planned);
-                self.struck.push(index);
+                due.push(*planned);
+                self.injected.push(index);
             }
         }
-        striking
+        due
     }
 }
--- a/crates/fakes/src/host.rs
+++ b/crates/fakes/src/host.rs
@@ -30,25 +30,25 @@
     pub(crate) host: HostId,
     pub(crate) hall: HallId,
     pub(crate) core: Option<NodeCore>,
-    pub(crate) life: u64,
+    pub(crate) generation: u64,
     /// The life as the core and the request ids have it.
     pub(crate) incarnation: u64,
     pub(crate) frozen: bool,
-    pub(crate) waiting: VecDeque<HostInput>,
+    pub(crate) queued_inputs: VecDeque<HostInput>,
     pub(crate) exchanges: BTreeMap<RequestId, OpenExchange>,
-    pub(crate) follows: BTreeMap<LogStream, u64>,
-    pub(crate) hosts_version: usize,
+    pub(crate) read_offsets: BTreeMap<LogStream, u64>,
+    pub(crate) host_list_version: usize,
     /// Milliseconds that its wall clock is off.
     pub(crate) wall_skew: i64,
     /// Peers' messages to it are lost.
-    pub(crate) deaf: u32,
+    pub(crate) inbound_blocked: u32,
     /// Its messages to peers are lost.
-    pub(crate) mute: u32,
-    pub(crate) counter: u32,
+    pub(crate) outbound_blocked: u32,
+    pub(crate) request_count: u32,
     pub(crate) drained: bool,
     pub(crate) last_revision: u64,
     /// The highest revision it had in an earlier life.
-    pub(crate) best_revision: u64,
+    pub(crate) highest_past_revision: u64,
 }
 
 impl FakeHost {
@@ -57,25 +57,25 @@
             host,
             hall,
             core: None,
-            life: 0,
+            generation: 0,
             incarnation: 0,
             frozen: false,
-            waiting: VecDeque::new(),
+            queued_inputs: VecDeque::new(),
             exchanges: BTreeMap::new(),
-            follows: BTreeMap::new(),
-            hosts_version: 0,
+            read_offsets: BTreeMap::new(),
+            host_list_version: 0,
             wall_skew: 0,
-            deaf: 0,
-            mute: 0,
-            counter: 0,
+            inbound_blocked: 0,
+            outbound_blocked: 0,
+            request_count: 0,
             drained: false,
             last_revision: 0,
-            best_revision: 0,
+            highest_past_revision: 0,
         }
     }
 
     /// Says whether it does anything when something comes.
-    pub(crate) const fn runs(&self) -> bool {
+    pub(crate) const fn is_running(&self) -> bool {
         self.core.is_some() && !self.frozen
     }
 }
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -17,7 +17,7 @@
 mod script;
 mod site;
 mod store;
-mod strike;
+mod inject;
 
 pub use check::{Promise, PromiseViolation, check_promises};
 pub use engine::{EngineConfig, FakeEngine};
--- a/crates/fakes/src/log.rs
+++ b/crates/fakes/src/log.rs
@@ -38,14 +38,15 @@
     }
 
     /// Comes back from a copy made at `copied_millis`; returns the payloads of the settings stream that are gone.
-    pub fn fall_back(&mut self, copied_millis: u64) -> Vec<Vec<u8>> {
+    pub fn restore_older_copy(&mut self, copied_millis: u64) -> Vec<Vec<u8>> {
         self.era += 1;
         let mut lost = Vec::new();
         for (stream, records) in &mut self.streams {
-            let kept = records.partition_point(|record| record.written_millis <= copied_millis);
-            let gone = records.split_off(kept);
+            let retained_count =
+                records.partition_point(|record| record.written_millis <= copied_millis);
+            let removed = records.split_off(retained_count);
             if *stream == LogStream::Settings {
-                lost = gone.into_iter().map(|record| record.payload).collect();
+                lost = removed.into_iter().map(|record| record.payload).collect();
             }
         }
         for (stream, first) in &mut self.first {
@@ -54,9 +55,9 @@
         lost
     }
 
-    /// Lets all records expire but the last `keep`.
-    pub fn expire(&mut self, stream: LogStream, keep: u64) {
+    /// Lets all records expire but the last `retained`.
+    pub fn expire(&mut self, stream: LogStream, retained: u64) {
         let end = self.streams.get(&stream).map_or(0, Vec::len) as u64;
-        self.first.insert(stream, end.saturating_sub(keep));
+        self.first.insert(stream, end.saturating_sub(retained));
     }
 }
--- a/crates/fakes/src/script.rs
+++ b/crates/fakes/src/script.rs
@@ -93,25 +93,25 @@
         streams: 8,
         checks_fence,
     };
-    let mut shape = SiteConfig::new(script.seed);
-    shape.hosts = vec![(1, 1), (2, 1), (3, 2), (4, 2)];
-    shape.engines = vec![engine(1, 1, true), engine(2, 1, script.fenced), engine(3, 2, true)];
-    shape.servers = vec![(1, 1), (2, 2)];
-    shape.mutation = script.mutation;
-    let mut site = FakeSite::new(shape, plan);
+    let mut config = SiteConfig::new(script.seed);
+    config.hosts = vec![(1, 1), (2, 1), (3, 2), (4, 2)];
+    config.engines = vec![engine(1, 1, true), engine(2, 1, script.fenced), engine(3, 2, true)];
+    config.servers = vec![(1, 1), (2, 2)];
+    config.mutation = script.mutation;
+    let mut site = FakeSite::new(config, plan);
     let edits = SettingsTree::default().diff_edits(&standard_tree());
     site.schedule_action(10, SiteAction::Publish(publication("first", 0, edits)));
-    plan_publications(&mut site);
+    schedule_publications(&mut site);
     site.schedule_action(12_000, SiteAction::DrainHost(2));
     site.schedule_action(18_000, SiteAction::DrainEngine(3));
-    plan_calls(&mut site, script);
+    schedule_requests(&mut site, script);
     site
 }
 
 /// Milliseconds before the end at which the late calls begin.
-pub(crate) const LATE_CALLS: u64 = 20_000;
+pub(crate) const FINAL_REQUESTS_MS: u64 = 20_000;
 
-fn plan_publications(site: &mut FakeSite) {
+fn schedule_publications(site: &mut FakeSite) {
     let path = SettingsPath::site().child("assist").child("north").child("brakes");
     let versions = [(6_000, 2), (14_000, 1), (22_000, 2)];
     for (index, (at, version)) in versions.into_iter().enumerate() {
@@ -124,13 +124,13 @@
     }
 }
 
-fn plan_calls(site: &mut FakeSite, script: SiteScript) {
+fn schedule_requests(site: &mut FakeSite, script: SiteScript) {
     let mut rng = Pcg64Mcg::seed_from_u64(script.seed ^ 0x5eed);
     let mut at = 3_000;
     let mut number = 0;
     while at < script.calls_until {
         number += 1;
-        plan_call(site, &mut rng, at, number);
+        schedule_random_request(site, &mut rng, at, number);
         at += rng.random_range(1..2 * script.mean_call_interval_ms);
     }
     // Some come late, for adapters that fit into the slots, and must be answered if no fault holds.
@@ -141,13 +141,13 @@
             version: Some(1),
             repeatable: Some(true),
             max_wait_ms: 9_000,
-            ..usual_call(&mut rng)
+            ..random_request(&mut rng)
         };
-        site.schedule_request(script.end - LATE_CALLS + index * 500, call);
+        site.schedule_request(script.end - FINAL_REQUESTS_MS + index * 500, call);
     }
 }
 
-fn usual_call(rng: &mut Pcg64Mcg) -> CallerRequest {
+fn random_request(rng: &mut Pcg64Mcg) -> CallerRequest {
     let skewed = rng.random_range(0..ADAPTERS.len()).min(rng.random_range(0..ADAPTERS.len()));
     let (organisation, adapter) = ADAPTERS[skewed];
     CallerRequest {
@@ -161,8 +161,8 @@
     }
 }
 
-fn plan_call(site: &mut FakeSite, rng: &mut Pcg64Mcg, at: u64, number: u64) {
-    let mut call = usual_call(rng);
+fn schedule_random_request(site: &mut FakeSite, rng: &mut Pcg64Mcg, at: u64, number: u64) {
+    let mut call = random_request(rng);
     match rng.random_range(0..10) {
         // The same key comes by two hosts at once, or again a little later.
         0 => {
--- a/crates/fakes/src/site.rs
+++ b/crates/fakes/src/site.rs
@@ -26,27 +26,27 @@
     store::{FakeStore, StoreLoad},
 };
 
-mod lives;
-mod post;
+mod lifecycle;
+mod messages;
 mod queue;
-mod shape;
+mod config;
 
+pub use config::{CallerRequest, SiteAction, SiteConfig, SiteMutation};
 use queue::QueueEntry;
-pub(crate) use queue::{Arrival, FaultTarget};
-pub use shape::{CallerRequest, SiteAction, SiteConfig, SiteMutation};
+pub(crate) use queue::{FaultTarget, SiteEvent};
 
 /// The wall clock at time zero, in milliseconds since the Unix epoch.
-pub(crate) const WALL_START: u64 = 1_800_000_000_000;
+pub(crate) const WALL_CLOCK_START_MS: u64 = 1_800_000_000_000;
 
 /// How often a host's control thread is told that time has passed, in milliseconds.
-const TICK: u64 = 100;
+const TICK_INTERVAL_MS: u64 = 100;
 
 /// How often a host asks the log and the host list, in milliseconds.
-const POLL: u64 = 500;
+const POLL_INTERVAL_MS: u64 = 500;
 
 /// How long a message takes within a hall and between halls, in milliseconds.
-pub(crate) const NEAR: u64 = 1;
-pub(crate) const FAR: u64 = 2;
+pub(crate) const HALL_DELAY_MS: u64 = 1;
+pub(crate) const INTER_HALL_DELAY_MS: u64 = 2;
 
 /// A plain server.
 #[derive(Debug)]
@@ -61,28 +61,28 @@
     pub(crate) load_fails: u32,
     pub(crate) order_answer_lost: u32,
     pub(crate) order_late: u32,
-    pub(crate) order_given_up: u32,
-    pub(crate) store_away: u32,
+    pub(crate) order_abandoned: u32,
+    pub(crate) store_unavailable: u32,
     pub(crate) store_slow: u32,
-    pub(crate) log_away: u32,
+    pub(crate) log_unavailable: u32,
     pub(crate) log_slow: u32,
-    pub(crate) append_lost: u32,
-    pub(crate) hosts_stale: u32,
-    pub(crate) doubled: u32,
-    pub(crate) late: u32,
-    pub(crate) disorder: u32,
-    pub(crate) lossy: u32,
-    pub(crate) cut_halls: Vec<HallId>,
+    pub(crate) append_answer_lost: u32,
+    pub(crate) host_list_stale: u32,
+    pub(crate) message_duplicated: u32,
+    pub(crate) message_late: u32,
+    pub(crate) message_out_of_order: u32,
+    pub(crate) message_lost: u32,
+    pub(crate) partitioned_halls: Vec<HallId>,
 }
 
 /// Hosts, engines, servers, log and store in one queue of what comes next.
 pub struct FakeSite {
     /// Milliseconds since the start.
     pub now: u64,
-    pub(crate) shape: SiteConfig,
+    pub(crate) config: SiteConfig,
     pub(crate) rng: Pcg64Mcg,
     queue: BinaryHeap<Reverse<QueueEntry>>,
-    entries: u64,
+    entry_count: u64,
     pub(crate) hosts: BTreeMap<HostId, FakeHost>,
     /// The engines.
     pub engines: BTreeMap<EngineId, FakeEngine>,
@@ -99,10 +99,10 @@
     pub evidence: Evidence,
     /// The fold over the log, against which hosts are judged.
     pub reference: SettingsFold,
-    /// What arrived at engines, line by line, once `keep_trace` is set.
+    /// What arrived at engines, line by line, once `trace_enabled` is set.
     pub trace: Vec<String>,
     /// Whether `trace` is kept.
-    pub keep_trace: bool,
+    pub trace_enabled: bool,
     /// Measures a message on its way, in bytes.
     pub measure: Option<fn(&PeerMessage) -> u64>,
     /// Halls that are part of the site.
@@ -111,23 +111,23 @@
 
 impl FakeSite {
     /// Makes a site and starts its hosts.
-    pub fn new(shape: SiteConfig, plan: FaultPlan) -> Self {
+    pub fn new(config: SiteConfig, plan: FaultPlan) -> Self {
         let mut site = Self {
             now: 0,
-            rng: Pcg64Mcg::seed_from_u64(shape.seed),
+            rng: Pcg64Mcg::seed_from_u64(config.seed),
             queue: BinaryHeap::new(),
-            entries: 0,
-            hosts: shape
+            entry_count: 0,
+            hosts: config
                 .hosts
                 .iter()
                 .map(|(host, hall)| (*host, FakeHost::new(*host, *hall)))
                 .collect(),
-            engines: shape
+            engines: config
                 .engines
                 .iter()
                 .map(|engine| (engine.engine, FakeEngine::new(engine.clone())))
                 .collect(),
-            servers: shape
+            servers: config
                 .servers
                 .iter()
                 .map(|(server, hall)| {
@@ -136,7 +136,7 @@
                 })
                 .collect(),
             log: FakeLog::default(),
-            store: FakeStore::new(shape.loads_per_second),
+            store: FakeStore::new(config.loads_per_second),
             store_loads: BTreeMap::new(),
             host_changes: Vec::new(),
             plan,
@@ -145,11 +145,11 @@
             reference: SettingsFold::default(),
             measure: None,
             trace: Vec::new(),
-            keep_trace: false,
-            halls: shape.hosts.iter().map(|(_, hall)| *hall).collect(),
-            shape,
+            trace_enabled: false,
+            halls: config.hosts.iter().map(|(_, hall)| *hall).collect(),
+            config,
         };
-        site.first_host_list();
+        site.publish_initial_host_list();
         let hosts: Vec<HostId> = site.hosts.keys().copied().collect();
         for host in hosts {
             site.start_host(host);
@@ -157,7 +157,7 @@
         site
     }
 
-    pub(crate) fn first_host_list(&mut self) {
+    pub(crate) fn publish_initial_host_list(&mut self) {
         let mut entries = Vec::new();
         for host in self.hosts.values() {
             let (id, hall) = (host.host, host.hall);
@@ -171,37 +171,37 @@
             let info = ServerInfo {
                 server: *server,
                 hall: fake.hall,
-                service: self.shape.plain_service.clone(),
+                service: self.config.plain_service.clone(),
                 address: format!("server-{server}"),
                 incarnation: 1,
             };
             entries.push(HostEntry { kind: HostKind::Server(info), leaving: false });
         }
-        self.change_hosts(HostListChange { entries, ..HostListChange::default() });
+        self.change_host_list(HostListChange { entries, ..HostListChange::default() });
     }
 
     /// Changes the host list, which shows it some time later.
-    pub(crate) fn change_hosts(&mut self, change: HostListChange) {
-        const LAG: u64 = 1_500;
-        let shown = if self.now == 0 { 0 } else { self.now + LAG };
+    pub(crate) fn change_host_list(&mut self, change: HostListChange) {
+        const HOST_LIST_LAG_MS: u64 = 1_500;
+        let shown = if self.now == 0 { 0 } else { self.now + HOST_LIST_LAG_MS };
         self.host_changes.push((shown, change));
     }
 
     /// Puts something into the queue, `delay` milliseconds from now.
-    pub(crate) fn push(&mut self, delay: u64, arrival: Arrival) {
-        self.entries += 1;
-        let entry = QueueEntry { at: self.now + delay, order: self.entries, arrival };
+    pub(crate) fn push(&mut self, delay: u64, event: SiteEvent) {
+        self.entry_count += 1;
+        let entry = QueueEntry { at: self.now + delay, sequence: self.entry_count, event };
         self.queue.push(Reverse(entry));
     }
 
     /// Has a caller call at a time.
-    pub fn schedule_request(&mut self, at: u64, call: CallerRequest) {
-        self.push(at.saturating_sub(self.now), Arrival::Call(call));
+    pub fn schedule_request(&mut self, at: u64, request: CallerRequest) {
+        self.push(at.saturating_sub(self.now), SiteEvent::CallerRequest(request));
     }
 
     /// Has something done at a time.
     pub fn schedule_action(&mut self, at: u64, action: SiteAction) {
-        self.push(at.saturating_sub(self.now), Arrival::Act(action));
+        self.push(at.saturating_sub(self.now), SiteEvent::Action(action));
     }
 
     /// Runs until a time.
@@ -212,107 +212,119 @@
             }
             let Some(Reverse(entry)) = self.queue.pop() else { break };
             self.now = entry.at;
-            self.take(entry.arrival);
+            self.process_event(entry.event);
         }
         self.now = end;
     }
 
-    pub(crate) fn take(&mut self, arrival: Arrival) {
-        match arrival {
-            Arrival::Tick(host, life) => self.tick(host, life),
-            Arrival::Poll(host, life) => self.poll(host, life),
-            Arrival::ReadLog(host, life, stream) => self.read_log(host, life, stream),
-            Arrival::Input(host, life, input) => self.input(host, life, input),
-            Arrival::Peer { from, to, stamp, message } => {
-                self.deliver(from, to, stamp, message);
+    pub(crate) fn process_event(&mut self, event: SiteEvent) {
+        match event {
+            SiteEvent::Tick(host, generation) => self.tick(host, generation),
+            SiteEvent::Poll(host, generation) => self.poll(host, generation),
+            SiteEvent::ReadLog(host, generation, stream) => self.read_log(host, generation, stream),
+            SiteEvent::Input(host, generation, input) => {
+                self.deliver_input(host, generation, input)
             }
-            Arrival::Order { host, life, order } => self.engine_order(host, life, order),
-            Arrival::AskReport { host, life, engine } => self.engine_report(host, life, engine),
-            Arrival::Request { host, life, order } => self.backend_request(host, life, &order),
-            Arrival::FirstToken { backend, incarnation, request } => {
+            SiteEvent::Peer { from, to, stamp, message } => {
+                self.deliver_message(from, to, stamp, message);
+            }
+            SiteEvent::Order { host, generation, order } => {
+                self.engine_order(host, generation, order)
+            }
+            SiteEvent::FetchReport { host, generation, engine } => {
+                self.engine_report(host, generation, engine)
+            }
+            SiteEvent::Request { host, generation, dispatch } => {
+                self.backend_request(host, generation, &dispatch)
+            }
+            SiteEvent::FirstToken { backend, incarnation, request } => {
                 self.record_first_token(backend, incarnation, request);
             }
-            Arrival::Finish { backend, incarnation, request } => {
-                self.finish(backend, incarnation, request);
+            SiteEvent::Finish { backend, incarnation, request } => {
+                self.complete_request(backend, incarnation, request);
             }
-            Arrival::StoreCheck => self.store_check(),
-            Arrival::Append { host, life, stream, payload, ticket } => {
-                self.append(host, life, stream, payload, ticket);
+            SiteEvent::StoreCheck => self.complete_loads(),
+            SiteEvent::Append { host, generation, stream, payload, ticket } => {
+                self.append(host, generation, stream, payload, ticket);
             }
-            Arrival::Call(call) => self.call(call),
-            Arrival::Act(action) => self.act(action),
-            Arrival::EndFault(planned, target) => self.end_fault(planned, target),
-            Arrival::Return(host) => self.start_host(host),
-            Arrival::EngineGone(engine) => self.engine_gone(engine),
-            Arrival::EngineBack(engine) => self.engine_back(engine),
+            SiteEvent::CallerRequest(request) => self.submit_request(request),
+            SiteEvent::Action(action) => self.execute_action(action),
+            SiteEvent::EndFault(planned, target) => self.end_fault(planned, target),
+            SiteEvent::StartHost(host) => self.start_host(host),
+            SiteEvent::RemoveEngine(engine) => self.remove_drained_engine(engine),
+            SiteEvent::ReturnEngine(engine) => self.return_engine(engine),
         }
     }
 
-    pub(crate) fn reading(&self, host: HostId) -> ClockReading {
+    pub(crate) fn clock_reading(&self, host: HostId) -> ClockReading {
         let skew = self.hosts.get(&host).map_or(0, |host| host.wall_skew);
         ClockReading {
             now: ClockMillis::from_millis(self.now + 1),
-            wall_millis: (WALL_START + self.now).saturating_add_signed(skew),
+            wall_millis: (WALL_CLOCK_START_MS + self.now).saturating_add_signed(skew),
         }
     }
 
     /// Hands a host an event and carries out what follows.
-    pub(crate) fn handle(&mut self, id: HostId, event: NodeEvent) {
-        let reading = self.reading(id);
+    pub(crate) fn handle_core_event(&mut self, id: HostId, event: NodeEvent) {
+        let reading = self.clock_reading(id);
         let Some(host) = self.hosts.get_mut(&id) else { return };
         let Some(core) = host.core.as_mut() else { return };
-        let orders = core.handle(reading, event);
-        self.note_revision(id);
-        self.carry_out(id, orders);
+        let actions = core.handle(reading, event);
+        self.record_revision_change(id);
+        self.execute_core_actions(id, actions);
     }
 
-    pub(crate) fn note_revision(&mut self, id: HostId) {
+    pub(crate) fn record_revision_change(&mut self, id: HostId) {
         let at = self.now;
         let Some(host) = self.hosts.get_mut(&id) else { return };
         let Some(core) = host.core.as_ref() else { return };
         let revision = core.settings().revision();
         if revision != host.last_revision {
             host.last_revision = revision;
-            let life = host.life;
+            let generation = host.generation;
             self.evidence.revision_changes.push(crate::evidence::RevisionChange {
                 host: id,
-                life,
+                generation,
                 revision,
                 at,
             });
         }
     }
 
-    pub(crate) fn input(&mut self, id: HostId, life: u64, input: HostInput) {
-        let Some(host) = self.hosts.get_mut(&id).filter(|host| host.life == life) else { return };
+    pub(crate) fn deliver_input(&mut self, id: HostId, generation: u64, input: HostInput) {
+        let Some(host) = self.hosts.get_mut(&id).filter(|host| host.generation == generation)
+        else {
+            return;
+        };
         if host.frozen {
-            host.waiting.push_back(input);
+            host.queued_inputs.push_back(input);
             return;
         }
         match input {
-            HostInput::Event(event) => self.handle(id, event),
-            HostInput::Send(order) => self.send_request(id, order),
+            HostInput::Event(event) => self.handle_core_event(id, event),
+            HostInput::Send(dispatch) => self.send_request(id, dispatch),
         }
     }
 
     /// Wakes a frozen host. What its traffic threads were about to write leaves first.
-    pub(crate) fn thaw(&mut self, id: HostId) {
+    pub(crate) fn unfreeze_host(&mut self, id: HostId) {
         let Some(host) = self.hosts.get_mut(&id) else { return };
         if !host.frozen {
             return;
         }
         host.frozen = false;
-        let life = host.life;
-        let (sends, events): (Vec<HostInput>, Vec<HostInput>) = std::mem::take(&mut host.waiting)
-            .into_iter()
-            .partition(|input| matches!(input, HostInput::Send(_)));
+        let generation = host.generation;
+        let (sends, events): (Vec<HostInput>, Vec<HostInput>) =
+            std::mem::take(&mut host.queued_inputs)
+                .into_iter()
+                .partition(|input| matches!(input, HostInput::Send(_)));
         for input in sends.into_iter().chain(events) {
-            self.input(id, life, input);
+            self.deliver_input(id, generation, input);
         }
     }
 
     /// Counts a step, and strikes with what is planned for it.
-    pub(crate) fn step(
+    pub(crate) fn record_step(
         &mut self,
         kind: StepKind,
         host: Option<HostId>,
@@ -322,58 +334,63 @@
         let count = self.evidence.step_counts.entry(kind).or_default();
         *count += 1;
         let count = *count;
-        for planned in self.plan.strike(kind, count) {
+        for planned in self.plan.take_due_faults(kind, count) {
             let hall = host.and_then(|host| self.hosts.get(&host)).map(|host| host.hall);
             self.begin_fault(planned, FaultTarget { host, engine, request, hall });
         }
     }
 
-    pub(crate) fn carry_out(&mut self, id: HostId, orders: Vec<NodeAction>) {
+    pub(crate) fn execute_core_actions(&mut self, id: HostId, actions: Vec<NodeAction>) {
         let Some(host) = self.hosts.get(&id) else { return };
-        let life = host.life;
-        for order in orders {
-            self.carry_out_one(id, life, order);
+        let generation = host.generation;
+        for action in actions {
+            self.execute_core_action(id, generation, action);
         }
     }
 
-    pub(crate) fn carry_out_one(&mut self, id: HostId, life: u64, order: NodeAction) {
-        match order {
-            NodeAction::SendMessage { to, stamp, message, .. } => self.post(id, to, stamp, message),
-            NodeAction::Dispatch(order) => {
-                self.push(0, Arrival::Input(id, life, HostInput::Send(order)));
+    pub(crate) fn execute_core_action(&mut self, id: HostId, generation: u64, action: NodeAction) {
+        match action {
+            NodeAction::SendMessage { to, stamp, message, .. } => {
+                self.send_message(id, to, stamp, message)
+            }
+            NodeAction::Dispatch(dispatch) => {
+                self.push(0, SiteEvent::Input(id, generation, HostInput::Send(dispatch)));
             }
             NodeAction::Refuse { request, refusal } => self.record_refusal(request, &refusal),
-            NodeAction::SendOrder { order, .. } if self.active.order_given_up > 0 => {
+            NodeAction::SendOrder { order, .. } if self.active.order_abandoned > 0 => {
                 let result = OrderResult::NoAnswer;
                 let event = NodeEvent::OrderEnded { order: order.clone(), result };
-                self.push(1_000, Arrival::Input(id, life, HostInput::Event(event)));
+                self.push(1_000, SiteEvent::Input(id, generation, HostInput::Event(event)));
                 let delay = self.rng.random_range(1..5_000);
                 // Nobody waits for the answer any more.
-                self.push(delay, Arrival::Order { host: id, life: 0, order });
+                self.push(delay, SiteEvent::Order { host: id, generation: 0, order });
             }
             NodeAction::SendOrder { order, .. } => {
                 self.evidence.orders += 1;
                 let late = if self.active.order_late > 0 { 3_000 } else { 0 };
-                self.push(NEAR + late, Arrival::Order { host: id, life, order });
+                self.push(HALL_DELAY_MS + late, SiteEvent::Order { host: id, generation, order });
             }
             NodeAction::FetchReport { engine, .. } => {
                 self.evidence.report_fetches += 1;
-                self.push(NEAR, Arrival::AskReport { host: id, life, engine });
+                self.push(HALL_DELAY_MS, SiteEvent::FetchReport { host: id, generation, engine });
             }
             NodeAction::Append { stream, payload, ticket } => {
                 self.evidence.appends += 1;
                 let slow = if self.active.log_slow > 0 { 2_500 } else { 2 };
-                self.push(slow, Arrival::Append { host: id, life, stream, payload, ticket });
+                self.push(
+                    slow,
+                    SiteEvent::Append { host: id, generation, stream, payload, ticket },
+                );
             }
             NodeAction::Follow { stream, from } => {
                 if let Some(host) = self.hosts.get_mut(&id) {
-                    host.follows.insert(stream, from);
+                    host.read_offsets.insert(stream, from);
                 }
-                self.push(1, Arrival::ReadLog(id, life, stream));
+                self.push(1, SiteEvent::ReadLog(id, generation, stream));
             }
             NodeAction::Unfollow { stream } => {
                 if let Some(host) = self.hosts.get_mut(&id) {
-                    host.follows.remove(&stream);
+                    host.read_offsets.remove(&stream);
                 }
             }
             NodeAction::Stopped => self.host_stopped(id),
@@ -397,8 +414,8 @@
     }
 
     /// Keeps a line of what arrived at the fakes, if lines are kept.
-    pub(crate) fn note(&mut self, line: impl FnOnce() -> String) {
-        if self.keep_trace {
+    pub(crate) fn trace_line(&mut self, line: impl FnOnce() -> String) {
+        if self.trace_enabled {
             let line = format!("{} {}", self.now, line());
             self.trace.push(line);
         }
@@ -406,7 +423,7 @@
 
     /// Says whether all planned faults struck.
     pub fn all_faults_injected(&self) -> bool {
-        self.plan.struck.len() >= self.plan.faults.len()
+        self.plan.injected.len() >= self.plan.faults.len()
     }
 
     /// Returns a duration as the fakes count it.
--- a/crates/fakes/src/site/lives.rs
+++ b/crates/fakes/src/site/lifecycle.rs
@@ -13,41 +13,43 @@
 use crate::{
     fault::StepKind,
     host::HostInput,
-    site::{Arrival, FakeSite, POLL, SiteMutation, TICK, WALL_START},
+    site::{
+        FakeSite, POLL_INTERVAL_MS, SiteEvent, SiteMutation, TICK_INTERVAL_MS, WALL_CLOCK_START_MS,
+    },
 };
 
 impl FakeSite {
     /// Starts a host's next life.
     pub(crate) fn start_host(&mut self, id: HostId) {
-        let reading = self.reading(id);
+        let reading = self.clock_reading(id);
         let Some(host) = self.hosts.get_mut(&id) else { return };
         if host.core.is_some() {
             return;
         }
-        host.life += 1;
-        host.best_revision = host.best_revision.max(host.last_revision);
+        host.generation += 1;
+        host.highest_past_revision = host.highest_past_revision.max(host.last_revision);
         host.last_revision = 0;
         host.frozen = false;
         host.drained = false;
-        host.waiting.clear();
+        host.queued_inputs.clear();
         host.exchanges.clear();
-        host.follows.clear();
-        host.hosts_version = 0;
-        let incarnation = WALL_START + self.now + 1;
+        host.read_offsets.clear();
+        host.host_list_version = 0;
+        let incarnation = WALL_CLOCK_START_MS + self.now + 1;
         let config = NodeConfig::new(id, host.hall, incarnation)
             .peer_address(format!("host-{id}"))
-            .seed(self.shape.seed ^ u64::from(id) ^ (host.life << 32))
-            .times(self.shape.times)
-            .policy(Arc::clone(&self.shape.policy));
+            .seed(self.config.seed ^ u64::from(id) ^ (host.generation << 32))
+            .times(self.config.times)
+            .policy(Arc::clone(&self.config.policy));
         host.incarnation = incarnation;
-        let life = host.life;
+        let generation = host.generation;
         let mut core = NodeCore::new(config);
-        let orders = core.start(reading);
+        let actions = core.start(reading);
         host.core = Some(core);
-        self.carry_out(id, orders);
-        let jitter = self.rng.random_range(0..TICK);
-        self.push(jitter, Arrival::Tick(id, life));
-        self.push(jitter / 2, Arrival::Poll(id, life));
+        self.execute_core_actions(id, actions);
+        let jitter = self.rng.random_range(0..TICK_INTERVAL_MS);
+        self.push(jitter, SiteEvent::Tick(id, generation));
+        self.push(jitter / 2, SiteEvent::Poll(id, generation));
     }
 
     /// Ends a host's life at once. Callers and backend servers see their connections close.
@@ -56,7 +58,7 @@
         host.core = None;
         host.frozen = false;
         host.exchanges.clear();
-        host.waiting.clear();
+        host.queued_inputs.clear();
         for caller in self.evidence.callers.values_mut() {
             if caller.host == id && caller.outcome.is_none() {
                 caller.disconnected = true;
@@ -64,90 +66,100 @@
         }
     }
 
-    pub(crate) fn tick(&mut self, id: HostId, life: u64) {
-        let Some(host) = self.hosts.get(&id).filter(|host| host.life == life) else { return };
+    pub(crate) fn tick(&mut self, id: HostId, generation: u64) {
+        let Some(host) = self.hosts.get(&id).filter(|host| host.generation == generation) else {
+            return;
+        };
         if host.core.is_none() {
             return;
         }
-        let runs = host.runs();
-        self.push(TICK, Arrival::Tick(id, life));
+        let runs = host.is_running();
+        self.push(TICK_INTERVAL_MS, SiteEvent::Tick(id, generation));
         if runs {
-            self.handle(id, NodeEvent::Tick);
+            self.handle_core_event(id, NodeEvent::Tick);
         }
     }
 
-    pub(crate) fn poll(&mut self, id: HostId, life: u64) {
-        let Some(host) = self.hosts.get(&id).filter(|host| host.life == life) else { return };
+    pub(crate) fn poll(&mut self, id: HostId, generation: u64) {
+        let Some(host) = self.hosts.get(&id).filter(|host| host.generation == generation) else {
+            return;
+        };
         if host.core.is_none() {
             return;
         }
-        self.push(POLL, Arrival::Poll(id, life));
+        self.push(POLL_INTERVAL_MS, SiteEvent::Poll(id, generation));
         for stream in LogStream::ALL {
-            self.read_log(id, life, stream);
+            self.read_log(id, generation, stream);
         }
-        self.read_hosts(id, life);
+        self.read_hosts(id, generation);
     }
 
     /// Says whether a host reaches the platform.
     pub(crate) fn reaches_platform(&self, id: HostId) -> bool {
         let hall = self.hosts.get(&id).map(|host| host.hall);
-        hall.is_some_and(|hall| !self.active.cut_halls.contains(&hall))
+        hall.is_some_and(|hall| !self.active.partitioned_halls.contains(&hall))
     }
 
-    pub(crate) fn read_log(&mut self, id: HostId, life: u64, stream: LogStream) {
+    pub(crate) fn read_log(&mut self, id: HostId, generation: u64, stream: LogStream) {
         let slow = if self.active.log_slow > 0 { 2_500 } else { 1 };
-        let away = self.active.log_away > 0 || !self.reaches_platform(id);
-        let mutation = self.shape.mutation;
-        let Some(host) = self.hosts.get_mut(&id).filter(|host| host.life == life) else { return };
-        let Some(from) = host.follows.get(&stream).copied() else { return };
-        if away {
+        let unavailable = self.active.log_unavailable > 0 || !self.reaches_platform(id);
+        let mutation = self.config.mutation;
+        let Some(host) = self.hosts.get_mut(&id).filter(|host| host.generation == generation)
+        else {
+            return;
+        };
+        let Some(from) = host.read_offsets.get(&stream).copied() else { return };
+        if unavailable {
             let event = NodeEvent::LogUnavailable(stream);
-            self.push(1, Arrival::Input(id, life, HostInput::Event(event)));
+            self.push(1, SiteEvent::Input(id, generation, HostInput::Event(event)));
             return;
         }
         let (mut records, end) = self.log.read(stream, from);
         if let Some(last) = records.last() {
-            host.follows.insert(stream, last.offset + 1);
+            host.read_offsets.insert(stream, last.offset + 1);
         }
         if mutation == Some(SiteMutation::ShuffleSettings) && stream == LogStream::Settings {
-            swap_payloads(&mut records, id);
+            swap_adjacent_payloads(&mut records, id);
         }
         if mutation == Some(SiteMutation::OwnClaimsFirst) && stream == LogStream::Claims {
-            own_claims_only(&mut records, id);
+            keep_own_claims(&mut records, id);
         }
         if !records.is_empty() {
             match stream {
-                LogStream::Claims => self.step(StepKind::ClaimReads, Some(id), None, None),
-                LogStream::Settings => self.step(StepKind::PublicationReads, Some(id), None, None),
+                LogStream::Claims => self.record_step(StepKind::ClaimReads, Some(id), None, None),
+                LogStream::Settings => {
+                    self.record_step(StepKind::PublicationReads, Some(id), None, None)
+                }
                 LogStream::Snapshots => {}
             }
         }
         let (era, first) = (self.log.era, self.log.first(stream));
         let event = NodeEvent::LogRead { stream, era, first, records, end };
-        self.push(slow, Arrival::Input(id, life, HostInput::Event(event)));
+        self.push(slow, SiteEvent::Input(id, generation, HostInput::Event(event)));
     }
 
-    pub(crate) fn read_hosts(&mut self, id: HostId, life: u64) {
-        if self.active.hosts_stale > 0 || !self.reaches_platform(id) {
+    pub(crate) fn read_hosts(&mut self, id: HostId, generation: u64) {
+        if self.active.host_list_stale > 0 || !self.reaches_platform(id) {
             return;
         }
         let now = self.now;
         let Some(host) = self.hosts.get_mut(&id) else { return };
         let shown = self.host_changes.iter().take_while(|(at, _)| *at <= now).count();
-        let fresh: Vec<HostListChange> = self.host_changes[host.hosts_version.min(shown)..shown]
+        let fresh: Vec<HostListChange> = self.host_changes
+            [host.host_list_version.min(shown)..shown]
             .iter()
             .map(|(_, change)| change.clone())
             .collect();
-        host.hosts_version = shown;
+        host.host_list_version = shown;
         for change in fresh {
             let event = NodeEvent::HostListChanged(change);
-            self.push(1, Arrival::Input(id, life, HostInput::Event(event)));
+            self.push(1, SiteEvent::Input(id, generation, HostInput::Event(event)));
         }
     }
 }
 
 /// Gives every other host a stream in which neighbours changed places.
-fn swap_payloads(records: &mut [LogRecord], host: HostId) {
+fn swap_adjacent_payloads(records: &mut [LogRecord], host: HostId) {
     if host.is_multiple_of(2) {
         return;
     }
@@ -158,7 +170,7 @@
 }
 
 /// Leaves a host nothing but its own claims.
-fn own_claims_only(records: &mut [LogRecord], host: HostId) {
+fn keep_own_claims(records: &mut [LogRecord], host: HostId) {
     let own = format!("\"request\":\"{host:x}");
     for record in records {
         let text = String::from_utf8_lossy(&record.payload).into_owned();
--- a/crates/fakes/src/site/post.rs
+++ b/crates/fakes/src/site/messages.rs
@@ -11,12 +11,12 @@
 use crate::{
     fault::StepKind,
     host::HostInput,
-    site::{Arrival, FAR, FakeSite, NEAR},
+    site::{FakeSite, HALL_DELAY_MS, INTER_HALL_DELAY_MS, SiteEvent},
 };
 
 impl FakeSite {
     /// Puts a message between hosts on its way.
-    pub(crate) fn post(
+    pub(crate) fn send_message(
         &mut self,
         from: HostId,
         to: HostId,
@@ -25,27 +25,27 @@
     ) {
         self.evidence.messages += 1;
         self.evidence.message_bytes += self.measure.map_or(0, |measure| measure(&message));
-        if self.active.lossy > 0 && self.rng.random_range(0..3) == 0 {
+        if self.active.message_lost > 0 && self.rng.random_range(0..3) == 0 {
             return;
         }
         let hall = |site: &Self, id: HostId| site.hosts.get(&id).map(|host| host.hall);
         let near = hall(self, from) == hall(self, to);
-        let mut delay = if near { NEAR } else { FAR };
-        if self.active.late > 0 {
+        let mut delay = if near { HALL_DELAY_MS } else { INTER_HALL_DELAY_MS };
+        if self.active.message_late > 0 {
             delay += 2_000;
         }
-        if self.active.disorder > 0 {
+        if self.active.message_out_of_order > 0 {
             delay += self.rng.random_range(0..800);
         }
-        if self.active.doubled > 0 {
+        if self.active.message_duplicated > 0 {
             let again = delay + self.rng.random_range(0..2_000);
             let message = message.clone();
-            self.push(again, Arrival::Peer { from, to, stamp, message });
+            self.push(again, SiteEvent::Peer { from, to, stamp, message });
         }
-        self.push(delay, Arrival::Peer { from, to, stamp, message });
+        self.push(delay, SiteEvent::Peer { from, to, stamp, message });
     }
 
-    pub(crate) fn deliver(
+    pub(crate) fn deliver_message(
         &mut self,
         from: HostId,
         to: HostId,
@@ -56,20 +56,20 @@
             return;
         };
         let crosses = sender.hall != receiver.hall;
-        let cut = |hall: &HallId| self.active.cut_halls.contains(hall);
-        if sender.mute > 0 || receiver.deaf > 0 {
+        let partitioned = |hall: &HallId| self.active.partitioned_halls.contains(hall);
+        if sender.outbound_blocked > 0 || receiver.inbound_blocked > 0 {
             return;
         }
-        if crosses && (cut(&sender.hall) || cut(&receiver.hall)) {
+        if crosses && (partitioned(&sender.hall) || partitioned(&receiver.hall)) {
             return;
         }
-        let life = receiver.life;
-        self.step_of_message(to, &message);
+        let generation = receiver.generation;
+        self.record_message_step(to, &message);
         let event = NodeEvent::PeerMessage { from, stamp, message };
-        self.input(to, life, HostInput::Event(event));
+        self.deliver_input(to, generation, HostInput::Event(event));
     }
 
-    pub(crate) fn step_of_message(&mut self, to: HostId, message: &PeerMessage) {
+    pub(crate) fn record_message_step(&mut self, to: HostId, message: &PeerMessage) {
         let (kind, engine, request) = match message {
             PeerMessage::PermitAsk(ask) => {
                 (StepKind::PermitAskArrives, Some(ask.engine), Some(ask.request.request))
@@ -85,6 +85,6 @@
             PeerMessage::Heartbeat(_) => (StepKind::HeartbeatArrives, None, None),
             _ => return,
         };
-        self.step(kind, Some(to), engine, request);
+        self.record_step(kind, Some(to), engine, request);
     }
 }
--- a/crates/fakes/src/site/queue.rs
+++ b/crates/fakes/src/site/queue.rs
@@ -15,25 +15,25 @@
 };
 
 #[derive(Debug, Clone)]
-pub(crate) enum Arrival {
+pub(crate) enum SiteEvent {
     Tick(HostId, u64),
     Poll(HostId, u64),
     ReadLog(HostId, u64, LogStream),
     Input(HostId, u64, HostInput),
     Peer { from: HostId, to: HostId, stamp: HybridTimestamp, message: PeerMessage },
-    Order { host: HostId, life: u64, order: EngineOrder },
-    AskReport { host: HostId, life: u64, engine: EngineId },
-    Request { host: HostId, life: u64, order: reelreel_core::node::RequestDispatch },
+    Order { host: HostId, generation: u64, order: EngineOrder },
+    FetchReport { host: HostId, generation: u64, engine: EngineId },
+    Request { host: HostId, generation: u64, dispatch: reelreel_core::node::RequestDispatch },
     FirstToken { backend: u32, incarnation: u64, request: RequestId },
     Finish { backend: u32, incarnation: u64, request: RequestId },
     StoreCheck,
-    Append { host: HostId, life: u64, stream: LogStream, payload: Vec<u8>, ticket: u64 },
-    Call(CallerRequest),
-    Act(SiteAction),
+    Append { host: HostId, generation: u64, stream: LogStream, payload: Vec<u8>, ticket: u64 },
+    CallerRequest(CallerRequest),
+    Action(SiteAction),
     EndFault(PlannedFault, FaultTarget),
-    Return(HostId),
-    EngineGone(EngineId),
-    EngineBack(EngineId),
+    StartHost(HostId),
+    RemoveEngine(EngineId),
+    ReturnEngine(EngineId),
 }
 
 /// Whom a fault struck.
@@ -48,13 +48,13 @@
 #[derive(Debug)]
 pub(crate) struct QueueEntry {
     pub(crate) at: u64,
-    pub(crate) order: u64,
-    pub(crate) arrival: Arrival,
+    pub(crate) sequence: u64,
+    pub(crate) event: SiteEvent,
 }
 
 impl PartialEq for QueueEntry {
     fn eq(&self, other: &Self) -> bool {
-        (self.at, self.order) == (other.at, other.order)
+        (self.at, self.sequence) == (other.at, other.sequence)
     }
 }
 
@@ -68,6 +68,6 @@
 
 impl Ord for QueueEntry {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        (self.at, self.order).cmp(&(other.at, other.order))
+        (self.at, self.sequence).cmp(&(other.at, other.sequence))
     }
 }
--- a/crates/fakes/src/store.rs
+++ b/crates/fakes/src/store.rs
@@ -9,11 +9,11 @@
 #[derive(Debug)]
 pub struct FakeStore {
     /// Milliseconds that a load takes alone.
-    pub load_millis: f64,
+    pub unshared_load_ms: f64,
     /// How much slower it is than usual.
-    pub slowness: f64,
+    pub slowdown: f64,
     /// Gives nothing; loads under way stand still.
-    pub away: bool,
+    pub unavailable: bool,
     loads: BTreeMap<StoreLoad, f64>,
     next: StoreLoad,
     at: u64,
@@ -23,9 +23,9 @@
     /// Makes a store that gives that many loads a second.
     pub fn new(loads_per_second: f64) -> Self {
         Self {
-            load_millis: 1000.0 / loads_per_second,
-            slowness: 1.0,
-            away: false,
+            unshared_load_ms: 1000.0 / loads_per_second,
+            slowdown: 1.0,
+            unavailable: false,
             loads: BTreeMap::new(),
             next: 0,
             at: 0,
@@ -36,10 +36,10 @@
     fn advance(&mut self, now: u64) {
         let passed = now.saturating_sub(self.at) as f64;
         self.at = now;
-        if self.away || self.loads.is_empty() {
+        if self.unavailable || self.loads.is_empty() {
             return;
         }
-        let share = passed / self.loads.len() as f64 / self.slowness;
+        let share = passed / self.loads.len() as f64 / self.slowdown;
         for left in self.loads.values_mut() {
             *left -= share;
         }
@@ -49,16 +49,20 @@
     pub(crate) fn begin(&mut self, now: u64) -> StoreLoad {
         self.advance(now);
         self.next += 1;
-        self.loads.insert(self.next, self.load_millis);
+        self.loads.insert(self.next, self.unshared_load_ms);
         self.next
     }
 
     /// Returns the loads that are done by `now`, and takes them out.
     pub(crate) fn finish(&mut self, now: u64) -> Vec<StoreLoad> {
-        const DONE: f64 = 0.5;
+        const COMPLETION_TOLERANCE_MS: f64 = 0.5;
         self.advance(now);
-        let done: Vec<StoreLoad> =
-            self.loads.iter().filter(|(_, left)| **left < DONE).map(|(load, _)| *load).collect();
+        let done: Vec<StoreLoad> = self
+            .loads
+            .iter()
+            .filter(|(_, left)| **left < COMPLETION_TOLERANCE_MS)
+            .map(|(load, _)| *load)
+            .collect();
         for load in &done {
             self.loads.remove(load);
         }
@@ -66,12 +70,12 @@
     }
 
     /// Returns when the next load will be done, if nothing changes.
-    pub fn next_done(&self) -> Option<u64> {
-        if self.away {
+    pub fn next_completion(&self) -> Option<u64> {
+        if self.unavailable {
             return None;
         }
         let least = self.loads.values().copied().reduce(f64::min)?;
-        let left = (least * self.loads.len() as f64 * self.slowness).ceil().max(1.0);
+        let left = (least * self.loads.len() as f64 * self.slowdown).ceil().max(1.0);
         #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "at least one")]
         Some(self.at + left as u64)
     }
--- a/crates/stand-ins/src/connection.rs
+++ b/crates/stand-ins/src/connection.rs
@@ -31,7 +31,7 @@
 }
 
 impl ServedConnection {
-    fn fill(&mut self) -> Option<()> {
+    fn read_more(&mut self) -> Option<()> {
         let mut bytes = [0; 4096];
         let count = self.socket.read(&mut bytes).ok().filter(|count| *count > 0)?;
         self.buffer.extend_from_slice(&bytes[..count]);
@@ -44,7 +44,7 @@
             if let Some(head) = RequestHead::take(&mut self.buffer, 65_536).ok()? {
                 return Some(head);
             }
-            self.fill()?;
+            self.read_more()?;
         }
     }
 
@@ -56,7 +56,7 @@
             match decoder.next_part(&mut self.buffer).ok()? {
                 BodyPart::Data(data) => body.extend_from_slice(&data),
                 BodyPart::End => return Some(body),
-                BodyPart::More => self.fill()?,
+                BodyPart::More => self.read_more()?,
             }
         }
     }
@@ -81,16 +81,16 @@
         ))
     }
 
-    /// Returns whether the peer closes its side within `patience`.
-    pub fn closes_within(&mut self, patience: Duration) -> bool {
-        let _ = self.socket.set_read_timeout(Some(patience));
+    /// Returns whether the peer closes its side within `max_wait`.
+    pub fn closes_within(&mut self, max_wait: Duration) -> bool {
+        let _ = self.socket.set_read_timeout(Some(max_wait));
         let mut byte = [0; 1];
-        let closed = match self.socket.read(&mut byte) {
+        let stopped = match self.socket.read(&mut byte) {
             Ok(count) => count == 0,
             Err(error) => error.kind() == std::io::ErrorKind::ConnectionReset,
         };
         let _ = self.socket.set_read_timeout(None);
-        closed
+        stopped
     }
 }
 
@@ -115,13 +115,13 @@
 }
 
 /// How often a server that can end looks whether it should.
-const END_LOOK: Duration = Duration::from_millis(1);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
 /// A server that can end as a process does: nothing listens at its address, and its connections break off.
 #[derive(Clone, Default)]
 pub struct StoppableServer {
-    ending: Arc<AtomicBool>,
-    closed: Arc<AtomicBool>,
+    stopping: Arc<AtomicBool>,
+    stopped: Arc<AtomicBool>,
     sockets: Arc<Mutex<Vec<TcpStream>>>,
 }
 
@@ -139,29 +139,29 @@
         listener.set_nonblocking(true).expect("a listener that can be looked at");
         let (server, serve) = (self.clone(), Arc::new(serve));
         thread::spawn(move || {
-            while !server.ending.load(Ordering::Acquire) {
+            while !server.stopping.load(Ordering::Acquire) {
                 let Ok((socket, _)) = listener.accept() else {
-                    thread::sleep(END_LOOK);
+                    thread::sleep(STOP_POLL_INTERVAL);
                     continue;
                 };
                 let _ = socket.set_nodelay(true);
-                let kept = socket.try_clone().expect("a handle of the socket");
-                server.sockets.lock().unwrap_or_else(PoisonError::into_inner).push(kept);
+                let handle = socket.try_clone().expect("a handle of the socket");
+                server.sockets.lock().unwrap_or_else(PoisonError::into_inner).push(handle);
                 let serve = Arc::clone(&serve);
                 thread::spawn(move || {
                     serve(&mut ServedConnection { socket, buffer: BytesMut::new() });
                 });
             }
             drop(listener);
-            server.closed.store(true, Ordering::Release);
+            server.stopped.store(true, Ordering::Release);
         });
     }
 
     /// Ends it; returns once nothing listens any more.
     pub fn stop(&self) {
-        self.ending.store(true, Ordering::Release);
-        while !self.closed.load(Ordering::Acquire) {
-            thread::sleep(END_LOOK);
+        self.stopping.store(true, Ordering::Release);
+        while !self.stopped.load(Ordering::Acquire) {
+            thread::sleep(STOP_POLL_INTERVAL);
         }
         for socket in self.sockets.lock().unwrap_or_else(PoisonError::into_inner).drain(..) {
             let _ = socket.shutdown(Shutdown::Both);
@@ -170,6 +170,6 @@
 
     /// Returns whether it has ended.
     pub fn has_stopped(&self) -> bool {
-        self.closed.load(Ordering::Acquire)
+        self.stopped.load(Ordering::Acquire)
     }
 }
--- a/crates/stand-ins/src/engine/batch.rs
+++ b/crates/stand-ins/src/engine/batch.rs
@@ -5,45 +5,45 @@
 use crate::engine::state::EngineShared;
 
 /// How long a stream that nobody reads goes on before it is cancelled.
-const UNREAD_LIMIT: Duration = Duration::from_secs(3);
+const UNREAD_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Ended requests that can still be resumed.
-const KEPT_ENDED: usize = 4096;
+const MAX_COMPLETED_SEQUENCES: usize = 4096;
 
 impl EngineShared {
     /// Does one step.
     pub(super) fn step(&self) {
         let mut state = self.lock();
-        let most = self.options.streams;
+        let max_batch_size = self.options.streams;
         let mut batch: Vec<(i32, String)> = state
             .sequences
             .iter()
-            .filter(|(_, sequence)| sequence.running())
+            .filter(|(_, sequence)| sequence.is_running())
             .map(|(id, sequence)| (-sequence.priority, id.clone()))
             .collect();
         batch.sort();
-        batch.truncate(most);
+        batch.truncate(max_batch_size);
         if batch.is_empty() {
             return;
         }
         state.evidence.steps += 1;
         state.evidence.step_requests += batch.len() as u64;
-        let mut ended = false;
+        let mut any_completed = false;
         for (_, id) in batch {
             let Some(sequence) = state.sequences.get_mut(&id) else { continue };
-            sequence.produced += 1;
-            if sequence.readers == 0 && sequence.unread_since.elapsed() > UNREAD_LIMIT {
-                sequence.cut = true;
+            sequence.produced_tokens += 1;
+            if sequence.readers == 0 && sequence.unread_since.elapsed() > UNREAD_TIMEOUT {
+                sequence.interrupted = true;
             }
-            ended |= !sequence.running();
+            any_completed |= !sequence.is_running();
         }
-        if ended {
-            state.changed();
-            while state.sequences.len() > KEPT_ENDED {
+        if any_completed {
+            state.record_change();
+            while state.sequences.len() > MAX_COMPLETED_SEQUENCES {
                 let oldest = state
                     .sequences
                     .iter()
-                    .find(|(_, sequence)| !sequence.running() && sequence.readers == 0)
+                    .find(|(_, sequence)| !sequence.is_running() && sequence.readers == 0)
                     .map(|(id, _)| id.clone());
                 let Some(oldest) = oldest else { break };
                 state.sequences.remove(&oldest);
--- a/crates/stand-ins/src/engine/orders.rs
+++ b/crates/stand-ins/src/engine/orders.rs
@@ -36,7 +36,7 @@
 
 /// Why an order was not done.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum OrderProblem {
+pub(super) enum OrderError {
     Fenced(u64),
     NoSlot,
     LoadFailed,
@@ -44,7 +44,7 @@
 
 impl EngineShared {
     /// Checks a token and accepts it as the highest, if the engine checks fences.
-    pub(super) fn pass_fence(&self, token: u64) -> Result<(), u64> {
+    pub(super) fn check_fence(&self, token: u64) -> Result<(), u64> {
         let mut state = self.lock();
         if !self.options.checks_fence {
             return Ok(());
@@ -54,13 +54,13 @@
         }
         if token > state.token {
             state.token = token;
-            state.changed();
+            state.record_change();
         }
         Ok(())
     }
 
-    pub(super) fn order(&self, order: &OrderBody) -> Result<OrderDone, OrderProblem> {
-        self.pass_fence(order.token).map_err(OrderProblem::Fenced)?;
+    pub(super) fn order(&self, order: &OrderBody) -> Result<OrderDone, OrderError> {
+        self.check_fence(order.token).map_err(OrderError::Fenced)?;
         match order.action {
             OrderAction::Raise => Ok(()),
             OrderAction::Load => self.load(&order.adapter),
@@ -73,7 +73,7 @@
         Ok(OrderDone { incarnation: state.incarnation, sequence: state.sequence })
     }
 
-    fn load(&self, adapter: &str) -> Result<(), OrderProblem> {
+    fn load(&self, adapter: &str) -> Result<(), OrderError> {
         let incarnation = {
             let mut state = self.lock();
             match state.slots.get(adapter) {
@@ -85,17 +85,17 @@
                 None => {}
             }
             if state.slots.len() >= self.options.slots {
-                return Err(OrderProblem::NoSlot);
+                return Err(OrderError::NoSlot);
             }
             state.slots.insert(adapter.to_owned(), Slot::Loading);
-            state.changed();
+            state.record_change();
             state.incarnation
         };
         let fetched = self.faults.loads.apply(|| fetch(&self.options.platform, adapter));
         let loaded = fetched == Some(true);
         let mut state = self.lock();
         if state.incarnation != incarnation {
-            return Err(OrderProblem::LoadFailed);
+            return Err(OrderError::LoadFailed);
         }
         if loaded {
             state.slots.insert(adapter.to_owned(), Slot::Loaded);
@@ -103,17 +103,17 @@
         } else {
             state.slots.remove(adapter);
         }
-        state.changed();
-        if loaded { Ok(()) } else { Err(OrderProblem::LoadFailed) }
+        state.record_change();
+        if loaded { Ok(()) } else { Err(OrderError::LoadFailed) }
     }
 
-    fn wait_loaded(&self, adapter: &str) -> Result<(), OrderProblem> {
+    fn wait_loaded(&self, adapter: &str) -> Result<(), OrderError> {
         loop {
             std::thread::sleep(Duration::from_millis(5));
             match self.lock().slots.get(adapter) {
                 Some(Slot::Loaded) => return Ok(()),
                 Some(Slot::Loading) => {}
-                None => return Err(OrderProblem::LoadFailed),
+                None => return Err(OrderError::LoadFailed),
             }
         }
     }
@@ -125,15 +125,15 @@
             return;
         }
         state.slots.remove(adapter);
-        let mut cut = 0;
+        let mut interrupted = 0;
         for sequence in state.sequences.values_mut() {
-            if sequence.adapter == adapter && sequence.running() {
-                sequence.cut = true;
-                cut += 1;
+            if sequence.adapter == adapter && sequence.is_running() {
+                sequence.interrupted = true;
+                interrupted += 1;
             }
         }
-        state.evidence.cut_by_unload += cut;
-        state.changed();
+        state.evidence.cut_by_unload += interrupted;
+        state.record_change();
         drop(state);
         self.stepped.notify_all();
     }
--- a/crates/stand-ins/src/engine/serve.rs
+++ b/crates/stand-ins/src/engine/serve.rs
@@ -13,7 +13,7 @@
 
 use crate::{
     engine::{
-        orders::{OrderBody, OrderProblem},
+        orders::{OrderBody, OrderError},
         state::{EngineShared, Sequence, Slot},
     },
     fault::FaultKind,
@@ -23,7 +23,7 @@
 #[derive(Deserialize)]
 struct CompletionBody {
     model: String,
-    #[serde(default = "usual_tokens")]
+    #[serde(default = "default_max_tokens")]
     max_tokens: usize,
     #[serde(default)]
     stream: bool,
@@ -31,26 +31,26 @@
     priority: i32,
 }
 
-const fn usual_tokens() -> usize {
+const fn default_max_tokens() -> usize {
     16
 }
 
 #[derive(Serialize)]
-struct Problem {
+struct ErrorBody {
     code: &'static str,
     token: u64,
 }
 
 fn refuse(request: Request, status: u16, code: &'static str, token: u64) {
-    respond_json(request, status, &Problem { code, token });
+    respond_json(request, status, &ErrorBody { code, token });
 }
 
 pub(super) fn serve(shared: &EngineShared, mut request: Request) {
     let (segments, query) = split_url(request.url());
     let segments: Vec<&str> = segments.iter().map(String::as_str).collect();
     match (request.method().clone(), &segments[..]) {
-        (Method::Post, ["v1", "completions"]) => complete(shared, request, false),
-        (Method::Post, ["v1", "chat", "completions"]) => complete(shared, request, true),
+        (Method::Post, ["v1", "completions"]) => handle_completion(shared, request, false),
+        (Method::Post, ["v1", "chat", "completions"]) => handle_completion(shared, request, true),
         (Method::Get, ["v1", "streams", id]) => {
             let from = query.get("from").and_then(|text| text.parse().ok()).unwrap_or(0);
             let chat = query.get("chat").is_some_and(|text| text == "true");
@@ -61,10 +61,10 @@
             }
         }
         (Method::Delete, ["v1", "streams", id]) => {
-            cancel(shared, id);
+            cancel_stream(shared, id);
             refuse(request, 200, "cancelled", 0);
         }
-        (Method::Post, ["orders"]) => take_order(shared, request),
+        (Method::Post, ["orders"]) => handle_order(shared, request),
         (Method::Get, ["report"]) => match shared.faults.reports.apply(|| shared.report()) {
             Some(report) => respond_json(request, 200, &report),
             None => refuse(request, 503, "unavailable", 0),
@@ -72,14 +72,14 @@
         (Method::Get, ["evidence"]) => respond_json(request, 200, &shared.evidence()),
         (Method::Put, ["switch", name]) => {
             let body = read_body(&mut request);
-            switch(shared, name, &body);
+            set_fault(shared, name, &body);
             refuse(request, 200, "switched", 0);
         }
         _ => refuse(request, 404, "no_such_path", 0),
     }
 }
 
-fn switch(shared: &EngineShared, name: &str, body: &[u8]) {
+fn set_fault(shared: &EngineShared, name: &str, body: &[u8]) {
     let kind = serde_json::from_slice::<FaultKind>(body).unwrap_or_default();
     match name {
         "leave" => shared.leave(),
@@ -96,7 +96,7 @@
     }
 }
 
-fn take_order(shared: &EngineShared, mut request: Request) {
+fn handle_order(shared: &EngineShared, mut request: Request) {
     let body = read_body(&mut request);
     let Ok(order) = serde_json::from_slice::<OrderBody>(&body) else {
         refuse(request, 400, "not_an_order", 0);
@@ -104,14 +104,14 @@
     };
     match shared.faults.orders.apply(|| shared.order(&order)) {
         Some(Ok(done)) => respond_json(request, 200, &done),
-        Some(Err(OrderProblem::Fenced(token))) => refuse(request, 409, "stale_token", token),
-        Some(Err(OrderProblem::NoSlot)) => refuse(request, 422, "no_slot", 0),
-        Some(Err(OrderProblem::LoadFailed)) => refuse(request, 422, "load_failed", 0),
+        Some(Err(OrderError::Fenced(token))) => refuse(request, 409, "stale_token", token),
+        Some(Err(OrderError::NoSlot)) => refuse(request, 422, "no_slot", 0),
+        Some(Err(OrderError::LoadFailed)) => refuse(request, 422, "load_failed", 0),
         None => refuse(request, 504, "lost", 0),
     }
 }
 
-fn complete(shared: &EngineShared, mut request: Request, chat: bool) {
+fn handle_completion(shared: &EngineShared, mut request: Request, chat: bool) {
     let id = header(&request, "x-request-id").unwrap_or_default().to_owned();
     let token = header(&request, "x-fence-token").and_then(|text| text.parse().ok()).unwrap_or(0);
     let body = read_body(&mut request);
@@ -138,7 +138,7 @@
     if body.stream {
         drop(stream(shared, request, &id, 0, chat));
     } else {
-        answer_whole(shared, request, &id, chat);
+        respond_with_completion(shared, request, &id, chat);
     }
 }
 
@@ -149,7 +149,7 @@
     token: u64,
     body: &CompletionBody,
 ) -> Result<(), (u16, &'static str, u64)> {
-    shared.pass_fence(token).map_err(|token| (409, "stale_token", token))?;
+    shared.check_fence(token).map_err(|token| (409, "stale_token", token))?;
     let mut state = shared.lock();
     if shared.options.checks_fence && token < state.token {
         return Err((409, "stale_token", state.token));
@@ -160,15 +160,15 @@
     if state.slots.get(&body.model) != Some(&Slot::Loaded) {
         return Err((404, "not_resident", 0));
     }
-    let running = state.sequences.values().filter(|sequence| sequence.running()).count();
+    let running = state.sequences.values().filter(|sequence| sequence.is_running()).count();
     if running >= shared.options.streams * 2 {
         return Err((429, "full", 0));
     }
     let sequence = Sequence {
         adapter: body.model.clone(),
-        wanted: body.max_tokens,
-        produced: 0,
-        cut: false,
+        target_tokens: body.max_tokens,
+        produced_tokens: 0,
+        interrupted: false,
         priority: body.priority,
         readers: 1,
         unread_since: Instant::now(),
@@ -176,13 +176,14 @@
     state.sequences.insert(id.to_owned(), sequence);
     *state.evidence.runs.entry(id.to_owned()).or_default() += 1;
     state.evidence.adapters.insert(id.to_owned(), body.model.clone());
-    state.changed();
+    state.record_change();
     Ok(())
 }
 
 fn attach(shared: &EngineShared, id: &str) -> bool {
     let mut state = shared.lock();
-    let Some(sequence) = state.sequences.get_mut(id).filter(|sequence| !sequence.cut) else {
+    let Some(sequence) = state.sequences.get_mut(id).filter(|sequence| !sequence.interrupted)
+    else {
         return false;
     };
     sequence.readers += 1;
@@ -197,23 +198,28 @@
     }
 }
 
-fn cancel(shared: &EngineShared, id: &str) {
+fn cancel_stream(shared: &EngineShared, id: &str) {
     let mut state = shared.lock();
     if let Some(sequence) = state.sequences.get_mut(id) {
-        sequence.cut = true;
-        state.changed();
+        sequence.interrupted = true;
+        state.record_change();
     }
     drop(state);
     shared.stepped.notify_all();
 }
 
-/// Waits for more than `seen` tokens; returns how many there are, and whether those are all.
-fn wait_for(shared: &EngineShared, id: &str, seen: usize) -> Option<(usize, bool)> {
+/// Waits for more than `seen_tokens` tokens; returns how many there are, and whether those are all.
+fn wait_for(shared: &EngineShared, id: &str, seen_tokens: usize) -> Option<(usize, bool)> {
     let mut state = shared.lock();
     loop {
-        let sequence = state.sequences.get(id).filter(|sequence| !sequence.cut)?;
-        if sequence.produced > seen || sequence.produced >= sequence.wanted {
-            return Some((sequence.produced, sequence.produced >= sequence.wanted));
+        let sequence = state.sequences.get(id).filter(|sequence| !sequence.interrupted)?;
+        if sequence.produced_tokens > seen_tokens
+            || sequence.produced_tokens >= sequence.target_tokens
+        {
+            return Some((
+                sequence.produced_tokens,
+                sequence.produced_tokens >= sequence.target_tokens,
+            ));
         }
         let wait = Duration::from_millis(200);
         state = shared.stepped.wait_timeout(state, wait).unwrap_or_else(PoisonError::into_inner).0;
@@ -265,33 +271,35 @@
     from: usize,
     chat: bool,
 ) -> io::Result<()> {
-    let cut = || io::Error::other("stream was cut");
-    let mut written = from;
+    let interrupted = || io::Error::other("stream was cut");
+    let mut written_tokens = from;
     loop {
-        let (produced, all) = wait_for(shared, id, written).ok_or_else(cut)?;
-        for index in written..produced {
+        let (produced_tokens, is_complete) =
+            wait_for(shared, id, written_tokens).ok_or_else(interrupted)?;
+        for index in written_tokens..produced_tokens {
             writer.write(&event(id, model, index, chat))?;
             let cut_after = shared.faults.cut_after.load(Ordering::Relaxed);
             if cut_after > 0 && index + 1 == cut_after {
-                return Err(cut());
+                return Err(interrupted());
             }
         }
-        written = produced.max(written);
-        if all {
+        written_tokens = produced_tokens.max(written_tokens);
+        if is_complete {
             writer.write("data: [DONE]\n\n")?;
             return writer.end();
         }
     }
 }
 
-fn answer_whole(shared: &EngineShared, request: Request, id: &str, chat: bool) {
+fn respond_with_completion(shared: &EngineShared, request: Request, id: &str, chat: bool) {
     let model = served_model(shared, id);
-    let mut seen = 0;
+    let mut seen_tokens = 0;
     loop {
-        match wait_for(shared, id, seen) {
-            Some((produced, true)) => {
+        match wait_for(shared, id, seen_tokens) {
+            Some((produced_tokens, true)) => {
                 detach(shared, id);
-                let words: Vec<String> = (0..produced).map(|index| format!(" {index}")).collect();
+                let words: Vec<String> =
+                    (0..produced_tokens).map(|index| format!(" {index}")).collect();
                 let text = words.concat();
                 let choice = if chat {
                     json!({ "index": 0, "message": { "role": "assistant", "content": text },
@@ -301,11 +309,11 @@
                 };
                 let object = if chat { "chat.completion" } else { "text_completion" };
                 let body = json!({ "id": id, "object": object, "model": model,
-                    "choices": [choice], "usage": { "completion_tokens": produced } });
-                respond_whole(request, &model, shared, id, &body);
+                    "choices": [choice], "usage": { "completion_tokens": produced_tokens } });
+                write_completion(request, &model, shared, id, &body);
                 return;
             }
-            Some((produced, false)) => seen = produced,
+            Some((produced_tokens, false)) => seen_tokens = produced_tokens,
             None => {
                 detach(shared, id);
                 refuse(request, 500, "cut", 0);
@@ -315,7 +323,7 @@
     }
 }
 
-fn respond_whole(
+fn write_completion(
     request: Request,
     model: &str,
     shared: &EngineShared,
--- a/crates/stand-ins/src/engine/state.rs
+++ b/crates/stand-ins/src/engine/state.rs
@@ -14,9 +14,9 @@
 #[derive(Debug, Clone)]
 pub(super) struct Sequence {
     pub(super) adapter: String,
-    pub(super) wanted: usize,
-    pub(super) produced: usize,
-    pub(super) cut: bool,
+    pub(super) target_tokens: usize,
+    pub(super) produced_tokens: usize,
+    pub(super) interrupted: bool,
     pub(super) priority: i32,
     /// Readers attached; a stream that nobody reads for a while is cancelled.
     pub(super) readers: usize,
@@ -24,8 +24,8 @@
 }
 
 impl Sequence {
-    pub(super) fn running(&self) -> bool {
-        !self.cut && self.produced < self.wanted
+    pub(super) fn is_running(&self) -> bool {
+        !self.interrupted && self.produced_tokens < self.target_tokens
     }
 }
 
@@ -138,7 +138,7 @@
         state.slots.clear();
         state.reports.clear();
         for sequence in state.sequences.values_mut() {
-            sequence.cut = true;
+            sequence.interrupted = true;
         }
         drop(state);
         self.stepped.notify_all();
@@ -147,7 +147,7 @@
     pub(super) fn leave(&self) {
         let mut state = self.lock();
         state.leaving = true;
-        state.changed();
+        state.record_change();
     }
 
     /// Returns the newest report that is old enough to be shown.
@@ -167,19 +167,19 @@
 
 impl EngineState {
     /// Counts a change of state and keeps the report that shows it.
-    pub(super) fn changed(&mut self) {
+    pub(super) fn record_change(&mut self) {
         self.sequence += 1;
         self.write_report();
     }
 
     fn write_report(&mut self) {
-        const KEPT: Duration = Duration::from_secs(5);
+        const REPORT_RETENTION: Duration = Duration::from_secs(5);
         let newest = self.reports.back().map(|(_, report)| report.sequence);
         if newest == Some(self.sequence) {
             return;
         }
         let running = |name: &str| {
-            let on = |sequence: &&Sequence| sequence.adapter == name && sequence.running();
+            let on = |sequence: &&Sequence| sequence.adapter == name && sequence.is_running();
             u32::try_from(self.sequences.values().filter(on).count()).unwrap_or(u32::MAX)
         };
         let loaded = self.slots.iter().filter(|(_, slot)| **slot == Slot::Loaded);
@@ -195,7 +195,7 @@
             loading: loading.map(|(name, _)| name.clone()).collect(),
         };
         self.reports.push_back((Instant::now(), report));
-        while self.reports.front().is_some_and(|(at, _)| at.elapsed() > KEPT)
+        while self.reports.front().is_some_and(|(at, _)| at.elapsed() > REPORT_RETENTION)
             && self.reports.len() > 1
         {
             self.reports.pop_front();
--- a/crates/stand-ins/src/http.rs
+++ b/crates/stand-ins/src/http.rs
@@ -17,10 +17,10 @@
 use tiny_http::{Header, Request, Response, Server};
 
 /// How often a server looks whether it is to stop.
-const STOP_LOOK: Duration = Duration::from_millis(50);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The stack of a thread that serves one request.
-const REQUEST_STACK: usize = 128 << 10;
+const REQUEST_STACK_BYTES: usize = 128 << 10;
 
 /// A server that runs until its guard is dropped.
 #[derive(Debug)]
@@ -47,10 +47,10 @@
         let handler = Arc::new(handler);
         let thread = thread::spawn(move || {
             while !stop.load(Ordering::Relaxed) {
-                let Ok(Some(request)) = server.recv_timeout(STOP_LOOK) else { continue };
+                let Ok(Some(request)) = server.recv_timeout(STOP_POLL_INTERVAL) else { continue };
                 let handler = Arc::clone(&handler);
                 let spawned = thread::Builder::new()
-                    .stack_size(REQUEST_STACK)
+                    .stack_size(REQUEST_STACK_BYTES)
                     .spawn(move || handler(request));
                 drop(spawned);
             }
@@ -75,12 +75,12 @@
 
 /// Listens with room for a burst of connections.
 fn listen(address: &str) -> io::Result<TcpListener> {
-    const WAITING: i32 = 4096;
+    const CONNECTION_BACKLOG: i32 = 4096;
     let address: SocketAddr = address.parse().map_err(io::Error::other)?;
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
     socket.bind(&address.into())?;
-    socket.listen(WAITING)?;
+    socket.listen(CONNECTION_BACKLOG)?;
     Ok(socket.into())
 }
 
--- a/crates/stand-ins/src/platform.rs
+++ b/crates/stand-ins/src/platform.rs
@@ -89,12 +89,12 @@
 }
 
 #[derive(Serialize)]
-struct Problem {
+struct ErrorBody {
     error: &'static str,
 }
 
 #[derive(Deserialize)]
-struct LoadCall {
+struct LoadRequest {
     adapter: String,
 }
 
@@ -110,8 +110,9 @@
             store: WeightStore::new(options.loads_per_second),
             faults: PlatformFaults::default(),
         });
-        let served = Arc::clone(&state);
-        let guard = ServerGuard::serve(&options.address, move |request| serve(&served, request))?;
+        let shared_state = Arc::clone(&state);
+        let guard =
+            ServerGuard::serve(&options.address, move |request| serve(&shared_state, request))?;
         Ok(Self { guard, state })
     }
 
@@ -140,18 +141,18 @@
     let (segments, query) = split_url(request.url());
     let segments: Vec<&str> = segments.iter().map(String::as_str).collect();
     let number = |name: &str| query.get(name).and_then(|text| text.parse::<u64>().ok());
-    let away = Problem { error: "unavailable" };
+    let unavailable = ErrorBody { error: "unavailable" };
     match (request.method().clone(), &segments[..]) {
         (Method::Post, ["streams", stream, "records"]) => {
             let body = String::from_utf8_lossy(&read_body(&mut request)).into_owned();
             if state.faults.append.kind() == FaultKind::Refuse {
-                respond_json(request, 429, &Problem { error: "not written" });
+                respond_json(request, 429, &ErrorBody { error: "not written" });
                 return;
             }
             match state.faults.append.apply(|| state.log.append(stream, body)) {
                 Some(Some(offset)) => respond_json(request, 201, &Offset { offset }),
-                Some(None) => respond_json(request, 429, &Problem { error: "not written" }),
-                None => respond_json(request, 504, &away),
+                Some(None) => respond_json(request, 429, &ErrorBody { error: "not written" }),
+                None => respond_json(request, 504, &unavailable),
             }
         }
         (Method::Get, ["streams", stream, "records"]) => {
@@ -162,18 +163,18 @@
                     let status = if read.end < from { 410 } else { 200 };
                     respond_json(request, status, &read);
                 }
-                None => respond_json(request, 503, &away),
+                None => respond_json(request, 503, &unavailable),
             }
         }
         (Method::Put, ["fall-back", lost]) => {
-            state.log.fall_back(lost.parse().unwrap_or_default());
-            respond_json(request, 200, &Problem { error: "" });
+            state.log.restore_older_copy(lost.parse().unwrap_or_default());
+            respond_json(request, 200, &ErrorBody { error: "" });
         }
         (Method::Get, ["hosts"]) => {
             let since = number("since").unwrap_or(0);
             match state.faults.hosts.apply(|| state.hosts.since(since)) {
                 Some(changes) => respond_json(request, 200, &changes),
-                None => respond_json(request, 503, &away),
+                None => respond_json(request, 503, &unavailable),
             }
         }
         (Method::Put, ["hosts"]) => {
@@ -181,26 +182,26 @@
             match serde_json::from_slice::<HostRecord>(&body) {
                 Ok(record) => {
                     state.hosts.put(record);
-                    respond_json(request, 200, &Problem { error: "" });
+                    respond_json(request, 200, &ErrorBody { error: "" });
                 }
-                Err(_) => respond_json(request, 400, &Problem { error: "not a host record" }),
+                Err(_) => respond_json(request, 400, &ErrorBody { error: "not a host record" }),
             }
         }
         (Method::Delete, ["hosts", role, id]) => {
             let id = id.parse().unwrap_or_default();
             state.hosts.remove(HostRole::parse(role), id);
-            respond_json(request, 200, &Problem { error: "" });
+            respond_json(request, 200, &ErrorBody { error: "" });
         }
         (Method::Post, ["store", "loads"]) => {
             let body = read_body(&mut request);
-            let call = serde_json::from_slice::<LoadCall>(&body);
+            let call = serde_json::from_slice::<LoadRequest>(&body);
             let loaded = call
                 .ok()
                 .and_then(|call| state.faults.store.apply(|| state.store.load(&call.adapter)));
             match loaded {
-                Some(true) => respond_json(request, 200, &Problem { error: "" }),
-                Some(false) => respond_json(request, 404, &Problem { error: "no such adapter" }),
-                None => respond_json(request, 503, &away),
+                Some(true) => respond_json(request, 200, &ErrorBody { error: "" }),
+                Some(false) => respond_json(request, 404, &ErrorBody { error: "no such adapter" }),
+                None => respond_json(request, 503, &unavailable),
             }
         }
         (Method::Put, ["faults", name]) => {
@@ -209,11 +210,11 @@
             match (state.faults.switch(name), kind) {
                 (Some(switch), Some(kind)) => {
                     switch.set(kind);
-                    respond_json(request, 200, &Problem { error: "" });
+                    respond_json(request, 200, &ErrorBody { error: "" });
                 }
-                _ => respond_json(request, 400, &Problem { error: "no such fault" }),
+                _ => respond_json(request, 400, &ErrorBody { error: "no such fault" }),
             }
         }
-        _ => respond_json(request, 404, &Problem { error: "no such path" }),
+        _ => respond_json(request, 404, &ErrorBody { error: "no such path" }),
     }
 }
--- a/crates/stand-ins/src/platform/hosts.rs
+++ b/crates/stand-ins/src/platform/hosts.rs
@@ -116,20 +116,20 @@
 }
 
 #[derive(Debug, Clone)]
-enum Change {
+enum HostChange {
     Put(HostRecord),
     Remove(HostRole, u32),
 }
 
 #[derive(Debug, Default)]
-struct Changes {
-    changes: Vec<(Instant, Change)>,
+struct ChangeLog {
+    changes: Vec<(Instant, HostChange)>,
 }
 
 /// The list, as the changes it was made by.
 #[derive(Debug)]
 pub struct HostList {
-    state: Mutex<Changes>,
+    state: Mutex<ChangeLog>,
     lag: Duration,
 }
 
@@ -139,18 +139,18 @@
         Self { state: Mutex::default(), lag }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Changes> {
+    fn lock(&self) -> MutexGuard<'_, ChangeLog> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Adds or changes an entry.
     pub fn put(&self, record: HostRecord) {
-        self.lock().changes.push((Instant::now(), Change::Put(record)));
+        self.lock().changes.push((Instant::now(), HostChange::Put(record)));
     }
 
     /// Removes an entry.
     pub fn remove(&self, role: HostRole, id: u32) {
-        self.lock().changes.push((Instant::now(), Change::Remove(role, id)));
+        self.lock().changes.push((Instant::now(), HostChange::Remove(role, id)));
     }
 
     /// Returns what changed since a version and is old enough to be shown.
@@ -161,10 +161,10 @@
         let mut latest: BTreeMap<(HostRole, u32), Option<HostRecord>> = BTreeMap::new();
         for (_, change) in state.changes.iter().take(shown).skip(skip) {
             match change {
-                Change::Put(record) => {
+                HostChange::Put(record) => {
                     latest.insert((record.role, record.id), Some(record.clone()));
                 }
-                Change::Remove(role, id) => {
+                HostChange::Remove(role, id) => {
                     latest.insert((*role, *id), None);
                 }
             }
--- a/crates/stand-ins/src/platform/log.rs
+++ b/crates/stand-ins/src/platform/log.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Records of one read at most.
-const READ_MOST: usize = 256;
+const MAX_READ_RECORDS: usize = 256;
 
 /// One record as read.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -46,8 +46,8 @@
 struct Streams {
     era: u64,
     by_name: BTreeMap<String, Stream>,
-    allowance: f64,
-    refilled: Instant,
+    append_tokens: f64,
+    refilled_at: Instant,
 }
 
 /// The log service.
@@ -56,20 +56,20 @@
     state: Mutex<Streams>,
     appended: Condvar,
     retained: usize,
-    per_second: f64,
+    appends_per_second: f64,
 }
 
 impl LogService {
     /// Starts an empty log.
     pub fn new(retained: usize, appends_per_second: u32) -> Self {
-        let per_second = f64::from(appends_per_second);
+        let appends_per_second = f64::from(appends_per_second);
         let state = Streams {
             era: 0,
             by_name: BTreeMap::new(),
-            allowance: per_second,
-            refilled: Instant::now(),
+            append_tokens: appends_per_second,
+            refilled_at: Instant::now(),
         };
-        Self { state: Mutex::new(state), appended: Condvar::new(), retained, per_second }
+        Self { state: Mutex::new(state), appended: Condvar::new(), retained, appends_per_second }
     }
 
     fn lock(&self) -> MutexGuard<'_, Streams> {
@@ -80,13 +80,14 @@
     /// written.
     pub fn append(&self, stream: &str, payload: String) -> Option<u64> {
         let mut state = self.lock();
-        let seconds = state.refilled.elapsed().as_secs_f64();
-        state.refilled = Instant::now();
-        state.allowance = (state.allowance + seconds * self.per_second).min(self.per_second);
-        if state.allowance < 1.0 {
+        let seconds = state.refilled_at.elapsed().as_secs_f64();
+        state.refilled_at = Instant::now();
+        state.append_tokens =
+            (state.append_tokens + seconds * self.appends_per_second).min(self.appends_per_second);
+        if state.append_tokens < 1.0 {
             return None;
         }
-        state.allowance -= 1.0;
+        state.append_tokens -= 1.0;
         let stream = state.by_name.entry(stream.to_owned()).or_default();
         let offset = stream.first + stream.records.len() as u64;
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
@@ -102,16 +103,19 @@
 
     /// Reads from an offset on, waiting up to `wait` for a record to come.
     pub fn read(&self, stream: &str, from: u64, wait: Duration) -> ReadResult {
-        let until = Instant::now() + wait;
+        let deadline = Instant::now() + wait;
         let mut state = self.lock();
         loop {
             let result = Self::read_now(&state, stream, from);
-            let left = until.saturating_duration_since(Instant::now());
-            if !result.records.is_empty() || result.end < from || left.is_zero() {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if !result.records.is_empty() || result.end < from || remaining.is_zero() {
                 return result;
             }
-            state =
-                self.appended.wait_timeout(state, left).unwrap_or_else(PoisonError::into_inner).0;
+            state = self
+                .appended
+                .wait_timeout(state, remaining)
+                .unwrap_or_else(PoisonError::into_inner)
+                .0;
         }
     }
 
@@ -121,28 +125,28 @@
             return ReadResult { era, ..ReadResult::default() };
         };
         let skip = usize::try_from(from.saturating_sub(stream.first)).unwrap_or(usize::MAX);
-        let records = stream.records.iter().skip(skip).take(READ_MOST).cloned().collect();
+        let records = stream.records.iter().skip(skip).take(MAX_READ_RECORDS).cloned().collect();
         let end = stream.first + stream.records.len() as u64;
         ReadResult { era, first: stream.first, end, records }
     }
 
     /// Comes back from a copy of itself that lacks the last `lost` records of each stream; their offsets are given out again.
-    pub fn fall_back(&self, lost: usize) {
+    pub fn restore_older_copy(&self, lost: usize) {
         let mut state = self.lock();
         state.era += 1;
         for stream in state.by_name.values_mut() {
-            let kept = stream.records.len().saturating_sub(lost);
-            stream.records.truncate(kept);
+            let retained_count = stream.records.len().saturating_sub(lost);
+            stream.records.truncate(retained_count);
         }
         self.appended.notify_all();
     }
 
-    /// Lets the oldest records expire, but for the last `keep`.
-    pub fn expire(&self, stream: &str, keep: usize) {
+    /// Lets the oldest records expire, but for the last `retained`.
+    pub fn expire(&self, stream: &str, retained: usize) {
         let mut state = self.lock();
         let Some(stream) = state.by_name.get_mut(stream) else { return };
-        let gone = stream.records.len().saturating_sub(keep);
-        stream.records.drain(..gone);
-        stream.first += gone as u64;
+        let expired_count = stream.records.len().saturating_sub(retained);
+        stream.records.drain(..expired_count);
+        stream.first += expired_count as u64;
     }
 }
--- a/crates/stand-ins/src/platform/store.rs
+++ b/crates/stand-ins/src/platform/store.rs
@@ -11,12 +11,12 @@
 };
 
 /// How finely the store's speed is shared out.
-const SLICE: Duration = Duration::from_millis(5);
+const PROGRESS_INTERVAL: Duration = Duration::from_millis(5);
 
 /// The weight store.
 #[derive(Debug)]
 pub struct WeightStore {
-    load_alone: Duration,
+    unshared_load_time: Duration,
     active: AtomicUsize,
     missing: Mutex<BTreeSet<String>>,
 }
@@ -25,14 +25,14 @@
     /// Starts a store that gives that many loads a second, one after another.
     pub fn new(loads_per_second: f64) -> Self {
         Self {
-            load_alone: Duration::from_secs_f64(1.0 / loads_per_second),
+            unshared_load_time: Duration::from_secs_f64(1.0 / loads_per_second),
             active: AtomicUsize::new(0),
             missing: Mutex::default(),
         }
     }
 
     /// Makes loads of an adapter fail.
-    pub fn lose(&self, adapter: &str) {
+    pub fn mark_missing(&self, adapter: &str) {
         let mut missing = self.missing.lock().unwrap_or_else(PoisonError::into_inner);
         missing.insert(adapter.to_owned());
     }
@@ -41,10 +41,10 @@
     pub fn load(&self, adapter: &str) -> bool {
         self.active.fetch_add(1, Ordering::Relaxed);
         let mut done = Duration::ZERO;
-        while done < self.load_alone {
-            thread::sleep(SLICE);
+        while done < self.unshared_load_time {
+            thread::sleep(PROGRESS_INTERVAL);
             let sharing = self.active.load(Ordering::Relaxed).max(1);
-            done += SLICE / u32::try_from(sharing).unwrap_or(u32::MAX);
+            done += PROGRESS_INTERVAL / u32::try_from(sharing).unwrap_or(u32::MAX);
         }
         self.active.fetch_sub(1, Ordering::Relaxed);
         !self.missing.lock().unwrap_or_else(PoisonError::into_inner).contains(adapter)
--- a/crates/stand-ins/src/service.rs
+++ b/crates/stand-ins/src/service.rs
@@ -47,7 +47,7 @@
 }
 
 #[derive(Serialize)]
-struct Problem {
+struct ErrorBody {
     error: &'static str,
 }
 
@@ -58,8 +58,9 @@
     /// Returns why the address can not be listened on.
     pub fn start(options: &ServiceOptions) -> io::Result<Self> {
         let state = Arc::new(ServiceState::default());
-        let served = Arc::clone(&state);
-        let guard = ServerGuard::serve(&options.address, move |request| serve(&served, request))?;
+        let shared_state = Arc::clone(&state);
+        let guard =
+            ServerGuard::serve(&options.address, move |request| serve(&shared_state, request))?;
         Ok(Self { guard, state })
     }
 
@@ -92,7 +93,7 @@
         if let Ok(kind) = serde_json::from_slice(&body) {
             state.fault.set(kind);
         }
-        respond_json(request, 200, &Problem { error: "" });
+        respond_json(request, 200, &ErrorBody { error: "" });
         return;
     }
     let run = || {
@@ -104,6 +105,6 @@
             let received_bytes = body.len();
             respond_json(request, 200, &OrderAnswer { request: id, path, received_bytes });
         }
-        None => respond_json(request, 502, &Problem { error: "broken" }),
+        None => respond_json(request, 502, &ErrorBody { error: "broken" }),
     }
 }
