--- a/crates/fakes/src/actions.rs
+++ b/crates/fakes/src/actions.rs
@@ -23,7 +23,7 @@
 }
 
 impl FakeSite {
-    fn host_in(&self, hall: Option<HallId>) -> Option<HostId> {
+    fn any_host_in(&self, hall: Option<HallId>) -> Option<HostId> {
         self.hosts.values().find(|host| Some(host.hall) == hall).map(|host| host.host)
     }
 
@@ -107,7 +107,8 @@
             }
             SiteAction::PartitionHall(hall, millis) => {
                 let hall = Some(hall);
-                let target = FaultTarget { hall, host: self.host_in(hall), ..Default::default() };
+                let target =
+                    FaultTarget { hall, host: self.any_host_in(hall), ..Default::default() };
                 self.begin_fault(immediate_fault(FaultKind::HallPartitioned, millis), target);
             }
         }
--- a/crates/fakes/src/check.rs
+++ b/crates/fakes/src/check.rs
@@ -76,7 +76,7 @@
         self.violations.push(PromiseViolation { promise, detail });
     }
 
-    fn runs_by_request(&self) -> BTreeMap<RequestId, usize> {
+    fn run_counts(&self) -> BTreeMap<RequestId, usize> {
         let mut runs = BTreeMap::new();
         for run in &self.evidence.runs {
             *runs.entry(run.request).or_default() += 1;
@@ -138,7 +138,7 @@
     }
 
     fn not_run_is_accurate(&mut self) {
-        let runs = self.runs_by_request();
+        let runs = self.run_counts();
         let details: Vec<String> = self
             .evidence
             .callers
@@ -153,7 +153,7 @@
     }
 
     fn at_most_once(&mut self) {
-        let runs = self.runs_by_request();
+        let runs = self.run_counts();
         let mut by_key: BTreeMap<&str, usize> = BTreeMap::new();
         let mut details = Vec::new();
         for caller in self.evidence.callers.values() {
@@ -211,8 +211,9 @@
                 let revision = core.settings().revision();
                 details.push(format!("host {host} is at {revision}, accepted is {newest}"));
             }
-            let own = core.settings().snapshot();
-            if own.next_offset == reference.next_offset && own.digest != reference.digest {
+            let snapshot = core.settings().snapshot();
+            if snapshot.next_offset == reference.next_offset && snapshot.digest != reference.digest
+            {
                 details.push(format!("host {host} has another tree"));
             }
         }
@@ -229,7 +230,7 @@
 
     fn recovery(&mut self) {
         let end = self.site.now;
-        let over = self.evidence.last_fault_end.map_or(0, |at| at + MAX_RECOVERY_MS);
+        let recovery_deadline = self.evidence.last_fault_end.map_or(0, |at| at + MAX_RECOVERY_MS);
         let mut details = Vec::new();
         let mut final_requests = (0, 0);
         let mut unanswered = Vec::new();
@@ -237,12 +238,12 @@
             if caller.disconnected {
                 continue;
             }
-            let due = caller.arrived_at + caller.max_wait_ms + ANSWER_GRACE_MS;
+            let deadline = caller.arrived_at + caller.max_wait_ms + ANSWER_GRACE_MS;
             let started = caller.first_token_at.is_some() || caller.first_run_at.is_some();
-            if caller.outcome.is_none() && due < end && !started {
+            if caller.outcome.is_none() && deadline < end && !started {
                 details.push(format!("{:x} was never told anything", caller.request));
             }
-            if caller.arrived_at >= end.saturating_sub(FINAL_REQUESTS_MS).max(over) {
+            if caller.arrived_at >= end.saturating_sub(FINAL_REQUESTS_MS).max(recovery_deadline) {
                 final_requests.1 += 1;
                 let answered = matches!(caller.outcome, Some((CallerOutcome::Answered, _)));
                 final_requests.0 += u32::from(answered);
--- a/crates/fakes/src/engine.rs
+++ b/crates/fakes/src/engine.rs
@@ -105,8 +105,8 @@
 
     fn report_now(&self) -> EngineReport {
         let running = |key: &AdapterKey| {
-            let on = self.running.values().filter(|running| running.adapter == *key).count();
-            u32::try_from(on).unwrap_or(u32::MAX)
+            let count = self.running.values().filter(|running| running.adapter == *key).count();
+            u32::try_from(count).unwrap_or(u32::MAX)
         };
         let loaded = |(key, slot): (&AdapterKey, &FakeSlot)| match slot {
             FakeSlot::Loaded { .. } => {
@@ -131,8 +131,8 @@
 
     /// Returns the newest report that is old enough to be shown.
     pub fn report(&self, now: u64) -> EngineReport {
-        let old = self.reports.iter().rev().find(|(at, _)| at + REPORT_LAG_MS <= now);
-        match old.or(self.reports.front()) {
+        let visible = self.reports.iter().rev().find(|(at, _)| at + REPORT_LAG_MS <= now);
+        match visible.or(self.reports.front()) {
             Some((_, report)) => report.clone(),
             None => self.report_now(),
         }
@@ -171,8 +171,8 @@
             Some(FakeSlot::Loaded { .. }) => {}
             _ => return Some(NotRunReason::NotResident),
         }
-        let room = 2 * self.config.streams as usize;
-        (self.running.len() >= room).then_some(NotRunReason::Full)
+        let capacity = 2 * self.config.streams as usize;
+        (self.running.len() >= capacity).then_some(NotRunReason::Full)
     }
 
     /// Begins a new life: nothing is loaded and nothing runs. Returns what was cut.
--- a/crates/fakes/src/exchange.rs
+++ b/crates/fakes/src/exchange.rs
@@ -26,8 +26,8 @@
 pub(crate) const CONNECT_TIMEOUT_MS: u64 = 1_000;
 
 impl FakeSite {
-    pub(crate) fn submit_request(&mut self, call: CallerRequest) {
-        let host = call.host.or_else(|| self.ready_host());
+    pub(crate) fn submit_request(&mut self, caller_request: CallerRequest) {
+        let host = caller_request.host.or_else(|| self.ready_host());
         let Some(id) = host else { return };
         let Some(host) = self.hosts.get_mut(&id) else { return };
         if host.core.is_none() {
@@ -36,28 +36,29 @@
         host.request_count += 1;
         let generation = host.generation;
         let request = request_id(id, host.incarnation, host.request_count);
-        let plain = call.adapter.is_empty();
-        let model = match call.version {
-            Some(version) => format!("{}@{version}", call.adapter),
-            None => call.adapter.clone(),
+        let plain = caller_request.adapter.is_empty();
+        let model = match caller_request.version {
+            Some(version) => format!("{}@{version}", caller_request.adapter),
+            None => caller_request.adapter.clone(),
         };
-        let organisation = call.adapter.split('/').nth(1).unwrap_or_default().to_owned();
-        let path = SettingsPath::parse(&call.adapter).unwrap_or_default();
+        let organisation = caller_request.adapter.split('/').nth(1).unwrap_or_default().to_owned();
+        let path = SettingsPath::parse(&caller_request.adapter).unwrap_or_default();
         let settings = self.reference.tree().effective(&path);
-        let keyed = call.key.is_some() && call.repeatable != Some(true);
-        let repeatable = !keyed && call.repeatable.unwrap_or(settings.repeatable && !plain);
+        let keyed = caller_request.key.is_some() && caller_request.repeatable != Some(true);
+        let repeatable =
+            !keyed && caller_request.repeatable.unwrap_or(settings.repeatable && !plain);
         self.evidence.callers.insert(
             request,
             CallerRecord {
                 request,
                 host: id,
                 adapter: model.clone(),
-                key: call.key.clone().filter(|_| keyed),
+                key: caller_request.key.clone().filter(|_| keyed),
                 repeatable,
                 worth: settings.worth,
                 organisation,
                 arrived_at: self.now,
-                max_wait_ms: call.max_wait_ms,
+                max_wait_ms: caller_request.max_wait_ms,
                 first_token_at: None,
                 outcome: None,
                 refusal: None,
@@ -74,10 +75,10 @@
         let arrived = ArrivedRequest {
             id: request,
             target,
-            max_wait: Some(std::time::Duration::from_millis(call.max_wait_ms)),
-            repeatable: call.repeatable,
-            key: call.key.map(|text| IdempotencyKey { text, created_millis: None }),
-            max_tokens: Some(call.tokens),
+            max_wait: Some(std::time::Duration::from_millis(caller_request.max_wait_ms)),
+            repeatable: caller_request.repeatable,
+            key: caller_request.key.map(|text| IdempotencyKey { text, created_millis: None }),
+            max_tokens: Some(caller_request.tokens),
         };
         self.deliver_input(id, generation, HostInput::Event(NodeEvent::RequestArrived(arrived)));
     }
--- a/crates/fakes/src/inject.rs
+++ b/crates/fakes/src/inject.rs
@@ -30,8 +30,8 @@
         if target.engine.is_none_or(|engine| !self.engines.contains_key(&engine)) {
             target.engine = self.engines.keys().next().copied();
         }
-        let over = Some(self.now + planned.duration_ms);
-        self.evidence.last_fault_end = self.evidence.last_fault_end.max(over);
+        let fault_end = Some(self.now + planned.duration_ms);
+        self.evidence.last_fault_end = self.evidence.last_fault_end.max(fault_end);
         self.set_fault(planned.fault, target, true);
         self.push(planned.duration_ms, SiteEvent::EndFault(planned, target));
     }
@@ -64,14 +64,14 @@
         }
     }
 
-    pub(crate) fn set_fault(&mut self, fault: FaultKind, target: FaultTarget, on: bool) {
+    pub(crate) fn set_fault(&mut self, fault: FaultKind, target: FaultTarget, enabled: bool) {
         let count = |counter: &mut u32| {
-            *counter = if on { *counter + 1 } else { counter.saturating_sub(1) };
+            *counter = if enabled { *counter + 1 } else { counter.saturating_sub(1) };
         };
         match fault {
-            FaultKind::HostKilled => self.set_host_killed(target, on),
-            FaultKind::HostFrozen => self.set_host_frozen(target, on),
-            FaultKind::EngineRestarted if on => {
+            FaultKind::HostKilled => self.set_host_killed(target, enabled),
+            FaultKind::HostFrozen => self.set_host_frozen(target, enabled),
+            FaultKind::EngineRestarted if enabled => {
                 if let Some(engine) = target.engine {
                     self.restart_engine(engine);
                 }
@@ -103,35 +103,35 @@
                     }
                 }
             }
-            FaultKind::HallPartitioned => self.set_hall_partitioned(target, on),
-            FaultKind::CallerGone if on => self.disconnect_caller(target),
+            FaultKind::HallPartitioned => self.set_hall_partitioned(target, enabled),
+            FaultKind::CallerGone if enabled => self.disconnect_caller(target),
             FaultKind::MessageDuplicated => count(&mut self.active.message_duplicated),
             FaultKind::MessageLate => count(&mut self.active.message_late),
             FaultKind::MessageOutOfOrder => count(&mut self.active.message_out_of_order),
             FaultKind::MessageLost => count(&mut self.active.message_lost),
-            FaultKind::OperatorsRace if on => self.publish_conflicting_changes(),
+            FaultKind::OperatorsRace if enabled => self.publish_conflicting_changes(),
             FaultKind::ClockJump => {
                 const HOUR_MS: i64 = 3_600_000;
                 if let Some(host) = target.host.and_then(|id| self.hosts.get_mut(&id)) {
-                    host.wall_skew += if on { HOUR_MS } else { -HOUR_MS };
+                    host.wall_skew += if enabled { HOUR_MS } else { -HOUR_MS };
                 }
             }
             FaultKind::EngineRestarted | FaultKind::CallerGone | FaultKind::OperatorsRace => {}
         }
     }
 
-    pub(crate) fn set_host_killed(&mut self, target: FaultTarget, on: bool) {
+    pub(crate) fn set_host_killed(&mut self, target: FaultTarget, enabled: bool) {
         let Some(host) = target.host else { return };
-        if on {
+        if enabled {
             self.kill_host(host);
         } else {
             self.start_host(host);
         }
     }
 
-    pub(crate) fn set_host_frozen(&mut self, target: FaultTarget, on: bool) {
+    pub(crate) fn set_host_frozen(&mut self, target: FaultTarget, enabled: bool) {
         let Some(id) = target.host else { return };
-        if on {
+        if enabled {
             if let Some(host) = self.hosts.get_mut(&id) {
                 host.frozen = host.core.is_some();
             }
@@ -140,10 +140,10 @@
         }
     }
 
-    pub(crate) fn set_hall_partitioned(&mut self, target: FaultTarget, on: bool) {
+    pub(crate) fn set_hall_partitioned(&mut self, target: FaultTarget, enabled: bool) {
         let hall = target.hall.or_else(|| self.halls.first().copied());
         let Some(hall) = hall else { return };
-        if on {
+        if enabled {
             self.active.partitioned_halls.push(hall);
         } else if let Some(index) =
             self.active.partitioned_halls.iter().position(|partitioned| *partitioned == hall)
--- a/crates/fakes/src/orders.rs
+++ b/crates/fakes/src/orders.rs
@@ -151,11 +151,11 @@
         let slot = engine.slots.get(&adapter).copied();
         if let Some(FakeSlot::Loaded { used }) = slot {
             engine.slots.remove(&adapter);
-            let on = |running: &RunningRequest| running.adapter == adapter;
+            let uses_adapter = |running: &RunningRequest| running.adapter == adapter;
             let interrupted: Vec<RequestId> = engine
                 .running
                 .iter()
-                .filter(|(_, running)| on(running))
+                .filter(|(_, running)| uses_adapter(running))
                 .map(|(request, _)| *request)
                 .collect();
             for request in &interrupted {
--- a/crates/fakes/src/script.rs
+++ b/crates/fakes/src/script.rs
@@ -134,22 +134,22 @@
         at += rng.random_range(1..2 * script.mean_call_interval_ms);
     }
     // Some come late, for adapters that fit into the slots, and must be answered if no fault holds.
-    let fitting = ADAPTERS.iter().take(4).cycle();
-    for (index, (organisation, adapter)) in (0..20).zip(fitting) {
-        let call = CallerRequest {
+    let cached_adapters = ADAPTERS.iter().take(4).cycle();
+    for (index, (organisation, adapter)) in (0..20).zip(cached_adapters) {
+        let request = CallerRequest {
             adapter: format!("assist/{organisation}/{adapter}"),
             version: Some(1),
             repeatable: Some(true),
             max_wait_ms: 9_000,
             ..random_request(&mut rng)
         };
-        site.schedule_request(script.end - FINAL_REQUESTS_MS + index * 500, call);
+        site.schedule_request(script.end - FINAL_REQUESTS_MS + index * 500, request);
     }
 }
 
 fn random_request(rng: &mut Pcg64Mcg) -> CallerRequest {
-    let skewed = rng.random_range(0..ADAPTERS.len()).min(rng.random_range(0..ADAPTERS.len()));
-    let (organisation, adapter) = ADAPTERS[skewed];
+    let index = rng.random_range(0..ADAPTERS.len()).min(rng.random_range(0..ADAPTERS.len()));
+    let (organisation, adapter) = ADAPTERS[index];
     CallerRequest {
         host: None,
         adapter: format!("assist/{organisation}/{adapter}"),
@@ -162,21 +162,21 @@
 }
 
 fn schedule_random_request(site: &mut FakeSite, rng: &mut Pcg64Mcg, at: u64, number: u64) {
-    let mut call = random_request(rng);
+    let mut request = random_request(rng);
     match rng.random_range(0..10) {
         // The same key comes by two hosts at once, or again a little later.
         0 => {
-            call.key = Some(format!("key-{number}"));
-            call.repeatable = None;
-            site.schedule_request(at, call.clone());
-            site.schedule_request(at + rng.random_range(0..400), call);
+            request.key = Some(format!("key-{number}"));
+            request.repeatable = None;
+            site.schedule_request(at, request.clone());
+            site.schedule_request(at + rng.random_range(0..400), request);
         }
         1 => {
-            call.adapter = String::new();
-            call.version = None;
-            call.repeatable = None;
-            site.schedule_request(at, call);
+            request.adapter = String::new();
+            request.version = None;
+            request.repeatable = None;
+            site.schedule_request(at, request);
         }
-        _ => site.schedule_request(at, call),
+        _ => site.schedule_request(at, request),
     }
 }
--- a/crates/fakes/src/site.rs
+++ b/crates/fakes/src/site.rs
@@ -183,8 +183,8 @@
     /// Changes the host list, which shows it some time later.
     pub(crate) fn change_host_list(&mut self, change: HostListChange) {
         const HOST_LIST_LAG_MS: u64 = 1_500;
-        let shown = if self.now == 0 { 0 } else { self.now + HOST_LIST_LAG_MS };
-        self.host_changes.push((shown, change));
+        let visible_at = if self.now == 0 { 0 } else { self.now + HOST_LIST_LAG_MS };
+        self.host_changes.push((visible_at, change));
     }
 
     /// Puts something into the queue, `delay` milliseconds from now.
@@ -367,8 +367,11 @@
             }
             NodeAction::SendOrder { order, .. } => {
                 self.evidence.orders += 1;
-                let late = if self.active.order_late > 0 { 3_000 } else { 0 };
-                self.push(HALL_DELAY_MS + late, SiteEvent::Order { host: id, generation, order });
+                let extra_delay = if self.active.order_late > 0 { 3_000 } else { 0 };
+                self.push(
+                    HALL_DELAY_MS + extra_delay,
+                    SiteEvent::Order { host: id, generation, order },
+                );
             }
             NodeAction::FetchReport { engine, .. } => {
                 self.evidence.report_fetches += 1;
@@ -376,9 +379,9 @@
             }
             NodeAction::Append { stream, payload, ticket } => {
                 self.evidence.appends += 1;
-                let slow = if self.active.log_slow > 0 { 2_500 } else { 2 };
+                let delay = if self.active.log_slow > 0 { 2_500 } else { 2 };
                 self.push(
-                    slow,
+                    delay,
                     SiteEvent::Append { host: id, generation, stream, payload, ticket },
                 );
             }
--- a/crates/fakes/src/site/lifecycle.rs
+++ b/crates/fakes/src/site/lifecycle.rs
@@ -101,7 +101,7 @@
     }
 
     pub(crate) fn read_log(&mut self, id: HostId, generation: u64, stream: LogStream) {
-        let slow = if self.active.log_slow > 0 { 2_500 } else { 1 };
+        let delay = if self.active.log_slow > 0 { 2_500 } else { 1 };
         let unavailable = self.active.log_unavailable > 0 || !self.reaches_platform(id);
         let mutation = self.config.mutation;
         let Some(host) = self.hosts.get_mut(&id).filter(|host| host.generation == generation)
@@ -135,7 +135,7 @@
         }
         let (era, first) = (self.log.era, self.log.first(stream));
         let event = NodeEvent::LogRead { stream, era, first, records, end };
-        self.push(slow, SiteEvent::Input(id, generation, HostInput::Event(event)));
+        self.push(delay, SiteEvent::Input(id, generation, HostInput::Event(event)));
     }
 
     pub(crate) fn read_hosts(&mut self, id: HostId, generation: u64) {
@@ -144,14 +144,14 @@
         }
         let now = self.now;
         let Some(host) = self.hosts.get_mut(&id) else { return };
-        let shown = self.host_changes.iter().take_while(|(at, _)| *at <= now).count();
-        let fresh: Vec<HostListChange> = self.host_changes
-            [host.host_list_version.min(shown)..shown]
+        let visible_count = self.host_changes.iter().take_while(|(at, _)| *at <= now).count();
+        let new_changes: Vec<HostListChange> = self.host_changes
+            [host.host_list_version.min(visible_count)..visible_count]
             .iter()
             .map(|(_, change)| change.clone())
             .collect();
-        host.host_list_version = shown;
-        for change in fresh {
+        host.host_list_version = visible_count;
+        for change in new_changes {
             let event = NodeEvent::HostListChanged(change);
             self.push(1, SiteEvent::Input(id, generation, HostInput::Event(event)));
         }
--- a/crates/fakes/src/site/messages.rs
+++ b/crates/fakes/src/site/messages.rs
@@ -29,8 +29,8 @@
             return;
         }
         let hall = |site: &Self, id: HostId| site.hosts.get(&id).map(|host| host.hall);
-        let near = hall(self, from) == hall(self, to);
-        let mut delay = if near { HALL_DELAY_MS } else { INTER_HALL_DELAY_MS };
+        let same_hall = hall(self, from) == hall(self, to);
+        let mut delay = if same_hall { HALL_DELAY_MS } else { INTER_HALL_DELAY_MS };
         if self.active.message_late > 0 {
             delay += 2_000;
         }
@@ -38,9 +38,9 @@
             delay += self.rng.random_range(0..800);
         }
         if self.active.message_duplicated > 0 {
-            let again = delay + self.rng.random_range(0..2_000);
+            let duplicate_delay = delay + self.rng.random_range(0..2_000);
             let message = message.clone();
-            self.push(again, SiteEvent::Peer { from, to, stamp, message });
+            self.push(duplicate_delay, SiteEvent::Peer { from, to, stamp, message });
         }
         self.push(delay, SiteEvent::Peer { from, to, stamp, message });
     }
@@ -55,12 +55,12 @@
         let (Some(sender), Some(receiver)) = (self.hosts.get(&from), self.hosts.get(&to)) else {
             return;
         };
-        let crosses = sender.hall != receiver.hall;
+        let crosses_halls = sender.hall != receiver.hall;
         let partitioned = |hall: &HallId| self.active.partitioned_halls.contains(hall);
         if sender.outbound_blocked > 0 || receiver.inbound_blocked > 0 {
             return;
         }
-        if crosses && (partitioned(&sender.hall) || partitioned(&receiver.hall)) {
+        if crosses_halls && (partitioned(&sender.hall) || partitioned(&receiver.hall)) {
             return;
         }
         let generation = receiver.generation;
--- a/crates/fakes/src/store.rs
+++ b/crates/fakes/src/store.rs
@@ -15,8 +15,8 @@
     /// Gives nothing; loads under way stand still.
     pub unavailable: bool,
     loads: BTreeMap<StoreLoad, f64>,
-    next: StoreLoad,
-    at: u64,
+    last_load: StoreLoad,
+    updated_at: u64,
 }
 
 impl FakeStore {
@@ -27,30 +27,30 @@
             slowdown: 1.0,
             unavailable: false,
             loads: BTreeMap::new(),
-            next: 0,
-            at: 0,
+            last_load: 0,
+            updated_at: 0,
         }
     }
 
     /// Moves all loads on to `now`.
     fn advance(&mut self, now: u64) {
-        let passed = now.saturating_sub(self.at) as f64;
-        self.at = now;
+        let elapsed_ms = now.saturating_sub(self.updated_at) as f64;
+        self.updated_at = now;
         if self.unavailable || self.loads.is_empty() {
             return;
         }
-        let share = passed / self.loads.len() as f64 / self.slowdown;
-        for left in self.loads.values_mut() {
-            *left -= share;
+        let share = elapsed_ms / self.loads.len() as f64 / self.slowdown;
+        for remaining_ms in self.loads.values_mut() {
+            *remaining_ms -= share;
         }
     }
 
     /// Begins a load.
     pub(crate) fn begin(&mut self, now: u64) -> StoreLoad {
         self.advance(now);
-        self.next += 1;
-        self.loads.insert(self.next, self.unshared_load_ms);
-        self.next
+        self.last_load += 1;
+        self.loads.insert(self.last_load, self.unshared_load_ms);
+        self.last_load
     }
 
     /// Returns the loads that are done by `now`, and takes them out.
@@ -60,7 +60,7 @@
         let done: Vec<StoreLoad> = self
             .loads
             .iter()
-            .filter(|(_, left)| **left < COMPLETION_TOLERANCE_MS)
+            .filter(|(_, remaining_ms)| **remaining_ms < COMPLETION_TOLERANCE_MS)
             .map(|(load, _)| *load)
             .collect();
         for load in &done {
@@ -74,10 +74,11 @@
         if self.unavailable {
             return None;
         }
-        let least = self.loads.values().copied().reduce(f64::min)?;
-        let left = (least * self.loads.len() as f64 * self.slowdown).ceil().max(1.0);
+        let least_remaining_ms = self.loads.values().copied().reduce(f64::min)?;
+        let remaining_ms =
+            (least_remaining_ms * self.loads.len() as f64 * self.slowdown).ceil().max(1.0);
         #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "at least one")]
-        Some(self.at + left as u64)
+        Some(self.updated_at + remaining_ms as u64)
     }
 
     /// Changes speed or presence at `now`.
