--- a/crates/fakes/src/inject.rs
+++ b/crates/fakes/src/inject.rs
@@ -89,7 +89,7 @@
                 self.update_store();
             }
             FaultKind::LogUnavailable | FaultKind::LogRestoredOlder => {
-                count(&mut self.active.log_unavailable)
+                count(&mut self.active.log_unavailable);
             }
             FaultKind::LogSlow => count(&mut self.active.log_slow),
             FaultKind::AppendAnswerLost => count(&mut self.active.append_answer_lost),
--- a/crates/fakes/src/site.rs
+++ b/crates/fakes/src/site.rs
@@ -223,19 +223,19 @@
             SiteEvent::Poll(host, generation) => self.poll(host, generation),
             SiteEvent::ReadLog(host, generation, stream) => self.read_log(host, generation, stream),
             SiteEvent::Input(host, generation, input) => {
-                self.deliver_input(host, generation, input)
+                self.deliver_input(host, generation, input);
             }
             SiteEvent::Peer { from, to, stamp, message } => {
                 self.deliver_message(from, to, stamp, message);
             }
             SiteEvent::Order { host, generation, order } => {
-                self.engine_order(host, generation, order)
+                self.engine_order(host, generation, order);
             }
             SiteEvent::FetchReport { host, generation, engine } => {
-                self.engine_report(host, generation, engine)
+                self.engine_report(host, generation, engine);
             }
             SiteEvent::Request { host, generation, dispatch } => {
-                self.backend_request(host, generation, &dispatch)
+                self.backend_request(host, generation, &dispatch);
             }
             SiteEvent::FirstToken { backend, incarnation, request } => {
                 self.record_first_token(backend, incarnation, request);
@@ -351,7 +351,7 @@
     pub(crate) fn execute_core_action(&mut self, id: HostId, generation: u64, action: NodeAction) {
         match action {
             NodeAction::SendMessage { to, stamp, message, .. } => {
-                self.send_message(id, to, stamp, message)
+                self.send_message(id, to, stamp, message);
             }
             NodeAction::Dispatch(dispatch) => {
                 self.push(0, SiteEvent::Input(id, generation, HostInput::Send(dispatch)));
--- a/crates/fakes/src/site/lifecycle.rs
+++ b/crates/fakes/src/site/lifecycle.rs
@@ -128,7 +128,7 @@
             match stream {
                 LogStream::Claims => self.record_step(StepKind::ClaimReads, Some(id), None, None),
                 LogStream::Settings => {
-                    self.record_step(StepKind::PublicationReads, Some(id), None, None)
+                    self.record_step(StepKind::PublicationReads, Some(id), None, None);
                 }
                 LogStream::Snapshots => {}
             }
--- a/crates/stand-ins/src/engine/serve.rs
+++ b/crates/stand-ins/src/engine/serve.rs
@@ -298,9 +298,9 @@
         match wait_for(shared, id, seen_tokens) {
             Some((produced_tokens, true)) => {
                 detach(shared, id);
-                let words: Vec<String> =
+                let token_texts: Vec<String> =
                     (0..produced_tokens).map(|index| format!(" {index}")).collect();
-                let text = words.concat();
+                let text = token_texts.concat();
                 let choice = if chat {
                     json!({ "index": 0, "message": { "role": "assistant", "content": text },
                             "finish_reason": "length" })
--- a/crates/stand-ins/src/engine/state.rs
+++ b/crates/stand-ins/src/engine/state.rs
@@ -155,10 +155,10 @@
         let mut state = self.lock();
         state.write_report();
         let lag = self.options.report_lag;
-        let old = |reports: &VecDeque<(Instant, EngineReportBody)>| {
+        let is_visible = |reports: &VecDeque<(Instant, EngineReportBody)>| {
             reports.get(1).is_some_and(|(at, _)| at.elapsed() >= lag)
         };
-        while old(&state.reports) {
+        while is_visible(&state.reports) {
             state.reports.pop_front();
         }
         state.reports.front().map(|(_, report)| report.clone()).unwrap_or_default()
@@ -179,8 +179,9 @@
             return;
         }
         let running = |name: &str| {
-            let on = |sequence: &&Sequence| sequence.adapter == name && sequence.is_running();
-            u32::try_from(self.sequences.values().filter(on).count()).unwrap_or(u32::MAX)
+            let runs_adapter =
+                |sequence: &&Sequence| sequence.adapter == name && sequence.is_running();
+            u32::try_from(self.sequences.values().filter(runs_adapter).count()).unwrap_or(u32::MAX)
         };
         let loaded = self.slots.iter().filter(|(_, slot)| **slot == Slot::Loaded);
         let loading = self.slots.iter().filter(|(_, slot)| **slot == Slot::Loading);
--- a/crates/stand-ins/src/http.rs
+++ b/crates/stand-ins/src/http.rs
@@ -95,11 +95,11 @@
 
 /// Returns a request's header.
 pub fn header<'a>(request: &'a Request, name: &str) -> Option<&'a str> {
-    let found = request
+    let header_field = request
         .headers()
         .iter()
         .find(|header| header.field.as_str().as_str().eq_ignore_ascii_case(name));
-    found.map(|header| header.value.as_str())
+    header_field.map(|header| header.value.as_str())
 }
 
 /// Reads a request's whole body.
--- a/crates/stand-ins/src/platform.rs
+++ b/crates/stand-ins/src/platform.rs
@@ -194,10 +194,10 @@
         }
         (Method::Post, ["store", "loads"]) => {
             let body = read_body(&mut request);
-            let call = serde_json::from_slice::<LoadRequest>(&body);
-            let loaded = call
-                .ok()
-                .and_then(|call| state.faults.store.apply(|| state.store.load(&call.adapter)));
+            let load_request = serde_json::from_slice::<LoadRequest>(&body);
+            let loaded = load_request.ok().and_then(|load_request| {
+                state.faults.store.apply(|| state.store.load(&load_request.adapter))
+            });
             match loaded {
                 Some(true) => respond_json(request, 200, &ErrorBody { error: "" }),
                 Some(false) => respond_json(request, 404, &ErrorBody { error: "no such adapter" }),
--- a/crates/stand-ins/src/platform/hosts.rs
+++ b/crates/stand-ins/src/platform/hosts.rs
@@ -156,10 +156,11 @@
     /// Returns what changed since a version and is old enough to be shown.
     pub fn since(&self, version: u64) -> HostChanges {
         let state = self.lock();
-        let shown = state.changes.iter().take_while(|(at, _)| at.elapsed() >= self.lag).count();
+        let visible_count =
+            state.changes.iter().take_while(|(at, _)| at.elapsed() >= self.lag).count();
         let skip = usize::try_from(version).unwrap_or(usize::MAX);
         let mut latest: BTreeMap<(HostRole, u32), Option<HostRecord>> = BTreeMap::new();
-        for (_, change) in state.changes.iter().take(shown).skip(skip) {
+        for (_, change) in state.changes.iter().take(visible_count).skip(skip) {
             match change {
                 HostChange::Put(record) => {
                     latest.insert((record.role, record.id), Some(record.clone()));
@@ -169,7 +170,7 @@
                 }
             }
         }
-        let mut changes = HostChanges { version: shown as u64, ..HostChanges::default() };
+        let mut changes = HostChanges { version: visible_count as u64, ..HostChanges::default() };
         for (name, record) in latest {
             match record {
                 Some(record) => changes.entries.push(record),
--- a/crates/stand-ins/src/platform/log.rs
+++ b/crates/stand-ins/src/platform/log.rs
@@ -130,12 +130,12 @@
         ReadResult { era, first: stream.first, end, records }
     }
 
-    /// Comes back from a copy of itself that lacks the last `lost` records of each stream; their offsets are given out again.
-    pub fn restore_older_copy(&self, lost: usize) {
+    /// Comes back from a copy of itself that lacks the last `lost_records` records of each stream; their offsets are given out again.
+    pub fn restore_older_copy(&self, lost_records: usize) {
         let mut state = self.lock();
         state.era += 1;
         for stream in state.by_name.values_mut() {
-            let retained_count = stream.records.len().saturating_sub(lost);
+            let retained_count = stream.records.len().saturating_sub(lost_records);
             stream.records.truncate(retained_count);
         }
         self.appended.notify_all();
--- a/crates/stand-ins/src/platform/store.rs
+++ b/crates/stand-ins/src/platform/store.rs
@@ -40,11 +40,11 @@
     /// Loads an adapter, which takes longer the more loads run; says whether it is there.
     pub fn load(&self, adapter: &str) -> bool {
         self.active.fetch_add(1, Ordering::Relaxed);
-        let mut done = Duration::ZERO;
-        while done < self.unshared_load_time {
+        let mut progress = Duration::ZERO;
+        while progress < self.unshared_load_time {
             thread::sleep(PROGRESS_INTERVAL);
-            let sharing = self.active.load(Ordering::Relaxed).max(1);
-            done += PROGRESS_INTERVAL / u32::try_from(sharing).unwrap_or(u32::MAX);
+            let concurrent_loads = self.active.load(Ordering::Relaxed).max(1);
+            progress += PROGRESS_INTERVAL / u32::try_from(concurrent_loads).unwrap_or(u32::MAX);
         }
         self.active.fetch_sub(1, Ordering::Relaxed);
         !self.missing.lock().unwrap_or_else(PoisonError::into_inner).contains(adapter)
