--- a/crates/fakes/src/actions.rs
+++ b/crates/fakes/src/actions.rs
@@ -1,4 +1,4 @@
-//! Appends, publications, and what scripts have done to hosts and engines.
+//! Appends to the log, publications, and the scripted actions on hosts and engines.
 
 use reelreel_core::{
     NodeEvent,
@@ -17,7 +17,7 @@
     },
 };
 
-/// Plans a fault that a script lets strike, whatever the step.
+/// Creates a fault that a script injects directly; its step and occurrence are not used.
 const fn immediate_fault(fault: FaultKind, duration_ms: u64) -> PlannedFault {
     PlannedFault { fault, step: StepKind::LoadBegins, nth: 0, duration_ms }
 }
@@ -36,7 +36,7 @@
         ticket: u64,
     ) {
         let result = if self.active.log_unavailable > 0 || !self.reaches_platform(id) {
-            // The platform can not be reached at all, so nothing is written.
+            // The platform is unreachable, so the record is certainly not written.
             AppendResult::Refused
         } else {
             if stream == LogStream::Claims {
@@ -55,7 +55,7 @@
         self.push(delay, SiteEvent::Input(id, generation, HostInput::Event(event)));
     }
 
-    /// Readers that wait at the end of a stream get new records at once.
+    /// Schedules a read of the stream for every host, so that followers get new records at once.
     pub(crate) fn notify_readers(&mut self, stream: LogStream) {
         let readers: Vec<(HostId, u64)> =
             self.hosts.values().map(|host| (host.host, host.generation)).collect();
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Publishes a change into the log.
+    /// Appends a change to the settings stream.
     pub fn publish(&mut self, record: &ChangeRecord) {
         self.record_step(StepKind::PublicationAppends, None, None, None);
         let payload = serde_json::to_vec(record).unwrap_or_default();
@@ -132,7 +132,7 @@
         self.push(6_000, SiteEvent::RemoveEngine(engine));
     }
 
-    /// A leaving engine goes away once nothing runs on it.
+    /// Removes a leaving engine from the host list once no request runs on it.
     pub(crate) fn remove_drained_engine(&mut self, engine: EngineId) {
         let Some(fake) = self.engines.get_mut(&engine) else { return };
         if fake.leaving_since.is_none() {
--- a/crates/fakes/src/check.rs
+++ b/crates/fakes/src/check.rs
@@ -1,4 +1,4 @@
-//! The eight promises, checked from what the fakes saw.
+//! Checks the eight promises against the recorded evidence.
 
 use std::collections::BTreeMap;
 
@@ -6,51 +6,51 @@
 
 use crate::{evidence::Evidence, script::FINAL_REQUESTS_MS, site::FakeSite};
 
-/// A promise of the brief, in its order; the last one is that things go on afterwards.
+/// A property that must hold in every run, whatever faults are injected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Promise {
-    /// Every request runs on the adapter and version it named, or on none.
+    /// A request runs only on the adapter and version that it names.
     NamedAdapter,
-    /// An adapter that is serving is never unloaded.
+    /// An adapter is never unloaded while requests run on it.
     ServingAdapterNotUnloaded,
-    /// Each caller receives the whole answer to its own request.
+    /// Each answered caller receives the complete answer to its own request.
     OwnCompleteAnswer,
-    /// What is told as not run was not run.
+    /// A request reported as not run did not run.
     NotRunIsAccurate,
-    /// What is not repeatable runs at most once.
+    /// A request that is not repeatable runs at most once.
     AtMostOnce,
-    /// A leaving backend server gets nothing new after a few seconds.
+    /// A leaving backend server receives no new requests after a grace period.
     NoNewRequestsWhenLeaving,
-    /// A planned stop cuts nothing off.
+    /// A planned stop interrupts no request.
     GracefulStop,
-    /// A configuration is in force within seconds and never goes back.
+    /// An accepted configuration is applied by all hosts in time and never reverted.
     ConfigurationConverges,
-    /// Callers get final answers, and the site serves again once the faults are over.
+    /// Callers get a final answer, and requests are answered again after the last fault.
     Recovery,
 }
 
-/// A promise that did not hold.
+/// A violation of a promise.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PromiseViolation {
-    /// Which.
+    /// The violated promise.
     pub promise: Promise,
-    /// What was seen.
+    /// A description of the violation.
     pub detail: String,
 }
 
-/// How long a leaving backend server may still get requests, in milliseconds.
+/// How long a leaving backend server may still receive requests, in milliseconds.
 const LEAVING_GRACE_MS: u64 = 5_000;
 
-/// How long an accepted configuration may take to be in force everywhere, in milliseconds.
+/// How long an accepted configuration may take to be applied on all hosts, in milliseconds.
 const MAX_APPLY_MS: u64 = 15_000;
 
-/// How long after the last fault the site may take to serve again, in milliseconds.
+/// How long after the last fault requests may still fail, in milliseconds.
 const MAX_RECOVERY_MS: u64 = 8_000;
 
-/// How late beyond its patience a caller may be told, in milliseconds.
+/// How long after its maximum wait a caller must have received an outcome, in milliseconds.
 const ANSWER_GRACE_MS: u64 = 3_000;
 
-/// Checks all promises.
+/// Checks all promises and returns the violations.
 pub fn check_promises(site: &FakeSite) -> Vec<PromiseViolation> {
     let mut checker = PromiseChecker { site, evidence: &site.evidence, violations: Vec::new() };
     checker.named_adapter();
@@ -106,7 +106,7 @@
 
     fn serving_adapter_not_unloaded(&mut self) {
         for request in &self.evidence.interrupted_by_unload {
-            let detail = format!("{request:x} was cut by an unload");
+            let detail = format!("{request:x} was interrupted by an unload");
             self.violations
                 .push(PromiseViolation { promise: Promise::ServingAdapterNotUnloaded, detail });
         }
@@ -114,7 +114,7 @@
 
     fn own_complete_answer(&mut self) {
         for request in &self.evidence.misdelivered {
-            let detail = format!("{request:x} got another run's answer");
+            let detail = format!("{request:x} received the answer to another request");
             self.violations.push(PromiseViolation { promise: Promise::OwnCompleteAnswer, detail });
         }
         let has_completed_run = |request: &RequestId| {
@@ -130,7 +130,7 @@
             .filter(|caller| matches!(caller.outcome, Some((CallerOutcome::Answered, _))));
         let incomplete: Vec<String> = answered
             .filter(|caller| !has_completed_run(&caller.request))
-            .map(|caller| format!("{:x} was answered without a whole run", caller.request))
+            .map(|caller| format!("{:x} was answered without a completed run", caller.request))
             .collect();
         for detail in incomplete {
             self.report_violation(Promise::OwnCompleteAnswer, detail);
@@ -145,7 +145,9 @@
             .values()
             .filter(|caller| matches!(caller.outcome, Some((CallerOutcome::NotRun, _))))
             .filter(|caller| runs.contains_key(&caller.request))
-            .map(|caller| format!("{:x} was told not run ({:?})", caller.request, caller.refusal))
+            .map(|caller| {
+                format!("{:x} was reported as not run ({:?})", caller.request, caller.refusal)
+            })
             .collect();
         for detail in details {
             self.report_violation(Promise::NotRunIsAccurate, detail);
@@ -188,7 +190,7 @@
 
     fn graceful_stop(&mut self) {
         for request in &self.evidence.interrupted_by_stop {
-            let detail = format!("{request:x} was cut by a planned stop");
+            let detail = format!("{request:x} was interrupted by a planned stop");
             self.violations.push(PromiseViolation { promise: Promise::GracefulStop, detail });
         }
     }
@@ -199,7 +201,10 @@
         for record in &self.evidence.revision_changes {
             let known = last.insert((record.host, record.generation), record.revision);
             if known.is_some_and(|known| known > record.revision) {
-                details.push(format!("host {} went back to {}", record.host, record.revision));
+                details.push(format!(
+                    "host {} went back to revision {}",
+                    record.host, record.revision
+                ));
             }
         }
         let newest = self.site.reference.revision();
@@ -209,18 +214,22 @@
         for (host, core) in self.site.cores() {
             if settled && core.settings().revision() != newest {
                 let revision = core.settings().revision();
-                details.push(format!("host {host} is at {revision}, accepted is {newest}"));
+                details
+                    .push(format!("host {host} applies revision {revision} instead of {newest}"));
             }
             let snapshot = core.settings().snapshot();
             if snapshot.next_offset == reference.next_offset && snapshot.digest != reference.digest
             {
-                details.push(format!("host {host} has another tree"));
+                details.push(format!("host {host} has different settings at the same offset"));
             }
         }
         for host in self.site.hosts.values() {
             let ready = host.core.as_ref().is_some_and(reelreel_core::NodeCore::is_ready);
             if ready && host.last_revision < host.highest_past_revision {
-                details.push(format!("host {} serves an older revision", host.host));
+                details.push(format!(
+                    "host {} serves with an older revision than before its restart",
+                    host.host
+                ));
             }
         }
         for detail in details {
@@ -241,7 +250,7 @@
             let deadline = caller.arrived_at + caller.max_wait_ms + ANSWER_GRACE_MS;
             let started = caller.first_token_at.is_some() || caller.first_run_at.is_some();
             if caller.outcome.is_none() && deadline < end && !started {
-                details.push(format!("{:x} was never told anything", caller.request));
+                details.push(format!("{:x} never received an outcome", caller.request));
             }
             if caller.arrived_at >= end.saturating_sub(FINAL_REQUESTS_MS).max(recovery_deadline) {
                 final_requests.1 += 1;
@@ -254,7 +263,9 @@
         }
         if final_requests.0 * 10 < final_requests.1 * 9 {
             let (answered, all) = final_requests;
-            details.push(format!("{answered} of the last {all} calls answered: {unanswered:?}"));
+            details.push(format!(
+                "{answered} of the last {all} requests were answered; not answered: {unanswered:?}"
+            ));
         }
         for detail in details {
             self.report_violation(Promise::Recovery, detail);
--- a/crates/fakes/src/engine.rs
+++ b/crates/fakes/src/engine.rs
@@ -1,4 +1,4 @@
-//! A model engine, as far as the core sees it.
+//! A fake model engine with the behaviour that the core observes.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -10,47 +10,47 @@
 
 use crate::store::StoreLoad;
 
-/// How an engine is made.
+/// The configuration of a [`FakeEngine`].
 #[derive(Debug, Clone)]
 pub struct EngineConfig {
-    /// Its number.
+    /// The engine's ID.
     pub engine: EngineId,
-    /// Its hall.
+    /// The data hall that it runs in.
     pub hall: HallId,
-    /// Its service's name.
+    /// The name of its service.
     pub service: String,
-    /// Adapters it holds.
+    /// The number of adapters that it can hold.
     pub slots: u32,
-    /// Requests it runs at once.
+    /// The number of requests in a batch; twice as many are admitted.
     pub streams: u32,
-    /// Whether it checks tokens.
+    /// Whether it rejects stale fencing tokens.
     pub checks_fence: bool,
 }
 
-/// One request that runs.
+/// A running request.
 #[derive(Debug, Clone)]
 pub(crate) struct RunningRequest {
     pub(crate) adapter: AdapterKey,
     pub(crate) run: usize,
 }
 
-/// One adapter in its slot.
+/// The state of an adapter slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum FakeSlot {
     Loading(StoreLoad),
     Loaded { used: bool },
 }
 
-/// A model engine.
+/// A fake model engine.
 #[derive(Debug)]
 pub struct FakeEngine {
-    /// How it was made.
+    /// The engine's configuration.
     pub config: EngineConfig,
-    /// Its life.
+    /// The incarnation, which increases with each restart.
     pub incarnation: u64,
-    /// Since when it is leaving.
+    /// When it started leaving, in milliseconds.
     pub leaving_since: Option<u64>,
-    /// Gone from the site.
+    /// Whether it has been removed from the site.
     pub removed: bool,
     pub(crate) sequence: u64,
     pub(crate) token: FenceToken,
@@ -60,11 +60,11 @@
     changed_at: u64,
 }
 
-/// How late a report is, in milliseconds.
+/// The age at which a report becomes visible, in milliseconds.
 const REPORT_LAG_MS: u64 = 200;
 
 impl FakeEngine {
-    /// Starts an engine with nothing loaded.
+    /// Creates an engine with no adapter loaded.
     pub fn new(config: EngineConfig) -> Self {
         Self {
             config,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Returns the engine's entry of the host list.
+    /// Returns the engine's entry in the host list.
     pub fn info(&self) -> EngineInfo {
         EngineInfo {
             engine: self.config.engine,
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Returns the newest report that is old enough to be shown.
+    /// Returns the newest report that is old enough to be visible, or the oldest one.
     pub fn report(&self, now: u64) -> EngineReport {
         let visible = self.reports.iter().rev().find(|(at, _)| at + REPORT_LAG_MS <= now);
         match visible.or(self.reports.front()) {
@@ -142,7 +142,7 @@
         OrderResult::Done { incarnation: self.incarnation, sequence: self.sequence }
     }
 
-    /// Checks a token, as far as the engine checks any.
+    /// Checks a fencing token and accepts a higher one; without fencing, any token passes.
     pub(crate) fn check_fence(&mut self, token: FenceToken, now: u64) -> Result<(), FenceToken> {
         if !self.config.checks_fence {
             return Ok(());
@@ -157,7 +157,7 @@
         Ok(())
     }
 
-    /// Says why a request would not be run, if it would not.
+    /// Returns why a request is rejected, or `None` if it would run.
     pub(crate) fn not_run_reason(
         &mut self,
         adapter: AdapterKey,
@@ -175,7 +175,8 @@
         (self.running.len() >= capacity).then_some(NotRunReason::Full)
     }
 
-    /// Begins a new life: nothing is loaded and nothing runs. Returns what was cut.
+    /// Starts a new incarnation without adapters or requests. Returns the interrupted requests and
+    /// loads.
     pub(crate) fn restart(&mut self, now: u64) -> (Vec<RequestId>, Vec<StoreLoad>) {
         self.incarnation += 1;
         self.sequence = 0;
--- a/crates/fakes/src/evidence.rs
+++ b/crates/fakes/src/evidence.rs
@@ -1,4 +1,4 @@
-//! What the fakes saw.
+//! Records of what happened during a run.
 
 use std::collections::BTreeMap;
 
@@ -7,63 +7,63 @@
     id::{HostId, RequestId, Revision},
 };
 
-/// One request's run on a backend server.
+/// A run of a request on a backend server.
 #[derive(Debug, Clone)]
 pub struct RunRecord {
     /// The request.
     pub request: RequestId,
-    /// The engine, or the plain server plus a million.
+    /// The engine's ID, or the plain server's ID plus 1,000,000.
     pub backend: u32,
-    /// The adapter's name as the engine ran it.
+    /// The name of the adapter that the engine used.
     pub adapter: String,
-    /// When it began, in milliseconds.
+    /// When it started, in milliseconds.
     pub started_at: u64,
-    /// When it ended whole, if it did.
+    /// When it completed, in milliseconds; `None` if it was interrupted or still runs.
     pub completed_at: Option<u64>,
 }
 
-/// Plain servers are numbered from here in [`RunRecord::backend`].
+/// Added to the number of a plain server in [`RunRecord::backend`], to tell it from an engine.
 pub(crate) const SERVER_NUMBER_OFFSET: u32 = 1_000_000;
 
-/// One caller's request, from its side.
+/// A request as its caller sees it.
 #[derive(Debug, Clone)]
 pub struct CallerRecord {
     /// The request.
     pub request: RequestId,
-    /// The host that it came to.
+    /// The host that received it.
     pub host: HostId,
-    /// The adapter's name that it must run on; empty for a plain service.
+    /// The name of the adapter that it must run on; empty for a plain service.
     pub adapter: String,
-    /// The caller's key.
+    /// The idempotency key, unless the request may be repeated.
     pub key: Option<String>,
     /// Whether it may run more than once.
     pub repeatable: bool,
-    /// What it is worth.
+    /// The worth of the request according to the settings.
     pub worth: f64,
-    /// The organisation's name.
+    /// The name of the organisation.
     pub organisation: String,
-    /// When it came, in milliseconds.
+    /// When it arrived, in milliseconds.
     pub arrived_at: u64,
-    /// How long the caller waits for the first token.
+    /// How long the caller waits for the first token, in milliseconds.
     pub max_wait_ms: u64,
-    /// When the first token came.
+    /// When the first token arrived, in milliseconds.
     pub first_token_at: Option<u64>,
-    /// What the caller was told in the end, and when.
+    /// The outcome that the caller received, and when, in milliseconds.
     pub outcome: Option<(CallerOutcome, u64)>,
-    /// Why it was refused.
+    /// Why the request was refused.
     pub refusal: Option<RefusalKind>,
-    /// Whether the caller itself hung up.
+    /// Whether the caller disconnected, or its host was killed.
     pub disconnected: bool,
-    /// When it had to wait for a load: how long, in milliseconds.
+    /// When the request first ran, in milliseconds.
     pub first_run_at: Option<u64>,
 }
 
-/// A moment at which a configuration came into force on a host.
+/// A change of the settings revision that a host applies.
 #[derive(Debug, Clone, Copy)]
 pub struct RevisionChange {
     /// The host.
     pub host: HostId,
-    /// The host's life.
+    /// How often the host has been started.
     pub generation: u64,
     /// The revision.
     pub revision: Revision,
@@ -71,45 +71,45 @@
     pub at: u64,
 }
 
-/// All that the fakes saw.
+/// The records of a run.
 #[derive(Debug, Default)]
 pub struct Evidence {
-    /// Runs, in the order they began.
+    /// Runs in the order of their start.
     pub runs: Vec<RunRecord>,
-    /// Callers' requests by id.
+    /// Requests of callers by ID.
     pub callers: BTreeMap<RequestId, CallerRecord>,
-    /// Requests cut because their adapter was unloaded while they ran.
+    /// Requests interrupted by an unload of their adapter.
     pub interrupted_by_unload: Vec<RequestId>,
-    /// Requests cut because an engine or host that stopped as planned went away.
+    /// Requests interrupted by the planned stop of their host.
     pub interrupted_by_stop: Vec<RequestId>,
-    /// Answers that reached a caller from another request's run.
+    /// Requests whose caller received the answer to another request.
     pub misdelivered: Vec<RequestId>,
-    /// Requests that a leaving backend server got, with how late in milliseconds.
+    /// Requests that a leaving engine received, with the milliseconds since it started leaving.
     pub received_while_leaving: Vec<(RequestId, u64)>,
-    /// Configurations coming into force.
+    /// Changes of the revision that hosts apply.
     pub revision_changes: Vec<RevisionChange>,
-    /// Configurations accepted by the log: revision and time.
+    /// When each revision was accepted, in milliseconds.
     pub accepted_at: BTreeMap<Revision, u64>,
-    /// Loads begun, and those that failed.
+    /// Started loads, including those that fail.
     pub loads: u64,
-    /// Loads of adapters that ran nothing before they were unloaded again.
+    /// Loads of adapters that were unloaded before a request ran on them.
     pub unused_loads: u64,
     /// Messages between hosts.
     pub messages: u64,
-    /// Their bytes, where a measure is set.
+    /// The bytes of these messages, if [`FakeSite::measure`](crate::FakeSite::measure) is set.
     pub message_bytes: u64,
-    /// Reports asked of engines.
+    /// Fetches of engine reports.
     pub report_fetches: u64,
-    /// Orders to engines.
+    /// Orders sent to engines.
     pub orders: u64,
     /// Appends to the log.
     pub appends: u64,
-    /// Running requests times milliseconds, and milliseconds in which anything ran, by engine.
+    /// Request-milliseconds and milliseconds with at least one running request, by engine.
     pub busy_time: BTreeMap<u32, (f64, f64)>,
-    /// Since when each engine's share of `busy` is added up.
+    /// When each engine's entry in `busy_time` was last updated, in milliseconds.
     pub busy_updated_at: BTreeMap<u32, f64>,
-    /// When the last fault ended, or will.
+    /// The end of the last fault, in milliseconds; may be in the future.
     pub last_fault_end: Option<u64>,
-    /// How often each step happened.
+    /// The number of occurrences of each step.
     pub step_counts: BTreeMap<crate::StepKind, u64>,
 }
--- a/crates/fakes/src/exchange.rs
+++ b/crates/fakes/src/exchange.rs
@@ -1,4 +1,4 @@
-//! Callers and what backend servers do with their requests.
+//! Requests from callers and their execution on backend servers.
 
 use reelreel_core::{
     CallerOutcome, NodeEvent, RequestRefusal,
@@ -16,13 +16,13 @@
     site::{CallerRequest, FakeSite, HALL_DELAY_MS, SiteEvent, SiteMutation},
 };
 
-/// Milliseconds of one engine step, in which each running request gets a token.
+/// The duration of an engine step, which produces one token per request, in milliseconds.
 const ENGINE_STEP_MS: u64 = 10;
 
-/// Milliseconds that a plain call runs.
+/// How long a request runs on a plain server, in milliseconds.
 const PLAIN_RUN_MS: u64 = 40;
 
-/// How long a host waits for a backend server that it can not reach.
+/// When a host gives up on a backend server that it cannot reach, in milliseconds.
 pub(crate) const CONNECT_TIMEOUT_MS: u64 = 1_000;
 
 impl FakeSite {
@@ -83,7 +83,7 @@
         self.deliver_input(id, generation, HostInput::Event(NodeEvent::RequestArrived(arrived)));
     }
 
-    /// Notes what a caller was told.
+    /// Records that a caller received a refusal.
     pub(crate) fn record_refusal(&mut self, request: RequestId, refusal: &RequestRefusal) {
         let now = self.now;
         if let Some(caller) = self.evidence.callers.get_mut(&request) {
@@ -96,7 +96,7 @@
         }
     }
 
-    /// A traffic thread writes a request to a backend server.
+    /// Writes a request to a backend server, as a traffic thread does.
     pub(crate) fn send_request(&mut self, id: HostId, dispatch: RequestDispatch) {
         self.record_step(StepKind::RequestSends, Some(id), None, Some(dispatch.request));
         let Some(host) = self.hosts.get_mut(&id) else { return };
@@ -125,7 +125,7 @@
         self.push(HALL_DELAY_MS, SiteEvent::Request { host: id, generation, dispatch });
     }
 
-    /// Tells a host how an exchange ended.
+    /// Schedules the event that reports the result of an exchange to a host.
     pub(crate) fn exchange_ended(
         &mut self,
         id: HostId,
@@ -216,8 +216,8 @@
         self.trace_line(|| {
             let (request, adapter) = (dispatch.request, &dispatch.adapter_name);
             format!(
-                "request {request:x} from host {id} for {adapter} with {:x} at engine {backend} \
-                 ({token:x}): {refusal:?}",
+                "request {request:x} from host {id} for {adapter} with token {:x} at engine {backend} \
+                 (token {token:x}): {refusal:?}",
                 dispatch.token
             )
         });
@@ -250,7 +250,7 @@
         self.record_busy_time(backend);
         let engine = self.engines.get_mut(&backend);
         if engine.as_ref().is_none_or(|engine| engine.incarnation != incarnation) {
-            // The step restarted the engine with the request on it.
+            // A fault injected at the step may have restarted the engine.
             self.interrupt_requests(vec![dispatch.request]);
             return;
         }
@@ -288,7 +288,7 @@
         }
     }
 
-    /// Adds up how full an engine was since its last change.
+    /// Accounts the running requests of an engine since its last change.
     pub(crate) fn record_busy_time(&mut self, engine: EngineId) {
         let now = self.now as f64;
         let Some(fake) = self.engines.get(&engine) else { return };
@@ -346,7 +346,7 @@
         self.deliver_answer(host, request, run, backend);
     }
 
-    /// Brings an answer to the host, which has passed it on to the caller by then.
+    /// Delivers an answer to the caller and reports the end of the exchange to its host.
     pub(crate) fn deliver_answer(
         &mut self,
         id: HostId,
@@ -385,7 +385,7 @@
         self.exchange_ended(id, generation, request, DispatchResult::Answered, HALL_DELAY_MS);
     }
 
-    /// Breaks off what ran on an engine.
+    /// Reports requests that an engine stopped running as interrupted.
     pub(crate) fn interrupt_requests(&mut self, requests: Vec<RequestId>) {
         for request in requests {
             let Some(caller) = self.evidence.callers.get(&request) else { continue };
@@ -400,7 +400,7 @@
     }
 }
 
-/// Returns which backend server an address names.
+/// Returns the backend server at an address, numbered as in [`RunRecord::backend`].
 fn backend_of(address: &str) -> u32 {
     let number = |text: &str| text.parse().unwrap_or(0);
     match address.split_once('-') {
--- a/crates/fakes/src/fault.rs
+++ b/crates/fakes/src/fault.rs
@@ -1,57 +1,57 @@
-//! Faults and the steps at which they strike.
+//! Faults and the steps at which they are injected.
 
 use serde::{Deserialize, Serialize};
 
-/// A step of a life cycle, as the fakes see it.
+/// A step of a request, a load, a publication or a stop at which a fault can be injected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StepKind {
-    /// A caller's request arrives at a host.
+    /// A request from a caller arrives at a host.
     RequestArrives,
-    /// An ask for a permit arrives at an owner.
+    /// A request for a permit arrives at the owner of an engine.
     #[serde(rename = "ask_arrives")]
     PermitAskArrives,
-    /// A grant arrives at the host that asked.
+    /// A granted permit arrives at the host that asked for it.
     #[serde(rename = "grant_arrives")]
     PermitGrantArrives,
     /// A request is about to be written to a backend server.
     RequestSends,
-    /// A backend server begins to run a request.
+    /// A backend server starts to run a request.
     RequestRuns,
-    /// A backend server has ended a request.
+    /// A backend server has completed a request.
     RequestEnds,
-    /// The word of a request's end arrives at the owner.
+    /// The report that a permitted request ended arrives at the owner of an engine.
     #[serde(rename = "done_arrives")]
     PermitDoneArrives,
-    /// An ask for a turn at the store arrives.
+    /// A request for a load slot at the weight store arrives.
     #[serde(rename = "turn_asked")]
     LoadAskArrives,
-    /// A turn arrives at the owner.
+    /// A granted load slot arrives at the owner of an engine.
     #[serde(rename = "turn_arrives")]
     LoadGrantArrives,
-    /// An engine begins a load.
+    /// An engine starts a load.
     LoadBegins,
-    /// An engine has ended a load.
+    /// An engine has completed a load.
     LoadEnds,
-    /// An unload order arrives at an engine.
+    /// An order to unload an adapter arrives at an engine.
     UnloadArrives,
-    /// A raise order arrives at an engine.
+    /// An order to raise the fencing token arrives at an engine.
     #[serde(rename = "raise_arrives")]
     RaiseFenceArrives,
-    /// A claim is appended.
+    /// A claim is appended to the log.
     ClaimAppends,
-    /// A claim is read back.
+    /// A host reads claims from the log.
     ClaimReads,
-    /// A publication is appended.
+    /// A publication is appended to the log.
     PublicationAppends,
-    /// A publication is read by a host.
+    /// A host reads publications from the log.
     PublicationReads,
-    /// A heartbeat arrives.
+    /// A heartbeat arrives at a host.
     HeartbeatArrives,
-    /// A host begins a planned stop.
+    /// A host starts a planned stop.
     #[serde(rename = "drain_begins")]
     HostDrainBegins,
-    /// An engine begins a planned stop.
+    /// An engine starts a planned stop.
     #[serde(rename = "leave_begins")]
     EngineDrainBegins,
 }
@@ -82,63 +82,64 @@
     ];
 }
 
-/// What goes wrong.
+/// A kind of fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// The host at the step is killed; its successor starts when the fault ends.
+    /// The host at the step is killed and starts again when the fault ends.
     HostKilled,
-    /// The host at the step is frozen, and wakes when the fault ends.
+    /// The host at the step is frozen until the fault ends.
     HostFrozen,
-    /// The engine at the step, or any, is restarted with nothing loaded.
+    /// The engine at the step, or the first one, restarts without adapters.
     EngineRestarted,
     /// Loads fail.
     LoadFails,
-    /// Answers to orders are lost after they took effect.
+    /// Orders take effect, but their answers are lost.
     OrderAnswerLost,
-    /// Orders to engines are late.
+    /// Orders to engines are delayed by seconds.
     OrderLate,
-    /// Orders to engines are given up by their sender and take effect seconds later.
+    /// Orders to engines take effect after their sender has given up on them.
     #[serde(rename = "order_given_up")]
     OrderAbandoned,
-    /// The weight store gives nothing.
+    /// The weight store is unavailable and loads make no progress.
     #[serde(rename = "store_away")]
     StoreUnavailable,
-    /// The weight store is ten times as slow.
+    /// The weight store is ten times slower.
     StoreSlow,
     /// The log can neither be read nor appended to.
     #[serde(rename = "log_away")]
     LogUnavailable,
-    /// The log takes seconds.
+    /// Reads from and appends to the log take seconds.
     LogSlow,
-    /// The log is away, and comes back from a copy some seconds old; operators write again what it lost.
+    /// The log is unavailable and then restored from a copy some seconds old; operators republish
+    /// the lost changes.
     #[serde(rename = "log_falls_back")]
     LogRestoredOlder,
-    /// Appends take effect, their answers are lost.
+    /// Appends take effect, but their answers are lost.
     AppendAnswerLost,
-    /// The host list does not change.
+    /// The host list is not updated.
     HostListStale,
-    /// The host at the step gets no messages from its peers.
+    /// The host at the step receives no messages from its peers.
     #[serde(rename = "peers_cut_one_way")]
     PeersPartitionedOneWay,
-    /// The host at the step and its peers hear nothing of each other.
+    /// The host at the step and its peers receive no messages from each other.
     #[serde(rename = "peers_cut_both_ways")]
     PeersPartitionedBothWays,
-    /// A hall is cut off from the other halls and from the platform.
+    /// A hall cannot reach the other halls or the platform.
     #[serde(rename = "hall_cut_off")]
     HallPartitioned,
-    /// The caller at the step hangs up.
+    /// The caller at the step disconnects.
     CallerGone,
-    /// Messages between hosts come twice, the second time late.
+    /// Messages between hosts arrive twice, the second time delayed.
     #[serde(rename = "message_doubled")]
     MessageDuplicated,
-    /// Messages between hosts are late by seconds.
+    /// Messages between hosts are delayed by seconds.
     MessageLate,
-    /// Messages between hosts overtake one another.
+    /// Messages between hosts arrive out of order.
     MessageOutOfOrder,
-    /// Messages between hosts are lost, one in three.
+    /// One in three messages between hosts is lost.
     MessageLost,
-    /// Two operators publish against the same revision at once.
+    /// Two operators publish conflicting changes of the same revision.
     OperatorsRace,
     /// The wall clock of the host at the step jumps by an hour.
     ClockJump,
@@ -174,18 +175,18 @@
     ];
 }
 
-/// One fault, placed at a step.
+/// A fault to inject at an occurrence of a step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlannedFault {
-    /// What goes wrong.
+    /// The kind of fault.
     pub fault: FaultKind,
-    /// At which step.
+    /// The step at which it is injected.
     pub step: StepKind,
-    /// At the how manyeth time that the step happens, from 1.
+    /// The occurrence of the step, counted from 1.
     #[serde(default = "first")]
     pub nth: u64,
-    /// For how long, in milliseconds.
+    /// The duration of the fault, in milliseconds.
     #[serde(rename = "lasts", default = "default_duration_ms")]
     pub duration_ms: u64,
 }
@@ -198,22 +199,22 @@
     6_000
 }
 
-/// The faults of one run, and which of them struck.
+/// The faults of a run and which of them have been injected.
 #[derive(Debug, Clone, Default)]
 pub struct FaultPlan {
-    /// The faults.
+    /// The planned faults.
     pub faults: Vec<PlannedFault>,
-    /// Indexes of those that struck.
+    /// The indices of the injected faults.
     pub injected: Vec<usize>,
 }
 
 impl FaultPlan {
-    /// Plans these faults.
+    /// Creates a plan of faults, none of them injected.
     pub const fn new(faults: Vec<PlannedFault>) -> Self {
         Self { faults, injected: Vec::new() }
     }
 
-    /// Returns the faults that strike at the `count`-th time of a step.
+    /// Returns the faults due at the `count`-th occurrence of a step and marks them as injected.
     pub(crate) fn take_due_faults(&mut self, step: StepKind, count: u64) -> Vec<PlannedFault> {
         let mut due = Vec::new();
         for (index, planned) in self.faults.iter().enumerate() {
--- a/crates/fakes/src/host.rs
+++ b/crates/fakes/src/host.rs
@@ -1,4 +1,4 @@
-//! An entry host around its core: what waits for it, and what its traffic threads do.
+//! A fake entry host: its core, its queued inputs and its open exchanges.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -16,38 +16,38 @@
     pub(crate) first_token_received: bool,
 }
 
-/// What comes to a host, and waits while it is frozen.
+/// An input of a host; queued while the host is frozen.
 #[derive(Debug, Clone)]
 pub(crate) enum HostInput {
-    /// For the control thread.
+    /// An event for the control thread.
     Event(NodeEvent),
-    /// A traffic thread is about to write a request to a backend server.
+    /// A request that a traffic thread is about to write to a backend server.
     Send(RequestDispatch),
 }
 
-/// An entry host.
+/// A fake entry host.
 pub(crate) struct FakeHost {
     pub(crate) host: HostId,
     pub(crate) hall: HallId,
     pub(crate) core: Option<NodeCore>,
     pub(crate) generation: u64,
-    /// The life as the core and the request ids have it.
+    /// The incarnation that the core and the request IDs use.
     pub(crate) incarnation: u64,
     pub(crate) frozen: bool,
     pub(crate) queued_inputs: VecDeque<HostInput>,
     pub(crate) exchanges: BTreeMap<RequestId, OpenExchange>,
     pub(crate) read_offsets: BTreeMap<LogStream, u64>,
     pub(crate) host_list_version: usize,
-    /// Milliseconds that its wall clock is off.
+    /// The offset of its wall clock, in milliseconds.
     pub(crate) wall_skew: i64,
-    /// Peers' messages to it are lost.
+    /// The number of active faults that drop messages from its peers.
     pub(crate) inbound_blocked: u32,
-    /// Its messages to peers are lost.
+    /// The number of active faults that drop messages to its peers.
     pub(crate) outbound_blocked: u32,
     pub(crate) request_count: u32,
     pub(crate) drained: bool,
     pub(crate) last_revision: u64,
-    /// The highest revision it had in an earlier life.
+    /// The highest revision that it had applied before its last start.
     pub(crate) highest_past_revision: u64,
 }
 
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Says whether it does anything when something comes.
+    /// Returns whether it processes inputs.
     pub(crate) const fn is_running(&self) -> bool {
         self.core.is_some() && !self.frozen
     }
--- a/crates/fakes/src/inject.rs
+++ b/crates/fakes/src/inject.rs
@@ -1,4 +1,4 @@
-//! Faults as they strike and as they end.
+//! Injection and end of faults.
 
 use rand::RngExt;
 use reelreel_core::{
@@ -13,15 +13,17 @@
     site::{FakeSite, FaultTarget, HALL_DELAY_MS, SiteAction, SiteEvent, WALL_CLOCK_START_MS},
 };
 
-/// How old the copy is from which a log comes back. Unit: milliseconds.
+/// The age of the copy from which a log is restored, in milliseconds.
 const LOG_COPY_AGE_MS: u64 = 3_000;
 
-/// How long after its return operators write again what it lost, and how long each takes at most. Unit: milliseconds.
+/// When operators start to republish lost changes after a restore, in milliseconds.
 const REPUBLISH_DELAY_MS: u64 = 500;
+
+/// The maximum interval between two republished changes, in milliseconds.
 const MAX_REPUBLISH_INTERVAL_MS: u64 = 2_000;
 
 impl FakeSite {
-    /// Lets a fault strike.
+    /// Injects a fault and schedules its end.
     pub(crate) fn begin_fault(&mut self, planned: PlannedFault, mut target: FaultTarget) {
         if target.host.is_none() {
             target.host = self.ready_host();
@@ -44,7 +46,7 @@
         }
     }
 
-    /// Brings the log back from a copy; operators write again what they had published since.
+    /// Restores the log from a copy and schedules the republication of the lost changes.
     fn restore_older_log(&mut self, copied_at: u64) {
         let lost = self.log.restore_older_copy(WALL_CLOCK_START_MS + copied_at);
         self.reference.enter_era(self.log.era);
@@ -54,7 +56,7 @@
         }
         let mut delay = REPUBLISH_DELAY_MS;
         for payload in lost {
-            // The fakes' operators publish nothing else.
+            // The settings stream holds nothing but change records.
             let Ok(record) = serde_json::from_slice(&payload) else { continue };
             delay += self.rng.random_range(1..MAX_REPUBLISH_INTERVAL_MS);
             self.push(delay, SiteEvent::Action(SiteAction::Publish(record)));
@@ -179,7 +181,7 @@
         self.push(HALL_DELAY_MS, SiteEvent::Input(id, generation, HostInput::Event(event)));
     }
 
-    /// Two operators publish against the same revision, at the same place.
+    /// Schedules two changes of the same setting that are based on the same revision.
     pub(crate) fn publish_conflicting_changes(&mut self) {
         let base_revision = self.reference.revision();
         if base_revision == 0 {
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -1,9 +1,10 @@
-//! Small fakes at the borders of the decision core, in handed-in time.
+//! Fakes of everything around the decision core, driven by simulated time.
 //!
-//! A [`FakeSite`] runs several [`NodeCore`](reelreel_core::NodeCore)s against fakes that answer
-//! their orders: engines, a weight store, a log, a host list, callers. It is no simulator of hosts
-//! or networks: a message is an entry in a queue with a time. What the fakes saw is kept as
-//! [`Evidence`], and [`check_promises`] judges by that alone, never by what a core believes.
+//! A [`FakeSite`] runs several [`NodeCore`](reelreel_core::NodeCore)s against fakes that execute
+//! their actions: engines, a weight store, a log, a host list and callers. It does not simulate
+//! hosts or networks: a message is an event in a queue with a time. The fakes record what happens
+//! as [`Evidence`], on which [`check_promises`] relies instead of the state of the cores. Only the
+//! settings that the cores have applied are compared directly.
 
 mod actions;
 mod check;
--- a/crates/fakes/src/log.rs
+++ b/crates/fakes/src/log.rs
@@ -1,21 +1,21 @@
-//! The log, as far as the core sees it.
+//! A fake log with the behaviour that the core observes.
 
 use std::collections::BTreeMap;
 
 use reelreel_core::{id::StoreEra, node::LogStream, settings::fold::LogRecord};
 
-/// Streams of records with offsets.
+/// A fake log of streams whose records have offsets.
 #[derive(Debug, Default)]
 pub struct FakeLog {
     streams: BTreeMap<LogStream, Vec<LogRecord>>,
-    /// Records below these offsets have expired.
+    /// The first offset that has not expired, by stream.
     first: BTreeMap<LogStream, u64>,
-    /// How often it came back from an older copy of itself.
+    /// How often the log has been restored from an older copy.
     pub era: StoreEra,
 }
 
 impl FakeLog {
-    /// Appends a record; returns its offset.
+    /// Appends a record and returns its offset.
     pub fn append(&mut self, stream: LogStream, payload: Vec<u8>, written_millis: u64) -> u64 {
         let records = self.streams.entry(stream).or_default();
         let offset = records.len() as u64;
@@ -23,12 +23,12 @@
         offset
     }
 
-    /// Returns the first offset that a stream still has.
+    /// Returns the first offset of a stream that has not expired.
     pub fn first(&self, stream: LogStream) -> u64 {
         self.first.get(&stream).copied().unwrap_or(0)
     }
 
-    /// Returns the records from an offset on, as far as they are kept, and the end.
+    /// Returns the retained records from an offset on and the end of the stream.
     pub fn read(&self, stream: LogStream, from: u64) -> (Vec<LogRecord>, u64) {
         let records = self.streams.get(&stream).map_or(&[][..], Vec::as_slice);
         let first = self.first(stream);
@@ -37,7 +37,8 @@
         (records.iter().skip(from).cloned().collect(), end)
     }
 
-    /// Comes back from a copy made at `copied_millis`; returns the payloads of the settings stream that are gone.
+    /// Restores the log from a copy made at `copied_millis`. Returns the lost payloads of the
+    /// settings stream.
     pub fn restore_older_copy(&mut self, copied_millis: u64) -> Vec<Vec<u8>> {
         self.era += 1;
         let mut lost = Vec::new();
@@ -55,7 +56,7 @@
         lost
     }
 
-    /// Lets all records expire but the last `retained`.
+    /// Expires all but the last `retained` records of a stream.
     pub fn expire(&mut self, stream: LogStream, retained: u64) {
         let end = self.streams.get(&stream).map_or(0, Vec::len) as u64;
         self.first.insert(stream, end.saturating_sub(retained));
--- a/crates/fakes/src/orders.rs
+++ b/crates/fakes/src/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to engines, loads, and engines' reports.
+//! Orders to engines, loads and engine reports.
 
 use reelreel_core::{
     NodeEvent,
@@ -122,7 +122,7 @@
         self.record_step(StepKind::LoadEnds, Some(id), Some(order.engine), None);
         let fails = self.active.load_fails > 0;
         let Some(engine) = self.engines.get_mut(&order.engine) else { return };
-        // The step may have restarted the engine, whose new life knows nothing of the load.
+        // A fault injected at the step may have restarted the engine, which discards the load.
         if engine.slots.get(&adapter) != Some(&FakeSlot::Loading(load)) {
             self.order_result(id, generation, order, OrderResult::NoAnswer, HALL_DELAY_MS);
             return;
--- a/crates/fakes/src/script.rs
+++ b/crates/fakes/src/script.rs
@@ -1,4 +1,4 @@
-//! The site and the day that the fault matrix plays.
+//! The standard site and script of the fault matrix.
 
 use rand::{RngExt, SeedableRng, seq::IndexedRandom};
 use rand_pcg::Pcg64Mcg;
@@ -13,7 +13,7 @@
     site::{CallerRequest, FakeSite, SiteAction, SiteConfig, SiteMutation},
 };
 
-/// The adapters of the site, more than its engines have slots for.
+/// The adapters of the site; more than its engines have slots for.
 const ADAPTERS: [(&str, &str); 7] = [
     ("north", "brakes"),
     ("north", "chains"),
@@ -24,25 +24,25 @@
     ("south", "travel"),
 ];
 
-/// How the script goes.
+/// The parameters of the script.
 #[derive(Debug, Clone, Copy)]
 pub struct SiteScript {
-    /// Seeds callers and the site.
+    /// The seed of the callers and the site.
     pub seed: u64,
-    /// Callers call from 3 s until then, in milliseconds.
+    /// When the random requests, which start after 3 s, stop, in milliseconds.
     pub calls_until: u64,
-    /// Milliseconds between calls, on average.
+    /// The mean interval between random requests, in milliseconds.
     pub mean_call_interval_ms: u64,
-    /// The run ends then.
+    /// The end of the run, in milliseconds.
     pub end: u64,
     /// Whether engine 2 checks fences.
     pub fenced: bool,
-    /// What is broken on purpose.
+    /// The disabled mechanism, if any.
     pub mutation: Option<SiteMutation>,
 }
 
 impl SiteScript {
-    /// The script of the fault matrix.
+    /// Returns the parameters of the fault matrix.
     pub const fn new(seed: u64) -> Self {
         Self {
             seed,
@@ -55,7 +55,7 @@
     }
 }
 
-/// Returns the tree that the site begins with.
+/// Returns the initial settings of the site.
 pub fn standard_tree() -> SettingsTree {
     let mut text = String::from(
         "deadline_ms = 8000\n[service.assist]\nbase_model = \"base\"\n\
@@ -67,7 +67,7 @@
         text.push_str(&table);
         text.push_str("]\nversion = 1\nversions = [1, 2]\n");
     }
-    // A constant; the test of the script itself reads it.
+    // Never fails: the text is fixed.
     read_tree(&text).unwrap_or_default()
 }
 
@@ -82,8 +82,8 @@
     }
 }
 
-/// Makes the site of the fault matrix: two halls with two hosts each, three engines with two
-/// slots each, two plain servers, seven adapters in two versions.
+/// Creates the site of the fault matrix: two halls with two hosts each, three engines with two
+/// slots each, two plain servers and seven adapters with two versions each.
 pub fn standard_site(script: SiteScript, plan: FaultPlan) -> FakeSite {
     let engine = |engine, hall, checks_fence| EngineConfig {
         engine,
@@ -108,7 +108,7 @@
     site
 }
 
-/// Milliseconds before the end at which the late calls begin.
+/// How long before the end the final requests start, in milliseconds.
 pub(crate) const FINAL_REQUESTS_MS: u64 = 20_000;
 
 fn schedule_publications(site: &mut FakeSite) {
@@ -117,7 +117,7 @@
     for (index, (at, version)) in versions.into_iter().enumerate() {
         let action = EditAction::Set(SettingKey::Version, SettingValue::Integer(version));
         let edits = vec![SettingsEdit { path: path.clone(), action }];
-        // Only the place's own last change matters, so a race elsewhere does not refuse these.
+        // Only changes of the same path conflict, so changes of other paths do not reject these.
         let base = u64::try_from(index).unwrap_or(0) + 1;
         let record = publication(&format!("version-{index}"), base, edits);
         site.schedule_action(at, SiteAction::Publish(record));
@@ -133,7 +133,8 @@
         schedule_random_request(site, &mut rng, at, number);
         at += rng.random_range(1..2 * script.mean_call_interval_ms);
     }
-    // Some come late, for adapters that fit into the slots, and must be answered if no fault holds.
+    // The final requests name no more adapters than fit into the slots and must be answered once
+    // no fault is active.
     let cached_adapters = ADAPTERS.iter().take(4).cycle();
     for (index, (organisation, adapter)) in (0..20).zip(cached_adapters) {
         let request = CallerRequest {
@@ -164,7 +165,7 @@
 fn schedule_random_request(site: &mut FakeSite, rng: &mut Pcg64Mcg, at: u64, number: u64) {
     let mut request = random_request(rng);
     match rng.random_range(0..10) {
-        // The same key comes by two hosts at once, or again a little later.
+        // The same idempotency key is sent twice, possibly to different hosts.
         0 => {
             request.key = Some(format!("key-{number}"));
             request.repeatable = None;
--- a/crates/fakes/src/site.rs
+++ b/crates/fakes/src/site.rs
@@ -1,4 +1,4 @@
-//! Several hosts against the fakes, moved on from one entry of a queue to the next.
+//! The fake site: hosts and fakes driven by a queue of timed events.
 
 use std::{
     cmp::Reverse,
@@ -38,24 +38,26 @@
 /// The wall clock at time zero, in milliseconds since the Unix epoch.
 pub(crate) const WALL_CLOCK_START_MS: u64 = 1_800_000_000_000;
 
-/// How often a host's control thread is told that time has passed, in milliseconds.
+/// The interval between the ticks of a host's control thread, in milliseconds.
 const TICK_INTERVAL_MS: u64 = 100;
 
-/// How often a host asks the log and the host list, in milliseconds.
+/// The interval at which a host polls the log and the host list, in milliseconds.
 const POLL_INTERVAL_MS: u64 = 500;
 
-/// How long a message takes within a hall and between halls, in milliseconds.
+/// The delay of a message within a hall, in milliseconds.
 pub(crate) const HALL_DELAY_MS: u64 = 1;
+
+/// The delay of a message between halls, in milliseconds.
 pub(crate) const INTER_HALL_DELAY_MS: u64 = 2;
 
-/// A plain server.
+/// A fake server of a plain service.
 #[derive(Debug)]
 pub(crate) struct FakeServer {
     pub(crate) hall: HallId,
     pub(crate) running: BTreeMap<RequestId, usize>,
 }
 
-/// Faults that hold now; several of a kind may overlap.
+/// The number of active faults of each kind.
 #[derive(Debug, Default)]
 pub(crate) struct ActiveFaults {
     pub(crate) load_fails: u32,
@@ -75,9 +77,9 @@
     pub(crate) partitioned_halls: Vec<HallId>,
 }
 
-/// Hosts, engines, servers, log and store in one queue of what comes next.
+/// A site of hosts, engines, plain servers, a log and a weight store.
 pub struct FakeSite {
-    /// Milliseconds since the start.
+    /// The simulated time since the start, in milliseconds.
     pub now: u64,
     pub(crate) config: SiteConfig,
     pub(crate) rng: Pcg64Mcg,
@@ -95,22 +97,22 @@
     host_changes: Vec<(u64, HostListChange)>,
     pub(crate) plan: FaultPlan,
     pub(crate) active: ActiveFaults,
-    /// What was seen.
+    /// The records of what happened.
     pub evidence: Evidence,
-    /// The fold over the log, against which hosts are judged.
+    /// The settings that the log holds, with which those of the hosts are compared.
     pub reference: SettingsFold,
-    /// What arrived at engines, line by line, once `trace_enabled` is set.
+    /// Requests and orders that arrived at engines, if `trace_enabled` is set.
     pub trace: Vec<String>,
-    /// Whether `trace` is kept.
+    /// Whether to record `trace`.
     pub trace_enabled: bool,
-    /// Measures a message on its way, in bytes.
+    /// Returns the size of a message between hosts, in bytes.
     pub measure: Option<fn(&PeerMessage) -> u64>,
-    /// Halls that are part of the site.
+    /// The data halls of the site.
     pub(crate) halls: BTreeSet<HallId>,
 }
 
 impl FakeSite {
-    /// Makes a site and starts its hosts.
+    /// Creates a site and starts its hosts.
     pub fn new(config: SiteConfig, plan: FaultPlan) -> Self {
         let mut site = Self {
             now: 0,
@@ -180,31 +182,31 @@
         self.change_host_list(HostListChange { entries, ..HostListChange::default() });
     }
 
-    /// Changes the host list, which shows it some time later.
+    /// Adds a change to the host list; hosts see it after a lag.
     pub(crate) fn change_host_list(&mut self, change: HostListChange) {
         const HOST_LIST_LAG_MS: u64 = 1_500;
         let visible_at = if self.now == 0 { 0 } else { self.now + HOST_LIST_LAG_MS };
         self.host_changes.push((visible_at, change));
     }
 
-    /// Puts something into the queue, `delay` milliseconds from now.
+    /// Schedules an event `delay` milliseconds from now.
     pub(crate) fn push(&mut self, delay: u64, event: SiteEvent) {
         self.entry_count += 1;
         let entry = QueueEntry { at: self.now + delay, sequence: self.entry_count, event };
         self.queue.push(Reverse(entry));
     }
 
-    /// Has a caller call at a time.
+    /// Schedules a request from a caller, in milliseconds since the start.
     pub fn schedule_request(&mut self, at: u64, request: CallerRequest) {
         self.push(at.saturating_sub(self.now), SiteEvent::CallerRequest(request));
     }
 
-    /// Has something done at a time.
+    /// Schedules an action, in milliseconds since the start.
     pub fn schedule_action(&mut self, at: u64, action: SiteAction) {
         self.push(at.saturating_sub(self.now), SiteEvent::Action(action));
     }
 
-    /// Runs until a time.
+    /// Processes all events up to a time, in milliseconds since the start.
     pub fn run_until(&mut self, end: u64) {
         while let Some(Reverse(entry)) = self.queue.peek() {
             if entry.at > end {
@@ -264,7 +266,7 @@
         }
     }
 
-    /// Hands a host an event and carries out what follows.
+    /// Passes an event to a host's core and executes the resulting actions.
     pub(crate) fn handle_core_event(&mut self, id: HostId, event: NodeEvent) {
         let reading = self.clock_reading(id);
         let Some(host) = self.hosts.get_mut(&id) else { return };
@@ -306,7 +308,7 @@
         }
     }
 
-    /// Wakes a frozen host. What its traffic threads were about to write leaves first.
+    /// Unfreezes a host. The pending writes of its traffic threads are processed before its events.
     pub(crate) fn unfreeze_host(&mut self, id: HostId) {
         let Some(host) = self.hosts.get_mut(&id) else { return };
         if !host.frozen {
@@ -323,7 +325,7 @@
         }
     }
 
-    /// Counts a step, and strikes with what is planned for it.
+    /// Counts an occurrence of a step and injects the faults planned for it.
     pub(crate) fn record_step(
         &mut self,
         kind: StepKind,
@@ -362,7 +364,7 @@
                 let event = NodeEvent::OrderEnded { order: order.clone(), result };
                 self.push(1_000, SiteEvent::Input(id, generation, HostInput::Event(event)));
                 let delay = self.rng.random_range(1..5_000);
-                // Nobody waits for the answer any more.
+                // The generation 0 matches no host, so the answer is dropped.
                 self.push(delay, SiteEvent::Order { host: id, generation: 0, order });
             }
             NodeAction::SendOrder { order, .. } => {
@@ -400,7 +402,7 @@
         }
     }
 
-    /// Picks a host that says it is ready, as the balancer does.
+    /// Picks a random ready host, as the load balancer does.
     pub(crate) fn ready_host(&mut self) -> Option<HostId> {
         let ready: Vec<HostId> = self
             .hosts
@@ -411,12 +413,12 @@
         ready.choose(&mut self.rng).copied()
     }
 
-    /// Returns the cores of the hosts that are there.
+    /// Returns the cores of the hosts that have not been killed.
     pub fn cores(&self) -> impl Iterator<Item = (HostId, &NodeCore)> {
         self.hosts.values().filter_map(|host| Some((host.host, host.core.as_ref()?)))
     }
 
-    /// Keeps a line of what arrived at the fakes, if lines are kept.
+    /// Appends a line to the trace, if it is enabled.
     pub(crate) fn trace_line(&mut self, line: impl FnOnce() -> String) {
         if self.trace_enabled {
             let line = format!("{} {}", self.now, line());
@@ -424,12 +426,12 @@
         }
     }
 
-    /// Says whether all planned faults struck.
+    /// Returns whether all planned faults have been injected.
     pub fn all_faults_injected(&self) -> bool {
         self.plan.injected.len() >= self.plan.faults.len()
     }
 
-    /// Returns a duration as the fakes count it.
+    /// Converts a duration to milliseconds.
     pub fn millis(duration: Duration) -> u64 {
         reelreel_core::clock::duration_millis(duration)
     }
--- a/crates/fakes/src/site/config.rs
+++ b/crates/fakes/src/site/config.rs
@@ -1,4 +1,4 @@
-//! What a site is made of, what callers ask and what scripts do.
+//! The configuration of a site, the requests of callers and the actions of scripts.
 
 use std::sync::Arc;
 
@@ -11,72 +11,71 @@
 
 use crate::engine::EngineConfig;
 
-/// A call by a caller.
+/// A request from a caller.
 #[derive(Debug, Clone)]
 pub struct CallerRequest {
-    /// The host it goes to; the balancer picks a ready one where it is `None`.
+    /// The host that receives it; `None` for a random ready host.
     pub host: Option<HostId>,
-    /// The adapter as service/organisation/adapter; empty for the plain service.
+    /// The adapter as `service/organisation/adapter`; empty for the plain service.
     pub adapter: String,
-    /// The version, where the caller names one.
+    /// The version, if the request names one.
     pub version: Option<u32>,
     /// The idempotency key.
     pub key: Option<String>,
-    /// What the caller says of repeating it.
+    /// Whether the caller declares the request repeatable, if it does.
     pub repeatable: Option<bool>,
-    /// How long it waits for the first token, in milliseconds.
+    /// How long the caller waits for the first token, in milliseconds.
     pub max_wait_ms: u64,
-    /// Tokens of the answer.
+    /// The number of tokens to generate.
     pub tokens: u32,
 }
 
-/// A switch that breaks one mechanism, to show that the checks see it.
+/// A mechanism to disable, to verify that the checks detect it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SiteMutation {
-    /// Engines do not check tokens although the host list says that they do, and holders report
-    /// every end as clean.
+    /// Engines do not check fencing tokens, although the host list says that they do.
     IgnoreFence,
-    /// A broken exchange is taken for one that never began.
+    /// Hosts take an interrupted request for one that did not run.
     InterruptedMeansNotRun,
-    /// Every host reads its own claims first.
+    /// Hosts read only their own claims.
     OwnClaimsFirst,
-    /// Nobody shows that a backend server is leaving.
+    /// Neither the host list nor the reports show that an engine is leaving.
     HideLeaving,
-    /// A stopping host exits at once.
+    /// A host that is asked to stop exits immediately.
     ExitAtOnce,
-    /// Hosts read the settings stream in different orders.
+    /// Some hosts read the settings stream out of order.
     ShuffleSettings,
-    /// An answer goes to whichever request waits first, instead of the one it is for.
+    /// An answer is delivered to the first open request on the same backend server.
     AnswerFirstWaiting,
-    /// Requests are run on another version than the one they named.
+    /// Requests run on another version than the one they name.
     WrongVersion,
 }
 
-/// What a site is made of.
+/// The configuration of a [`FakeSite`](crate::FakeSite).
 #[derive(Clone)]
 pub struct SiteConfig {
-    /// Hosts and their halls.
+    /// The hosts and their halls.
     pub hosts: Vec<(HostId, HallId)>,
-    /// Engines.
+    /// The engines.
     pub engines: Vec<EngineConfig>,
-    /// Plain servers and their halls.
+    /// The plain servers and their halls.
     pub servers: Vec<(ServerId, HallId)>,
-    /// The service of the plain servers.
+    /// The name of the service of the plain servers.
     pub plain_service: String,
-    /// Loads a second of the weight store.
+    /// How many consecutive loads the weight store serves per second.
     pub loads_per_second: f64,
-    /// The hosts' times.
+    /// The timeouts and intervals of the hosts.
     pub times: NodeTimes,
-    /// How loads are valued.
+    /// The policy that decides which adapters are resident.
     pub policy: Arc<dyn ResidencyPolicy>,
-    /// Seeds everything.
+    /// The seed of all random numbers.
     pub seed: u64,
-    /// Whether messages between hosts take time at all; policies are measured without.
+    /// The disabled mechanism, if any.
     pub mutation: Option<SiteMutation>,
 }
 
 impl SiteConfig {
-    /// Makes a shape with nothing in it.
+    /// Creates a configuration without hosts, engines and servers.
     pub fn new(seed: u64) -> Self {
         Self {
             hosts: Vec::new(),
@@ -92,21 +91,21 @@
     }
 }
 
-/// What the site's scripts do.
+/// An action of a script on the site.
 #[derive(Debug, Clone)]
 pub enum SiteAction {
-    /// Publishes a change.
+    /// Publishes a change of the settings.
     Publish(ChangeRecord),
-    /// Begins a host's planned stop; it comes back 15 s after it ended.
+    /// Starts the planned stop of a host, which starts again 15 s after its end.
     DrainHost(HostId),
-    /// Begins an engine's planned stop; it comes back 10 s after it ended.
+    /// Starts the planned stop of an engine, which starts again 10 s after its end.
     DrainEngine(EngineId),
-    /// Kills a host; it comes back after that many milliseconds.
+    /// Kills a host and restarts it after the given milliseconds.
     KillHost(HostId, u64),
-    /// Restarts an engine with nothing loaded.
+    /// Restarts an engine without adapters.
     RestartEngine(EngineId),
-    /// Switches the store off for that many milliseconds.
+    /// Makes the weight store unavailable for the given milliseconds.
     StoreUnavailable(u64),
-    /// Cuts a hall off from the others and from the platform for that many milliseconds.
+    /// Isolates a hall from the other halls and from the platform for the given milliseconds.
     PartitionHall(HallId, u64),
 }
--- a/crates/fakes/src/site/lifecycle.rs
+++ b/crates/fakes/src/site/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The lives of hosts, and what they read from log and host list.
+//! Starts and stops of hosts, and their reads of the log and the host list.
 
 use std::sync::Arc;
 
@@ -19,7 +19,7 @@
 };
 
 impl FakeSite {
-    /// Starts a host's next life.
+    /// Starts a host, unless it runs.
     pub(crate) fn start_host(&mut self, id: HostId) {
         let reading = self.clock_reading(id);
         let Some(host) = self.hosts.get_mut(&id) else { return };
@@ -52,7 +52,7 @@
         self.push(jitter / 2, SiteEvent::Poll(id, generation));
     }
 
-    /// Ends a host's life at once. Callers and backend servers see their connections close.
+    /// Kills a host. Callers without an outcome are disconnected.
     pub(crate) fn kill_host(&mut self, id: HostId) {
         let Some(host) = self.hosts.get_mut(&id) else { return };
         host.core = None;
@@ -94,7 +94,7 @@
         self.read_hosts(id, generation);
     }
 
-    /// Says whether a host reaches the platform.
+    /// Returns whether a host can reach the platform.
     pub(crate) fn reaches_platform(&self, id: HostId) -> bool {
         let hall = self.hosts.get(&id).map(|host| host.hall);
         hall.is_some_and(|hall| !self.active.partitioned_halls.contains(&hall))
@@ -158,7 +158,7 @@
     }
 }
 
-/// Gives every other host a stream in which neighbours changed places.
+/// Swaps adjacent payloads in what hosts with an odd ID read.
 fn swap_adjacent_payloads(records: &mut [LogRecord], host: HostId) {
     if host.is_multiple_of(2) {
         return;
@@ -169,7 +169,7 @@
     }
 }
 
-/// Leaves a host nothing but its own claims.
+/// Replaces the claims of other hosts with empty records.
 fn keep_own_claims(records: &mut [LogRecord], host: HostId) {
     let own = format!("\"request\":\"{host:x}");
     for record in records {
--- a/crates/fakes/src/site/messages.rs
+++ b/crates/fakes/src/site/messages.rs
@@ -1,4 +1,4 @@
-//! Messages between hosts on their way.
+//! Delivery of messages between hosts.
 
 use rand::RngExt;
 use reelreel_core::{
@@ -15,7 +15,7 @@
 };
 
 impl FakeSite {
-    /// Puts a message between hosts on its way.
+    /// Schedules the delivery of a message between hosts, subject to the active faults.
     pub(crate) fn send_message(
         &mut self,
         from: HostId,
--- a/crates/fakes/src/site/queue.rs
+++ b/crates/fakes/src/site/queue.rs
@@ -1,4 +1,4 @@
-//! What comes next, in the order of its time.
+//! The queue of timed events.
 
 use reelreel_core::{
     clock::HybridTimestamp,
@@ -36,7 +36,7 @@
     ReturnEngine(EngineId),
 }
 
-/// Whom a fault struck.
+/// The objects that a fault affects.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct FaultTarget {
     pub(crate) host: Option<HostId>,
--- a/crates/fakes/src/store.rs
+++ b/crates/fakes/src/store.rs
@@ -1,18 +1,18 @@
-//! The weight store: full speed for one load at a time, shared among several.
+//! A fake weight store whose bandwidth is shared equally among concurrent loads.
 
 use std::collections::BTreeMap;
 
-/// A load in the store, by its number.
+/// The ID of a load.
 pub(crate) type StoreLoad = u64;
 
-/// The weight store.
+/// A fake weight store.
 #[derive(Debug)]
 pub struct FakeStore {
-    /// Milliseconds that a load takes alone.
+    /// The duration of a load that runs alone, in milliseconds.
     pub unshared_load_ms: f64,
-    /// How much slower it is than usual.
+    /// The factor by which loads are slowed down.
     pub slowdown: f64,
-    /// Gives nothing; loads under way stand still.
+    /// Whether the store is unavailable; loads make no progress meanwhile.
     pub unavailable: bool,
     loads: BTreeMap<StoreLoad, f64>,
     last_load: StoreLoad,
@@ -20,7 +20,7 @@
 }
 
 impl FakeStore {
-    /// Makes a store that gives that many loads a second.
+    /// Creates a store that serves `loads_per_second` consecutive loads.
     pub fn new(loads_per_second: f64) -> Self {
         Self {
             unshared_load_ms: 1000.0 / loads_per_second,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Moves all loads on to `now`.
+    /// Advances all loads to `now`.
     fn advance(&mut self, now: u64) {
         let elapsed_ms = now.saturating_sub(self.updated_at) as f64;
         self.updated_at = now;
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Begins a load.
+    /// Starts a load.
     pub(crate) fn begin(&mut self, now: u64) -> StoreLoad {
         self.advance(now);
         self.last_load += 1;
@@ -53,7 +53,7 @@
         self.last_load
     }
 
-    /// Returns the loads that are done by `now`, and takes them out.
+    /// Removes and returns the loads completed by `now`.
     pub(crate) fn finish(&mut self, now: u64) -> Vec<StoreLoad> {
         const COMPLETION_TOLERANCE_MS: f64 = 0.5;
         self.advance(now);
@@ -69,7 +69,7 @@
         done
     }
 
-    /// Returns when the next load will be done, if nothing changes.
+    /// Returns when the next load completes if nothing changes, in milliseconds.
     pub fn next_completion(&self) -> Option<u64> {
         if self.unavailable {
             return None;
@@ -81,13 +81,13 @@
         Some(self.updated_at + remaining_ms as u64)
     }
 
-    /// Changes speed or presence at `now`.
+    /// Changes the speed or the availability of the store at `now`.
     pub fn change(&mut self, now: u64, change: impl FnOnce(&mut Self)) {
         self.advance(now);
         change(self);
     }
 
-    /// Drops a load whose engine is gone.
+    /// Drops a load whose engine has restarted.
     pub(crate) fn drop_load(&mut self, load: StoreLoad, now: u64) {
         self.advance(now);
         self.loads.remove(&load);
--- a/crates/stand-ins/src/connection.rs
+++ b/crates/stand-ins/src/connection.rs
@@ -1,4 +1,5 @@
-//! A small HTTP server that does wrong when told to: one thread for each connection, which the stand-in reads and writes by itself.
+//! An HTTP server for stand-ins that may violate the protocol: each connection has its own thread,
+//! on which the stand-in reads and writes directly.
 
 use std::{
     io::{Read, Write},
@@ -14,16 +15,16 @@
 use bytes::BytesMut;
 use reelreel_http::{BodyDecoder, BodyFraming, BodyPart, RequestHead};
 
-/// A request as a stand-in gets it.
+/// A request received by a stand-in.
 #[derive(Debug, Clone)]
 pub struct ServedRequest {
-    /// The head.
+    /// The request head.
     pub head: RequestHead,
-    /// The whole body.
+    /// The complete body.
     pub body: Vec<u8>,
 }
 
-/// One connection of a stand-in.
+/// A connection accepted by a stand-in.
 pub struct ServedConnection {
     /// The socket.
     pub socket: TcpStream,
@@ -38,7 +39,7 @@
         Some(())
     }
 
-    /// Reads a head; `None` when the peer has closed or sent none.
+    /// Reads a request head; returns `None` if the peer has closed or the head is invalid.
     pub fn next_head(&mut self) -> Option<RequestHead> {
         loop {
             if let Some(head) = RequestHead::take(&mut self.buffer, 65_536).ok()? {
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Reads the body that belongs to a head.
+    /// Reads the body of a request; returns `None` if it is incomplete or invalid.
     pub fn body(&mut self, head: &RequestHead) -> Option<Vec<u8>> {
         let mut decoder = BodyDecoder::new(BodyFraming::of_request(head).ok()?);
         let mut body = Vec::new();
@@ -61,19 +62,19 @@
         }
     }
 
-    /// Reads a request whole.
+    /// Reads a complete request.
     pub fn next_request(&mut self) -> Option<ServedRequest> {
         let head = self.next_head()?;
         let body = self.body(&head)?;
         Some(ServedRequest { head, body })
     }
 
-    /// Writes bytes; `None` when the peer takes none.
+    /// Writes text; returns `None` if the connection is closed.
     pub fn write(&mut self, text: &str) -> Option<()> {
         self.socket.write_all(text.as_bytes()).ok()
     }
 
-    /// Writes a whole answer; `fields` are lines of the head, each with its end.
+    /// Writes a complete response; `fields` are header lines, each terminated by CRLF.
     pub fn answer(&mut self, status: u16, fields: &str, body: &str) -> Option<()> {
         let length = body.len();
         self.write(&format!(
@@ -85,22 +86,22 @@
     pub fn closes_within(&mut self, max_wait: Duration) -> bool {
         let _ = self.socket.set_read_timeout(Some(max_wait));
         let mut byte = [0; 1];
-        let stopped = match self.socket.read(&mut byte) {
+        let closed = match self.socket.read(&mut byte) {
             Ok(count) => count == 0,
             Err(error) => error.kind() == std::io::ErrorKind::ConnectionReset,
         };
         let _ = self.socket.set_read_timeout(None);
-        stopped
+        closed
     }
 }
 
 /// Serves connections with `serve` on a free port until the process ends.
 ///
 /// # Panics
-/// When no port is free.
+/// Panics if no port is free.
 pub fn serve(serve: impl Fn(&mut ServedConnection) + Send + Sync + 'static) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
+    let address = listener.local_addr().expect("the listener has an address");
     let serve = Arc::new(serve);
     thread::spawn(move || {
         for socket in listener.incoming().flatten() {
@@ -114,10 +115,10 @@
     address
 }
 
-/// How often a server that can end looks whether it should.
+/// The interval at which a server polls for connections and for its stop.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// A server that can end as a process does: nothing listens at its address, and its connections break off.
+/// A server that can stop like a process that exits: it closes its listener and all connections.
 #[derive(Clone, Default)]
 pub struct StoppableServer {
     stopping: Arc<AtomicBool>,
@@ -126,17 +127,17 @@
 }
 
 impl StoppableServer {
-    /// Serves connections at an address until it ends.
+    /// Serves connections at an address until it is stopped.
     ///
     /// # Panics
-    /// When the address is taken.
+    /// Panics if the address is in use.
     pub fn start(
         &self,
         address: SocketAddr,
         serve: impl Fn(&mut ServedConnection) + Send + Sync + 'static,
     ) {
         let listener = TcpListener::bind(address).expect("the address is free");
-        listener.set_nonblocking(true).expect("a listener that can be looked at");
+        listener.set_nonblocking(true).expect("the listener can be set to non-blocking");
         let (server, serve) = (self.clone(), Arc::new(serve));
         thread::spawn(move || {
             while !server.stopping.load(Ordering::Acquire) {
@@ -145,7 +146,7 @@
                     continue;
                 };
                 let _ = socket.set_nodelay(true);
-                let handle = socket.try_clone().expect("a handle of the socket");
+                let handle = socket.try_clone().expect("the socket can be cloned");
                 server.sockets.lock().unwrap_or_else(PoisonError::into_inner).push(handle);
                 let serve = Arc::clone(&serve);
                 thread::spawn(move || {
@@ -157,7 +158,7 @@
         });
     }
 
-    /// Ends it; returns once nothing listens any more.
+    /// Stops the server; returns once the listener is closed and the connections are shut down.
     pub fn stop(&self) {
         self.stopping.store(true, Ordering::Release);
         while !self.stopped.load(Ordering::Acquire) {
@@ -168,7 +169,7 @@
         }
     }
 
-    /// Returns whether it has ended.
+    /// Returns whether the server has stopped listening.
     pub fn has_stopped(&self) -> bool {
         self.stopped.load(Ordering::Acquire)
     }
--- a/crates/stand-ins/src/engine.rs
+++ b/crates/stand-ins/src/engine.rs
@@ -1,4 +1,4 @@
-//! A model engine: batches continuously, holds a few adapters, and takes fenced orders.
+//! A stand-in for a model engine with continuous batching, adapter slots and fenced orders.
 
 mod batch;
 mod orders;
@@ -19,24 +19,24 @@
 
 use crate::{engine::state::EngineShared, fault::FaultSwitch, http::ServerGuard};
 
-/// How an engine stand-in behaves.
+/// The configuration of an engine stand-in.
 #[derive(Debug, Clone)]
 pub struct EngineOptions {
-    /// Where it listens; port 0 picks a free one.
+    /// The address to listen on; port 0 selects a free port.
     pub address: String,
-    /// The platform, whose weight store serves its loads.
+    /// The address of the platform whose weight store serves loads; if empty, loads need no store.
     pub platform: String,
-    /// The base model it runs.
+    /// The name of the base model.
     pub base_model: String,
-    /// How many adapters it holds.
+    /// The number of adapter slots.
     pub slots: usize,
-    /// How many requests it runs at once.
+    /// The maximum batch size; twice as many requests are admitted.
     pub streams: usize,
-    /// How long a step takes.
+    /// The duration of a step, which produces one token per request in the batch.
     pub step: Duration,
-    /// How late its report is.
+    /// The age at which a change becomes visible in reports.
     pub report_lag: Duration,
-    /// Whether it refuses lower tokens than it has accepted.
+    /// Whether it rejects fencing tokens lower than the highest accepted one.
     pub checks_fence: bool,
 }
 
@@ -55,18 +55,18 @@
     }
 }
 
-/// The switches of an engine stand-in.
+/// The fault switches of an engine stand-in.
 #[derive(Debug, Clone, Default)]
 pub struct EngineFaults {
-    /// Orders.
+    /// Faults of orders.
     pub orders: FaultSwitch,
-    /// Loads, as asked of the store.
+    /// Faults of fetches from the weight store.
     pub loads: FaultSwitch,
-    /// Requests, before they run.
+    /// Faults of requests; only `Refuse`, `LoseAnswer` and `Delay` take effect.
     pub requests: FaultSwitch,
-    /// Reports.
+    /// Faults of reports.
     pub reports: FaultSwitch,
-    /// Streams are cut after this many tokens; zero for never.
+    /// The number of tokens after which streams are interrupted; 0 for never.
     pub cut_after: Arc<std::sync::atomic::AtomicUsize>,
 }
 
@@ -79,10 +79,10 @@
 }
 
 impl EngineStandIn {
-    /// Starts one, with nothing loaded.
+    /// Starts an engine stand-in with no adapter loaded.
     ///
     /// # Errors
-    /// Returns why the address can not be listened on.
+    /// Returns an error if it cannot listen on the address.
     pub fn start(options: &EngineOptions) -> io::Result<Self> {
         let shared = Arc::new(EngineShared::new(options.clone()));
         let served = Arc::clone(&shared);
@@ -105,22 +105,22 @@
         self.guard.address()
     }
 
-    /// Returns the switches.
+    /// Returns the fault switches.
     pub fn faults(&self) -> &EngineFaults {
         &self.shared.faults
     }
 
-    /// Returns what really happened.
+    /// Returns the records of what happened.
     pub fn evidence(&self) -> EngineEvidence {
         self.shared.evidence()
     }
 
-    /// Begins a new life, with nothing loaded and every stream cut.
+    /// Starts a new incarnation: unloads all adapters and interrupts all streams.
     pub fn restart(&self) {
         self.shared.restart();
     }
 
-    /// Says that it is leaving: it refuses new requests and ends those that run.
+    /// Marks the engine as leaving: it refuses new requests and completes the running ones.
     pub fn leave(&self) {
         self.shared.leave();
     }
--- a/crates/stand-ins/src/engine/batch.rs
+++ b/crates/stand-ins/src/engine/batch.rs
@@ -1,17 +1,17 @@
-//! Continuous batching: one token for each running request and step.
+//! Continuous batching: each step produces one token per request in the batch.
 
 use std::time::Duration;
 
 use crate::engine::state::EngineShared;
 
-/// How long a stream that nobody reads goes on before it is cancelled.
+/// How long a stream without readers runs before it is interrupted.
 const UNREAD_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Ended requests that can still be resumed.
+/// The number of sequences above which those that ended and have no reader are dropped.
 const MAX_COMPLETED_SEQUENCES: usize = 4096;
 
 impl EngineShared {
-    /// Does one step.
+    /// Runs a step for the requests of highest priority.
     pub(super) fn step(&self) {
         let mut state = self.lock();
         let max_batch_size = self.options.streams;
--- a/crates/stand-ins/src/engine/orders.rs
+++ b/crates/stand-ins/src/engine/orders.rs
@@ -1,4 +1,4 @@
-//! Fenced orders: load, unload, raise.
+//! Fenced orders: load, unload and raise the fencing token.
 
 use std::{
     io::{Read, Write},
@@ -10,7 +10,7 @@
 
 use crate::engine::state::{EngineShared, Slot};
 
-/// An order.
+/// The body of an order.
 #[derive(Debug, Clone, Deserialize)]
 pub(super) struct OrderBody {
     pub(super) token: u64,
@@ -27,14 +27,14 @@
     Unload,
 }
 
-/// The answer to an order that was done.
+/// The answer to an executed order.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub(super) struct OrderDone {
     pub(super) incarnation: u64,
     pub(super) sequence: u64,
 }
 
-/// Why an order was not done.
+/// The reason why an order was not executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum OrderError {
     Fenced(u64),
@@ -43,7 +43,7 @@
 }
 
 impl EngineShared {
-    /// Checks a token and accepts it as the highest, if the engine checks fences.
+    /// Checks a fencing token and accepts a higher one, if the engine checks fences.
     pub(super) fn check_fence(&self, token: u64) -> Result<(), u64> {
         let mut state = self.lock();
         if !self.options.checks_fence {
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Frees a slot. Like the real one it does not look whether something runs there.
+    /// Unloads an adapter and interrupts the requests that run on it, as a real engine does.
     fn unload(&self, adapter: &str) {
         let mut state = self.lock();
         if state.slots.get(adapter) != Some(&Slot::Loaded) {
@@ -139,7 +139,7 @@
     }
 }
 
-/// Fetches an adapter from the weight store; says whether it came.
+/// Fetches an adapter from the weight store; returns whether this succeeded.
 fn fetch(platform: &str, adapter: &str) -> bool {
     if platform.is_empty() {
         return true;
--- a/crates/stand-ins/src/engine/serve.rs
+++ b/crates/stand-ins/src/engine/serve.rs
@@ -1,4 +1,5 @@
-//! The engine's HTTP face: completions in the usual protocol, orders, reports, switches.
+//! The HTTP interface of the engine: OpenAI-compatible completions, orders, reports and fault
+//! switches.
 
 use std::{
     io,
@@ -142,7 +143,8 @@
     }
 }
 
-/// Checks a request and puts it into the batch, in one step.
+/// Checks a request and adds it to the batch under one lock, so that a concurrent unload or fence
+/// is not missed.
 fn admit(
     shared: &EngineShared,
     id: &str,
@@ -208,7 +210,8 @@
     shared.stepped.notify_all();
 }
 
-/// Waits for more than `seen_tokens` tokens; returns how many there are, and whether those are all.
+/// Waits for more than `seen_tokens` tokens; returns the number of tokens and whether the sequence
+/// is complete, or `None` if it was interrupted.
 fn wait_for(shared: &EngineShared, id: &str, seen_tokens: usize) -> Option<(usize, bool)> {
     let mut state = shared.lock();
     loop {
@@ -271,7 +274,7 @@
     from: usize,
     chat: bool,
 ) -> io::Result<()> {
-    let interrupted = || io::Error::other("stream was cut");
+    let interrupted = || io::Error::other("stream was interrupted");
     let mut written_tokens = from;
     loop {
         let (produced_tokens, is_complete) =
@@ -331,7 +334,7 @@
     body: &serde_json::Value,
 ) {
     let header = |name: &str, value: &str| {
-        tiny_http::Header::from_bytes(name, value).expect("names and models are plain text")
+        tiny_http::Header::from_bytes(name, value).expect("header names and models are ASCII")
     };
     let response = tiny_http::Response::from_string(body.to_string())
         .with_header(header("content-type", "application/json"))
--- a/crates/stand-ins/src/engine/state.rs
+++ b/crates/stand-ins/src/engine/state.rs
@@ -1,4 +1,4 @@
-//! The engine's state, and the evidence of what happened.
+//! The state of the engine and the records of what happened.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -10,7 +10,7 @@
 
 use crate::engine::{EngineFaults, EngineOptions};
 
-/// A request in the batch, or one that ended and can still be resumed.
+/// A running request, or one that has ended and can still be resumed.
 #[derive(Debug, Clone)]
 pub(super) struct Sequence {
     pub(super) adapter: String,
@@ -18,7 +18,7 @@
     pub(super) produced_tokens: usize,
     pub(super) interrupted: bool,
     pub(super) priority: i32,
-    /// Readers attached; a stream that nobody reads for a while is cancelled.
+    /// The number of attached readers; a stream without readers is interrupted after a timeout.
     pub(super) readers: usize,
     pub(super) unread_since: Instant,
 }
@@ -29,53 +29,53 @@
     }
 }
 
-/// One adapter in its slot.
+/// The state of an adapter slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Slot {
     Loading,
     Loaded,
 }
 
-/// What an engine says of itself.
+/// The body of an engine's report.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct EngineReportBody {
-    /// Its life.
+    /// The incarnation.
     pub incarnation: u64,
-    /// Counts its changes of state in this life.
+    /// The number of state changes in this incarnation.
     pub sequence: u64,
-    /// The highest token it has accepted.
+    /// The highest fencing token accepted.
     pub token: u64,
-    /// Whether it is leaving.
+    /// Whether the engine is leaving.
     pub leaving: bool,
-    /// The adapters loaded.
+    /// The loaded adapters.
     pub adapters: Vec<ReportedName>,
     /// The adapters being loaded.
     pub loading: Vec<String>,
 }
 
-/// A loaded adapter.
+/// A loaded adapter in a report.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReportedName {
     /// Its name.
     pub name: String,
-    /// How many requests run on it.
+    /// The number of requests running on it.
     pub running: u32,
 }
 
-/// What really happened, for tests.
+/// Records of what happened.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct EngineEvidence {
-    /// How often each request id was begun.
+    /// The number of runs by request ID.
     pub runs: BTreeMap<String, u32>,
-    /// The adapter that each request id ran on.
+    /// The adapter that each request ran on, by request ID.
     pub adapters: BTreeMap<String, String>,
-    /// Requests cut because their adapter was unloaded.
+    /// Requests interrupted by an unload of their adapter.
     pub cut_by_unload: u32,
-    /// Loads done.
+    /// Completed loads.
     pub loads: u32,
-    /// Steps with at least one request, and requests over all steps.
+    /// Steps with at least one request.
     pub steps: u64,
-    /// Requests over all steps.
+    /// The sum of the batch sizes of all steps.
     pub step_requests: u64,
 }
 
@@ -91,7 +91,7 @@
     pub(super) evidence: EngineEvidence,
 }
 
-/// What the engine's threads share.
+/// The state shared by the engine's threads.
 #[derive(Debug)]
 pub(super) struct EngineShared {
     pub(super) options: EngineOptions,
@@ -150,7 +150,7 @@
         state.record_change();
     }
 
-    /// Returns the newest report that is old enough to be shown.
+    /// Returns the newest report that is at least `report_lag` old, or the oldest one.
     pub(super) fn report(&self) -> EngineReportBody {
         let mut state = self.lock();
         state.write_report();
@@ -166,7 +166,7 @@
 }
 
 impl EngineState {
-    /// Counts a change of state and keeps the report that shows it.
+    /// Counts a change of state and stores the report that shows it.
     pub(super) fn record_change(&mut self) {
         self.sequence += 1;
         self.write_report();
--- a/crates/stand-ins/src/fault.rs
+++ b/crates/stand-ins/src/fault.rs
@@ -1,4 +1,4 @@
-//! Faults as switches.
+//! Faults that can be switched on and off.
 
 use std::{
     sync::{Arc, Mutex, PoisonError},
@@ -8,41 +8,41 @@
 
 use serde::{Deserialize, Serialize};
 
-/// What goes wrong with a call.
+/// A fault of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// It is refused before it takes effect.
+    /// The call is refused before it takes effect.
     Refuse,
-    /// It takes effect and then answers with an error that says nothing.
+    /// The call takes effect, but its answer is an error.
     LoseAnswer,
-    /// It is late by that many milliseconds, before it takes effect.
+    /// The call takes effect after the given milliseconds.
     Delay(u64),
-    /// It takes effect and its answer is late by that many milliseconds.
+    /// The call takes effect and is answered after the given milliseconds.
     DelayAnswer(u64),
 }
 
-/// A fault that tests switch on and off while the stand-in runs.
+/// A fault that can be changed while the stand-in runs; clones share it.
 #[derive(Debug, Clone, Default)]
 pub struct FaultSwitch {
     kind: Arc<Mutex<FaultKind>>,
 }
 
 impl FaultSwitch {
-    /// Switches to another fault.
+    /// Sets the fault.
     pub fn set(&self, kind: FaultKind) {
         *self.kind.lock().unwrap_or_else(PoisonError::into_inner) = kind;
     }
 
-    /// Returns the present fault.
+    /// Returns the current fault.
     pub fn kind(&self) -> FaultKind {
         *self.kind.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Runs `effect` under the present fault; `None` means that the caller gets an error.
+    /// Runs `effect` subject to the current fault; returns `None` if the caller must get an error.
     pub fn apply<T>(&self, effect: impl FnOnce() -> T) -> Option<T> {
         match self.kind() {
             FaultKind::None => Some(effect()),
--- a/crates/stand-ins/src/http.rs
+++ b/crates/stand-ins/src/http.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins' HTTP servers share.
+//! The HTTP server and the helpers that the stand-ins share.
 
 use std::{
     collections::BTreeMap,
@@ -16,13 +16,13 @@
 use socket2::{Domain, Socket, Type};
 use tiny_http::{Header, Request, Response, Server};
 
-/// How often a server looks whether it is to stop.
+/// The interval at which a server checks whether it must stop.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The stack of a thread that serves one request.
+/// The stack size of a thread that serves a request.
 const REQUEST_STACK_BYTES: usize = 128 << 10;
 
-/// A server that runs until its guard is dropped.
+/// The guard of a server, which stops when the guard is dropped.
 #[derive(Debug)]
 pub struct ServerGuard {
     address: String,
@@ -31,10 +31,10 @@
 }
 
 impl ServerGuard {
-    /// Serves `address` with a thread for each request.
+    /// Serves requests at `address`, each on its own thread.
     ///
     /// # Errors
-    /// Returns why the address can not be listened on.
+    /// Returns an error if it cannot listen on the address.
     pub fn serve(
         address: &str,
         handler: impl Fn(Request) + Send + Sync + 'static,
@@ -73,7 +73,7 @@
     }
 }
 
-/// Listens with room for a burst of connections.
+/// Listens with a backlog for bursts of connections.
 fn listen(address: &str) -> io::Result<TcpListener> {
     const CONNECTION_BACKLOG: i32 = 4096;
     let address: SocketAddr = address.parse().map_err(io::Error::other)?;
@@ -93,7 +93,7 @@
     (segments, query)
 }
 
-/// Returns a request's header.
+/// Returns the value of a request header; names are case-insensitive.
 pub fn header<'a>(request: &'a Request, name: &str) -> Option<&'a str> {
     let header_field = request
         .headers()
@@ -102,35 +102,35 @@
     header_field.map(|header| header.value.as_str())
 }
 
-/// Reads a request's whole body.
+/// Reads the complete body of a request.
 pub fn read_body(request: &mut Request) -> Vec<u8> {
     let mut body = Vec::new();
     drop(request.as_reader().read_to_end(&mut body));
     body
 }
 
-/// Answers with JSON.
+/// Responds with a JSON body.
 ///
 /// # Panics
-/// Never: the header is a constant.
+/// Never panics: the header is a constant.
 pub fn respond_json(request: Request, status: u16, value: &impl Serialize) {
     let body = serde_json::to_vec(value).unwrap_or_default();
     let kind = Header::from_bytes("content-type", "application/json").expect("constant header");
     drop(request.respond(Response::from_data(body).with_status_code(status).with_header(kind)));
 }
 
-/// Writes an answer piece by piece; each piece leaves at once.
+/// Writes a chunked response and flushes each chunk.
 ///
-/// `tiny_http` holds back chunks until its buffer is full, so the framing stands here.
+/// `tiny_http` buffers chunks, so the framing is implemented here.
 pub struct StreamWriter {
     writer: Box<dyn Write + Send>,
 }
 
 impl StreamWriter {
-    /// Begins an answer with these headers.
+    /// Writes the head of a response.
     ///
     /// # Errors
-    /// Returns why the caller can not be written to.
+    /// Returns an error if the connection is closed.
     pub fn begin(request: Request, headers: &[(&str, &str)]) -> io::Result<Self> {
         let mut writer = request.into_writer();
         write!(writer, "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n")?;
@@ -142,19 +142,19 @@
         Ok(Self { writer })
     }
 
-    /// Writes one piece.
+    /// Writes a chunk.
     ///
     /// # Errors
-    /// Returns why the caller can not be written to.
+    /// Returns an error if the connection is closed.
     pub fn write(&mut self, piece: &str) -> io::Result<()> {
         write!(self.writer, "{:x}\r\n{piece}\r\n", piece.len())?;
         self.writer.flush()
     }
 
-    /// Ends the answer.
+    /// Ends the response.
     ///
     /// # Errors
-    /// Returns why the caller can not be written to.
+    /// Returns an error if the connection is closed.
     pub fn end(mut self) -> io::Result<()> {
         write!(self.writer, "0\r\n\r\n")?;
         self.writer.flush()
--- a/crates/stand-ins/src/lib.rs
+++ b/crates/stand-ins/src/lib.rs
@@ -1,8 +1,9 @@
-//! Small stand-ins for what reelreel meets: the platform, model engines and a plain service.
+//! Stand-in servers for the systems around reelreel: the platform, model engines and a plain
+//! service.
 //!
-//! They keep to what the users say of the real ones and no more. Each fault that the project must
-//! stand is a switch on them, and each keeps evidence of what really happened, so that tests need
-//! not believe the system under test.
+//! They implement only the specified behaviour of the real systems. Each fault that reelreel must
+//! tolerate can be switched on, and each stand-in records what happened, so that tests need not rely
+//! on the system under test.
 
 pub mod connection;
 pub mod engine;
--- a/crates/stand-ins/src/platform.rs
+++ b/crates/stand-ins/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform: an append-only log with offsets, a list of hosts, and the weight store.
+//! A stand-in for the platform: an append-only log, a host list and a weight store.
 
 mod hosts;
 mod log;
@@ -18,18 +18,18 @@
     http::{ServerGuard, read_body, respond_json, split_url},
 };
 
-/// How a platform stand-in behaves.
+/// The configuration of a platform stand-in.
 #[derive(Debug, Clone)]
 pub struct PlatformOptions {
-    /// Where it listens; port 0 picks a free one.
+    /// The address to listen on; port 0 selects a free port.
     pub address: String,
-    /// Records of a stream that are kept.
+    /// The number of records retained per stream.
     pub retained: usize,
-    /// Appends a second, over all streams.
+    /// The maximum rate of appends over all streams.
     pub appends_per_second: u32,
-    /// How late the host list is.
+    /// How long the host list lags behind.
     pub host_lag: Duration,
-    /// Loads a second that the weight store gives, one at a time.
+    /// How many consecutive loads the weight store serves per second.
     pub loads_per_second: f64,
 }
 
@@ -45,16 +45,16 @@
     }
 }
 
-/// The switches of a platform stand-in.
+/// The fault switches of a platform stand-in.
 #[derive(Debug, Clone, Default)]
 pub struct PlatformFaults {
-    /// Appends to the log.
+    /// Faults of appends to the log.
     pub append: FaultSwitch,
-    /// Reads of the log.
+    /// Faults of reads of the log.
     pub read: FaultSwitch,
-    /// The host list.
+    /// Faults of reads of the host list.
     pub hosts: FaultSwitch,
-    /// Loads from the weight store.
+    /// Faults of loads from the weight store.
     pub store: FaultSwitch,
 }
 
@@ -99,10 +99,10 @@
 }
 
 impl PlatformStandIn {
-    /// Starts one.
+    /// Starts a platform stand-in.
     ///
     /// # Errors
-    /// Returns why the address can not be listened on.
+    /// Returns an error if it cannot listen on the address.
     pub fn start(options: &PlatformOptions) -> io::Result<Self> {
         let state = Arc::new(PlatformState {
             log: LogService::new(options.retained, options.appends_per_second),
@@ -121,17 +121,17 @@
         self.guard.address()
     }
 
-    /// Returns the log, for tests that look past the protocol.
+    /// Returns the log, for direct access by tests.
     pub fn log(&self) -> &LogService {
         &self.state.log
     }
 
-    /// Returns the host list, for those who keep it.
+    /// Returns the host list, for direct access without the protocol.
     pub fn hosts(&self) -> &HostList {
         &self.state.hosts
     }
 
-    /// Returns the switches.
+    /// Returns the fault switches.
     pub fn faults(&self) -> &PlatformFaults {
         &self.state.faults
     }
--- a/crates/stand-ins/src/platform/hosts.rs
+++ b/crates/stand-ins/src/platform/hosts.rs
@@ -1,4 +1,4 @@
-//! The list of live and leaving hosts, which lags.
+//! The list of live and leaving hosts, which shows changes after a lag.
 
 use std::{
     collections::BTreeMap,
@@ -8,7 +8,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// What a host is.
+/// The role of a host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HostRole {
@@ -21,7 +21,7 @@
 }
 
 impl HostRole {
-    /// Reads a role; anything unknown is a server.
+    /// Parses a role; unknown roles are parsed as servers.
     pub fn parse(text: &str) -> Self {
         match text {
             "entry" => Self::Entry,
@@ -31,47 +31,47 @@
     }
 }
 
-/// What the list says of a host's state.
+/// The state of a host in the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HostState {
-    /// It is there.
+    /// The host is live.
     Live,
-    /// It is about to go.
+    /// The host is leaving.
     Leaving,
 }
 
-/// One entry of the list.
+/// An entry of the host list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostRecord {
-    /// What it is.
+    /// The role.
     pub role: HostRole,
-    /// Its number within its role.
+    /// The ID, unique within the role.
     pub id: u32,
-    /// Its data hall.
+    /// The data hall.
     pub hall: u16,
-    /// Its address, as `ip:port`.
+    /// The address as `ip:port`.
     pub address: String,
-    /// Its state.
+    /// The state.
     pub state: HostState,
-    /// Its life, as the platform counts it.
+    /// The incarnation that the platform assigned.
     pub incarnation: u64,
-    /// The service, for engines and servers.
+    /// The name of the service, for engines and servers.
     #[serde(default)]
     pub service: String,
-    /// Adapter slots, for engines.
+    /// The number of adapter slots, for engines.
     #[serde(default)]
     pub slots: u32,
-    /// Requests at once, for engines.
+    /// The number of concurrent requests, for engines.
     #[serde(default)]
     pub streams: u32,
-    /// Whether it checks fences, for engines.
+    /// Whether the host checks fencing tokens, for engines.
     #[serde(default)]
     pub checks_fence: bool,
 }
 
 impl HostRecord {
-    /// Makes the entry of a live host in its first life.
+    /// Creates the entry of a live host in its first incarnation.
     pub fn new(role: HostRole, id: u32, hall: u16, address: impl Into<String>) -> Self {
         Self {
             role,
@@ -94,7 +94,7 @@
         self
     }
 
-    /// Sets what an engine has: adapter slots, requests at once, whether it checks fences.
+    /// Sets the fields of an engine: adapter slots, concurrent requests and fence checks.
     #[must_use]
     pub const fn engine(mut self, slots: u32, streams: u32, checks_fence: bool) -> Self {
         self.slots = slots;
@@ -104,14 +104,14 @@
     }
 }
 
-/// What changed since a version.
+/// The changes since a version.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct HostChanges {
-    /// The version to ask from next time.
+    /// The version to pass to the next call.
     pub version: u64,
-    /// Entries that are new or changed.
+    /// New and changed entries.
     pub entries: Vec<HostRecord>,
-    /// Entries that are gone.
+    /// Removed entries.
     pub removed: Vec<(HostRole, u32)>,
 }
 
@@ -126,7 +126,7 @@
     changes: Vec<(Instant, HostChange)>,
 }
 
-/// The list, as the changes it was made by.
+/// The host list, stored as a log of changes.
 #[derive(Debug)]
 pub struct HostList {
     state: Mutex<ChangeLog>,
@@ -134,7 +134,7 @@
 }
 
 impl HostList {
-    /// Starts an empty list that shows each change only after `lag`.
+    /// Creates an empty list that shows each change after `lag`.
     pub fn new(lag: Duration) -> Self {
         Self { state: Mutex::default(), lag }
     }
@@ -153,7 +153,7 @@
         self.lock().changes.push((Instant::now(), HostChange::Remove(role, id)));
     }
 
-    /// Returns what changed since a version and is old enough to be shown.
+    /// Returns the changes since a version that are older than the lag.
     pub fn since(&self, version: u64) -> HostChanges {
         let state = self.lock();
         let visible_count =
--- a/crates/stand-ins/src/platform/log.rs
+++ b/crates/stand-ins/src/platform/log.rs
@@ -1,4 +1,4 @@
-//! An append-only log: streams of records with offsets, kept for a limited time.
+//! An append-only log of streams with offsets and limited retention.
 
 use std::{
     collections::BTreeMap,
@@ -8,31 +8,31 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Records of one read at most.
+/// The maximum number of records in a read.
 const MAX_READ_RECORDS: usize = 256;
 
-/// One record as read.
+/// A record as returned by a read.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReadRecord {
-    /// Its place in the stream.
+    /// The offset in the stream.
     pub offset: u64,
-    /// When it was written, in milliseconds since the Unix epoch.
+    /// When the record was appended, in milliseconds since the Unix epoch.
     pub written_millis: u64,
-    /// What was appended.
+    /// The payload.
     pub payload: String,
 }
 
-/// The answer to a read.
+/// The result of a read.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct ReadResult {
-    /// How often the log has come back from an older copy of itself.
+    /// How often the log has been restored from an older copy.
     #[serde(default)]
     pub era: u64,
-    /// The first offset that is still kept.
+    /// The first retained offset.
     pub first: u64,
     /// The offset after the last record.
     pub end: u64,
-    /// The records from the offset asked for, or from `first` where that is later.
+    /// The records from the requested offset on, or from `first` if that is higher.
     pub records: Vec<ReadRecord>,
 }
 
@@ -60,7 +60,7 @@
 }
 
 impl LogService {
-    /// Starts an empty log.
+    /// Creates an empty log.
     pub fn new(retained: usize, appends_per_second: u32) -> Self {
         let appends_per_second = f64::from(appends_per_second);
         let state = Streams {
@@ -76,8 +76,8 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Appends a record; returns its offset, or `None` when the rate is spent and nothing was
-    /// written.
+    /// Appends a record and returns its offset, or `None` if the rate limit is exceeded and nothing
+    /// was written.
     pub fn append(&self, stream: &str, payload: String) -> Option<u64> {
         let mut state = self.lock();
         let seconds = state.refilled_at.elapsed().as_secs_f64();
@@ -101,7 +101,7 @@
         Some(offset)
     }
 
-    /// Reads from an offset on, waiting up to `wait` for a record to come.
+    /// Reads records from an offset on; waits up to `wait` for the first one.
     pub fn read(&self, stream: &str, from: u64, wait: Duration) -> ReadResult {
         let deadline = Instant::now() + wait;
         let mut state = self.lock();
@@ -130,7 +130,8 @@
         ReadResult { era, first: stream.first, end, records }
     }
 
-    /// Comes back from a copy of itself that lacks the last `lost_records` records of each stream; their offsets are given out again.
+    /// Restores the log from a copy that lacks the last `lost_records` records of each stream; their
+    /// offsets are assigned again.
     pub fn restore_older_copy(&self, lost_records: usize) {
         let mut state = self.lock();
         state.era += 1;
@@ -141,7 +142,7 @@
         self.appended.notify_all();
     }
 
-    /// Lets the oldest records expire, but for the last `retained`.
+    /// Expires all but the last `retained` records of a stream.
     pub fn expire(&self, stream: &str, retained: usize) {
         let mut state = self.lock();
         let Some(stream) = state.by_name.get_mut(stream) else { return };
--- a/crates/stand-ins/src/platform/store.rs
+++ b/crates/stand-ins/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! The weight store: a load has full speed only while it is alone.
+//! A weight store whose bandwidth is shared equally among concurrent loads.
 
 use std::{
     collections::BTreeSet,
@@ -10,7 +10,7 @@
     time::Duration,
 };
 
-/// How finely the store's speed is shared out.
+/// The interval at which the progress of a load is updated.
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(5);
 
 /// The weight store.
@@ -22,7 +22,7 @@
 }
 
 impl WeightStore {
-    /// Starts a store that gives that many loads a second, one after another.
+    /// Creates a store that serves `loads_per_second` consecutive loads.
     pub fn new(loads_per_second: f64) -> Self {
         Self {
             unshared_load_time: Duration::from_secs_f64(1.0 / loads_per_second),
@@ -37,7 +37,7 @@
         missing.insert(adapter.to_owned());
     }
 
-    /// Loads an adapter, which takes longer the more loads run; says whether it is there.
+    /// Loads an adapter, sharing the bandwidth with concurrent loads; returns whether it exists.
     pub fn load(&self, adapter: &str) -> bool {
         self.active.fetch_add(1, Ordering::Relaxed);
         let mut progress = Duration::ZERO;
--- a/crates/stand-ins/src/service.rs
+++ b/crates/stand-ins/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service: order entry, some of whose calls must not be repeated.
+//! A stand-in for a plain service: order entry, some of whose calls must not be repeated.
 
 use std::{
     collections::BTreeMap,
@@ -14,10 +14,10 @@
     http::{ServerGuard, header, read_body, respond_json},
 };
 
-/// How a plain service stand-in behaves.
+/// The configuration of a plain service stand-in.
 #[derive(Debug, Clone)]
 pub struct ServiceOptions {
-    /// Where it listens; port 0 picks a free one.
+    /// The address to listen on; port 0 selects a free port.
     pub address: String,
 }
 
@@ -52,10 +52,10 @@
 }
 
 impl ServiceStandIn {
-    /// Starts one.
+    /// Starts a plain service stand-in.
     ///
     /// # Errors
-    /// Returns why the address can not be listened on.
+    /// Returns an error if it cannot listen on the address.
     pub fn start(options: &ServiceOptions) -> io::Result<Self> {
         let state = Arc::new(ServiceState::default());
         let shared_state = Arc::clone(&state);
@@ -69,12 +69,12 @@
         self.guard.address()
     }
 
-    /// Returns the switch for its calls.
+    /// Returns the fault switch of its calls.
     pub fn fault(&self) -> &FaultSwitch {
         &self.state.fault
     }
 
-    /// Returns how often each request id ran.
+    /// Returns the number of runs by request ID.
     pub fn runs(&self) -> BTreeMap<String, u32> {
         self.state.runs.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
