--- a/crates/fakes/src/check.rs
+++ b/crates/fakes/src/check.rs
@@ -1,82 +1,82 @@
-//! The eight promises, checked from what the fakes saw.
+//! Checks the eight promises against the recorded evidence.
 
 use std::collections::BTreeMap;
 
 use reelreel_core::{CallerOutcome, id::RequestId};
 
-use crate::{evidence::Evidence, script::LATE_CALLS, site::FakeSite};
+use crate::{evidence::Evidence, script::FINAL_REQUESTS_MS, site::FakeSite};
 
-/// A promise of the brief, in its order; the last one is that things go on afterwards.
+/// A property that must hold in every run, whatever faults are injected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Promise {
-    /// Every request runs on the adapter and version it named, or on none.
+    /// A request runs only on the adapter and version that it names.
     NamedAdapter,
-    /// An adapter that is serving is never unloaded.
-    ServingStays,
-    /// Each caller receives the whole answer to its own request.
-    OwnAnswer,
-    /// What is told as not run was not run.
-    NotRunIsTrue,
-    /// What is not repeatable runs at most once.
+    /// An adapter is never unloaded while requests run on it.
+    ServingAdapterNotUnloaded,
+    /// Each answered caller receives the complete answer to its own request.
+    OwnCompleteAnswer,
+    /// A request reported as not run did not run.
+    NotRunIsAccurate,
+    /// A request that is not repeatable runs at most once.
     AtMostOnce,
-    /// A leaving backend server gets nothing new after a few seconds.
-    LeavingGetsNothing,
-    /// A planned stop cuts nothing off.
-    StopCutsNothing,
-    /// A configuration is in force within seconds and never goes back.
-    ConfigurationHolds,
-    /// Callers get final answers, and the site serves again once the faults are over.
-    GoesOn,
+    /// A leaving backend server receives no new requests after a grace period.
+    NoNewRequestsWhenLeaving,
+    /// A planned stop interrupts no request.
+    GracefulStop,
+    /// An accepted configuration is applied by all hosts in time and never reverted.
+    ConfigurationConverges,
+    /// Callers get a final answer, and requests are answered again after the last fault.
+    Recovery,
 }
 
-/// A promise that did not hold.
+/// A violation of a promise.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct BrokenPromise {
-    /// Which.
+pub struct PromiseViolation {
+    /// The violated promise.
     pub promise: Promise,
-    /// What was seen.
+    /// A description of the violation.
     pub detail: String,
 }
 
-/// How long a leaving backend server may still get requests, in milliseconds.
-const LEAVING_GRACE: u64 = 5_000;
+/// How long a leaving backend server may still receive requests, in milliseconds.
+const LEAVING_GRACE_MS: u64 = 5_000;
 
-/// How long an accepted configuration may take to be in force everywhere, in milliseconds.
-const FORCE_WITHIN: u64 = 15_000;
+/// How long an accepted configuration may take to be applied on all hosts, in milliseconds.
+const MAX_APPLY_MS: u64 = 15_000;
 
-/// How long after the last fault the site may take to serve again, in milliseconds.
-const RECOVERED_WITHIN: u64 = 8_000;
+/// How long after the last fault requests may still fail, in milliseconds.
+const MAX_RECOVERY_MS: u64 = 8_000;
 
-/// How late beyond its patience a caller may be told, in milliseconds.
-const TOLD_WITHIN: u64 = 3_000;
+/// How long after its maximum wait a caller must have received an outcome, in milliseconds.
+const ANSWER_GRACE_MS: u64 = 3_000;
 
-/// Checks all promises.
-pub fn check_promises(site: &FakeSite) -> Vec<BrokenPromise> {
-    let mut checker = PromiseChecker { site, evidence: &site.evidence, broken: Vec::new() };
+/// Checks all promises and returns the violations.
+pub fn check_promises(site: &FakeSite) -> Vec<PromiseViolation> {
+    let mut checker = PromiseChecker { site, evidence: &site.evidence, violations: Vec::new() };
     checker.named_adapter();
-    checker.serving_stays();
-    checker.own_answer();
-    checker.not_run_is_true();
+    checker.serving_adapter_not_unloaded();
+    checker.own_complete_answer();
+    checker.not_run_is_accurate();
     checker.at_most_once();
-    checker.leaving_gets_nothing();
-    checker.stop_cuts_nothing();
-    checker.configuration_holds();
-    checker.goes_on();
-    checker.broken
+    checker.no_new_requests_when_leaving();
+    checker.graceful_stop();
+    checker.configuration_converges();
+    checker.recovery();
+    checker.violations
 }
 
 struct PromiseChecker<'a> {
     site: &'a FakeSite,
     evidence: &'a Evidence,
-    broken: Vec<BrokenPromise>,
+    violations: Vec<PromiseViolation>,
 }
 
 impl PromiseChecker<'_> {
-    fn breaks(&mut self, promise: Promise, detail: String) {
-        self.broken.push(BrokenPromise { promise, detail });
+    fn report_violation(&mut self, promise: Promise, detail: String) {
+        self.violations.push(PromiseViolation { promise, detail });
     }
 
-    fn runs_by_request(&self) -> BTreeMap<RequestId, usize> {
+    fn run_counts(&self) -> BTreeMap<RequestId, usize> {
         let mut runs = BTreeMap::new();
         for run in &self.evidence.runs {
             *runs.entry(run.request).or_default() += 1;
@@ -100,56 +100,62 @@
             }
         }
         for detail in details {
-            self.breaks(Promise::NamedAdapter, detail);
+            self.report_violation(Promise::NamedAdapter, detail);
         }
     }
 
-    fn serving_stays(&mut self) {
-        for request in &self.evidence.cut_by_unload {
-            let detail = format!("{request:x} was cut by an unload");
-            self.broken.push(BrokenPromise { promise: Promise::ServingStays, detail });
+    fn serving_adapter_not_unloaded(&mut self) {
+        for request in &self.evidence.interrupted_by_unload {
+            let detail = format!("{request:x} was interrupted by an unload");
+            self.violations
+                .push(PromiseViolation { promise: Promise::ServingAdapterNotUnloaded, detail });
         }
     }
 
-    fn own_answer(&mut self) {
-        for request in &self.evidence.crossed {
-            let detail = format!("{request:x} got another run's answer");
-            self.broken.push(BrokenPromise { promise: Promise::OwnAnswer, detail });
+    fn own_complete_answer(&mut self) {
+        for request in &self.evidence.misdelivered {
+            let detail = format!("{request:x} received the answer to another request");
+            self.violations.push(PromiseViolation { promise: Promise::OwnCompleteAnswer, detail });
         }
-        let whole = |request: &RequestId| {
-            self.evidence.runs.iter().any(|run| run.request == *request && run.ended.is_some())
+        let has_completed_run = |request: &RequestId| {
+            self.evidence
+                .runs
+                .iter()
+                .any(|run| run.request == *request && run.completed_at.is_some())
         };
         let answered = self
             .evidence
             .callers
             .values()
-            .filter(|caller| matches!(caller.told, Some((CallerOutcome::Answered, _))));
-        let torn: Vec<String> = answered
-            .filter(|caller| !whole(&caller.request))
-            .map(|caller| format!("{:x} was answered without a whole run", caller.request))
+            .filter(|caller| matches!(caller.outcome, Some((CallerOutcome::Answered, _))));
+        let incomplete: Vec<String> = answered
+            .filter(|caller| !has_completed_run(&caller.request))
+            .map(|caller| format!("{:x} was answered without a completed run", caller.request))
             .collect();
-        for detail in torn {
-            self.breaks(Promise::OwnAnswer, detail);
+        for detail in incomplete {
+            self.report_violation(Promise::OwnCompleteAnswer, detail);
         }
     }
 
-    fn not_run_is_true(&mut self) {
-        let runs = self.runs_by_request();
+    fn not_run_is_accurate(&mut self) {
+        let runs = self.run_counts();
         let details: Vec<String> = self
             .evidence
             .callers
             .values()
-            .filter(|caller| matches!(caller.told, Some((CallerOutcome::NotRun, _))))
+            .filter(|caller| matches!(caller.outcome, Some((CallerOutcome::NotRun, _))))
             .filter(|caller| runs.contains_key(&caller.request))
-            .map(|caller| format!("{:x} was told not run ({:?})", caller.request, caller.refusal))
+            .map(|caller| {
+                format!("{:x} was reported as not run ({:?})", caller.request, caller.refusal)
+            })
             .collect();
         for detail in details {
-            self.breaks(Promise::NotRunIsTrue, detail);
+            self.report_violation(Promise::NotRunIsAccurate, detail);
         }
     }
 
     fn at_most_once(&mut self) {
-        let runs = self.runs_by_request();
+        let runs = self.run_counts();
         let mut by_key: BTreeMap<&str, usize> = BTreeMap::new();
         let mut details = Vec::new();
         for caller in self.evidence.callers.values() {
@@ -167,90 +173,102 @@
             }
         }
         for detail in details {
-            self.breaks(Promise::AtMostOnce, detail);
+            self.report_violation(Promise::AtMostOnce, detail);
         }
     }
 
-    fn leaving_gets_nothing(&mut self) {
-        for (request, late) in &self.evidence.after_leaving {
-            if *late > LEAVING_GRACE {
-                let detail = format!("{request:x} came {late} ms after the engine was leaving");
-                self.broken.push(BrokenPromise { promise: Promise::LeavingGetsNothing, detail });
+    fn no_new_requests_when_leaving(&mut self) {
+        for (request, delay) in &self.evidence.received_while_leaving {
+            if *delay > LEAVING_GRACE_MS {
+                let detail =
+                    format!("{request:x} was received {delay} ms after the engine started leaving");
+                self.violations
+                    .push(PromiseViolation { promise: Promise::NoNewRequestsWhenLeaving, detail });
             }
         }
     }
 
-    fn stop_cuts_nothing(&mut self) {
-        for request in &self.evidence.cut_by_stop {
-            let detail = format!("{request:x} was cut by a planned stop");
-            self.broken.push(BrokenPromise { promise: Promise::StopCutsNothing, detail });
+    fn graceful_stop(&mut self) {
+        for request in &self.evidence.interrupted_by_stop {
+            let detail = format!("{request:x} was interrupted by a planned stop");
+            self.violations.push(PromiseViolation { promise: Promise::GracefulStop, detail });
         }
     }
 
-    fn configuration_holds(&mut self) {
+    fn configuration_converges(&mut self) {
         let mut details = Vec::new();
         let mut last: BTreeMap<(u32, u64), u64> = BTreeMap::new();
-        for record in &self.evidence.forced {
-            let known = last.insert((record.host, record.life), record.revision);
+        for record in &self.evidence.revision_changes {
+            let known = last.insert((record.host, record.generation), record.revision);
             if known.is_some_and(|known| known > record.revision) {
-                details.push(format!("host {} went back to {}", record.host, record.revision));
+                details.push(format!(
+                    "host {} went back to revision {}",
+                    record.host, record.revision
+                ));
             }
         }
         let newest = self.site.reference.revision();
-        let accepted = self.evidence.accepted.get(&newest).copied().unwrap_or(0);
-        let settled = self.site.now >= accepted + FORCE_WITHIN;
+        let accepted = self.evidence.accepted_at.get(&newest).copied().unwrap_or(0);
+        let settled = self.site.now >= accepted + MAX_APPLY_MS;
         let reference = self.site.reference.snapshot();
         for (host, core) in self.site.cores() {
             if settled && core.settings().revision() != newest {
                 let revision = core.settings().revision();
-                details.push(format!("host {host} is at {revision}, accepted is {newest}"));
+                details
+                    .push(format!("host {host} applies revision {revision} instead of {newest}"));
             }
-            let own = core.settings().snapshot();
-            if own.next_offset == reference.next_offset && own.digest != reference.digest {
-                details.push(format!("host {host} has another tree"));
+            let snapshot = core.settings().snapshot();
+            if snapshot.next_offset == reference.next_offset && snapshot.digest != reference.digest
+            {
+                details.push(format!("host {host} has different settings at the same offset"));
             }
         }
         for host in self.site.hosts.values() {
             let ready = host.core.as_ref().is_some_and(reelreel_core::NodeCore::is_ready);
-            if ready && host.last_revision < host.best_revision {
-                details.push(format!("host {} serves an older revision", host.host));
+            if ready && host.last_revision < host.highest_past_revision {
+                details.push(format!(
+                    "host {} serves with an older revision than before its restart",
+                    host.host
+                ));
             }
         }
         for detail in details {
-            self.breaks(Promise::ConfigurationHolds, detail);
+            self.report_violation(Promise::ConfigurationConverges, detail);
         }
     }
 
-    fn goes_on(&mut self) {
+    fn recovery(&mut self) {
         let end = self.site.now;
-        let over = self.evidence.last_fault_end.map_or(0, |at| at + RECOVERED_WITHIN);
+        let recovery_deadline = self.evidence.last_fault_end.map_or(0, |at| at + MAX_RECOVERY_MS);
         let mut details = Vec::new();
-        let mut late = (0, 0);
+        let mut final_requests = (0, 0);
         let mut unanswered = Vec::new();
         for caller in self.evidence.callers.values() {
-            if caller.hung_up {
+            if caller.disconnected {
                 continue;
             }
-            let due = caller.arrived + caller.patience + TOLD_WITHIN;
-            let begun = caller.first_token.is_some() || caller.sent.is_some();
-            if caller.told.is_none() && due < end && !begun {
-                details.push(format!("{:x} was never told anything", caller.request));
+            let deadline = caller.arrived_at + caller.max_wait_ms + ANSWER_GRACE_MS;
+            let started = caller.first_token_at.is_some() || caller.first_run_at.is_some();
+            if caller.outcome.is_none() && deadline < end && !started {
+                details.push(format!("{:x} never received an outcome", caller.request));
             }
-            if caller.arrived >= end.saturating_sub(LATE_CALLS).max(over) {
-                late.1 += 1;
-                let answered = matches!(caller.told, Some((CallerOutcome::Answered, _)));
-                late.0 += u32::from(answered);
+            if caller.arrived_at >= end.saturating_sub(FINAL_REQUESTS_MS).max(recovery_deadline) {
+                final_requests.1 += 1;
+                let answered = matches!(caller.outcome, Some((CallerOutcome::Answered, _)));
+                final_requests.0 += u32::from(answered);
                 if !answered {
                     unanswered.push(format!("{:x} {:?}", caller.request, caller.refusal));
                 }
             }
         }
-        if late.0 * 10 < late.1 * 9 {
-            let (answered, all) = late;
-            details.push(format!("{answered} of the last {all} calls answered: {unanswered:?}"));
+        if final_requests.0 * 10 < final_requests.1 * 9 {
+            let (answered, all) = final_requests;
+            details.push(format!(
+                "{answered} of the last {all} requests were answered; not answered: {unanswered:?}"
+            ));
         }
         for detail in details {
-            self.breaks(Promise::GoesOn, detail);
+            self.report_violation(Promise::Recovery, detail);
         }
     }
 }
--- a/crates/fakes/src/engine.rs
+++ b/crates/fakes/src/engine.rs
@@ -1,4 +1,4 @@
-//! A model engine, as far as the core sees it.
+//! A fake model engine with the behaviour that the core observes.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -10,48 +10,48 @@
 
 use crate::store::StoreLoad;
 
-/// How an engine is made.
+/// The configuration of a [`FakeEngine`].
 #[derive(Debug, Clone)]
-pub struct EngineShape {
-    /// Its number.
+pub struct EngineConfig {
+    /// The engine's ID.
     pub engine: EngineId,
-    /// Its hall.
+    /// The data hall that it runs in.
     pub hall: HallId,
-    /// Its service's name.
+    /// The name of its service.
     pub service: String,
-    /// Adapters it holds.
+    /// The number of adapters that it can hold.
     pub slots: u32,
-    /// Requests it runs at once.
+    /// The number of requests in a batch; twice as many are admitted.
     pub streams: u32,
-    /// Whether it checks tokens.
+    /// Whether it rejects stale fencing tokens.
     pub checks_fence: bool,
 }
 
-/// One request that runs.
+/// A running request.
 #[derive(Debug, Clone)]
 pub(crate) struct RunningRequest {
     pub(crate) adapter: AdapterKey,
     pub(crate) run: usize,
 }
 
-/// One adapter in its slot.
+/// The state of an adapter slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum FakeSlot {
     Loading(StoreLoad),
     Loaded { used: bool },
 }
 
-/// A model engine.
+/// A fake model engine.
 #[derive(Debug)]
 pub struct FakeEngine {
-    /// How it was made.
-    pub shape: EngineShape,
-    /// Its life.
+    /// The engine's configuration.
+    pub config: EngineConfig,
+    /// The incarnation, which increases with each restart.
     pub incarnation: u64,
-    /// Since when it is leaving.
-    pub leaving: Option<u64>,
-    /// Gone from the site.
-    pub gone: bool,
+    /// When it started leaving, in milliseconds.
+    pub leaving_since: Option<u64>,
+    /// Whether it has been removed from the site.
+    pub removed: bool,
     pub(crate) sequence: u64,
     pub(crate) token: FenceToken,
     pub(crate) slots: BTreeMap<AdapterKey, FakeSlot>,
@@ -60,17 +60,17 @@
     changed_at: u64,
 }
 
-/// How late a report is, in milliseconds.
-const REPORT_LAG: u64 = 200;
+/// The age at which a report becomes visible, in milliseconds.
+const REPORT_LAG_MS: u64 = 200;
 
 impl FakeEngine {
-    /// Starts an engine with nothing loaded.
-    pub fn new(shape: EngineShape) -> Self {
+    /// Creates an engine with no adapter loaded.
+    pub fn new(config: EngineConfig) -> Self {
         Self {
-            shape,
+            config,
             incarnation: 1,
-            leaving: None,
-            gone: false,
+            leaving_since: None,
+            removed: false,
             sequence: 1,
             token: 0,
             slots: BTreeMap::new(),
@@ -80,33 +80,33 @@
         }
     }
 
-    /// Returns the engine's entry of the host list.
+    /// Returns the engine's entry in the host list.
     pub fn info(&self) -> EngineInfo {
         EngineInfo {
-            engine: self.shape.engine,
-            hall: self.shape.hall,
-            service: self.shape.service.clone(),
-            address: format!("engine-{}", self.shape.engine),
-            slots: self.shape.slots,
-            streams: self.shape.streams,
-            checks_fence: self.shape.checks_fence,
+            engine: self.config.engine,
+            hall: self.config.hall,
+            service: self.config.service.clone(),
+            address: format!("engine-{}", self.config.engine),
+            slots: self.config.slots,
+            streams: self.config.streams,
+            checks_fence: self.config.checks_fence,
             incarnation: self.incarnation,
         }
     }
 
-    pub(crate) fn changed(&mut self, now: u64) {
+    pub(crate) fn record_change(&mut self, now: u64) {
         self.sequence += 1;
         self.changed_at = now;
         self.reports.push_back((now, self.report_now()));
-        while self.reports.get(1).is_some_and(|(at, _)| at + REPORT_LAG <= now) {
+        while self.reports.get(1).is_some_and(|(at, _)| at + REPORT_LAG_MS <= now) {
             self.reports.pop_front();
         }
     }
 
     fn report_now(&self) -> EngineReport {
         let running = |key: &AdapterKey| {
-            let on = self.running.values().filter(|running| running.adapter == *key).count();
-            u32::try_from(on).unwrap_or(u32::MAX)
+            let count = self.running.values().filter(|running| running.adapter == *key).count();
+            u32::try_from(count).unwrap_or(u32::MAX)
         };
         let loaded = |(key, slot): (&AdapterKey, &FakeSlot)| match slot {
             FakeSlot::Loaded { .. } => {
@@ -122,29 +122,29 @@
             incarnation: self.incarnation,
             sequence: self.sequence,
             token: self.token,
-            leaving: self.leaving.is_some(),
+            leaving: self.leaving_since.is_some(),
             adapters: self.slots.iter().filter_map(loaded).collect(),
             loading: self.slots.iter().filter_map(loading).collect(),
             unknown_adapters: Vec::new(),
         }
     }
 
-    /// Returns the newest report that is old enough to be shown.
+    /// Returns the newest report that is old enough to be visible, or the oldest one.
     pub fn report(&self, now: u64) -> EngineReport {
-        let old = self.reports.iter().rev().find(|(at, _)| at + REPORT_LAG <= now);
-        match old.or(self.reports.front()) {
+        let visible = self.reports.iter().rev().find(|(at, _)| at + REPORT_LAG_MS <= now);
+        match visible.or(self.reports.front()) {
             Some((_, report)) => report.clone(),
             None => self.report_now(),
         }
     }
 
-    pub(crate) fn done(&self) -> OrderResult {
+    pub(crate) fn order_done(&self) -> OrderResult {
         OrderResult::Done { incarnation: self.incarnation, sequence: self.sequence }
     }
 
-    /// Checks a token, as far as the engine checks any.
-    pub(crate) fn pass_fence(&mut self, token: FenceToken, now: u64) -> Result<(), FenceToken> {
-        if !self.shape.checks_fence {
+    /// Checks a fencing token and accepts a higher one; without fencing, any token passes.
+    pub(crate) fn check_fence(&mut self, token: FenceToken, now: u64) -> Result<(), FenceToken> {
+        if !self.config.checks_fence {
             return Ok(());
         }
         if token < self.token {
@@ -152,38 +152,39 @@
         }
         if token > self.token {
             self.token = token;
-            self.changed(now);
+            self.record_change(now);
         }
         Ok(())
     }
 
-    /// Says why a request would not be run, if it would not.
-    pub(crate) fn refusal(
+    /// Returns why a request is rejected, or `None` if it would run.
+    pub(crate) fn not_run_reason(
         &mut self,
         adapter: AdapterKey,
         token: FenceToken,
         now: u64,
     ) -> Option<NotRunReason> {
-        if self.pass_fence(token, now).is_err() {
+        if self.check_fence(token, now).is_err() {
             return Some(NotRunReason::StaleToken);
         }
         match self.slots.get(&adapter) {
             Some(FakeSlot::Loaded { .. }) => {}
             _ => return Some(NotRunReason::NotResident),
         }
-        let room = 2 * self.shape.streams as usize;
-        (self.running.len() >= room).then_some(NotRunReason::Full)
+        let capacity = 2 * self.config.streams as usize;
+        (self.running.len() >= capacity).then_some(NotRunReason::Full)
     }
 
-    /// Begins a new life: nothing is loaded and nothing runs. Returns what was cut.
+    /// Starts a new incarnation without adapters or requests. Returns the interrupted requests and
+    /// loads.
     pub(crate) fn restart(&mut self, now: u64) -> (Vec<RequestId>, Vec<StoreLoad>) {
         self.incarnation += 1;
         self.sequence = 0;
         self.token = 0;
-        self.leaving = None;
-        self.gone = false;
+        self.leaving_since = None;
+        self.removed = false;
         self.reports.clear();
-        let cut = std::mem::take(&mut self.running).into_keys().collect();
+        let interrupted = std::mem::take(&mut self.running).into_keys().collect();
         let loads = std::mem::take(&mut self.slots)
             .into_values()
             .filter_map(|slot| match slot {
@@ -191,7 +192,7 @@
                 FakeSlot::Loaded { .. } => None,
             })
             .collect();
-        self.changed(now);
-        (cut, loads)
+        self.record_change(now);
+        (interrupted, loads)
     }
 }
--- a/crates/fakes/src/fault.rs
+++ b/crates/fakes/src/fault.rs
@@ -1,128 +1,145 @@
-//! Faults and the steps at which they strike.
+//! Faults and the steps at which they are injected.
 
 use serde::{Deserialize, Serialize};
 
-/// A step of a life cycle, as the fakes see it.
+/// A step of a request, a load, a publication or a stop at which a fault can be injected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StepKind {
-    /// A caller's request arrives at a host.
+    /// A request from a caller arrives at a host.
     RequestArrives,
-    /// An ask for a permit arrives at an owner.
-    AskArrives,
-    /// A grant arrives at the host that asked.
-    GrantArrives,
+    /// A request for a permit arrives at the owner of an engine.
+    #[serde(rename = "ask_arrives")]
+    PermitAskArrives,
+    /// A granted permit arrives at the host that asked for it.
+    #[serde(rename = "grant_arrives")]
+    PermitGrantArrives,
     /// A request is about to be written to a backend server.
     RequestSends,
-    /// A backend server begins to run a request.
+    /// A backend server starts to run a request.
     RequestRuns,
-    /// A backend server has ended a request.
+    /// A backend server has completed a request.
     RequestEnds,
-    /// The word of a request's end arrives at the owner.
-    DoneArrives,
-    /// An ask for a turn at the store arrives.
-    TurnAsked,
-    /// A turn arrives at the owner.
-    TurnArrives,
-    /// An engine begins a load.
+    /// The report that a permitted request ended arrives at the owner of an engine.
+    #[serde(rename = "done_arrives")]
+    PermitDoneArrives,
+    /// A request for a load slot at the weight store arrives.
+    #[serde(rename = "turn_asked")]
+    LoadAskArrives,
+    /// A granted load slot arrives at the owner of an engine.
+    #[serde(rename = "turn_arrives")]
+    LoadGrantArrives,
+    /// An engine starts a load.
     LoadBegins,
-    /// An engine has ended a load.
+    /// An engine has completed a load.
     LoadEnds,
-    /// An unload order arrives at an engine.
+    /// An order to unload an adapter arrives at an engine.
     UnloadArrives,
-    /// A raise order arrives at an engine.
-    RaiseArrives,
-    /// A claim is appended.
+    /// An order to raise the fencing token arrives at an engine.
+    #[serde(rename = "raise_arrives")]
+    RaiseFenceArrives,
+    /// A claim is appended to the log.
     ClaimAppends,
-    /// A claim is read back.
+    /// A host reads claims from the log.
     ClaimReads,
-    /// A publication is appended.
+    /// A publication is appended to the log.
     PublicationAppends,
-    /// A publication is read by a host.
+    /// A host reads publications from the log.
     PublicationReads,
-    /// A heartbeat arrives.
+    /// A heartbeat arrives at a host.
     HeartbeatArrives,
-    /// A host begins a planned stop.
-    DrainBegins,
-    /// An engine begins a planned stop.
-    LeaveBegins,
+    /// A host starts a planned stop.
+    #[serde(rename = "drain_begins")]
+    HostDrainBegins,
+    /// An engine starts a planned stop.
+    #[serde(rename = "leave_begins")]
+    EngineDrainBegins,
 }
 
 impl StepKind {
     /// All steps.
     pub const ALL: [Self; 20] = [
         Self::RequestArrives,
-        Self::AskArrives,
-        Self::GrantArrives,
+        Self::PermitAskArrives,
+        Self::PermitGrantArrives,
         Self::RequestSends,
         Self::RequestRuns,
         Self::RequestEnds,
-        Self::DoneArrives,
-        Self::TurnAsked,
-        Self::TurnArrives,
+        Self::PermitDoneArrives,
+        Self::LoadAskArrives,
+        Self::LoadGrantArrives,
         Self::LoadBegins,
         Self::LoadEnds,
         Self::UnloadArrives,
-        Self::RaiseArrives,
+        Self::RaiseFenceArrives,
         Self::ClaimAppends,
         Self::ClaimReads,
         Self::PublicationAppends,
         Self::PublicationReads,
         Self::HeartbeatArrives,
-        Self::DrainBegins,
-        Self::LeaveBegins,
+        Self::HostDrainBegins,
+        Self::EngineDrainBegins,
     ];
 }
 
-/// What goes wrong.
+/// A kind of fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// The host at the step is killed; its successor starts when the fault ends.
+    /// The host at the step is killed and starts again when the fault ends.
     HostKilled,
-    /// The host at the step is frozen, and wakes when the fault ends.
+    /// The host at the step is frozen until the fault ends.
     HostFrozen,
-    /// The engine at the step, or any, is restarted with nothing loaded.
+    /// The engine at the step, or the first one, restarts without adapters.
     EngineRestarted,
     /// Loads fail.
     LoadFails,
-    /// Answers to orders are lost after they took effect.
+    /// Orders take effect, but their answers are lost.
     OrderAnswerLost,
-    /// Orders to engines are late.
+    /// Orders to engines are delayed by seconds.
     OrderLate,
-    /// Orders to engines are given up by their sender and take effect seconds later.
-    OrderGivenUp,
-    /// The weight store gives nothing.
-    StoreAway,
-    /// The weight store is ten times as slow.
+    /// Orders to engines take effect after their sender has given up on them.
+    #[serde(rename = "order_given_up")]
+    OrderAbandoned,
+    /// The weight store is unavailable and loads make no progress.
+    #[serde(rename = "store_away")]
+    StoreUnavailable,
+    /// The weight store is ten times slower.
     StoreSlow,
     /// The log can neither be read nor appended to.
-    LogAway,
-    /// The log takes seconds.
+    #[serde(rename = "log_away")]
+    LogUnavailable,
+    /// Reads from and appends to the log take seconds.
     LogSlow,
-    /// The log is away, and comes back from a copy some seconds old; operators write again what it lost.
-    LogFallsBack,
-    /// Appends take effect, their answers are lost.
+    /// The log is unavailable and then restored from a copy some seconds old; operators republish
+    /// the lost changes.
+    #[serde(rename = "log_falls_back")]
+    LogRestoredOlder,
+    /// Appends take effect, but their answers are lost.
     AppendAnswerLost,
-    /// The host list does not change.
+    /// The host list is not updated.
     HostListStale,
-    /// The host at the step gets no messages from its peers.
-    PeersCutOneWay,
-    /// The host at the step and its peers hear nothing of each other.
-    PeersCutBothWays,
-    /// A hall is cut off from the other halls and from the platform.
-    HallCutOff,
-    /// The caller at the step hangs up.
+    /// The host at the step receives no messages from its peers.
+    #[serde(rename = "peers_cut_one_way")]
+    PeersPartitionedOneWay,
+    /// The host at the step and its peers receive no messages from each other.
+    #[serde(rename = "peers_cut_both_ways")]
+    PeersPartitionedBothWays,
+    /// A hall cannot reach the other halls or the platform.
+    #[serde(rename = "hall_cut_off")]
+    HallPartitioned,
+    /// The caller at the step disconnects.
     CallerGone,
-    /// Messages between hosts come twice, the second time late.
-    MessageDoubled,
-    /// Messages between hosts are late by seconds.
+    /// Messages between hosts arrive twice, the second time delayed.
+    #[serde(rename = "message_doubled")]
+    MessageDuplicated,
+    /// Messages between hosts are delayed by seconds.
     MessageLate,
-    /// Messages between hosts overtake one another.
+    /// Messages between hosts arrive out of order.
     MessageOutOfOrder,
-    /// Messages between hosts are lost, one in three.
+    /// One in three messages between hosts is lost.
     MessageLost,
-    /// Two operators publish against the same revision at once.
+    /// Two operators publish conflicting changes of the same revision.
     OperatorsRace,
     /// The wall clock of the host at the step jumps by an hour.
     ClockJump,
@@ -137,19 +154,19 @@
         Self::LoadFails,
         Self::OrderAnswerLost,
         Self::OrderLate,
-        Self::OrderGivenUp,
-        Self::StoreAway,
+        Self::OrderAbandoned,
+        Self::StoreUnavailable,
         Self::StoreSlow,
-        Self::LogAway,
+        Self::LogUnavailable,
         Self::LogSlow,
-        Self::LogFallsBack,
+        Self::LogRestoredOlder,
         Self::AppendAnswerLost,
         Self::HostListStale,
-        Self::PeersCutOneWay,
-        Self::PeersCutBothWays,
-        Self::HallCutOff,
+        Self::PeersPartitionedOneWay,
+        Self::PeersPartitionedBothWays,
+        Self::HallPartitioned,
         Self::CallerGone,
-        Self::MessageDoubled,
+        Self::MessageDuplicated,
         Self::MessageLate,
         Self::MessageOutOfOrder,
         Self::MessageLost,
@@ -158,54 +175,54 @@
     ];
 }
 
-/// One fault, placed at a step.
+/// A fault to inject at an occurrence of a step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlannedFault {
-    /// What goes wrong.
+    /// The kind of fault.
     pub fault: FaultKind,
-    /// At which step.
+    /// The step at which it is injected.
     pub step: StepKind,
-    /// At the how manyeth time that the step happens, from 1.
+    /// The occurrence of the step, counted from 1.
     #[serde(default = "first")]
     pub nth: u64,
-    /// For how long, in milliseconds.
-    #[serde(default = "usual_length")]
-    pub lasts: u64,
+    /// The duration of the fault, in milliseconds.
+    #[serde(rename = "lasts", default = "default_duration_ms")]
+    pub duration_ms: u64,
 }
 
 const fn first() -> u64 {
     1
 }
 
-const fn usual_length() -> u64 {
+const fn default_duration_ms() -> u64 {
     6_000
 }
 
-/// The faults of one run, and which of them struck.
+/// The faults of a run and which of them have been injected.
 #[derive(Debug, Clone, Default)]
 pub struct FaultPlan {
-    /// The faults.
+    /// The planned faults.
     pub faults: Vec<PlannedFault>,
-    /// Indexes of those that struck.
-    pub struck: Vec<usize>,
+    /// The indices of the injected faults.
+    pub injected: Vec<usize>,
 }
 
 impl FaultPlan {
-    /// Plans these faults.
+    /// Creates a plan of faults, none of them injected.
     pub const fn new(faults: Vec<PlannedFault>) -> Self {
-        Self { faults, struck: Vec::new() }
+        Self { faults, injected: Vec::new() }
     }
 
-    /// Returns the faults that strike at the `count`-th time of a step.
-    pub(crate) fn strike(&mut self, step: StepKind, count: u64) -> Vec<PlannedFault> {
-        let mut striking = Vec::new();
+    /// Returns the faults due at the `count`-th occurrence of a step and marks them as injected.
+    pub(crate) fn take_due_faults(&mut self, step: StepKind, count: u64) -> Vec<PlannedFault> {
+        let mut due = Vec::new();
         for (index, planned) in self.faults.iter().enumerate() {
             if planned.step == step && planned.nth == count {
-                striking.push(*planned);
-                self.struck.push(index);
+                due.push(*planned);
+                self.injected.push(index);
             }
         }
-        striking
+        due
     }
 }
--- a/crates/fakes/src/host.rs
+++ b/crates/fakes/src/host.rs
@@ -1,4 +1,4 @@
-//! An entry host around its core: what waits for it, and what its traffic threads do.
+//! A fake entry host: its core, its queued inputs and its open exchanges.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -13,42 +13,42 @@
 pub(crate) struct OpenExchange {
     pub(crate) backend: u32,
     pub(crate) run: Option<usize>,
-    pub(crate) first_token: bool,
+    pub(crate) first_token_received: bool,
 }
 
-/// What comes to a host, and waits while it is frozen.
+/// An input of a host; queued while the host is frozen.
 #[derive(Debug, Clone)]
 pub(crate) enum HostInput {
-    /// For the control thread.
+    /// An event for the control thread.
     Event(NodeEvent),
-    /// A traffic thread is about to write a request to a backend server.
+    /// A request that a traffic thread is about to write to a backend server.
     Send(RequestDispatch),
 }
 
-/// An entry host.
+/// A fake entry host.
 pub(crate) struct FakeHost {
     pub(crate) host: HostId,
     pub(crate) hall: HallId,
     pub(crate) core: Option<NodeCore>,
-    pub(crate) life: u64,
-    /// The life as the core and the request ids have it.
+    pub(crate) generation: u64,
+    /// The incarnation that the core and the request IDs use.
     pub(crate) incarnation: u64,
     pub(crate) frozen: bool,
-    pub(crate) waiting: VecDeque<HostInput>,
+    pub(crate) queued_inputs: VecDeque<HostInput>,
     pub(crate) exchanges: BTreeMap<RequestId, OpenExchange>,
-    pub(crate) follows: BTreeMap<LogStream, u64>,
-    pub(crate) hosts_version: usize,
-    /// Milliseconds that its wall clock is off.
+    pub(crate) read_offsets: BTreeMap<LogStream, u64>,
+    pub(crate) host_list_version: usize,
+    /// The offset of its wall clock, in milliseconds.
     pub(crate) wall_skew: i64,
-    /// Peers' messages to it are lost.
-    pub(crate) deaf: u32,
-    /// Its messages to peers are lost.
-    pub(crate) mute: u32,
-    pub(crate) counter: u32,
+    /// The number of active faults that drop messages from its peers.
+    pub(crate) inbound_blocked: u32,
+    /// The number of active faults that drop messages to its peers.
+    pub(crate) outbound_blocked: u32,
+    pub(crate) request_count: u32,
     pub(crate) drained: bool,
     pub(crate) last_revision: u64,
-    /// The highest revision it had in an earlier life.
-    pub(crate) best_revision: u64,
+    /// The highest revision that it had applied before its last start.
+    pub(crate) highest_past_revision: u64,
 }
 
 impl FakeHost {
@@ -57,25 +57,25 @@
             host,
             hall,
             core: None,
-            life: 0,
+            generation: 0,
             incarnation: 0,
             frozen: false,
-            waiting: VecDeque::new(),
+            queued_inputs: VecDeque::new(),
             exchanges: BTreeMap::new(),
-            follows: BTreeMap::new(),
-            hosts_version: 0,
+            read_offsets: BTreeMap::new(),
+            host_list_version: 0,
             wall_skew: 0,
-            deaf: 0,
-            mute: 0,
-            counter: 0,
+            inbound_blocked: 0,
+            outbound_blocked: 0,
+            request_count: 0,
             drained: false,
             last_revision: 0,
-            best_revision: 0,
+            highest_past_revision: 0,
         }
     }
 
-    /// Says whether it does anything when something comes.
-    pub(crate) const fn runs(&self) -> bool {
+    /// Returns whether it processes inputs.
+    pub(crate) const fn is_running(&self) -> bool {
         self.core.is_some() && !self.frozen
     }
 }
--- a/crates/fakes/src/script.rs
+++ b/crates/fakes/src/script.rs
@@ -1,4 +1,4 @@
-//! The site and the day that the fault matrix plays.
+//! The standard site and script of the fault matrix.
 
 use rand::{RngExt, SeedableRng, seq::IndexedRandom};
 use rand_pcg::Pcg64Mcg;
@@ -8,12 +8,12 @@
 };
 
 use crate::{
-    engine::EngineShape,
+    engine::EngineConfig,
     fault::FaultPlan,
-    site::{CallerCall, FakeSite, SiteAction, SiteMutation, SiteShape},
+    site::{CallerRequest, FakeSite, SiteAction, SiteConfig, SiteMutation},
 };
 
-/// The adapters of the site, more than its engines have slots for.
+/// The adapters of the site; more than its engines have slots for.
 const ADAPTERS: [(&str, &str); 7] = [
     ("north", "brakes"),
     ("north", "chains"),
@@ -24,30 +24,30 @@
     ("south", "travel"),
 ];
 
-/// How the script goes.
+/// The parameters of the script.
 #[derive(Debug, Clone, Copy)]
 pub struct SiteScript {
-    /// Seeds callers and the site.
+    /// The seed of the callers and the site.
     pub seed: u64,
-    /// Callers call from 3 s until then, in milliseconds.
+    /// When the random requests, which start after 3 s, stop, in milliseconds.
     pub calls_until: u64,
-    /// Milliseconds between calls, on average.
-    pub call_every: u64,
-    /// The run ends then.
+    /// The mean interval between random requests, in milliseconds.
+    pub mean_call_interval_ms: u64,
+    /// The end of the run, in milliseconds.
     pub end: u64,
     /// Whether engine 2 checks fences.
     pub fenced: bool,
-    /// What is broken on purpose.
+    /// The disabled mechanism, if any.
     pub mutation: Option<SiteMutation>,
 }
 
 impl SiteScript {
-    /// The script of the fault matrix.
+    /// Returns the parameters of the fault matrix.
     pub const fn new(seed: u64) -> Self {
         Self {
             seed,
             calls_until: 32_000,
-            call_every: 120,
+            mean_call_interval_ms: 120,
             end: 60_000,
             fenced: true,
             mutation: None,
@@ -55,7 +55,7 @@
     }
 }
 
-/// Returns the tree that the site begins with.
+/// Returns the initial settings of the site.
 pub fn standard_tree() -> SettingsTree {
     let mut text = String::from(
         "deadline_ms = 8000\n[service.assist]\nbase_model = \"base\"\n\
@@ -67,7 +67,7 @@
         text.push_str(&table);
         text.push_str("]\nversion = 1\nversions = [1, 2]\n");
     }
-    // A constant; the test of the script itself reads it.
+    // Never fails: the text is fixed.
     read_tree(&text).unwrap_or_default()
 }
 
@@ -82,10 +82,10 @@
     }
 }
 
-/// Makes the site of the fault matrix: two halls with two hosts each, three engines with two
-/// slots each, two plain servers, seven adapters in two versions.
+/// Creates the site of the fault matrix: two halls with two hosts each, three engines with two
+/// slots each, two plain servers and seven adapters with two versions each.
 pub fn standard_site(script: SiteScript, plan: FaultPlan) -> FakeSite {
-    let engine = |engine, hall, checks_fence| EngineShape {
+    let engine = |engine, hall, checks_fence| EngineConfig {
         engine,
         hall,
         service: String::from("assist"),
@@ -93,90 +93,91 @@
         streams: 8,
         checks_fence,
     };
-    let mut shape = SiteShape::new(script.seed);
-    shape.hosts = vec![(1, 1), (2, 1), (3, 2), (4, 2)];
-    shape.engines = vec![engine(1, 1, true), engine(2, 1, script.fenced), engine(3, 2, true)];
-    shape.servers = vec![(1, 1), (2, 2)];
-    shape.mutation = script.mutation;
-    let mut site = FakeSite::new(shape, plan);
+    let mut config = SiteConfig::new(script.seed);
+    config.hosts = vec![(1, 1), (2, 1), (3, 2), (4, 2)];
+    config.engines = vec![engine(1, 1, true), engine(2, 1, script.fenced), engine(3, 2, true)];
+    config.servers = vec![(1, 1), (2, 2)];
+    config.mutation = script.mutation;
+    let mut site = FakeSite::new(config, plan);
     let edits = SettingsTree::default().diff_edits(&standard_tree());
-    site.act_at(10, SiteAction::Publish(publication("first", 0, edits)));
-    plan_publications(&mut site);
-    site.act_at(12_000, SiteAction::DrainHost(2));
-    site.act_at(18_000, SiteAction::LeaveEngine(3));
-    plan_calls(&mut site, script);
+    site.schedule_action(10, SiteAction::Publish(publication("first", 0, edits)));
+    schedule_publications(&mut site);
+    site.schedule_action(12_000, SiteAction::DrainHost(2));
+    site.schedule_action(18_000, SiteAction::DrainEngine(3));
+    schedule_requests(&mut site, script);
     site
 }
 
-/// Milliseconds before the end at which the late calls begin.
-pub(crate) const LATE_CALLS: u64 = 20_000;
+/// How long before the end the final requests start, in milliseconds.
+pub(crate) const FINAL_REQUESTS_MS: u64 = 20_000;
 
-fn plan_publications(site: &mut FakeSite) {
+fn schedule_publications(site: &mut FakeSite) {
     let path = SettingsPath::site().child("assist").child("north").child("brakes");
     let versions = [(6_000, 2), (14_000, 1), (22_000, 2)];
     for (index, (at, version)) in versions.into_iter().enumerate() {
         let action = EditAction::Set(SettingKey::Version, SettingValue::Integer(version));
         let edits = vec![SettingsEdit { path: path.clone(), action }];
-        // Only the place's own last change matters, so a race elsewhere does not refuse these.
+        // Only changes of the same path conflict, so changes of other paths do not reject these.
         let base = u64::try_from(index).unwrap_or(0) + 1;
         let record = publication(&format!("version-{index}"), base, edits);
-        site.act_at(at, SiteAction::Publish(record));
+        site.schedule_action(at, SiteAction::Publish(record));
     }
 }
 
-fn plan_calls(site: &mut FakeSite, script: SiteScript) {
+fn schedule_requests(site: &mut FakeSite, script: SiteScript) {
     let mut rng = Pcg64Mcg::seed_from_u64(script.seed ^ 0x5eed);
     let mut at = 3_000;
     let mut number = 0;
     while at < script.calls_until {
         number += 1;
-        plan_call(site, &mut rng, at, number);
-        at += rng.random_range(1..2 * script.call_every);
+        schedule_random_request(site, &mut rng, at, number);
+        at += rng.random_range(1..2 * script.mean_call_interval_ms);
     }
-    // Some come late, for adapters that fit into the slots, and must be answered if no fault holds.
-    let fitting = ADAPTERS.iter().take(4).cycle();
-    for (index, (organisation, adapter)) in (0..20).zip(fitting) {
-        let call = CallerCall {
+    // The final requests name no more adapters than fit into the slots and must be answered once
+    // no fault is active.
+    let cached_adapters = ADAPTERS.iter().take(4).cycle();
+    for (index, (organisation, adapter)) in (0..20).zip(cached_adapters) {
+        let request = CallerRequest {
             adapter: format!("assist/{organisation}/{adapter}"),
             version: Some(1),
             repeatable: Some(true),
-            patience: 9_000,
-            ..usual_call(&mut rng)
+            max_wait_ms: 9_000,
+            ..random_request(&mut rng)
         };
-        site.call_at(script.end - LATE_CALLS + index * 500, call);
+        site.schedule_request(script.end - FINAL_REQUESTS_MS + index * 500, request);
     }
 }
 
-fn usual_call(rng: &mut Pcg64Mcg) -> CallerCall {
-    let skewed = rng.random_range(0..ADAPTERS.len()).min(rng.random_range(0..ADAPTERS.len()));
-    let (organisation, adapter) = ADAPTERS[skewed];
-    CallerCall {
+fn random_request(rng: &mut Pcg64Mcg) -> CallerRequest {
+    let index = rng.random_range(0..ADAPTERS.len()).min(rng.random_range(0..ADAPTERS.len()));
+    let (organisation, adapter) = ADAPTERS[index];
+    CallerRequest {
         host: None,
         adapter: format!("assist/{organisation}/{adapter}"),
         version: [None, None, Some(1), Some(2)].choose(rng).copied().flatten(),
         key: None,
         repeatable: [None, Some(true), Some(false)].choose(rng).copied().flatten(),
-        patience: rng.random_range(2_000..9_000),
+        max_wait_ms: rng.random_range(2_000..9_000),
         tokens: rng.random_range(5..250),
     }
 }
 
-fn plan_call(site: &mut FakeSite, rng: &mut Pcg64Mcg, at: u64, number: u64) {
-    let mut call = usual_call(rng);
+fn schedule_random_request(site: &mut FakeSite, rng: &mut Pcg64Mcg, at: u64, number: u64) {
+    let mut request = random_request(rng);
     match rng.random_range(0..10) {
-        // The same key comes by two hosts at once, or again a little later.
+        // The same idempotency key is sent twice, possibly to different hosts.
         0 => {
-            call.key = Some(format!("key-{number}"));
-            call.repeatable = None;
-            site.call_at(at, call.clone());
-            site.call_at(at + rng.random_range(0..400), call);
+            request.key = Some(format!("key-{number}"));
+            request.repeatable = None;
+            site.schedule_request(at, request.clone());
+            site.schedule_request(at + rng.random_range(0..400), request);
         }
         1 => {
-            call.adapter = String::new();
-            call.version = None;
-            call.repeatable = None;
-            site.call_at(at, call);
+            request.adapter = String::new();
+            request.version = None;
+            request.repeatable = None;
+            site.schedule_request(at, request);
         }
-        _ => site.call_at(at, call),
+        _ => site.schedule_request(at, request),
     }
 }
--- a/crates/fakes/src/store.rs
+++ b/crates/fakes/src/store.rs
@@ -1,88 +1,93 @@
-//! The weight store: full speed for one load at a time, shared among several.
+//! A fake weight store whose bandwidth is shared equally among concurrent loads.
 
 use std::collections::BTreeMap;
 
-/// A load in the store, by its number.
+/// The ID of a load.
 pub(crate) type StoreLoad = u64;
 
-/// The weight store.
+/// A fake weight store.
 #[derive(Debug)]
 pub struct FakeStore {
-    /// Milliseconds that a load takes alone.
-    pub load_millis: f64,
-    /// How much slower it is than usual.
-    pub slowness: f64,
-    /// Gives nothing; loads under way stand still.
-    pub away: bool,
+    /// The duration of a load that runs alone, in milliseconds.
+    pub unshared_load_ms: f64,
+    /// The factor by which loads are slowed down.
+    pub slowdown: f64,
+    /// Whether the store is unavailable; loads make no progress meanwhile.
+    pub unavailable: bool,
     loads: BTreeMap<StoreLoad, f64>,
-    next: StoreLoad,
-    at: u64,
+    last_load: StoreLoad,
+    updated_at: u64,
 }
 
 impl FakeStore {
-    /// Makes a store that gives that many loads a second.
+    /// Creates a store that serves `loads_per_second` consecutive loads.
     pub fn new(loads_per_second: f64) -> Self {
         Self {
-            load_millis: 1000.0 / loads_per_second,
-            slowness: 1.0,
-            away: false,
+            unshared_load_ms: 1000.0 / loads_per_second,
+            slowdown: 1.0,
+            unavailable: false,
             loads: BTreeMap::new(),
-            next: 0,
-            at: 0,
+            last_load: 0,
+            updated_at: 0,
         }
     }
 
-    /// Moves all loads on to `now`.
+    /// Advances all loads to `now`.
     fn advance(&mut self, now: u64) {
-        let passed = now.saturating_sub(self.at) as f64;
-        self.at = now;
-        if self.away || self.loads.is_empty() {
+        let elapsed_ms = now.saturating_sub(self.updated_at) as f64;
+        self.updated_at = now;
+        if self.unavailable || self.loads.is_empty() {
             return;
         }
-        let share = passed / self.loads.len() as f64 / self.slowness;
-        for left in self.loads.values_mut() {
-            *left -= share;
+        let share = elapsed_ms / self.loads.len() as f64 / self.slowdown;
+        for remaining_ms in self.loads.values_mut() {
+            *remaining_ms -= share;
         }
     }
 
-    /// Begins a load.
+    /// Starts a load.
     pub(crate) fn begin(&mut self, now: u64) -> StoreLoad {
         self.advance(now);
-        self.next += 1;
-        self.loads.insert(self.next, self.load_millis);
-        self.next
+        self.last_load += 1;
+        self.loads.insert(self.last_load, self.unshared_load_ms);
+        self.last_load
     }
 
-    /// Returns the loads that are done by `now`, and takes them out.
+    /// Removes and returns the loads completed by `now`.
     pub(crate) fn finish(&mut self, now: u64) -> Vec<StoreLoad> {
-        const DONE: f64 = 0.5;
+        const COMPLETION_TOLERANCE_MS: f64 = 0.5;
         self.advance(now);
-        let done: Vec<StoreLoad> =
-            self.loads.iter().filter(|(_, left)| **left < DONE).map(|(load, _)| *load).collect();
+        let done: Vec<StoreLoad> = self
+            .loads
+            .iter()
+            .filter(|(_, remaining_ms)| **remaining_ms < COMPLETION_TOLERANCE_MS)
+            .map(|(load, _)| *load)
+            .collect();
         for load in &done {
             self.loads.remove(load);
         }
         done
     }
 
-    /// Returns when the next load will be done, if nothing changes.
-    pub fn next_done(&self) -> Option<u64> {
-        if self.away {
+    /// Returns when the next load completes if nothing changes, in milliseconds.
+    pub fn next_completion(&self) -> Option<u64> {
+        if self.unavailable {
             return None;
         }
-        let least = self.loads.values().copied().reduce(f64::min)?;
-        let left = (least * self.loads.len() as f64 * self.slowness).ceil().max(1.0);
+        let least_remaining_ms = self.loads.values().copied().reduce(f64::min)?;
+        let remaining_ms =
+            (least_remaining_ms * self.loads.len() as f64 * self.slowdown).ceil().max(1.0);
         #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "at least one")]
-        Some(self.at + left as u64)
+        Some(self.updated_at + remaining_ms as u64)
     }
 
-    /// Changes speed or presence at `now`.
+    /// Changes the speed or the availability of the store at `now`.
     pub fn change(&mut self, now: u64, change: impl FnOnce(&mut Self)) {
         self.advance(now);
         change(self);
     }
 
-    /// Drops a load whose engine is gone.
+    /// Drops a load whose engine has restarted.
     pub(crate) fn drop_load(&mut self, load: StoreLoad, now: u64) {
         self.advance(now);
         self.loads.remove(&load);
--- a/crates/gateway/tests/host/engine.rs
+++ b/crates/gateway/tests/host/engine.rs
@@ -8,7 +8,7 @@
     time::{Duration, Instant},
 };
 
-use reelreel_stand_ins::connection::{EndableServer, ServedConnection, ServedRequest, serve};
+use reelreel_stand_ins::connection::{ServedConnection, ServedRequest, StoppableServer, serve};
 use serde_json::{Value, json};
 
 use crate::dialect::{
@@ -79,7 +79,7 @@
     /// Arrival times of all calls: requests, orders and state reports.
     calls: Vec<Instant>,
     /// The server of a crashable engine.
-    server: EndableServer,
+    server: StoppableServer,
 }
 
 /// Start of the first incarnation of each engine.
@@ -134,11 +134,11 @@
     /// Crashes a crashable engine.
     pub(crate) fn crash(&self) {
         let server = self.lock().server.clone();
-        server.end();
+        server.stop();
     }
 
     pub(crate) fn has_crashed(&self) -> bool {
-        self.lock().server.has_ended()
+        self.lock().server.has_stopped()
     }
 
     fn lock(&self) -> MutexGuard<'_, EngineState> {
@@ -409,7 +409,7 @@
         let server = locked.server.clone();
         drop(locked);
         thread::sleep(CRASH_DELAY);
-        server.end();
+        server.stop();
         return None;
     }
     let behaviour = match locked.behaviours.len() {
--- a/crates/stand-ins/src/connection.rs
+++ b/crates/stand-ins/src/connection.rs
@@ -1,4 +1,5 @@
-//! A small HTTP server that does wrong when told to: one thread for each connection, which the stand-in reads and writes by itself.
+//! An HTTP server for stand-ins that may violate the protocol: each connection has its own thread,
+//! on which the stand-in reads and writes directly.
 
 use std::{
     io::{Read, Write},
@@ -14,16 +15,16 @@
 use bytes::BytesMut;
 use reelreel_http::{BodyDecoder, BodyFraming, BodyPart, RequestHead};
 
-/// A request as a stand-in gets it.
+/// A request received by a stand-in.
 #[derive(Debug, Clone)]
 pub struct ServedRequest {
-    /// The head.
+    /// The request head.
     pub head: RequestHead,
-    /// The whole body.
+    /// The complete body.
     pub body: Vec<u8>,
 }
 
-/// One connection of a stand-in.
+/// A connection accepted by a stand-in.
 pub struct ServedConnection {
     /// The socket.
     pub socket: TcpStream,
@@ -31,24 +32,24 @@
 }
 
 impl ServedConnection {
-    fn fill(&mut self) -> Option<()> {
+    fn read_more(&mut self) -> Option<()> {
         let mut bytes = [0; 4096];
         let count = self.socket.read(&mut bytes).ok().filter(|count| *count > 0)?;
         self.buffer.extend_from_slice(&bytes[..count]);
         Some(())
     }
 
-    /// Reads a head; `None` when the peer has closed or sent none.
+    /// Reads a request head; returns `None` if the peer has closed or the head is invalid.
     pub fn next_head(&mut self) -> Option<RequestHead> {
         loop {
             if let Some(head) = RequestHead::parse(&mut self.buffer, 65_536).ok()? {
                 return Some(head);
             }
-            self.fill()?;
+            self.read_more()?;
         }
     }
 
-    /// Reads the body that belongs to a head.
+    /// Reads the body of a request; returns `None` if it is incomplete or invalid.
     pub fn body(&mut self, head: &RequestHead) -> Option<Vec<u8>> {
         let mut decoder = BodyDecoder::new(BodyFraming::of_request(head).ok()?);
         let mut body = Vec::new();
@@ -56,24 +57,24 @@
             match decoder.next_part(&mut self.buffer).ok()? {
                 BodyPart::Data(data) => body.extend_from_slice(&data),
                 BodyPart::End => return Some(body),
-                BodyPart::Incomplete => self.fill()?,
+                BodyPart::Incomplete => self.read_more()?,
             }
         }
     }
 
-    /// Reads a request whole.
+    /// Reads a complete request.
     pub fn next_request(&mut self) -> Option<ServedRequest> {
         let head = self.next_head()?;
         let body = self.body(&head)?;
         Some(ServedRequest { head, body })
     }
 
-    /// Writes bytes; `None` when the peer takes none.
+    /// Writes text; returns `None` if the connection is closed.
     pub fn write(&mut self, text: &str) -> Option<()> {
         self.socket.write_all(text.as_bytes()).ok()
     }
 
-    /// Writes a whole answer; `fields` are lines of the head, each with its end.
+    /// Writes a complete response; `fields` are header lines, each terminated by CRLF.
     pub fn answer(&mut self, status: u16, fields: &str, body: &str) -> Option<()> {
         let length = body.len();
         self.write(&format!(
@@ -81,9 +82,9 @@
         ))
     }
 
-    /// Returns whether the peer closes its side within `patience`.
-    pub fn closes_within(&mut self, patience: Duration) -> bool {
-        let _ = self.socket.set_read_timeout(Some(patience));
+    /// Returns whether the peer closes its side within `max_wait`.
+    pub fn closes_within(&mut self, max_wait: Duration) -> bool {
+        let _ = self.socket.set_read_timeout(Some(max_wait));
         let mut byte = [0; 1];
         let closed = match self.socket.read(&mut byte) {
             Ok(count) => count == 0,
@@ -97,10 +98,10 @@
 /// Serves connections with `serve` on a free port until the process ends.
 ///
 /// # Panics
-/// When no port is free.
+/// Panics if no port is free.
 pub fn serve(serve: impl Fn(&mut ServedConnection) + Send + Sync + 'static) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
+    let address = listener.local_addr().expect("the listener has an address");
     let serve = Arc::new(serve);
     thread::spawn(move || {
         for socket in listener.incoming().flatten() {
@@ -114,62 +115,62 @@
     address
 }
 
-/// How often a server that can end looks whether it should.
-const END_LOOK: Duration = Duration::from_millis(1);
+/// The interval at which a server polls for connections and for its stop.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// A server that can end as a process does: nothing listens at its address, and its connections break off.
+/// A server that can stop like a process that exits: it closes its listener and all connections.
 #[derive(Clone, Default)]
-pub struct EndableServer {
-    ending: Arc<AtomicBool>,
-    closed: Arc<AtomicBool>,
+pub struct StoppableServer {
+    stopping: Arc<AtomicBool>,
+    stopped: Arc<AtomicBool>,
     sockets: Arc<Mutex<Vec<TcpStream>>>,
 }
 
-impl EndableServer {
-    /// Serves connections at an address until it ends.
+impl StoppableServer {
+    /// Serves connections at an address until it is stopped.
     ///
     /// # Panics
-    /// When the address is taken.
+    /// Panics if the address is in use.
     pub fn start(
         &self,
         address: SocketAddr,
         serve: impl Fn(&mut ServedConnection) + Send + Sync + 'static,
     ) {
         let listener = TcpListener::bind(address).expect("the address is free");
-        listener.set_nonblocking(true).expect("a listener that can be looked at");
+        listener.set_nonblocking(true).expect("the listener can be set to non-blocking");
         let (server, serve) = (self.clone(), Arc::new(serve));
         thread::spawn(move || {
-            while !server.ending.load(Ordering::Acquire) {
+            while !server.stopping.load(Ordering::Acquire) {
                 let Ok((socket, _)) = listener.accept() else {
-                    thread::sleep(END_LOOK);
+                    thread::sleep(STOP_POLL_INTERVAL);
                     continue;
                 };
                 let _ = socket.set_nodelay(true);
-                let kept = socket.try_clone().expect("a handle of the socket");
-                server.sockets.lock().unwrap_or_else(PoisonError::into_inner).push(kept);
+                let handle = socket.try_clone().expect("the socket can be cloned");
+                server.sockets.lock().unwrap_or_else(PoisonError::into_inner).push(handle);
                 let serve = Arc::clone(&serve);
                 thread::spawn(move || {
                     serve(&mut ServedConnection { socket, buffer: BytesMut::new() });
                 });
             }
             drop(listener);
-            server.closed.store(true, Ordering::Release);
+            server.stopped.store(true, Ordering::Release);
         });
     }
 
-    /// Ends it; returns once nothing listens any more.
-    pub fn end(&self) {
-        self.ending.store(true, Ordering::Release);
-        while !self.closed.load(Ordering::Acquire) {
-            thread::sleep(END_LOOK);
+    /// Stops the server; returns once the listener is closed and the connections are shut down.
+    pub fn stop(&self) {
+        self.stopping.store(true, Ordering::Release);
+        while !self.stopped.load(Ordering::Acquire) {
+            thread::sleep(STOP_POLL_INTERVAL);
         }
         for socket in self.sockets.lock().unwrap_or_else(PoisonError::into_inner).drain(..) {
             let _ = socket.shutdown(Shutdown::Both);
         }
     }
 
-    /// Returns whether it has ended.
-    pub fn has_ended(&self) -> bool {
-        self.closed.load(Ordering::Acquire)
+    /// Returns whether the server has stopped listening.
+    pub fn has_stopped(&self) -> bool {
+        self.stopped.load(Ordering::Acquire)
     }
 }
--- a/crates/stand-ins/src/platform.rs
+++ b/crates/stand-ins/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform: an append-only log with offsets, a list of hosts, and the weight store.
+//! A stand-in for the platform: an append-only log, a host list and a weight store.
 
 mod hosts;
 mod log;
@@ -18,18 +18,18 @@
     http::{ServerGuard, read_body, respond_json, split_url},
 };
 
-/// How a platform stand-in behaves.
+/// The configuration of a platform stand-in.
 #[derive(Debug, Clone)]
 pub struct PlatformOptions {
-    /// Where it listens; port 0 picks a free one.
+    /// The address to listen on; port 0 selects a free port.
     pub address: String,
-    /// Records of a stream that are kept.
+    /// The number of records retained per stream.
     pub retained: usize,
-    /// Appends a second, over all streams.
+    /// The maximum rate of appends over all streams.
     pub appends_per_second: u32,
-    /// How late the host list is.
+    /// How long the host list lags behind.
     pub host_lag: Duration,
-    /// Loads a second that the weight store gives, one at a time.
+    /// How many consecutive loads the weight store serves per second.
     pub loads_per_second: f64,
 }
 
@@ -45,16 +45,16 @@
     }
 }
 
-/// The switches of a platform stand-in.
+/// The fault switches of a platform stand-in.
 #[derive(Debug, Clone, Default)]
 pub struct PlatformFaults {
-    /// Appends to the log.
+    /// Faults of appends to the log.
     pub append: FaultSwitch,
-    /// Reads of the log.
+    /// Faults of reads of the log.
     pub read: FaultSwitch,
-    /// The host list.
+    /// Faults of reads of the host list.
     pub hosts: FaultSwitch,
-    /// Loads from the weight store.
+    /// Faults of loads from the weight store.
     pub store: FaultSwitch,
 }
 
@@ -89,20 +89,20 @@
 }
 
 #[derive(Serialize)]
-struct Problem {
+struct ErrorBody {
     error: &'static str,
 }
 
 #[derive(Deserialize)]
-struct LoadCall {
+struct LoadRequest {
     adapter: String,
 }
 
 impl PlatformStandIn {
-    /// Starts one.
+    /// Starts a platform stand-in.
     ///
     /// # Errors
-    /// Returns why the address can not be listened on.
+    /// Returns an error if it cannot listen on the address.
     pub fn start(options: &PlatformOptions) -> io::Result<Self> {
         let state = Arc::new(PlatformState {
             log: LogService::new(options.retained, options.appends_per_second),
@@ -110,8 +110,9 @@
             store: WeightStore::new(options.loads_per_second),
             faults: PlatformFaults::default(),
         });
-        let served = Arc::clone(&state);
-        let guard = ServerGuard::serve(&options.address, move |request| serve(&served, request))?;
+        let shared_state = Arc::clone(&state);
+        let guard =
+            ServerGuard::serve(&options.address, move |request| serve(&shared_state, request))?;
         Ok(Self { guard, state })
     }
 
@@ -120,17 +121,17 @@
         self.guard.address()
     }
 
-    /// Returns the log, for tests that look past the protocol.
+    /// Returns the log, for direct access by tests.
     pub fn log(&self) -> &LogService {
         &self.state.log
     }
 
-    /// Returns the host list, for those who keep it.
+    /// Returns the host list, for direct access without the protocol.
     pub fn hosts(&self) -> &HostList {
         &self.state.hosts
     }
 
-    /// Returns the switches.
+    /// Returns the fault switches.
     pub fn faults(&self) -> &PlatformFaults {
         &self.state.faults
     }
@@ -140,18 +141,18 @@
     let (segments, query) = split_url(request.url());
     let segments: Vec<&str> = segments.iter().map(String::as_str).collect();
     let number = |name: &str| query.get(name).and_then(|text| text.parse::<u64>().ok());
-    let away = Problem { error: "unavailable" };
+    let unavailable = ErrorBody { error: "unavailable" };
     match (request.method().clone(), &segments[..]) {
         (Method::Post, ["streams", stream, "records"]) => {
             let body = String::from_utf8_lossy(&read_body(&mut request)).into_owned();
             if state.faults.append.kind() == FaultKind::Refuse {
-                respond_json(request, 429, &Problem { error: "not written" });
+                respond_json(request, 429, &ErrorBody { error: "not written" });
                 return;
             }
             match state.faults.append.apply(|| state.log.append(stream, body)) {
                 Some(Some(offset)) => respond_json(request, 201, &Offset { offset }),
-                Some(None) => respond_json(request, 429, &Problem { error: "not written" }),
-                None => respond_json(request, 504, &away),
+                Some(None) => respond_json(request, 429, &ErrorBody { error: "not written" }),
+                None => respond_json(request, 504, &unavailable),
             }
         }
         (Method::Get, ["streams", stream, "records"]) => {
@@ -162,18 +163,18 @@
                     let status = if read.end < from { 410 } else { 200 };
                     respond_json(request, status, &read);
                 }
-                None => respond_json(request, 503, &away),
+                None => respond_json(request, 503, &unavailable),
             }
         }
         (Method::Put, ["fall-back", lost]) => {
-            state.log.fall_back(lost.parse().unwrap_or_default());
-            respond_json(request, 200, &Problem { error: "" });
+            state.log.restore_older_copy(lost.parse().unwrap_or_default());
+            respond_json(request, 200, &ErrorBody { error: "" });
         }
         (Method::Get, ["hosts"]) => {
             let since = number("since").unwrap_or(0);
             match state.faults.hosts.apply(|| state.hosts.since(since)) {
                 Some(changes) => respond_json(request, 200, &changes),
-                None => respond_json(request, 503, &away),
+                None => respond_json(request, 503, &unavailable),
             }
         }
         (Method::Put, ["hosts"]) => {
@@ -181,26 +182,26 @@
             match serde_json::from_slice::<HostRecord>(&body) {
                 Ok(record) => {
                     state.hosts.put(record);
-                    respond_json(request, 200, &Problem { error: "" });
+                    respond_json(request, 200, &ErrorBody { error: "" });
                 }
-                Err(_) => respond_json(request, 400, &Problem { error: "not a host record" }),
+                Err(_) => respond_json(request, 400, &ErrorBody { error: "not a host record" }),
             }
         }
         (Method::Delete, ["hosts", role, id]) => {
             let id = id.parse().unwrap_or_default();
             state.hosts.remove(HostRole::parse(role), id);
-            respond_json(request, 200, &Problem { error: "" });
+            respond_json(request, 200, &ErrorBody { error: "" });
         }
         (Method::Post, ["store", "loads"]) => {
             let body = read_body(&mut request);
-            let call = serde_json::from_slice::<LoadCall>(&body);
-            let loaded = call
-                .ok()
-                .and_then(|call| state.faults.store.apply(|| state.store.load(&call.adapter)));
+            let load_request = serde_json::from_slice::<LoadRequest>(&body);
+            let loaded = load_request.ok().and_then(|load_request| {
+                state.faults.store.apply(|| state.store.load(&load_request.adapter))
+            });
             match loaded {
-                Some(true) => respond_json(request, 200, &Problem { error: "" }),
-                Some(false) => respond_json(request, 404, &Problem { error: "no such adapter" }),
-                None => respond_json(request, 503, &away),
+                Some(true) => respond_json(request, 200, &ErrorBody { error: "" }),
+                Some(false) => respond_json(request, 404, &ErrorBody { error: "no such adapter" }),
+                None => respond_json(request, 503, &unavailable),
             }
         }
         (Method::Put, ["faults", name]) => {
@@ -209,11 +210,11 @@
             match (state.faults.switch(name), kind) {
                 (Some(switch), Some(kind)) => {
                     switch.set(kind);
-                    respond_json(request, 200, &Problem { error: "" });
+                    respond_json(request, 200, &ErrorBody { error: "" });
                 }
-                _ => respond_json(request, 400, &Problem { error: "no such fault" }),
+                _ => respond_json(request, 400, &ErrorBody { error: "no such fault" }),
             }
         }
-        _ => respond_json(request, 404, &Problem { error: "no such path" }),
+        _ => respond_json(request, 404, &ErrorBody { error: "no such path" }),
     }
 }
--- a/crates/stand-ins/src/platform/log.rs
+++ b/crates/stand-ins/src/platform/log.rs
@@ -1,4 +1,4 @@
-//! An append-only log: streams of records with offsets, kept for a limited time.
+//! An append-only log of streams with offsets and limited retention.
 
 use std::{
     collections::BTreeMap,
@@ -8,31 +8,31 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Records of one read at most.
-const READ_MOST: usize = 256;
+/// The maximum number of records in a read.
+const MAX_READ_RECORDS: usize = 256;
 
-/// One record as read.
+/// A record as returned by a read.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReadRecord {
-    /// Its place in the stream.
+    /// The offset in the stream.
     pub offset: u64,
-    /// When it was written, in milliseconds since the Unix epoch.
+    /// When the record was appended, in milliseconds since the Unix epoch.
     pub written_millis: u64,
-    /// What was appended.
+    /// The payload.
     pub payload: String,
 }
 
-/// The answer to a read.
+/// The result of a read.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct ReadResult {
-    /// How often the log has come back from an older copy of itself.
+    /// How often the log has been restored from an older copy.
     #[serde(default)]
     pub era: u64,
-    /// The first offset that is still kept.
+    /// The first retained offset.
     pub first: u64,
     /// The offset after the last record.
     pub end: u64,
-    /// The records from the offset asked for, or from `first` where that is later.
+    /// The records from the requested offset on, or from `first` if that is higher.
     pub records: Vec<ReadRecord>,
 }
 
@@ -46,8 +46,8 @@
 struct Streams {
     era: u64,
     by_name: BTreeMap<String, Stream>,
-    allowance: f64,
-    refilled: Instant,
+    append_tokens: f64,
+    refilled_at: Instant,
 }
 
 /// The log service.
@@ -56,37 +56,38 @@
     state: Mutex<Streams>,
     appended: Condvar,
     retained: usize,
-    per_second: f64,
+    appends_per_second: f64,
 }
 
 impl LogService {
-    /// Starts an empty log.
+    /// Creates an empty log.
     pub fn new(retained: usize, appends_per_second: u32) -> Self {
-        let per_second = f64::from(appends_per_second);
+        let appends_per_second = f64::from(appends_per_second);
         let state = Streams {
             era: 0,
             by_name: BTreeMap::new(),
-            allowance: per_second,
-            refilled: Instant::now(),
+            append_tokens: appends_per_second,
+            refilled_at: Instant::now(),
         };
-        Self { state: Mutex::new(state), appended: Condvar::new(), retained, per_second }
+        Self { state: Mutex::new(state), appended: Condvar::new(), retained, appends_per_second }
     }
 
     fn lock(&self) -> MutexGuard<'_, Streams> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Appends a record; returns its offset, or `None` when the rate is spent and nothing was
-    /// written.
+    /// Appends a record and returns its offset, or `None` if the rate limit is exceeded and nothing
+    /// was written.
     pub fn append(&self, stream: &str, payload: String) -> Option<u64> {
         let mut state = self.lock();
-        let seconds = state.refilled.elapsed().as_secs_f64();
-        state.refilled = Instant::now();
-        state.allowance = (state.allowance + seconds * self.per_second).min(self.per_second);
-        if state.allowance < 1.0 {
+        let seconds = state.refilled_at.elapsed().as_secs_f64();
+        state.refilled_at = Instant::now();
+        state.append_tokens =
+            (state.append_tokens + seconds * self.appends_per_second).min(self.appends_per_second);
+        if state.append_tokens < 1.0 {
             return None;
         }
-        state.allowance -= 1.0;
+        state.append_tokens -= 1.0;
         let stream = state.by_name.entry(stream.to_owned()).or_default();
         let offset = stream.first + stream.records.len() as u64;
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
@@ -100,18 +101,21 @@
         Some(offset)
     }
 
-    /// Reads from an offset on, waiting up to `wait` for a record to come.
+    /// Reads records from an offset on; waits up to `wait` for the first one.
     pub fn read(&self, stream: &str, from: u64, wait: Duration) -> ReadResult {
-        let until = Instant::now() + wait;
+        let deadline = Instant::now() + wait;
         let mut state = self.lock();
         loop {
             let result = Self::read_now(&state, stream, from);
-            let left = until.saturating_duration_since(Instant::now());
-            if !result.records.is_empty() || result.end < from || left.is_zero() {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if !result.records.is_empty() || result.end < from || remaining.is_zero() {
                 return result;
             }
-            state =
-                self.appended.wait_timeout(state, left).unwrap_or_else(PoisonError::into_inner).0;
+            state = self
+                .appended
+                .wait_timeout(state, remaining)
+                .unwrap_or_else(PoisonError::into_inner)
+                .0;
         }
     }
 
@@ -121,28 +125,29 @@
             return ReadResult { era, ..ReadResult::default() };
         };
         let skip = usize::try_from(from.saturating_sub(stream.first)).unwrap_or(usize::MAX);
-        let records = stream.records.iter().skip(skip).take(READ_MOST).cloned().collect();
+        let records = stream.records.iter().skip(skip).take(MAX_READ_RECORDS).cloned().collect();
         let end = stream.first + stream.records.len() as u64;
         ReadResult { era, first: stream.first, end, records }
     }
 
-    /// Comes back from a copy of itself that lacks the last `lost` records of each stream; their offsets are given out again.
-    pub fn fall_back(&self, lost: usize) {
+    /// Restores the log from a copy that lacks the last `lost_records` records of each stream; their
+    /// offsets are assigned again.
+    pub fn restore_older_copy(&self, lost_records: usize) {
         let mut state = self.lock();
         state.era += 1;
         for stream in state.by_name.values_mut() {
-            let kept = stream.records.len().saturating_sub(lost);
-            stream.records.truncate(kept);
+            let retained_count = stream.records.len().saturating_sub(lost_records);
+            stream.records.truncate(retained_count);
         }
         self.appended.notify_all();
     }
 
-    /// Lets the oldest records expire, but for the last `keep`.
-    pub fn expire(&self, stream: &str, keep: usize) {
+    /// Expires all but the last `retained` records of a stream.
+    pub fn expire(&self, stream: &str, retained: usize) {
         let mut state = self.lock();
         let Some(stream) = state.by_name.get_mut(stream) else { return };
-        let gone = stream.records.len().saturating_sub(keep);
-        stream.records.drain(..gone);
-        stream.first += gone as u64;
+        let expired_count = stream.records.len().saturating_sub(retained);
+        stream.records.drain(..expired_count);
+        stream.first += expired_count as u64;
     }
 }
--- a/crates/stand-ins/src/platform/store.rs
+++ b/crates/stand-ins/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! The weight store: a load has full speed only while it is alone.
+//! A weight store whose bandwidth is shared equally among concurrent loads.
 
 use std::{
     collections::BTreeSet,
@@ -10,41 +10,41 @@
     time::Duration,
 };
 
-/// How finely the store's speed is shared out.
-const SLICE: Duration = Duration::from_millis(5);
+/// The interval at which the progress of a load is updated.
+const PROGRESS_INTERVAL: Duration = Duration::from_millis(5);
 
 /// The weight store.
 #[derive(Debug)]
 pub struct WeightStore {
-    load_alone: Duration,
+    unshared_load_time: Duration,
     active: AtomicUsize,
     missing: Mutex<BTreeSet<String>>,
 }
 
 impl WeightStore {
-    /// Starts a store that gives that many loads a second, one after another.
+    /// Creates a store that serves `loads_per_second` consecutive loads.
     pub fn new(loads_per_second: f64) -> Self {
         Self {
-            load_alone: Duration::from_secs_f64(1.0 / loads_per_second),
+            unshared_load_time: Duration::from_secs_f64(1.0 / loads_per_second),
             active: AtomicUsize::new(0),
             missing: Mutex::default(),
         }
     }
 
     /// Makes loads of an adapter fail.
-    pub fn lose(&self, adapter: &str) {
+    pub fn mark_missing(&self, adapter: &str) {
         let mut missing = self.missing.lock().unwrap_or_else(PoisonError::into_inner);
         missing.insert(adapter.to_owned());
     }
 
-    /// Loads an adapter, which takes longer the more loads run; says whether it is there.
+    /// Loads an adapter, sharing the bandwidth with concurrent loads; returns whether it exists.
     pub fn load(&self, adapter: &str) -> bool {
         self.active.fetch_add(1, Ordering::Relaxed);
-        let mut done = Duration::ZERO;
-        while done < self.load_alone {
-            thread::sleep(SLICE);
-            let sharing = self.active.load(Ordering::Relaxed).max(1);
-            done += SLICE / u32::try_from(sharing).unwrap_or(u32::MAX);
+        let mut progress = Duration::ZERO;
+        while progress < self.unshared_load_time {
+            thread::sleep(PROGRESS_INTERVAL);
+            let concurrent_loads = self.active.load(Ordering::Relaxed).max(1);
+            progress += PROGRESS_INTERVAL / u32::try_from(concurrent_loads).unwrap_or(u32::MAX);
         }
         self.active.fetch_sub(1, Ordering::Relaxed);
         !self.missing.lock().unwrap_or_else(PoisonError::into_inner).contains(adapter)
--- a/crates/stand-ins/src/service.rs
+++ b/crates/stand-ins/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service: order entry, some of whose calls must not be repeated.
+//! A stand-in for a plain service: order entry, some of whose calls must not be repeated.
 
 use std::{
     collections::BTreeMap,
@@ -14,10 +14,10 @@
     http::{ServerGuard, header, read_body, respond_json},
 };
 
-/// How a plain service stand-in behaves.
+/// The configuration of a plain service stand-in.
 #[derive(Debug, Clone)]
 pub struct ServiceOptions {
-    /// Where it listens; port 0 picks a free one.
+    /// The address to listen on; port 0 selects a free port.
     pub address: String,
 }
 
@@ -47,19 +47,20 @@
 }
 
 #[derive(Serialize)]
-struct Problem {
+struct ErrorBody {
     error: &'static str,
 }
 
 impl ServiceStandIn {
-    /// Starts one.
+    /// Starts a plain service stand-in.
     ///
     /// # Errors
-    /// Returns why the address can not be listened on.
+    /// Returns an error if it cannot listen on the address.
     pub fn start(options: &ServiceOptions) -> io::Result<Self> {
         let state = Arc::new(ServiceState::default());
-        let served = Arc::clone(&state);
-        let guard = ServerGuard::serve(&options.address, move |request| serve(&served, request))?;
+        let shared_state = Arc::clone(&state);
+        let guard =
+            ServerGuard::serve(&options.address, move |request| serve(&shared_state, request))?;
         Ok(Self { guard, state })
     }
 
@@ -68,12 +69,12 @@
         self.guard.address()
     }
 
-    /// Returns the switch for its calls.
+    /// Returns the fault switch of its calls.
     pub fn fault(&self) -> &FaultSwitch {
         &self.state.fault
     }
 
-    /// Returns how often each request id ran.
+    /// Returns the number of runs by request ID.
     pub fn runs(&self) -> BTreeMap<String, u32> {
         self.state.runs.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
@@ -92,7 +93,7 @@
         if let Ok(kind) = serde_json::from_slice(&body) {
             state.fault.set(kind);
         }
-        respond_json(request, 200, &Problem { error: "" });
+        respond_json(request, 200, &ErrorBody { error: "" });
         return;
     }
     let run = || {
@@ -104,6 +105,6 @@
             let received_bytes = body.len();
             respond_json(request, 200, &OrderAnswer { request: id, path, received_bytes });
         }
-        None => respond_json(request, 502, &Problem { error: "broken" }),
+        None => respond_json(request, 502, &ErrorBody { error: "broken" }),
     }
 }
