--- a/crates/cli/src/bench.rs
+++ b/crates/cli/src/bench.rs
@@ -3,20 +3,20 @@
 //! The real decision core runs against the fakes in handed-in time, so the same seed gives the same
 //! table on every host. It is no simulator of hosts or networks.
 
-mod figures;
+mod results;
 mod scenario;
 
 use std::{fmt::Write, fs, process::ExitCode, sync::Arc, thread};
 
 use eyre::{WrapErr, bail};
-use figures::{PolicyFigures, figures};
 use reelreel_core::engine::{FifoLruPolicy, ResidencyPolicy, ValuePolicy};
+use results::{PolicyResult, policy_result};
 use scenario::Scenario;
 
 use crate::{options::BenchOptions, output::print};
 
 /// The scenarios that are played where none is named.
-const BUILT_IN: [&str; 8] = [
+const DEFAULT_SCENARIOS: [&str; 8] = [
     include_str!(concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/scenarios/kigali-day.toml")),
     include_str!(concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/scenarios/kigali-rush.toml")),
     include_str!(concat!(
@@ -35,7 +35,7 @@
 
 const POLICIES: [&str; 2] = ["value", "arrival"];
 
-fn policy(name: &str) -> eyre::Result<Arc<dyn ResidencyPolicy>> {
+fn parse_policy(name: &str) -> eyre::Result<Arc<dyn ResidencyPolicy>> {
     match name {
         "value" => Ok(Arc::new(ValuePolicy)),
         "arrival" => Ok(Arc::new(FifoLruPolicy)),
@@ -54,28 +54,28 @@
     let mut runs = Vec::new();
     for scenario in &scenarios {
         for name in &names {
-            runs.push((scenario, name.as_str(), policy(name)?));
+            runs.push((scenario, name.as_str(), parse_policy(name)?));
         }
     }
-    let rows: Vec<PolicyFigures> = thread::scope(|scope| {
-        let played: Vec<_> = runs
+    let rows: Vec<PolicyResult> = thread::scope(|scope| {
+        let handles: Vec<_> = runs
             .into_iter()
             .map(|(scenario, name, policy)| {
                 scope.spawn(move || {
-                    let site = scenario.play(policy, options.seed);
-                    figures(scenario, name, &site)
+                    let site = scenario.run(policy, options.seed);
+                    policy_result(scenario, name, &site)
                 })
             })
             .collect();
-        played.into_iter().filter_map(|run| run.join().ok()).collect()
+        handles.into_iter().filter_map(|run| run.join().ok()).collect()
     });
-    print(options.output, &rows, || table(&rows))?;
+    print(options.output, &rows, || format_table(&rows))?;
     Ok(ExitCode::SUCCESS)
 }
 
 fn read_scenarios(options: &BenchOptions) -> eyre::Result<Vec<Scenario>> {
     let texts: Vec<String> = if options.scenario.is_empty() {
-        BUILT_IN.map(str::to_owned).to_vec()
+        DEFAULT_SCENARIOS.map(str::to_owned).to_vec()
     } else {
         let read = |path: &std::path::PathBuf| {
             fs::read_to_string(path).wrap_err_with(|| format!("{}", path.display()))
@@ -86,7 +86,7 @@
     texts.iter().map(parse).collect()
 }
 
-fn table(rows: &[PolicyFigures]) -> String {
+fn format_table(rows: &[PolicyResult]) -> String {
     let mut text = String::from(
         "scenario        policy    calls  worth  waited  wait p50   p95   p99  longest  fill  loads/1k wasted  refused in  Jain worst\n",
     );
--- a/crates/cli/src/bench/figures.rs
+++ b/crates/cli/src/bench/results.rs
@@ -9,11 +9,11 @@
 use super::scenario::Scenario;
 
 /// Served calls that waited longer count as having waited, in milliseconds.
-const WAITED: u64 = 50;
+const WAIT_THRESHOLD_MS: u64 = 50;
 
 /// What one policy gave in one scenario.
 #[derive(Debug, Clone, Serialize)]
-pub(crate) struct PolicyFigures {
+pub(crate) struct PolicyResult {
     pub(crate) scenario: String,
     pub(crate) policy: String,
     pub(crate) calls: usize,
@@ -39,10 +39,10 @@
     pub(crate) worst_organisation: f64,
 }
 
-fn served(caller: &CallerRecord) -> bool {
-    let whole = matches!(caller.told, Some((CallerOutcome::Answered, _)));
-    let due = caller.arrived + caller.patience;
-    whole && caller.first_token.is_some_and(|first| first <= due)
+fn was_served(caller: &CallerRecord) -> bool {
+    let complete = matches!(caller.told, Some((CallerOutcome::Answered, _)));
+    let deadline = caller.arrived + caller.patience;
+    complete && caller.first_token.is_some_and(|first| first <= deadline)
 }
 
 fn quantile(sorted: &[f64], quantile: f64) -> f64 {
@@ -50,15 +50,15 @@
         return 0.0;
     }
     #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "an index")]
-    let place = ((sorted.len() - 1) as f64 * quantile).round() as usize;
-    sorted[place]
+    let index = ((sorted.len() - 1) as f64 * quantile).round() as usize;
+    sorted[index]
 }
 
 /// Works the figures out.
-pub(crate) fn figures(scenario: &Scenario, policy: &str, site: &FakeSite) -> PolicyFigures {
-    let (from, until) = scenario.counted();
-    let counted = |caller: &&CallerRecord| (from..until).contains(&caller.arrived);
-    let callers: Vec<&CallerRecord> = site.evidence.callers.values().filter(counted).collect();
+pub(crate) fn policy_result(scenario: &Scenario, policy: &str, site: &FakeSite) -> PolicyResult {
+    let (from, until) = scenario.measured_window();
+    let in_window = |caller: &&CallerRecord| (from..until).contains(&caller.arrived);
+    let callers: Vec<&CallerRecord> = site.evidence.callers.values().filter(in_window).collect();
     let worth: f64 = callers.iter().map(|caller| caller.worth).sum();
     let mut waits = Vec::new();
     let mut refusals = Vec::new();
@@ -68,12 +68,12 @@
     for caller in &callers {
         let share = organisations.entry(&caller.organisation).or_default();
         share.1 += caller.worth;
-        if served(caller) {
+        if was_served(caller) {
             share.0 += caller.worth;
             served_worth += caller.worth;
             served_count += 1;
             let waited = caller.sent.unwrap_or(caller.arrived) - caller.arrived;
-            if waited > WAITED {
+            if waited > WAIT_THRESHOLD_MS {
                 waits.push(waited as f64 / 1_000.0);
             }
         } else if let Some((_, at)) = caller.told {
@@ -83,15 +83,15 @@
     waits.sort_by(f64::total_cmp);
     refusals.sort_by(f64::total_cmp);
     let shares: Vec<f64> =
-        organisations.values().map(|(served, asked)| served / asked.max(1e-9)).collect();
+        organisations.values().map(|(served, total)| served / total.max(1e-9)).collect();
     let sum: f64 = shares.iter().sum();
-    let squares: f64 = shares.iter().map(|share| share * share).sum();
+    let sum_of_squares: f64 = shares.iter().map(|share| share * share).sum();
     let busy = site
         .evidence
         .busy
         .values()
         .fold((0.0, 0.0), |sum, (running, time)| (sum.0 + running, sum.1 + time));
-    PolicyFigures {
+    PolicyResult {
         scenario: scenario.name.clone(),
         policy: policy.to_owned(),
         calls: callers.len(),
@@ -106,7 +106,7 @@
             / site.evidence.callers.len().max(1) as f64,
         wasted_share: site.evidence.wasted_loads as f64 / (site.evidence.loads as f64).max(1.0),
         refused_after: quantile(&refusals, 0.5),
-        jain_index: sum * sum / (shares.len() as f64 * squares).max(1e-9),
+        jain_index: sum * sum / (shares.len() as f64 * sum_of_squares).max(1e-9),
         worst_organisation: shares.iter().copied().fold(1.0, f64::min),
     }
 }
--- a/crates/cli/src/bench/scenario.rs
+++ b/crates/cli/src/bench/scenario.rs
@@ -15,7 +15,7 @@
 use serde::Deserialize;
 
 /// Hosts and engines settle before callers come, in milliseconds.
-const SETTLED: u64 = 5_000;
+const SETTLE_MS: u64 = 5_000;
 
 /// A scenario file.
 #[derive(Debug, Clone, Deserialize)]
@@ -52,7 +52,7 @@
     /// Tokens of an answer, on average; a step of 10 ms gives one.
     tokens: u32,
     /// Organisation 0 is worth this, the others 1.
-    #[serde(default = "one")]
+    #[serde(default = "default_worth")]
     first_worth: f64,
     /// At these seconds other adapters become the popular ones.
     #[serde(default)]
@@ -65,7 +65,7 @@
     events: Vec<SiteEvent>,
 }
 
-const fn one() -> f64 {
+const fn default_worth() -> f64 {
     1.0
 }
 
@@ -102,18 +102,18 @@
 
 impl Scenario {
     /// Returns the milliseconds between which calls count.
-    pub(crate) const fn counted(&self) -> (u64, u64) {
-        let from = SETTLED + self.warm_up * 1_000;
+    pub(crate) const fn measured_window(&self) -> (u64, u64) {
+        let from = SETTLE_MS + self.warm_up * 1_000;
         (from, from + self.seconds * 1_000)
     }
 
     /// Plays it.
-    pub(crate) fn play(&self, policy: Arc<dyn ResidencyPolicy>, seed: u64) -> FakeSite {
+    pub(crate) fn run(&self, policy: Arc<dyn ResidencyPolicy>, seed: u64) -> FakeSite {
         let mut site = FakeSite::new(self.shape(policy, seed), FaultPlan::default());
         site.act_at(1, SiteAction::Publish(self.tree()));
         self.plan_events(&mut site);
         self.plan_calls(&mut site, seed);
-        let (_, until) = self.counted();
+        let (_, until) = self.measured_window();
         site.run_until(until + self.patience_ms + 30_000);
         site
     }
@@ -167,7 +167,7 @@
     fn plan_events(&self, site: &mut FakeSite) {
         for event in &self.events {
             let SiteEvent { at, what, which, seconds } = event;
-            let at = SETTLED + at * 1_000;
+            let at = SETTLE_MS + at * 1_000;
             let action = match what {
                 EventKind::StoreAway => SiteAction::StoreAway(seconds * 1_000),
                 EventKind::RestartEngine => SiteAction::RestartEngine(*which),
@@ -182,36 +182,37 @@
     /// Plans callers: exponential gaps, skewed adapters, the same for every policy.
     fn plan_calls(&self, site: &mut FakeSite, seed: u64) {
         let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0xca11);
-        let ranks = zipf_ranks(self.adapters, self.zipf);
-        let (_, until) = self.counted();
-        let mut at = SETTLED as f64;
+        let ranks = cumulative_popularity(self.adapters, self.zipf);
+        let (_, until) = self.measured_window();
+        let mut at = SETTLE_MS as f64;
         while at < until as f64 {
-            at += gap(&mut rng, self.rate);
-            let second = (at - SETTLED as f64) / 1_000.0;
+            at += exponential_interval(&mut rng, self.rate);
+            let second = (at - SETTLE_MS as f64) / 1_000.0;
             let shifts = self.shifts.iter().filter(|shift| (**shift as f64) <= second).count();
-            let adapter = self.pick(&ranks, &mut rng, shifts);
+            let adapter = self.pick_adapter(&ranks, &mut rng, shifts);
             self.plan_call(site, &mut rng, at, adapter);
         }
         for flood in &self.floods {
-            let mut at = (SETTLED + flood.from * 1_000) as f64;
-            let end = (SETTLED + flood.until * 1_000) as f64;
-            let own = self.adapters / self.organisations;
+            let mut at = (SETTLE_MS + flood.from * 1_000) as f64;
+            let end = (SETTLE_MS + flood.until * 1_000) as f64;
+            let adapters_per_organisation = self.adapters / self.organisations;
             while at < end {
-                at += gap(&mut rng, flood.rate);
-                let adapter = rng.random_range(0..own.max(1)) * self.organisations;
+                at += exponential_interval(&mut rng, flood.rate);
+                let adapter =
+                    rng.random_range(0..adapters_per_organisation.max(1)) * self.organisations;
                 self.plan_call(site, &mut rng, at, adapter + flood.organisation);
             }
         }
     }
 
     /// Picks an adapter by its rank; each shift gives the ranks to other adapters.
-    fn pick(&self, ranks: &[f64], rng: &mut Pcg64Mcg, shifts: usize) -> u32 {
+    fn pick_adapter(&self, ranks: &[f64], rng: &mut Pcg64Mcg, shifts: usize) -> u32 {
         let draw = rng.random_range(0.0..1.0);
         let rank = ranks.partition_point(|sum| *sum < draw);
         let rank = u32::try_from(rank).unwrap_or(0).min(self.adapters - 1);
-        let moved = u32::try_from(shifts).unwrap_or(0) * 977;
+        let offset = u32::try_from(shifts).unwrap_or(0) * 977;
         // A large odd factor spreads the ranks over the organisations.
-        (rank.wrapping_mul(7919) + moved) % self.adapters
+        (rank.wrapping_mul(7919) + offset) % self.adapters
     }
 
     fn plan_call(&self, site: &mut FakeSite, rng: &mut Pcg64Mcg, at: f64, adapter: u32) {
@@ -231,20 +232,20 @@
 }
 
 /// Draws the time to the next call, in milliseconds.
-fn gap(rng: &mut Pcg64Mcg, rate: f64) -> f64 {
+fn exponential_interval(rng: &mut Pcg64Mcg, rate: f64) -> f64 {
     let draw: f64 = rng.random_range(f64::MIN_POSITIVE..1.0);
     -draw.ln() * 1_000.0 / rate
 }
 
 /// Returns the cumulated popularity by rank.
-fn zipf_ranks(adapters: u32, exponent: f64) -> Vec<f64> {
+fn cumulative_popularity(adapters: u32, exponent: f64) -> Vec<f64> {
     let weights: Vec<f64> = (1..=adapters).map(|rank| f64::from(rank).powf(-exponent)).collect();
-    let all: f64 = weights.iter().sum();
+    let total: f64 = weights.iter().sum();
     let mut sum = 0.0;
     weights
         .iter()
         .map(|weight| {
-            sum += weight / all;
+            sum += weight / total;
             sum
         })
         .collect()
--- a/crates/cli/src/capacity.rs
+++ b/crates/cli/src/capacity.rs
@@ -44,21 +44,21 @@
 /// Measures and prints.
 pub(crate) fn run(options: &CapacityOptions) -> eyre::Result<ExitCode> {
     let mut table = CapacityTable::default();
-    let wanted =
+    let selected =
         |part: &str| options.only.is_empty() || options.only.iter().any(|name| name == part);
-    if wanted("tree") {
+    if selected("tree") {
         tree::measure(&mut table, options.quick)?;
     }
-    if wanted("claims") {
+    if selected("claims") {
         claims::measure(&mut table);
     }
-    if wanted("decisions") {
+    if selected("decisions") {
         decisions::measure(&mut table, options.quick)?;
     }
-    if wanted("hosts") {
+    if selected("hosts") {
         hosts::measure(&mut table, options.quick)?;
     }
-    if wanted("losses") {
+    if selected("losses") {
         hosts::measure_losses(&mut table, options.quick);
     }
     let rows = table.rows;
@@ -78,14 +78,14 @@
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
 /// Returns the bytes that are allocated now.
-fn live_bytes() -> f64 {
+fn allocated_bytes() -> f64 {
     let stats = ALLOCATOR.stats();
     stats.bytes_allocated as f64 - stats.bytes_deallocated as f64
 }
 
 /// Returns microseconds that `work` took for each of `count` items, and its result.
-fn micros_each<T>(count: usize, work: impl FnOnce() -> T) -> (f64, T) {
-    let begun = Instant::now();
+fn micros_per_item<T>(count: usize, work: impl FnOnce() -> T) -> (f64, T) {
+    let started = Instant::now();
     let result = work();
-    (begun.elapsed().as_secs_f64() * 1e6 / count.max(1) as f64, result)
+    (started.elapsed().as_secs_f64() * 1e6 / count.max(1) as f64, result)
 }
--- a/crates/cli/src/capacity/decisions.rs
+++ b/crates/cli/src/capacity/decisions.rs
@@ -13,7 +13,7 @@
 use reelreel_fakes::{CallerCall, EngineShape, FakeSite, FaultPlan, SiteAction, SiteShape};
 
 use super::{
-    CapacityTable, live_bytes, micros_each,
+    CapacityTable, allocated_bytes, micros_per_item,
     tree::{adapter_path, adapters_record, log_record},
 };
 
@@ -29,25 +29,26 @@
 pub(super) fn measure(table: &mut CapacityTable, quick: bool) -> eyre::Result<()> {
     let adapters = if quick { 10_000 } else { 94_000 };
     for engines in [125, 500, 2_000] {
-        route(table, engines, adapters, adapters / 20)?;
+        measure_routing(table, engines, adapters, adapters / 20)?;
     }
-    route(table, 2_000, 1_000, 50)?;
-    open_requests(table)?;
-    whole_requests(table)
+    measure_routing(table, 2_000, 1_000, 50)?;
+    measure_open_requests(table)?;
+    measure_complete_requests(table)
 }
 
-fn reading(millis: u64) -> ClockReading {
+fn clock_reading(millis: u64) -> ClockReading {
     ClockReading { now: ClockMillis::from_millis(millis), wall_millis: millis }
 }
 
 /// Makes a core that knows a hall's hosts, engines and adapters, and owns nothing.
-fn core(engines: u32, adapters: usize) -> eyre::Result<NodeCore> {
+fn build_core(engines: u32, adapters: usize) -> eyre::Result<NodeCore> {
     let mut core = NodeCore::new(NodeConfig::new(1_000, 9, 1));
-    core.start(reading(1));
+    core.start(clock_reading(1));
     let records = vec![log_record(0, &adapters_record(adapters))?];
-    let read = |stream, records, end| NodeEvent::LogRead { stream, era: 0, first: 0, records, end };
-    core.handle(reading(2), read(LogStream::Settings, records, 1));
-    core.handle(reading(2), read(LogStream::Claims, Vec::new(), 0));
+    let log_read =
+        |stream, records, end| NodeEvent::LogRead { stream, era: 0, first: 0, records, end };
+    core.handle(clock_reading(2), log_read(LogStream::Settings, records, 1));
+    core.handle(clock_reading(2), log_read(LogStream::Claims, Vec::new(), 0));
     let host = |host: u32| HostEntry {
         kind: HostKind::Entry { host, hall: 1, address: format!("10.0.0.{host}:7000") },
         leaving: false,
@@ -67,14 +68,14 @@
     };
     let entries = (1..=HALL_HOSTS).map(host).chain((1..=engines).map(engine)).collect();
     core.handle(
-        reading(3),
+        clock_reading(3),
         NodeEvent::HostListChanged(HostListChange { entries, ..HostListChange::default() }),
     );
-    core.handle(reading(3_000), NodeEvent::Tick);
+    core.handle(clock_reading(3_000), NodeEvent::Tick);
     Ok(core)
 }
 
-fn arrival(number: usize, model: String) -> (RequestId, NodeEvent) {
+fn arrival_event(number: usize, model: String) -> (RequestId, NodeEvent) {
     let id = request_id(1_000, 1, u32::try_from(number).unwrap_or_default());
     let arrived = ArrivedRequest {
         id,
@@ -88,29 +89,29 @@
 }
 
 /// Times `REQUESTS` arrivals and ends each one after it.
-fn arrivals(core: &mut NodeCore, from: usize, adapter: impl Fn(usize) -> usize) -> f64 {
-    let (micros, ()) = micros_each(REQUESTS, || {
+fn time_arrivals(core: &mut NodeCore, from: usize, adapter: impl Fn(usize) -> usize) -> f64 {
+    let (micros, ()) = micros_per_item(REQUESTS, || {
         for number in 0..REQUESTS {
-            let (id, event) = arrival(from + number, adapter_path(adapter(number)));
-            core.handle(reading(3_001), event);
-            core.handle(reading(3_001), NodeEvent::CallerGone(id));
+            let (id, event) = arrival_event(from + number, adapter_path(adapter(number)));
+            core.handle(clock_reading(3_001), event);
+            core.handle(clock_reading(3_001), NodeEvent::CallerGone(id));
         }
     });
     micros
 }
 
-fn route(
+fn measure_routing(
     table: &mut CapacityTable,
     engines: u32,
     adapters: usize,
     resident: usize,
 ) -> eyre::Result<()> {
     let size = format!("{engines} engines, {adapters} adapters");
-    let before = live_bytes();
-    let mut core = core(engines, adapters)?;
-    let cold = arrivals(&mut core, 0, |number| number * 7919 % adapters);
+    let before = allocated_bytes();
+    let mut core = build_core(engines, adapters)?;
+    let cold = time_arrivals(&mut core, 0, |number| number * 7919 % adapters);
     table.add("core: arrival of a cold adapter's request, and its end", &size, cold, "us");
-    let with_tree = live_bytes();
+    let bytes_with_tree = allocated_bytes();
     let digest = |engine: EngineId| EngineDigest {
         engine,
         incarnation: 1,
@@ -118,23 +119,25 @@
         token: 1 << 40,
         sequence: 1,
         serving: true,
-        residents: (0..RESIDENTS).map(|slot| held(engine * RESIDENTS + slot, resident)).collect(),
+        residents: (0..RESIDENTS)
+            .map(|slot| resident_adapter(engine * RESIDENTS + slot, resident))
+            .collect(),
     };
     let digests = (1..=engines).map(digest).collect();
     let reply = SyncReply { digests, ..SyncReply::default() };
     let stamp = HybridTimestamp::default();
     let event = NodeEvent::PeerMessage { from: 1, stamp, message: PeerMessage::SyncReply(reply) };
-    let (sync, _) = micros_each(engines as usize, || core.handle(reading(3_001), event));
+    let (sync, _) = micros_per_item(engines as usize, || core.handle(clock_reading(3_001), event));
     table.add("core: full exchange taken in, per engine", &size, sync, "us");
-    let held_bytes = (live_bytes() - with_tree).max(0.0) / f64::from(engines);
-    table.add("core: memory of digests, per engine", &size, held_bytes, "bytes");
-    let whole = live_bytes() - before;
-    table.add("core: memory with tree and table", &size, whole / 1e6, "MB");
-    let warm = arrivals(&mut core, REQUESTS, |number| number * 31 % resident);
+    let bytes_per_engine = (allocated_bytes() - bytes_with_tree).max(0.0) / f64::from(engines);
+    table.add("core: memory of digests, per engine", &size, bytes_per_engine, "bytes");
+    let total_bytes = allocated_bytes() - before;
+    table.add("core: memory with tree and table", &size, total_bytes / 1e6, "MB");
+    let warm = time_arrivals(&mut core, REQUESTS, |number| number * 31 % resident);
     table.add("core: arrival of a resident adapter's request, and its end", &size, warm, "us");
-    let (tick, ()) = micros_each(200, || {
+    let (tick, ()) = micros_per_item(200, || {
         for step in 0..200u64 {
-            core.handle(reading(3_002 + step), NodeEvent::Tick);
+            core.handle(clock_reading(3_002 + step), NodeEvent::Tick);
         }
     });
     table.add("core: a tick without work", &size, tick, "us");
@@ -142,31 +145,32 @@
 }
 
 /// Names the adapter in a slot: the ids of adapters begin after service and organisation.
-fn held(slot: u32, resident: usize) -> AdapterKey {
+fn resident_adapter(slot: u32, resident: usize) -> AdapterKey {
     let index = slot % u32::try_from(resident).unwrap_or(1);
-    let per = 50;
-    let adapter = 2 + index / per * (per + 1) + index % per + 1;
+    let per_organisation = 50;
+    let adapter =
+        2 + index / per_organisation * (per_organisation + 1) + index % per_organisation + 1;
     AdapterKey { adapter, version: 1 }
 }
 
 /// Measures the memory of requests that wait.
-fn open_requests(table: &mut CapacityTable) -> eyre::Result<()> {
+fn measure_open_requests(table: &mut CapacityTable) -> eyre::Result<()> {
     for count in [1_000, 10_000, 50_000] {
-        let mut core = core(125, 1_000)?;
-        let before = live_bytes();
+        let mut core = build_core(125, 1_000)?;
+        let before = allocated_bytes();
         for number in 0..count {
-            let (_, event) = arrival(number, adapter_path(number % 1_000));
-            core.handle(reading(3_001), event);
+            let (_, event) = arrival_event(number, adapter_path(number % 1_000));
+            core.handle(clock_reading(3_001), event);
         }
-        let held = (live_bytes() - before) / count as f64;
+        let bytes_per_request = (allocated_bytes() - before) / count as f64;
         let size = format!("{count} open requests");
-        table.add("core: memory of an open request", size, held, "bytes");
+        table.add("core: memory of an open request", size, bytes_per_request, "bytes");
     }
     Ok(())
 }
 
 /// Times whole requests through one host and one engine, fakes included.
-fn whole_requests(table: &mut CapacityTable) -> eyre::Result<()> {
+fn measure_complete_requests(table: &mut CapacityTable) -> eyre::Result<()> {
     let mut shape = SiteShape::new(1);
     shape.hosts = vec![(1, 1)];
     shape.engines = vec![EngineShape {
@@ -193,7 +197,7 @@
         site.call_at(10_000 + u64::from(number), call);
     }
     site.run_until(9_999);
-    let (micros, ()) = micros_each(calls as usize, || site.run_until(40_000));
+    let (micros, ()) = micros_per_item(calls as usize, || site.run_until(40_000));
     let answered = site.evidence.callers.values().filter(|caller| caller.told.is_some()).count();
     eyre::ensure!(answered == calls as usize, "{answered} of {calls} calls were told");
     table.add("core and fakes: a whole request, entry and owner", "20000 requests", micros, "us");
--- a/crates/cli/src/capacity/hosts.rs
+++ b/crates/cli/src/capacity/hosts.rs
@@ -22,7 +22,7 @@
 const ENGINES_PER_HOST: u32 = 16;
 
 /// Hosts start within this time, in milliseconds.
-const SETTLED: u64 = 20_000;
+const SETTLE_MS: u64 = 20_000;
 
 fn frame_bytes(message: &PeerMessage) -> u64 {
     let mut bytes = BytesMut::new();
@@ -34,7 +34,7 @@
 }
 
 /// Makes a site of that many hosts in halls of equal size.
-fn site(hosts: u32, halls: u16) -> FakeSite {
+fn build_site(hosts: u32, halls: u16) -> FakeSite {
     let hall = |index: u32| 1 + u16::try_from(index % u32::from(halls)).unwrap_or_default();
     let mut shape = SiteShape::new(u64::from(hosts));
     shape.hosts = (1..=hosts).map(|host| (host, hall(host))).collect();
@@ -55,7 +55,7 @@
 }
 
 /// Adds what single messages take on the wire.
-fn frames(table: &mut CapacityTable) {
+fn measure_frames(table: &mut CapacityTable) {
     let (request, attempt, engine) = (u128::MAX / 3, 1, 2_000);
     let adapter = AdapterKey { adapter: 94_000, version: 1 };
     let permit = PermitRequest {
@@ -93,11 +93,11 @@
 }
 
 pub(super) fn measure(table: &mut CapacityTable, quick: bool) -> eyre::Result<()> {
-    frames(table);
+    measure_frames(table);
     let sizes: &[u32] = if quick { &[7, 30] } else { &[7, 30, 123] };
     for hosts in sizes.iter().copied() {
-        idle(table, hosts);
-        change(table, hosts)?;
+        measure_idle(table, hosts);
+        measure_change(table, hosts)?;
     }
     Ok(())
 }
@@ -105,125 +105,125 @@
 /// Measures how a site settles after losses and restarts.
 pub(super) fn measure_losses(table: &mut CapacityTable, quick: bool) {
     let hosts = if quick { 30 } else { 123 };
-    host_lost(table, hosts);
-    hall_lost(table, hosts);
-    rolling(table, hosts);
+    measure_host_loss(table, hosts);
+    measure_hall_loss(table, hosts);
+    measure_rolling_restart(table, hosts);
 }
 
-fn idle(table: &mut CapacityTable, hosts: u32) {
-    const SECONDS: u64 = 30;
-    let mut fakes = site(hosts, 3);
+fn measure_idle(table: &mut CapacityTable, hosts: u32) {
+    const IDLE_SECONDS: u64 = 30;
+    let mut site = build_site(hosts, 3);
     let scale = format!("{hosts} hosts, {} engines, 3 halls", hosts * ENGINES_PER_HOST);
-    fakes.run_until(SETTLED);
-    let owned = owned_engines(&fakes);
+    site.run_until(SETTLE_MS);
+    let owned = owned_engines(&site);
     table.add("fakes: engines owned 20 s after a start of all", &scale, owned as f64, "engines");
-    let orders = fakes.evidence.orders as f64 / f64::from(hosts * ENGINES_PER_HOST);
+    let orders = site.evidence.orders as f64 / f64::from(hosts * ENGINES_PER_HOST);
     table.add("fakes: orders per engine for that", &scale, orders, "orders");
-    let (messages, bytes) = (fakes.evidence.messages, fakes.evidence.message_bytes);
-    let reports = fakes.evidence.reports;
-    let begun = Instant::now();
-    fakes.run_until(SETTLED + SECONDS * 1_000);
-    let host_seconds = f64::from(hosts) * SECONDS as f64;
-    let busy = begun.elapsed().as_secs_f64() * 1e6 / host_seconds;
+    let (messages, bytes) = (site.evidence.messages, site.evidence.message_bytes);
+    let reports = site.evidence.reports;
+    let started = Instant::now();
+    site.run_until(SETTLE_MS + IDLE_SECONDS * 1_000);
+    let host_seconds = f64::from(hosts) * IDLE_SECONDS as f64;
+    let busy = started.elapsed().as_secs_f64() * 1e6 / host_seconds;
     table.add("fakes: idle control, per host and second (with fakes)", &scale, busy, "us");
-    let messages = (fakes.evidence.messages - messages) as f64 / host_seconds;
+    let messages = (site.evidence.messages - messages) as f64 / host_seconds;
     table.add("fakes: idle messages sent, per host and second", &scale, messages, "messages");
-    let bytes = (fakes.evidence.message_bytes - bytes) as f64 / host_seconds;
+    let bytes = (site.evidence.message_bytes - bytes) as f64 / host_seconds;
     table.add("fakes: idle bytes sent, per host and second", &scale, bytes, "bytes");
-    let reports = (fakes.evidence.reports - reports) as f64 / host_seconds;
+    let reports = (site.evidence.reports - reports) as f64 / host_seconds;
     table.add("fakes: engine reports asked, per host and second", &scale, reports, "reports");
 }
 
 fn owned_engines(site: &FakeSite) -> usize {
     site.cores()
         .flat_map(|(_, core)| core.engine_controllers())
-        .filter(|control| control.state() == EngineState::Owned)
+        .filter(|controller| controller.state() == EngineState::Owned)
         .count()
 }
 
 /// Publishes a change while one hall is cut off, and measures when it is in force.
-fn change(table: &mut CapacityTable, hosts: u32) -> eyre::Result<()> {
-    let mut fakes = site(hosts, 3);
+fn measure_change(table: &mut CapacityTable, hosts: u32) -> eyre::Result<()> {
+    let mut site = build_site(hosts, 3);
     let scale = format!("{hosts} hosts");
-    fakes.run_until(SETTLED);
+    site.run_until(SETTLE_MS);
     let path = SettingsPath::site().child("assist");
     let mut record = adapters_record(0);
     record.base_revision = 1;
     let value = SettingValue::Float(2.0);
     record.edits = vec![SettingsEdit { path, action: EditAction::Set(SettingKey::Worth, value) }];
-    fakes.publish(&record);
-    fakes.run_until(SETTLED + 15_000);
-    let last = fakes.evidence.forced.iter().filter(|forced| forced.revision == 2);
+    site.publish(&record);
+    site.run_until(SETTLE_MS + 15_000);
+    let last = site.evidence.forced.iter().filter(|forced| forced.revision == 2);
     let count = last.clone().count();
     eyre::ensure!(count == hosts as usize, "{count} of {hosts} hosts have the change");
     let last = last.map(|forced| forced.at).max().unwrap_or(0);
-    let millis = last.saturating_sub(SETTLED) as f64;
+    let millis = last.saturating_sub(SETTLE_MS) as f64;
     table.add("fakes: change in force on all hosts", scale, millis, "ms");
     Ok(())
 }
 
 /// Runs until as many engines are owned as there are, and returns how long that took.
-fn until_owned(fakes: &mut FakeSite, engines: usize, at_most: u64) -> f64 {
-    const STEP: u64 = 50;
-    let begun = fakes.now;
-    while owned_engines(fakes) < engines && fakes.now < begun + at_most {
-        let next = fakes.now + STEP;
-        fakes.run_until(next);
+fn run_until_owned(site: &mut FakeSite, engines: usize, limit_ms: u64) -> f64 {
+    const STEP_MS: u64 = 50;
+    let started = site.now;
+    while owned_engines(site) < engines && site.now < started + limit_ms {
+        let next = site.now + STEP_MS;
+        site.run_until(next);
     }
-    (fakes.now - begun) as f64
+    (site.now - started) as f64
 }
 
-fn engines_of(hosts: u32) -> usize {
+fn engine_count(hosts: u32) -> usize {
     (hosts * ENGINES_PER_HOST) as usize
 }
 
-fn host_lost(table: &mut CapacityTable, hosts: u32) {
-    let mut fakes = site(hosts, 3);
+fn measure_host_loss(table: &mut CapacityTable, hosts: u32) {
+    let mut site = build_site(hosts, 3);
     let scale = format!("{hosts} hosts, one killed");
-    fakes.run_until(SETTLED);
-    let orders = fakes.evidence.orders;
-    fakes.act_at(SETTLED, SiteAction::KillHost(1, 1_000_000));
-    fakes.run_until(SETTLED + 100);
-    let settled = until_owned(&mut fakes, engines_of(hosts), 60_000);
+    site.run_until(SETTLE_MS);
+    let orders = site.evidence.orders;
+    site.act_at(SETTLE_MS, SiteAction::KillHost(1, 1_000_000));
+    site.run_until(SETTLE_MS + 100);
+    let settled = run_until_owned(&mut site, engine_count(hosts), 60_000);
     table.add("fakes: every engine owned again", &scale, settled, "ms");
-    table.add("fakes: orders for that", &scale, (fakes.evidence.orders - orders) as f64, "orders");
+    table.add("fakes: orders for that", &scale, (site.evidence.orders - orders) as f64, "orders");
 }
 
-fn hall_lost(table: &mut CapacityTable, hosts: u32) {
-    let mut fakes = site(hosts, 3);
+fn measure_hall_loss(table: &mut CapacityTable, hosts: u32) {
+    let mut site = build_site(hosts, 3);
     let scale = format!("{hosts} hosts, a third restarted at once");
-    fakes.run_until(SETTLED);
-    let orders = fakes.evidence.orders;
-    let (messages, bytes) = (fakes.evidence.messages, fakes.evidence.message_bytes);
+    site.run_until(SETTLE_MS);
+    let orders = site.evidence.orders;
+    let (messages, bytes) = (site.evidence.messages, site.evidence.message_bytes);
     for host in (1..=hosts).filter(|host| host % 3 == 0) {
-        fakes.act_at(SETTLED, SiteAction::KillHost(host, 10_000));
+        site.act_at(SETTLE_MS, SiteAction::KillHost(host, 10_000));
     }
-    fakes.run_until(SETTLED + 10_000);
-    let settled = until_owned(&mut fakes, engines_of(hosts), 60_000);
+    site.run_until(SETTLE_MS + 10_000);
+    let settled = run_until_owned(&mut site, engine_count(hosts), 60_000);
     table.add("fakes: every engine owned after the hosts are back", &scale, settled, "ms");
-    table.add("fakes: orders for that", &scale, (fakes.evidence.orders - orders) as f64, "orders");
-    let seconds = (fakes.now - SETTLED) as f64 / 1_000.0;
+    table.add("fakes: orders for that", &scale, (site.evidence.orders - orders) as f64, "orders");
+    let seconds = (site.now - SETTLE_MS) as f64 / 1_000.0;
     let per_host = 1.0 / (f64::from(hosts) * seconds);
-    let messages = (fakes.evidence.messages - messages) as f64 * per_host;
+    let messages = (site.evidence.messages - messages) as f64 * per_host;
     table.add("fakes: messages meanwhile, per host and second", &scale, messages, "messages");
-    let bytes = (fakes.evidence.message_bytes - bytes) as f64 * per_host;
+    let bytes = (site.evidence.message_bytes - bytes) as f64 * per_host;
     table.add("fakes: bytes meanwhile, per host and second", &scale, bytes, "bytes");
 }
 
 /// Restarts a tenth of the hosts, one each two seconds, and counts engines that changed hands.
-fn rolling(table: &mut CapacityTable, hosts: u32) {
-    let mut fakes = site(hosts, 3);
+fn measure_rolling_restart(table: &mut CapacityTable, hosts: u32) {
+    let mut site = build_site(hosts, 3);
     let scale = format!("{hosts} hosts, a tenth restarted in turn");
-    fakes.run_until(SETTLED);
-    let orders = fakes.evidence.orders;
+    site.run_until(SETTLE_MS);
+    let orders = site.evidence.orders;
     let restarted = (hosts / 10).max(1);
     for index in 0..restarted {
-        let at = SETTLED + u64::from(index) * 2_000;
-        fakes.act_at(at, SiteAction::DrainHost(1 + index * 10));
+        let at = SETTLE_MS + u64::from(index) * 2_000;
+        site.act_at(at, SiteAction::DrainHost(1 + index * 10));
     }
-    fakes.run_until(SETTLED + u64::from(restarted) * 2_000 + 40_000);
-    let orders = (fakes.evidence.orders - orders) as f64 / f64::from(restarted);
+    site.run_until(SETTLE_MS + u64::from(restarted) * 2_000 + 40_000);
+    let orders = (site.evidence.orders - orders) as f64 / f64::from(restarted);
     table.add("fakes: take-over orders per planned restart", &scale, orders, "orders");
-    let owned = owned_engines(&fakes) as f64;
+    let owned = owned_engines(&site) as f64;
     table.add("fakes: engines owned afterwards", &scale, owned, "engines");
 }
--- a/crates/cli/src/capacity/tree.rs
+++ b/crates/cli/src/capacity/tree.rs
@@ -5,17 +5,17 @@
     change::RECORD_FORMAT, fold::LogRecord,
 };
 
-use super::{CapacityTable, live_bytes, micros_each};
+use super::{CapacityTable, allocated_bytes, micros_per_item};
 
 /// Adapters of one organisation, as spread over the tree.
-const PER_ORGANISATION: usize = 50;
+const ADAPTERS_PER_ORGANISATION: usize = 50;
 
 /// Look-ups that are timed.
 const LOOKUPS: usize = 20_000;
 
 /// Names an adapter of the measured tree.
 pub(super) fn adapter_path(index: usize) -> String {
-    format!("assist/organisation-{}/adapter-{index}", index / PER_ORGANISATION)
+    format!("assist/organisation-{}/adapter-{index}", index / ADAPTERS_PER_ORGANISATION)
 }
 
 /// Publishes that many adapters, each with a version, as one record.
@@ -45,9 +45,9 @@
         let size = format!("{count} adapters");
         let record = log_record(0, &adapters_record(count))?;
         let record_bytes = record.payload.len() as f64;
-        let mut fold = SettingsFold::default();
-        let (fold_micros, _) = micros_each(count, || fold.fold(record));
-        let (snapshot_micros, snapshot) = micros_each(count, || fold.snapshot());
+        let mut settings = SettingsFold::default();
+        let (fold_micros, _) = micros_per_item(count, || settings.fold(record));
+        let (snapshot_micros, snapshot) = micros_per_item(count, || settings.snapshot());
         let json = snapshot.to_json();
         table.add(
             "settings: first publication, per adapter",
@@ -63,37 +63,38 @@
             json.len() as f64 / count as f64,
             "bytes",
         );
-        let before = live_bytes();
-        let mut fresh = SettingsFold::default();
-        let (adopt_micros, adopted) = micros_each(count, || fresh.install_snapshot(snapshot));
-        adopted?;
-        table.add("settings: snapshot taken over, per adapter", &size, adopt_micros, "us");
-        let held = (live_bytes() - before) / count as f64;
-        table.add("settings: memory of the tree, per adapter", &size, held, "bytes");
+        let before = allocated_bytes();
+        let mut restored = SettingsFold::default();
+        let (install_micros, installed) =
+            micros_per_item(count, || restored.install_snapshot(snapshot));
+        installed?;
+        table.add("settings: snapshot taken over, per adapter", &size, install_micros, "us");
+        let bytes_per_adapter = (allocated_bytes() - before) / count as f64;
+        table.add("settings: memory of the tree, per adapter", &size, bytes_per_adapter, "bytes");
         let names: Vec<String> =
             (0..LOOKUPS).map(|index| adapter_path(index * 7919 % count)).collect();
-        let (resolve_micros, found) = micros_each(LOOKUPS, || {
-            names.iter().filter(|name| fresh.tree().resolve(name).is_ok()).count()
+        let (resolve_micros, found) = micros_per_item(LOOKUPS, || {
+            names.iter().filter(|name| restored.tree().resolve(name).is_ok()).count()
         });
         eyre::ensure!(found == LOOKUPS, "{found} of {LOOKUPS} models were found");
         table.add("settings: a model resolved", &size, resolve_micros, "us");
-        let place = SettingsPath::parse(&names[0]).unwrap_or_default();
-        let (effective_micros, worth) = micros_each(LOOKUPS, || {
-            (0..LOOKUPS).map(|_| fresh.tree().effective(&place).worth).sum::<f64>()
+        let path = SettingsPath::parse(&names[0]).unwrap_or_default();
+        let (effective_micros, worth) = micros_per_item(LOOKUPS, || {
+            (0..LOOKUPS).map(|_| restored.tree().effective(&path).worth).sum::<f64>()
         });
         eyre::ensure!(worth > 0.0, "the default worth is positive");
         table.add("settings: effective values of a place", &size, effective_micros, "us");
         let mut change = adapters_record(0);
         change.edits = vec![SettingsEdit {
-            path: place,
+            path: path,
             action: EditAction::Set(SettingKey::Version, SettingValue::Integer(2)),
         }];
         change.base_revision = 1;
-        let one = log_record(fresh.next_offset(), &change)?;
-        let one_bytes = one.payload.len() as f64;
-        let (one_micros, _) = micros_each(1, || fresh.fold(one));
-        table.add("settings: one further publication", &size, one_micros, "us");
-        table.add("settings: one further publication", &size, one_bytes, "bytes");
+        let change_record = log_record(restored.next_offset(), &change)?;
+        let change_bytes = change_record.payload.len() as f64;
+        let (change_micros, _) = micros_per_item(1, || restored.fold(change_record));
+        table.add("settings: one further publication", &size, change_micros, "us");
+        table.add("settings: one further publication", &size, change_bytes, "bytes");
     }
     Ok(())
 }
--- a/crates/cli/src/daemon.rs
+++ b/crates/cli/src/daemon.rs
@@ -13,7 +13,7 @@
 };
 
 /// How long a planned stop waits for the last streams to end.
-const LONGEST_STOP: Duration = Duration::from_mins(10);
+const DRAIN_TIMEOUT: Duration = Duration::from_mins(10);
 
 /// Runs one entry host of reelreel.
 ///
@@ -54,9 +54,9 @@
         .wrap_err_with(|| format!("{path} can not be read; name the host's settings file"))?;
     let settings = match NodeSettings::read(&text) {
         Ok(settings) => settings,
-        Err(mistakes) => {
-            for mistake in mistakes {
-                eprintln!("{path}:{mistake}");
+        Err(errors) => {
+            for error in errors {
+                eprintln!("{path}:{error}");
             }
             return Ok(ExitCode::from(2));
         }
@@ -75,16 +75,16 @@
         host.operators()
     );
     let mut signals = Signals::new([SIGTERM, SIGINT])?;
-    let first = signals.forever().next();
-    log::info!("signal {}: stopping", first.unwrap_or(SIGTERM));
+    let signal = signals.forever().next();
+    log::info!("signal {}: stopping", signal.unwrap_or(SIGTERM));
     host.drain();
     std::thread::spawn(move || {
         if signals.forever().next().is_some() {
             std::process::exit(1);
         }
     });
-    if !host.wait_stopped(LONGEST_STOP) {
-        log::warn!("streams still ran after {} s", LONGEST_STOP.as_secs());
+    if !host.wait_stopped(DRAIN_TIMEOUT) {
+        log::warn!("streams still ran after {} s", DRAIN_TIMEOUT.as_secs());
     }
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/cli/src/dev/all.rs
+++ b/crates/cli/src/dev/all.rs
@@ -6,20 +6,20 @@
 use reelreel_core::settings::read_tree;
 
 use super::{
-    site::{DevSite, SiteShape},
+    site::{DevSite, DevSiteOptions},
     wait_for_signal,
 };
 use crate::options::DevAll;
 
 /// The settings tree that is published where none is named.
-const BUILT_IN_TREE: &str =
+const DEFAULT_TREE: &str =
     include_str!(concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/dev.toml"));
 
 /// Runs a site until the signal to stop.
 pub(super) fn run(options: &DevAll) -> eyre::Result<ExitCode> {
     let text = match &options.tree {
         Some(file) => fs::read_to_string(file)?,
-        None => BUILT_IN_TREE.to_owned(),
+        None => DEFAULT_TREE.to_owned(),
     };
     let Ok(tree) = read_tree(&text) else {
         bail!("the tree has mistakes; name them with `reelreel settings check`");
@@ -27,16 +27,19 @@
     if options.hosts == 0 || options.halls == 0 {
         bail!("at least one host and one hall are needed");
     }
-    let shape = SiteShape {
+    let site_options = DevSiteOptions {
         hosts: options.hosts,
         engines: options.engines,
         halls: options.halls,
         streams: 32,
         port: options.port,
     };
-    let site = DevSite::start(&shape, &tree)?;
+    let site = DevSite::start(&site_options, &tree)?;
     let callers = site.callers();
-    println!("reelreel serves with {} hosts and {} engines.", shape.hosts, shape.engines);
+    println!(
+        "reelreel serves with {} hosts and {} engines.",
+        site_options.hosts, site_options.engines
+    );
     println!("Try a stream through an adapter:\n");
     println!(
         "  curl -N http://{}/v1/completions -d '{{\"model\":\"north/brakes\",\"prompt\":\"part for a Hero?\",\"max_tokens\":24,\"stream\":true}}'\n",
--- a/crates/cli/src/dev/single.rs
+++ b/crates/cli/src/dev/single.rs
@@ -12,7 +12,7 @@
 use crate::options::{DevEngine, DevPlatform, DevService};
 
 /// Prints where a stand-in listens, for whoever started it, and lets it run until the signal.
-fn run_at(address: &str) -> eyre::Result<ExitCode> {
+fn announce_and_wait(address: &str) -> eyre::Result<ExitCode> {
     println!("{{\"address\":\"{address}\"}}");
     wait_for_signal()?;
     Ok(ExitCode::SUCCESS)
@@ -27,7 +27,7 @@
         loads_per_second: options.loads,
         ..PlatformOptions::default()
     })?;
-    run_at(stand_in.address())
+    announce_and_wait(stand_in.address())
 }
 
 /// Runs an engine.
@@ -43,8 +43,8 @@
     let record = HostRecord::new(HostRole::Engine, options.id, options.hall, stand_in.address())
         .service(options.service.clone())
         .engine(options.slots, options.streams, !options.no_fence);
-    enter(&options.platform, &record)?;
-    run_at(stand_in.address())
+    register(&options.platform, &record)?;
+    announce_and_wait(stand_in.address())
 }
 
 /// Runs a plain service.
@@ -52,12 +52,12 @@
     let stand_in = ServiceStandIn::start(&ServiceOptions { address: options.listen.clone() })?;
     let record = HostRecord::new(HostRole::Server, options.id, options.hall, stand_in.address())
         .service(options.service.clone());
-    enter(&options.platform, &record)?;
-    run_at(stand_in.address())
+    register(&options.platform, &record)?;
+    announce_and_wait(stand_in.address())
 }
 
 /// Enters a stand-in in the platform's host list.
-fn enter(platform: &str, record: &HostRecord) -> eyre::Result<()> {
+fn register(platform: &str, record: &HostRecord) -> eyre::Result<()> {
     let body = serde_json::to_vec(record)?;
     ureq::put(format!("http://{platform}/hosts"))
         .send(&body[..])
--- a/crates/cli/src/dev/site.rs
+++ b/crates/cli/src/dev/site.rs
@@ -17,11 +17,11 @@
 use crate::{options::LogSource, platform_log::PlatformLog};
 
 /// How long a site may take until every host serves.
-const READY_WITHIN: Duration = Duration::from_secs(30);
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// How large a site is.
 #[derive(Debug, Clone)]
-pub(crate) struct SiteShape {
+pub(crate) struct DevSiteOptions {
     /// Entry hosts.
     pub(crate) hosts: u32,
     /// Engines.
@@ -48,24 +48,24 @@
 
 impl DevSite {
     /// Starts a site, publishes `tree` and waits until every host serves.
-    pub(crate) fn start(shape: &SiteShape, tree: &SettingsTree) -> eyre::Result<Self> {
+    pub(crate) fn start(options: &DevSiteOptions, tree: &SettingsTree) -> eyre::Result<Self> {
         let platform = PlatformStandIn::start(&PlatformOptions {
             host_lag: Duration::from_millis(50),
             ..PlatformOptions::default()
         })?;
-        publish(platform.address(), tree)?;
-        let hall = |index: u32| 1 + u16::try_from(index % u32::from(shape.halls)).unwrap_or(0);
+        publish_tree(platform.address(), tree)?;
+        let hall_of = |index: u32| 1 + u16::try_from(index % u32::from(options.halls)).unwrap_or(0);
         let mut engines = Vec::new();
-        for index in 0..shape.engines {
+        for index in 0..options.engines {
             let engine = EngineStandIn::start(&EngineOptions {
                 platform: platform.address().to_owned(),
-                streams: shape.streams as usize,
+                streams: options.streams as usize,
                 ..EngineOptions::default()
             })?;
             let record =
-                HostRecord::new(HostRole::Engine, index + 1, hall(index), engine.address())
+                HostRecord::new(HostRole::Engine, index + 1, hall_of(index), engine.address())
                     .service("assist")
-                    .engine(4, shape.streams, true);
+                    .engine(4, options.streams, true);
             platform.hosts().put(record);
             engines.push(engine);
         }
@@ -73,16 +73,16 @@
         let record = HostRecord::new(HostRole::Server, 1, 1, service.address()).service("orders");
         platform.hosts().put(record);
         let mut hosts = Vec::new();
-        for index in 0..shape.hosts {
-            let port = if index == 0 { shape.port } else { 0 };
+        for index in 0..options.hosts {
+            let port = if index == 0 { options.port } else { 0 };
             let host = EntryHost::start(&host_settings(
                 index + 1,
-                hall(index),
+                hall_of(index),
                 port,
                 platform.address(),
             )?)?;
             let peers = host.peers().to_string();
-            let record = HostRecord::new(HostRole::Entry, index + 1, hall(index), peers);
+            let record = HostRecord::new(HostRole::Entry, index + 1, hall_of(index), peers);
             platform.hosts().put(record);
             hosts.push(host);
         }
@@ -97,11 +97,11 @@
     }
 
     fn wait_ready(&self) -> eyre::Result<()> {
-        let until = Instant::now() + READY_WITHIN;
+        let deadline = Instant::now() + READY_TIMEOUT;
         for host in &self.hosts {
-            let page = format!("http://{}/readyz", host.operators());
-            while ureq::get(&page).call().is_err() {
-                if Instant::now() > until {
+            let url = format!("http://{}/readyz", host.operators());
+            while ureq::get(&url).call().is_err() {
+                if Instant::now() > deadline {
                     bail!("host at {} does not get ready", host.operators());
                 }
                 thread::sleep(Duration::from_millis(50));
@@ -117,11 +117,11 @@
          peers = \"127.0.0.1:0\"\noperators = \"127.0.0.1:0\"\nplatform = \"{platform}\"\n\
          [log]\nlevel = \"warn\"\n[times]\nhosts_every_ms = 500\n"
     );
-    NodeSettings::read(&text).map_err(|mistakes| eyre!("built-in settings: {}", mistakes[0]))
+    NodeSettings::read(&text).map_err(|errors| eyre!("built-in settings: {}", errors[0]))
 }
 
 /// Publishes a whole tree.
-fn publish(platform: &str, tree: &SettingsTree) -> eyre::Result<()> {
+fn publish_tree(platform: &str, tree: &SettingsTree) -> eyre::Result<()> {
     let record = ChangeRecord {
         format: RECORD_FORMAT,
         change_id: String::from("dev"),
--- a/crates/cli/src/host.rs
+++ b/crates/cli/src/host.rs
@@ -15,7 +15,7 @@
 };
 
 /// The stack of the thread that waits for signals. Unit: bytes.
-const SIGNAL_STACK: usize = 64 * 1024;
+const SIGNAL_THREAD_STACK_BYTES: usize = 64 * 1024;
 
 /// Runs one host until its planned stop has ended; with `check`, only reads its settings.
 pub(crate) fn run_on_platform(path: Option<&Path>, check: bool) -> eyre::Result<ExitCode> {
@@ -37,8 +37,10 @@
 fn watch_signals(shared: &Arc<SharedState>) -> eyre::Result<()> {
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP])?;
     let shared = Arc::clone(shared);
-    std::thread::Builder::new().name(String::from("signals")).stack_size(SIGNAL_STACK).spawn(
-        move || {
+    std::thread::Builder::new()
+        .name(String::from("signals"))
+        .stack_size(SIGNAL_THREAD_STACK_BYTES)
+        .spawn(move || {
             for signal in signals.forever() {
                 if signal == SIGHUP {
                     shared.reloaded(read_settings(&settings_path()).err());
@@ -46,7 +48,6 @@
                     shared.stop();
                 }
             }
-        },
-    )?;
+        })?;
     Ok(())
 }
--- a/crates/cli/src/logs/cause.rs
+++ b/crates/cli/src/logs/cause.rs
@@ -7,14 +7,14 @@
 use super::line::{HostLogs, LogLine};
 
 /// How long after a request its load, or the end of its engine, may still explain it. Unit: milliseconds.
-const AFTER: u64 = 5000;
+const CAUSE_WINDOW_AFTER_MS: u64 = 5000;
 
 /// How long before a request something may have happened that explains it. Unit: milliseconds.
-const BEFORE: u64 = 5000;
+const CAUSE_WINDOW_BEFORE_MS: u64 = 5000;
 
 /// How long after a request another one may be held back under which its engine ended: that takes one engine more. Unit:
 /// milliseconds.
-const HELD_AFTER: u64 = 60_000;
+const QUARANTINE_WINDOW_MS: u64 = 60_000;
 
 /// What a request's line says.
 #[derive(Debug, Clone)]
@@ -29,7 +29,7 @@
 
 impl RequestLine {
     /// Returns what a line says of a request, if it does.
-    pub(super) fn of(line: &LogLine) -> Option<Self> {
+    pub(super) fn from_log_line(line: &LogLine) -> Option<Self> {
         let HostEvent::Request(event) = &line.event else { return None };
         Some(Self { at: line.at, host: line.host.clone(), event: event.clone() })
     }
@@ -40,8 +40,8 @@
     }
 
     /// Returns the span of the wall clock in which something may explain it.
-    pub(super) const fn span(&self) -> (u64, u64) {
-        (self.arrived().saturating_sub(BEFORE), self.at + AFTER)
+    pub(super) const fn cause_window(&self) -> (u64, u64) {
+        (self.arrived().saturating_sub(CAUSE_WINDOW_BEFORE_MS), self.at + CAUSE_WINDOW_AFTER_MS)
     }
 }
 
@@ -51,27 +51,27 @@
     /// It was served in time.
     Served,
     /// It was served late: its stream paused longer than its route wants.
-    LatePause,
+    LateStreamPause,
     /// It was served late after it had been sent more than once.
-    LateResent,
+    LateRetried,
     /// It was served late: it waited for its adapter for longer than its engine then took.
-    LateWaiting,
+    LateAdapterWait,
     /// It was served late: its engine took most of the time until its first event.
-    LateReading,
+    LateAtEngine,
     /// No configuration was known to the host.
     NoConfiguration,
     /// The configuration has no route for it.
     NoRoute,
     /// The host refused it for another reason before any engine was thought of.
-    RefusedEarly,
+    RejectedOnArrival,
     /// Nobody held the placement lease that its adapter needs.
     NoPlacer,
     /// The order to load its adapter got no answer.
-    LoadOrderLost,
+    LoadOrderUnanswered,
     /// Its adapter was loaded, but after it was given up.
-    LoadedLate,
+    AdapterLoadedLate,
     /// Its adapter was not loaded at all.
-    NeverLoaded,
+    AdapterNotLoaded,
     /// The best engine had too much to read before it, so that it was refused at once.
     QueueTooLong,
     /// Engines promised not to have run it, being full or not ready.
@@ -79,29 +79,29 @@
     /// No engine took work, or none could be reached.
     NoEngine,
     /// The engines that could run it have named limits, and its turn would have come too late.
-    LimitUsed,
+    RateLimited,
     /// The engines that could run it wanted no requests from its host for a while.
-    EnginesCooling,
+    EnginesInCooldown,
     /// It is held back: engines ended while they ran it.
-    HeldBack,
+    Quarantined,
     /// Its engine ended while it ran this request, which is held back since.
-    EndedUnder,
+    CrashedItsEngine,
     /// Its engine ended while it ran another request, which is held back since.
-    EndedBeside,
+    EngineCrashedByOther,
     /// Its engine went away.
     EngineGone,
     /// Its engine fell silent or broke off, and stayed listed.
-    EngineBrokeOff,
+    EngineDisconnected,
     /// Its engine answered with an error of its own.
     EngineError,
     /// Its time ended with an engine at work.
-    TimeOver,
+    DeadlineExceeded,
     /// Its client left while it waited for its adapter.
-    LeftWaiting,
+    ClientLeftDuringLoad,
     /// Its client left while an engine had given no first byte.
-    LeftQueued,
+    ClientLeftBeforeFirstByte,
     /// Its client left in the middle of the answer.
-    LeftMidway,
+    ClientLeftDuringAnswer,
     /// It ended in a way that this program does not know.
     Unknown,
 }
@@ -110,32 +110,34 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let text = match self {
             Self::Served => "served in time",
-            Self::LatePause => "served with a long pause in its stream",
-            Self::LateResent => "served late, sent more than once",
-            Self::LateWaiting => "served late, most of it spent on its adapter",
-            Self::LateReading => "served late, most of it spent at its engine",
+            Self::LateStreamPause => "served with a long pause in its stream",
+            Self::LateRetried => "served late, sent more than once",
+            Self::LateAdapterWait => "served late, most of it spent on its adapter",
+            Self::LateAtEngine => "served late, most of it spent at its engine",
             Self::NoConfiguration => "the host knew no configuration",
             Self::NoRoute => "the configuration has no route for it",
-            Self::RefusedEarly => "refused before any engine was thought of",
+            Self::RejectedOnArrival => "refused before any engine was thought of",
             Self::NoPlacer => "nobody held the placement lease",
-            Self::LoadOrderLost => "the order to load its adapter got no answer",
-            Self::LoadedLate => "its adapter was loaded too late",
-            Self::NeverLoaded => "its adapter was not loaded",
+            Self::LoadOrderUnanswered => "the order to load its adapter got no answer",
+            Self::AdapterLoadedLate => "its adapter was loaded too late",
+            Self::AdapterNotLoaded => "its adapter was not loaded",
             Self::QueueTooLong => "its engines had too much to read before it",
             Self::EnginesRefused => "its engines were full or not ready",
             Self::NoEngine => "no engine could be reached",
-            Self::LimitUsed => "its engines take only so many requests, and had named that limit",
-            Self::EnginesCooling => "its engines had asked its host to send nothing for a while",
-            Self::HeldBack => "held back: engines ended while they ran it",
-            Self::EndedUnder => "its engine ended under it, as others did",
-            Self::EndedBeside => "its engine ended under another request that is held back since",
+            Self::RateLimited => "its engines take only so many requests, and had named that limit",
+            Self::EnginesInCooldown => "its engines had asked its host to send nothing for a while",
+            Self::Quarantined => "held back: engines ended while they ran it",
+            Self::CrashedItsEngine => "its engine ended under it, as others did",
+            Self::EngineCrashedByOther => {
+                "its engine ended under another request that is held back since"
+            }
             Self::EngineGone => "its engine went away",
-            Self::EngineBrokeOff => "its engine broke off and stayed listed",
+            Self::EngineDisconnected => "its engine broke off and stayed listed",
             Self::EngineError => "its engine answered with an error",
-            Self::TimeOver => "its time ended while an engine worked",
-            Self::LeftWaiting => "its client left while its adapter was loaded",
-            Self::LeftQueued => "its client left before the engine's first byte",
-            Self::LeftMidway => "its client left in the middle of the answer",
+            Self::DeadlineExceeded => "its time ended while an engine worked",
+            Self::ClientLeftDuringLoad => "its client left while its adapter was loaded",
+            Self::ClientLeftBeforeFirstByte => "its client left before the engine's first byte",
+            Self::ClientLeftDuringAnswer => "its client left in the middle of the answer",
             Self::Unknown => "an outcome that this program does not know",
         };
         formatter.pad(text)
@@ -144,85 +146,86 @@
 
 impl RequestCause {
     /// Names the cause from the request's line and the lines around it.
-    pub(super) fn of(request: &RequestLine, logs: &HostLogs) -> Self {
+    pub(super) fn classify(request: &RequestLine, logs: &HostLogs) -> Self {
         match &*request.event.outcome {
-            "answered" if request.event.late => Self::of_lateness(&request.event),
+            "answered" if request.event.late => Self::classify_late(&request.event),
             "answered" => Self::Served,
             "refused_early" if request.event.status == 404 => Self::NoRoute,
             "refused_early" if request.event.revision == 0 => Self::NoConfiguration,
-            "refused_early" => Self::RefusedEarly,
-            "adapter_absent" => Self::of_absence(request, logs),
+            "refused_early" => Self::RejectedOnArrival,
+            "adapter_absent" => Self::classify_adapter_absent(request, logs),
             "queue_too_long" => Self::QueueTooLong,
             "not_run" => Self::EnginesRefused,
             "no_engine" | "unreachable" => Self::NoEngine,
-            "limit_used" => Self::LimitUsed,
-            "engines_cooling" => Self::EnginesCooling,
-            "held_back" => Self::HeldBack,
-            "engine_failed" | "stream_broken" => Self::of_failure(request, logs),
+            "limit_used" => Self::RateLimited,
+            "engines_cooling" => Self::EnginesInCooldown,
+            "held_back" => Self::Quarantined,
+            "engine_failed" | "stream_broken" => Self::classify_failure(request, logs),
             "engine_error" => Self::EngineError,
-            "time_over" => Self::TimeOver,
+            "time_over" => Self::DeadlineExceeded,
             "client_gone" if request.event.first > 0 || request.event.status > 0 => {
-                Self::LeftMidway
+                Self::ClientLeftDuringAnswer
             }
-            "client_gone" if request.event.sends == 0 => Self::LeftWaiting,
-            "client_gone" => Self::LeftQueued,
+            "client_gone" if request.event.sends == 0 => Self::ClientLeftDuringLoad,
+            "client_gone" => Self::ClientLeftBeforeFirstByte,
             _ => Self::Unknown,
         }
     }
 
-    fn of_failure(request: &RequestLine, logs: &HostLogs) -> Self {
-        let marks = marks_at_the_end(request, logs);
-        let held = held_marks(request, logs);
-        if request.event.mark.as_ref().is_some_and(|own| held.contains(own)) {
-            return Self::EndedUnder;
+    fn classify_failure(request: &RequestLine, logs: &HostLogs) -> Self {
+        let marks = marks_at_engine_end(request, logs);
+        let quarantined = quarantined_marks(request, logs);
+        if request.event.mark.as_ref().is_some_and(|mark| quarantined.contains(mark)) {
+            return Self::CrashedItsEngine;
         }
-        if marks.iter().any(|mark| held.contains(mark)) {
-            return Self::EndedBeside;
+        if marks.iter().any(|mark| quarantined.contains(mark)) {
+            return Self::EngineCrashedByOther;
         }
-        if !marks.is_empty() || engine_went(request, logs) {
+        if !marks.is_empty() || engine_was_removed(request, logs) {
             return Self::EngineGone;
         }
-        Self::EngineBrokeOff
+        Self::EngineDisconnected
     }
 
-    fn of_lateness(event: &RequestEvent) -> Self {
-        let at_engine = event.first.saturating_sub(event.sent);
-        if event.pause > at_engine.max(event.waited) {
-            Self::LatePause
+    fn classify_late(event: &RequestEvent) -> Self {
+        let engine_time = event.first.saturating_sub(event.sent);
+        if event.pause > engine_time.max(event.waited) {
+            Self::LateStreamPause
         } else if event.sends > 1 {
-            Self::LateResent
-        } else if event.waited > at_engine {
-            Self::LateWaiting
+            Self::LateRetried
+        } else if event.waited > engine_time {
+            Self::LateAdapterWait
         } else {
-            Self::LateReading
+            Self::LateAtEngine
         }
     }
 
-    fn of_absence(request: &RequestLine, logs: &HostLogs) -> Self {
-        let (from, until) = request.span();
-        let loads = logs.between(from, until).iter().filter_map(|line| match &line.event {
-            HostEvent::Order { kind, key, answer, .. }
-                if kind != "unload" && Some(key) == request.event.key.as_ref() =>
-            {
-                Some((line.at, answer.as_str()))
-            }
-            _ => None,
-        });
-        let loads: Vec<(u64, &str)> = loads.collect();
-        if loads.iter().any(|(_, answer)| matches!(*answer, "Accepted" | "Done")) {
-            return Self::LoadedLate;
+    fn classify_adapter_absent(request: &RequestLine, logs: &HostLogs) -> Self {
+        let (from, until) = request.cause_window();
+        let load_answers =
+            logs.lines_between(from, until).iter().filter_map(|line| match &line.event {
+                HostEvent::Order { kind, key, answer, .. }
+                    if kind != "unload" && Some(key) == request.event.key.as_ref() =>
+                {
+                    Some((line.at, answer.as_str()))
+                }
+                _ => None,
+            });
+        let load_answers: Vec<(u64, &str)> = load_answers.collect();
+        if load_answers.iter().any(|(_, answer)| matches!(*answer, "Accepted" | "Done")) {
+            return Self::AdapterLoadedLate;
         }
-        if !loads.is_empty() {
-            return Self::LoadOrderLost;
+        if !load_answers.is_empty() {
+            return Self::LoadOrderUnanswered;
         }
-        if has_placer(request, logs) { Self::NeverLoaded } else { Self::NoPlacer }
+        if had_placer(request, logs) { Self::AdapterNotLoaded } else { Self::NoPlacer }
     }
 }
 
 /// Returns the marks of the requests that ran at the request's engine when it ended, as any host saw it.
-fn marks_at_the_end(request: &RequestLine, logs: &HostLogs) -> BTreeSet<String> {
-    let (from, until) = request.span();
-    let ends = logs.between(from, until).iter().filter_map(|line| match &line.event {
+fn marks_at_engine_end(request: &RequestLine, logs: &HostLogs) -> BTreeSet<String> {
+    let (from, until) = request.cause_window();
+    let engine_ends = logs.lines_between(from, until).iter().filter_map(|line| match &line.event {
         HostEvent::EngineEnded { engine, marks, .. }
             if Some(engine) == request.event.engine.as_ref() =>
         {
@@ -230,43 +233,43 @@
         }
         _ => None,
     });
-    ends.flatten().cloned().collect()
+    engine_ends.flatten().cloned().collect()
 }
 
 /// Returns the marks that were held back by some time after the request.
-fn held_marks(request: &RequestLine, logs: &HostLogs) -> BTreeSet<String> {
-    let held = logs.between(0, request.at + HELD_AFTER).iter();
-    let held = held.filter_map(|line| match &line.event {
+fn quarantined_marks(request: &RequestLine, logs: &HostLogs) -> BTreeSet<String> {
+    let quarantined = logs.lines_between(0, request.at + QUARANTINE_WINDOW_MS).iter();
+    let quarantined = quarantined.filter_map(|line| match &line.event {
         HostEvent::RequestHeld { mark, .. } => Some(mark.clone()),
         _ => None,
     });
-    held.collect()
+    quarantined.collect()
 }
 
-fn engine_went(request: &RequestLine, logs: &HostLogs) -> bool {
-    let (from, until) = request.span();
-    logs.between(from, until).iter().any(|line| match &line.event {
+fn engine_was_removed(request: &RequestLine, logs: &HostLogs) -> bool {
+    let (from, until) = request.cause_window();
+    logs.lines_between(from, until).iter().any(|line| match &line.event {
         HostEvent::EngineGone { engine } => Some(engine) == request.event.engine.as_ref(),
         _ => false,
     })
 }
 
 /// Returns whether any host held a placement lease and gave orders around the request.
-fn has_placer(request: &RequestLine, logs: &HostLogs) -> bool {
-    let (from, until) = request.span();
-    let mut around = logs.between(from, until).iter();
-    if around.any(|line| matches!(line.event, HostEvent::Order { .. })) {
+fn had_placer(request: &RequestLine, logs: &HostLogs) -> bool {
+    let (from, until) = request.cause_window();
+    let mut nearby_lines = logs.lines_between(from, until).iter();
+    if nearby_lines.any(|line| matches!(line.event, HostEvent::Order { .. })) {
         return true;
     }
-    let mut acting = std::collections::HashSet::new();
-    for line in logs.between(0, request.at) {
+    let mut acting_hosts = std::collections::HashSet::new();
+    for line in logs.lines_between(0, request.at) {
         if let HostEvent::Lease { state, .. } = &line.event {
             if state == "acting" {
-                acting.insert(&line.host);
+                acting_hosts.insert(&line.host);
             } else {
-                acting.remove(&line.host);
+                acting_hosts.remove(&line.host);
             }
         }
     }
-    !acting.is_empty()
+    !acting_hosts.is_empty()
 }
--- a/crates/cli/src/logs/explain.rs
+++ b/crates/cli/src/logs/explain.rs
@@ -11,7 +11,7 @@
 };
 
 /// The most lines around a request that are shown.
-const MOST_LINES: usize = 60;
+const MAX_CONTEXT_LINES: usize = 60;
 
 /// Explains one request from the logs in `files`.
 ///
@@ -19,8 +19,11 @@
 /// Returns that a file can not be read, or that no line tells of the request.
 pub(crate) fn explain(id: &str, files: &[PathBuf]) -> eyre::Result<String> {
     let logs = HostLogs::read(files)?;
-    let request =
-        logs.lines.iter().filter_map(RequestLine::of).find(|request| request.event.id == id);
+    let request = logs
+        .lines
+        .iter()
+        .filter_map(RequestLine::from_log_line)
+        .find(|request| request.event.id == id);
     let Some(request) = request else {
         bail!(
             "no line tells of request {id}; name the logs of all hosts, and mind that of requests \
@@ -28,7 +31,7 @@
         );
     };
     let mut text = String::new();
-    describe(&mut text, &request)?;
+    write_summary(&mut text, &request)?;
     writeln!(text, "  read      {}", configuration_source(&logs, &request))?;
     if let Some(engine) = &request.event.limited_by {
         writeln!(text, "  limit     {}", limit_source(&logs, &request, engine))?;
@@ -36,29 +39,29 @@
     if let Some(engine) = &request.event.cooling_by {
         writeln!(text, "  cooldown  {}", cooldown_source(&logs, &request, engine))?;
     }
-    let (from, until) = request.span();
-    let around: Vec<&LogLine> =
-        logs.between(from, until).iter().filter(|line| concerns(line, &request)).collect();
+    let (from, until) = request.cause_window();
+    let context_lines: Vec<&LogLine> =
+        logs.lines_between(from, until).iter().filter(|line| is_relevant(line, &request)).collect();
     writeln!(text, "\nAround it, in milliseconds after its arrival:")?;
-    for line in around.iter().take(MOST_LINES) {
+    for line in context_lines.iter().take(MAX_CONTEXT_LINES) {
         let after = i128::from(line.at) - i128::from(request.arrived());
         let event = serde_json::to_string(&line.event)?;
         writeln!(text, "{after:>8}  {:<20} {event}", line.host)?;
     }
-    if around.len() > MOST_LINES {
-        writeln!(text, "          and {} lines more", around.len() - MOST_LINES)?;
+    if context_lines.len() > MAX_CONTEXT_LINES {
+        writeln!(text, "          and {} lines more", context_lines.len() - MAX_CONTEXT_LINES)?;
     }
-    let left_out: u64 = logs.between(from, until).iter().map(|line| line.left_out).sum();
+    let left_out: u64 = logs.lines_between(from, until).iter().map(|line| line.left_out).sum();
     if left_out > 0 {
         writeln!(text, "          {left_out} lines found no room in this time")?;
     }
-    writeln!(text, "\nCause: {}", RequestCause::of(&request, &logs))?;
+    writeln!(text, "\nCause: {}", RequestCause::classify(&request, &logs))?;
     Ok(text)
 }
 
 /// Says where in the store the configuration that decided a request was read, and how long before.
 fn configuration_source(logs: &HostLogs, request: &RequestLine) -> String {
-    let mut before = logs.between(0, request.at).iter().rev();
+    let mut before = logs.lines_between(0, request.at).iter().rev();
     let read = before.find_map(|line| match line.event {
         HostEvent::ConfigurationInForce { revision, era, offset }
             if line.host == request.host && revision == request.event.revision =>
@@ -80,38 +83,39 @@
 
 /// Says what an engine had named for which a request waited, how long before, and who dealt its permits.
 fn limit_source(logs: &HostLogs, request: &RequestLine, engine: &str) -> String {
-    let before = || logs.between(0, request.at).iter().rev();
-    let named = before().find_map(|line| match &line.event {
-        HostEvent::EngineLimited { engine: named, limit, .. } if named == engine => {
+    let before = || logs.lines_between(0, request.at).iter().rev();
+    let limit_event = before().find_map(|line| match &line.event {
+        HostEvent::EngineLimited { engine: limited, limit, .. } if limited == engine => {
             Some((line.at, *limit))
         }
         _ => None,
     });
-    let dealer = before().find_map(|line| match &line.event {
+    let permit_issuer = before().find_map(|line| match &line.event {
         HostEvent::Lease { state, .. } if state == "acting" => Some(line.host.as_str()),
         _ => None,
     });
-    let dealer = dealer.map_or_else(|| String::from("nobody"), ToOwned::to_owned);
-    named.map_or_else(
-        || format!("no line says what {engine} had named; permits were dealt by {dealer}"),
+    let permit_issuer = permit_issuer.map_or_else(|| String::from("nobody"), ToOwned::to_owned);
+    limit_event.map_or_else(
+        || format!("no line says what {engine} had named; permits were dealt by {permit_issuer}"),
         |(at, limit)| {
             let ago = request.arrived().saturating_sub(at);
-            format!("{engine} takes {limit} requests a second, as a line said {ago} ms before; permits were dealt by {dealer}")
+            format!("{engine} takes {limit} requests a second, as a line said {ago} ms before; permits were dealt by {permit_issuer}")
         },
     )
 }
 
 /// Says which cooldown an engine had asked a request's host for, and how long before.
 fn cooldown_source(logs: &HostLogs, request: &RequestLine, engine: &str) -> String {
-    let began = logs.between(0, request.at).iter().rev().find_map(|line| match &line.event {
-        HostEvent::CooldownBegan { engine: cooling, millis, .. }
-            if cooling == engine && line.host == request.host =>
-        {
-            Some((line.at, *millis))
-        }
-        _ => None,
-    });
-    began.map_or_else(
+    let cooldown_event =
+        logs.lines_between(0, request.at).iter().rev().find_map(|line| match &line.event {
+            HostEvent::CooldownBegan { engine: cooling_engine, millis, .. }
+                if cooling_engine == engine && line.host == request.host =>
+            {
+                Some((line.at, *millis))
+            }
+            _ => None,
+        });
+    cooldown_event.map_or_else(
         || format!("no line says what {engine} had asked for"),
         |(at, millis)| {
             let ago = request.at.saturating_sub(at);
@@ -122,7 +126,7 @@
     )
 }
 
-fn describe(text: &mut String, request: &RequestLine) -> eyre::Result<()> {
+fn write_summary(text: &mut String, request: &RequestLine) -> eyre::Result<()> {
     writeln!(text, "Request {} at {}", request.event.id, request.host)?;
     writeln!(
         text,
@@ -143,8 +147,8 @@
 }
 
 /// Returns whether a line tells of something that may explain the request.
-fn concerns(line: &LogLine, request: &RequestLine) -> bool {
-    let own_host = line.host == request.host;
+fn is_relevant(line: &LogLine, request: &RequestLine) -> bool {
+    let same_host = line.host == request.host;
     match &line.event {
         HostEvent::Request(event) => event.id == request.event.id,
         HostEvent::Order { key, .. } => Some(key) == request.event.key.as_ref(),
@@ -161,9 +165,9 @@
         | HostEvent::EngineGone { engine } => {
             let event = &request.event;
             let engines = [&event.engine, &event.limited_by, &event.cooling_by];
-            own_host && engines.contains(&&Some(engine.clone()))
+            same_host && engines.contains(&&Some(engine.clone()))
         }
-        HostEvent::Lease { state, .. } => own_host || state == "acting",
-        _ => own_host,
+        HostEvent::Lease { state, .. } => same_host || state == "acting",
+        _ => same_host,
     }
 }
--- a/crates/cli/src/logs/line.rs
+++ b/crates/cli/src/logs/line.rs
@@ -32,7 +32,7 @@
     /// The lines.
     pub(super) lines: Vec<LogLine>,
     /// Lines that are none of a host's events.
-    pub(super) passed_over: usize,
+    pub(super) skipped_lines: usize,
 }
 
 impl HostLogs {
@@ -43,25 +43,25 @@
         for file in files {
             let path = file.as_ref();
             if path == Path::new("-") {
-                logs.take(stdin().lock())?;
+                logs.read_lines(stdin().lock())?;
                 continue;
             }
-            let opened = File::open(path)
+            let log_file = File::open(path)
                 .wrap_err_with(|| format!("{} can not be read; name a log file", path.display()))?;
-            logs.take(BufReader::new(opened))?;
+            logs.read_lines(BufReader::new(log_file))?;
         }
         logs.lines.sort_by_key(|line| line.at);
         Ok(logs)
     }
 
-    fn take(&mut self, mut reader: impl BufRead) -> eyre::Result<()> {
+    fn read_lines(&mut self, mut reader: impl BufRead) -> eyre::Result<()> {
         let mut bytes = Vec::new();
         while reader.read_until(b'\n', &mut bytes)? > 0 {
             let text = String::from_utf8_lossy(&bytes);
             let line = text.find('{').and_then(|start| serde_json::from_str(&text[start..]).ok());
             match line {
                 Some(line) => self.lines.push(line),
-                None => self.passed_over += 1,
+                None => self.skipped_lines += 1,
             }
             bytes.clear();
         }
@@ -69,7 +69,7 @@
     }
 
     /// Returns the lines within a span of the wall clock, both ends included.
-    pub(super) fn between(&self, from: u64, until: u64) -> &[LogLine] {
+    pub(super) fn lines_between(&self, from: u64, until: u64) -> &[LogLine] {
         let start = self.lines.partition_point(|line| line.at < from);
         let end = self.lines.partition_point(|line| line.at <= until);
         &self.lines[start..end]
--- a/crates/cli/src/logs/losses.rs
+++ b/crates/cli/src/logs/losses.rs
@@ -12,7 +12,7 @@
 use crate::output::OutputFormat;
 
 /// The span of one row of the table over time. Unit: milliseconds.
-const ROW_MILLIS: u64 = 2000;
+const INTERVAL_MS: u64 = 2000;
 
 /// Requests by cause.
 #[derive(Debug, Serialize)]
@@ -28,7 +28,7 @@
 
 /// What happened in one span of time.
 #[derive(Debug, Default, Serialize)]
-struct SpanRow {
+struct IntervalRow {
     /// The beginning of the span after the first line. Unit: milliseconds.
     from: u64,
     served: u64,
@@ -42,7 +42,7 @@
 #[derive(Debug, Serialize)]
 struct LossTable {
     causes: Vec<CauseRow>,
-    spans: Vec<SpanRow>,
+    spans: Vec<IntervalRow>,
     passed_over: usize,
 }
 
@@ -52,25 +52,28 @@
 /// Returns that a file can not be read.
 pub(crate) fn losses(files: &[PathBuf], output: OutputFormat) -> eyre::Result<String> {
     let logs = HostLogs::read(files)?;
-    let table =
-        LossTable { causes: causes(&logs), spans: spans(&logs), passed_over: logs.passed_over };
+    let table = LossTable {
+        causes: cause_rows(&logs),
+        spans: interval_rows(&logs),
+        passed_over: logs.skipped_lines,
+    };
     match output {
         OutputFormat::Json => Ok(serde_json::to_string_pretty(&table)?),
-        OutputFormat::Text => text(&table),
+        OutputFormat::Text => format_table(&table),
     }
 }
 
-fn causes(logs: &HostLogs) -> Vec<CauseRow> {
-    let mut sums: BTreeMap<(RequestCause, String), (u64, u64, u64)> = BTreeMap::new();
-    for request in logs.lines.iter().filter_map(RequestLine::of) {
-        let cause = RequestCause::of(&request, logs);
-        let count = weight(&cause);
-        let sum = sums.entry((cause, request.event.route.clone())).or_default();
+fn cause_rows(logs: &HostLogs) -> Vec<CauseRow> {
+    let mut totals: BTreeMap<(RequestCause, String), (u64, u64, u64)> = BTreeMap::new();
+    for request in logs.lines.iter().filter_map(RequestLine::from_log_line) {
+        let cause = RequestCause::classify(&request, logs);
+        let count = requests_per_line(&cause);
+        let sum = totals.entry((cause, request.event.route.clone())).or_default();
         sum.0 += count;
         sum.1 += count * request.event.waited;
         sum.2 += count * request.event.total;
     }
-    let rows = sums.into_iter().map(|((cause, route), (requests, waited, total))| CauseRow {
+    let rows = totals.into_iter().map(|((cause, route), (requests, waited, total))| CauseRow {
         cause: cause.to_string(),
         route,
         requests,
@@ -83,22 +86,23 @@
 }
 
 /// Returns how many requests one line stands for.
-fn weight(cause: &RequestCause) -> u64 {
+fn requests_per_line(cause: &RequestCause) -> u64 {
     if *cause == RequestCause::Served { LOGGED_SHARE } else { 1 }
 }
 
-fn spans(logs: &HostLogs) -> Vec<SpanRow> {
+fn interval_rows(logs: &HostLogs) -> Vec<IntervalRow> {
     let Some(begin) = logs.lines.first().map(|line| line.at) else { return Vec::new() };
-    let mut rows: BTreeMap<u64, SpanRow> = BTreeMap::new();
+    let mut rows: BTreeMap<u64, IntervalRow> = BTreeMap::new();
     for line in &logs.lines {
-        let from = (line.at - begin) / ROW_MILLIS * ROW_MILLIS;
-        let row = rows.entry(from).or_insert_with(|| SpanRow { from, ..SpanRow::default() });
-        count(row, line);
+        let from = (line.at - begin) / INTERVAL_MS * INTERVAL_MS;
+        let row =
+            rows.entry(from).or_insert_with(|| IntervalRow { from, ..IntervalRow::default() });
+        add_line(row, line);
     }
     rows.into_values().collect()
 }
 
-fn count(row: &mut SpanRow, line: &LogLine) {
+fn add_line(row: &mut IntervalRow, line: &LogLine) {
     match &line.event {
         HostEvent::Request(event) if event.outcome == "answered" => {
             row.served += LOGGED_SHARE;
@@ -114,7 +118,7 @@
     }
 }
 
-fn text(table: &LossTable) -> eyre::Result<String> {
+fn format_table(table: &LossTable) -> eyre::Result<String> {
     let mut text = String::new();
     writeln!(
         text,
@@ -135,7 +139,7 @@
         "from ms", "served", "lost", "loads", "unloads", "lost orders"
     )?;
     for row in &table.spans {
-        let SpanRow { from, served, lost, loads, unloads, lost_orders } = row;
+        let IntervalRow { from, served, lost, loads, unloads, lost_orders } = row;
         writeln!(
             text,
             "{from:>8} {served:>8} {lost:>8} {loads:>8} {unloads:>8} {lost_orders:>12}"
--- a/crates/cli/src/measure.rs
+++ b/crates/cli/src/measure.rs
@@ -16,7 +16,7 @@
 use serde_json::json;
 
 use crate::{
-    dev::site::{DevSite, SiteShape},
+    dev::site::{DevSite, DevSiteOptions},
     options::MeasureOptions,
     output::print,
 };
@@ -25,15 +25,15 @@
 const MODEL: &str = "assist/north/brakes@2";
 
 /// A tree with that one adapter.
-const TREE: &str = "deadline_ms = 60000\nqueue_limit = 100000\n[service.assist]\nbase_model = \"base\"\n\
+const SETTINGS_TREE: &str = "deadline_ms = 60000\nqueue_limit = 100000\n[service.assist]\nbase_model = \"base\"\n\
     [service.assist.organisation.north.adapter.brakes]\nversion = 2\n";
 
 /// The stack of a thread that reads one stream.
-const READER_STACK: usize = 128 << 10;
+const READER_STACK_BYTES: usize = 128 << 10;
 
 /// Microseconds of one measurement, split where the caller sees them.
 #[derive(Debug, Clone, Serialize)]
-struct PathFigures {
+struct PathLatencies {
     streams: usize,
     path: &'static str,
     first_token_us_p50: u64,
@@ -45,23 +45,23 @@
 
 struct Samples {
     first: Histogram<u64>,
-    between: Histogram<u64>,
+    between_tokens: Histogram<u64>,
 }
 
 impl Samples {
     fn new() -> eyre::Result<Self> {
         let histogram = || Histogram::new_with_bounds(1, 600_000_000, 3);
-        Ok(Self { first: histogram()?, between: histogram()? })
+        Ok(Self { first: histogram()?, between_tokens: histogram()? })
     }
 
-    fn figures(&self, streams: usize, path: &'static str) -> PathFigures {
-        PathFigures {
+    fn latencies(&self, streams: usize, path: &'static str) -> PathLatencies {
+        PathLatencies {
             streams,
             path,
             first_token_us_p50: self.first.value_at_quantile(0.5),
             first_token_us_p99: self.first.value_at_quantile(0.99),
-            between_tokens_us_p50: self.between.value_at_quantile(0.5),
-            between_tokens_us_p99: self.between.value_at_quantile(0.99),
+            between_tokens_us_p50: self.between_tokens.value_at_quantile(0.5),
+            between_tokens_us_p99: self.between_tokens.value_at_quantile(0.99),
             samples: self.first.len(),
         }
     }
@@ -84,11 +84,11 @@
 
 /// Measures and prints.
 pub(crate) fn run(options: &MeasureOptions) -> eyre::Result<ExitCode> {
-    let tree = read_tree(TREE).map_err(|mistakes| eyre!("built-in tree: {}", mistakes[0]))?;
-    let most = options.streams.iter().copied().max().unwrap_or(1);
-    let streams = u32::try_from(most).unwrap_or(u32::MAX);
-    let shape = SiteShape { hosts: 2, engines: 1, halls: 1, streams, port: 0 };
-    let site = DevSite::start(&shape, &tree)?;
+    let tree = read_tree(SETTINGS_TREE).map_err(|errors| eyre!("built-in tree: {}", errors[0]))?;
+    let max_streams = options.streams.iter().copied().max().unwrap_or(1);
+    let streams = u32::try_from(max_streams).unwrap_or(u32::MAX);
+    let site_options = DevSiteOptions { hosts: 2, engines: 1, halls: 1, streams, port: 0 };
+    let site = DevSite::start(&site_options, &tree)?;
     let hosts = site.callers();
     for host in &hosts {
         warm_up(&Target { address: host.to_string(), token: None })?;
@@ -106,22 +106,22 @@
         // The paths take turns within each round, so that noise of the host meets all alike.
         for round in 0..options.rounds.max(2) {
             for ((_, target), samples) in targets.iter().zip(&mut samples) {
-                let measured = round_of(target, streams, options.tokens)?;
+                let round_samples = run_round(target, streams, options.tokens)?;
                 if round > 0 {
-                    samples.first.add(&measured.first)?;
-                    samples.between.add(&measured.between)?;
+                    samples.first.add(&round_samples.first)?;
+                    samples.between_tokens.add(&round_samples.between_tokens)?;
                 }
             }
         }
         for ((name, _), samples) in targets.iter().zip(&samples) {
-            rows.push(samples.figures(streams, name));
+            rows.push(samples.latencies(streams, name));
         }
     }
-    print(options.output, &rows, || table(&rows))?;
+    print(options.output, &rows, || format_table(&rows))?;
     Ok(ExitCode::SUCCESS)
 }
 
-fn table(rows: &[PathFigures]) -> String {
+fn format_table(rows: &[PathLatencies]) -> String {
     let mut text = String::from(
         "streams path     first token p50/p99 ms   between tokens p50/p99 ms  samples\n",
     );
@@ -144,24 +144,24 @@
 
 /// Asks until the adapter is loaded and every engine has its owner.
 fn warm_up(target: &Target) -> eyre::Result<()> {
-    const WITHIN: Duration = Duration::from_secs(20);
-    let until = Instant::now() + WITHIN;
+    const TIMEOUT: Duration = Duration::from_secs(20);
+    let deadline = Instant::now() + TIMEOUT;
     loop {
         match stream_once(target, 1, 0) {
             Ok(_) => return Ok(()),
-            Err(error) if Instant::now() > until => return Err(error),
+            Err(error) if Instant::now() > deadline => return Err(error),
             Err(_) => thread::sleep(Duration::from_millis(100)),
         }
     }
 }
 
 /// Opens all streams at once and reads each to its end.
-fn round_of(target: &Target, streams: usize, tokens: usize) -> eyre::Result<Samples> {
+fn run_round(target: &Target, streams: usize, tokens: usize) -> eyre::Result<Samples> {
     let barrier = Arc::new(Barrier::new(streams));
     let mut readers = Vec::new();
     for index in 0..streams {
         let (target, barrier) = (target.clone(), Arc::clone(&barrier));
-        let reader = thread::Builder::new().stack_size(READER_STACK).spawn(move || {
+        let reader = thread::Builder::new().stack_size(READER_STACK_BYTES).spawn(move || {
             barrier.wait();
             stream_once(&target, tokens, index)
         })?;
@@ -171,8 +171,8 @@
     for reader in readers {
         let times = reader.join().map_err(|_| eyre!("a reader panicked"))??;
         samples.first.record(micros(times.first))?;
-        for between in times.between {
-            samples.between.record(micros(between))?;
+        for between_tokens in times.between_tokens {
+            samples.between_tokens.record(micros(between_tokens))?;
         }
     }
     Ok(samples)
@@ -184,7 +184,7 @@
 
 struct StreamTimes {
     first: Duration,
-    between: Vec<Duration>,
+    between_tokens: Vec<Duration>,
 }
 
 /// Reads one stream and checks that it is whole.
@@ -202,41 +202,46 @@
         let id = format!("direct-{index}-{:?}", Instant::now()).replace(' ', "");
         call = call.header("x-request-id", id).header("x-fence-token", token.to_string());
     }
-    let begun = Instant::now();
+    let started = Instant::now();
     let answer = call.send(&body.to_string().into_bytes()[..])?;
-    read_events(answer.into_body().into_reader(), begun, tokens)
+    read_events(answer.into_body().into_reader(), started, tokens)
 }
 
 /// Notes when each event of a stream came.
-fn read_events(mut source: impl Read, begun: Instant, tokens: usize) -> eyre::Result<StreamTimes> {
-    let mut times = StreamTimes { first: Duration::ZERO, between: Vec::with_capacity(tokens) };
-    let mut last = begun;
-    let mut seen = 0;
-    let mut tail = Vec::new();
-    let mut piece = [0; 4096];
+fn read_events(
+    mut source: impl Read,
+    started: Instant,
+    tokens: usize,
+) -> eyre::Result<StreamTimes> {
+    let mut times =
+        StreamTimes { first: Duration::ZERO, between_tokens: Vec::with_capacity(tokens) };
+    let mut last_event = started;
+    let mut received = 0;
+    let mut buffer = Vec::new();
+    let mut chunk = [0; 4096];
     loop {
-        let count = source.read(&mut piece)?;
+        let count = source.read(&mut chunk)?;
         if count == 0 {
             break;
         }
         let now = Instant::now();
-        tail.extend_from_slice(&piece[..count]);
-        while let Some(end) = tail.windows(2).position(|pair| pair == b"\n\n") {
-            let event: Vec<u8> = tail.drain(..end + 2).collect();
+        buffer.extend_from_slice(&chunk[..count]);
+        while let Some(end) = buffer.windows(2).position(|pair| pair == b"\n\n") {
+            let event: Vec<u8> = buffer.drain(..end + 2).collect();
             if event.starts_with(b"id: ") {
-                match seen {
-                    0 => times.first = now - begun,
-                    _ => times.between.push(now - last),
+                match received {
+                    0 => times.first = now - started,
+                    _ => times.between_tokens.push(now - last_event),
                 }
-                seen += 1;
-                last = now;
+                received += 1;
+                last_event = now;
             } else if event != b"data: [DONE]\n\n" {
                 bail!("a stream held {}", String::from_utf8_lossy(&event));
             }
         }
     }
-    if seen != tokens || !tail.is_empty() {
-        bail!("a stream of {tokens} tokens came with {seen}");
+    if received != tokens || !buffer.is_empty() {
+        bail!("a stream of {tokens} tokens came with {received}");
     }
     Ok(times)
 }
--- a/crates/cli/src/options.rs
+++ b/crates/cli/src/options.rs
@@ -326,7 +326,7 @@
 #[derive(Debug, Clone, Bpaf)]
 pub(crate) struct MeasureOptions {
     /// Streams at once; may be given several times
-    #[bpaf(argument("COUNT"), many, map(usual_streams))]
+    #[bpaf(argument("COUNT"), many, map(default_streams))]
     pub(crate) streams: Vec<usize>,
     /// Tokens of each answer
     #[bpaf(argument("COUNT"), fallback(100), display_fallback)]
@@ -366,7 +366,7 @@
     pub(crate) output: OutputFormat,
 }
 
-fn usual_streams(streams: Vec<usize>) -> Vec<usize> {
+fn default_streams(streams: Vec<usize>) -> Vec<usize> {
     if streams.is_empty() { vec![1, 64, 512] } else { streams }
 }
 
--- a/crates/cli/src/settings.rs
+++ b/crates/cli/src/settings.rs
@@ -32,9 +32,9 @@
             println!("{}: no mistakes, {} adapters", file.display(), tree.adapter_count());
             Ok(ExitCode::SUCCESS)
         }
-        Err(mistakes) => {
-            for mistake in mistakes {
-                eprintln!("{}:{mistake}", file.display());
+        Err(errors) => {
+            for error in errors {
+                eprintln!("{}:{error}", file.display());
             }
             Ok(ExitCode::from(2))
         }
@@ -51,9 +51,9 @@
     let text = read_text(file)?;
     match read_tree(&text) {
         Ok(tree) => Ok(tree),
-        Err(mistakes) => {
+        Err(errors) => {
             let lines: Vec<String> =
-                mistakes.iter().map(|mistake| format!("{}:{mistake}", file.display())).collect();
+                errors.iter().map(|error| format!("{}:{error}", file.display())).collect();
             bail!("the file has mistakes:\n{}", lines.join("\n"))
         }
     }
--- a/crates/cli/src/settings/publish.rs
+++ b/crates/cli/src/settings/publish.rs
@@ -15,21 +15,25 @@
 };
 
 /// The first line of an exported file, before the revision.
-const BASE_LINE: &str = "# made from revision ";
+const BASE_REVISION_PREFIX: &str = "# made from revision ";
 
 /// Writes the tree in force as a file.
 pub(super) fn export(log: &LogSource) -> eyre::Result<ExitCode> {
-    let fold = PlatformLog::new(log).fold()?;
-    write_out(&format!("{BASE_LINE}{}\n{}", fold.revision(), fold.tree().to_toml()))?;
+    let settings = PlatformLog::new(log).replay()?;
+    write_out(&format!(
+        "{BASE_REVISION_PREFIX}{}\n{}",
+        settings.revision(),
+        settings.tree().to_toml()
+    ))?;
     Ok(ExitCode::SUCCESS)
 }
 
 /// Returns the revision that a file says it was made from.
-fn base_of(text: &str) -> Option<u64> {
-    text.lines().next()?.strip_prefix(BASE_LINE)?.trim().parse().ok()
+fn parse_base_revision(text: &str) -> Option<u64> {
+    text.lines().next()?.strip_prefix(BASE_REVISION_PREFIX)?.trim().parse().ok()
 }
 
-fn edit_line(edit: &SettingsEdit) -> String {
+fn format_edit(edit: &SettingsEdit) -> String {
     let path = &edit.path;
     match &edit.action {
         EditAction::Create => format!("create {path}"),
@@ -39,39 +43,40 @@
     }
 }
 
-fn edits_text(edits: &[SettingsEdit]) -> String {
+fn format_edits(edits: &[SettingsEdit]) -> String {
     let mut text = String::new();
     for edit in edits {
-        let _infallible = writeln!(text, "{}", edit_line(edit));
+        let _infallible = writeln!(text, "{}", format_edit(edit));
     }
     text
 }
 
 /// Shows what publishing a file would change.
 pub(super) fn diff(log: &LogSource, file: &Path, output: OutputFormat) -> eyre::Result<ExitCode> {
-    let wanted = read_file(file)?;
-    let fold = PlatformLog::new(log).fold()?;
-    let edits = fold.tree().diff_edits(&wanted);
-    print(output, &edits, || edits_text(&edits))?;
+    let target = read_file(file)?;
+    let settings = PlatformLog::new(log).replay()?;
+    let edits = settings.tree().diff_edits(&target);
+    print(output, &edits, || format_edits(&edits))?;
     Ok(ExitCode::SUCCESS)
 }
 
 /// Publishes a file.
 pub(super) fn publish(options: &PublishOptions) -> eyre::Result<ExitCode> {
     let text = read_text(&options.file)?;
-    let wanted = read_file(&options.file)?;
+    let target = read_file(&options.file)?;
     let log = PlatformLog::new(&options.log);
-    let fold = log.fold()?;
-    let mut edits = fold.tree().diff_edits(&wanted);
+    let settings = log.replay()?;
+    let mut edits = settings.tree().diff_edits(&target);
     if let Some(at) = &options.at {
         let at = SettingsPath::parse(at).map_err(|reason| eyre!(reason))?;
         edits.retain(|edit| edit.path.segments().starts_with(at.segments()));
     }
     if edits.is_empty() {
-        println!("nothing to publish: revision {} is the same", fold.revision());
+        println!("nothing to publish: revision {} is the same", settings.revision());
         return Ok(ExitCode::SUCCESS);
     }
-    let base_revision = options.base.or_else(|| base_of(&text)).unwrap_or(fold.revision());
+    let base_revision =
+        options.base.or_else(|| parse_base_revision(&text)).unwrap_or(settings.revision());
     let record = ChangeRecord {
         format: RECORD_FORMAT,
         change_id: change_id(),
@@ -82,7 +87,7 @@
     };
     let verdict = log.publish(&record)?;
     print(options.output, &verdict, || match &verdict.result {
-        Ok(revision) => format!("accepted as revision {revision}\n{}", edits_text(&record.edits)),
+        Ok(revision) => format!("accepted as revision {revision}\n{}", format_edits(&record.edits)),
         Err(refusal) => format!("refused: {refusal}\n"),
     })?;
     Ok(if verdict.result.is_ok() { ExitCode::SUCCESS } else { ExitCode::from(3) })
@@ -90,14 +95,14 @@
 
 /// Makes an id that no other publication has: time and process.
 fn change_id() -> String {
-    let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-    format!("{:x}-{:x}", since.as_nanos(), std::process::id())
+    let elapsed = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
+    format!("{:x}-{:x}", elapsed.as_nanos(), std::process::id())
 }
 
 /// Shows the last publications.
 pub(super) fn history(log: &LogSource, output: OutputFormat) -> eyre::Result<ExitCode> {
-    let fold = PlatformLog::new(log).fold()?;
-    let verdicts: Vec<&ChangeVerdict> = fold.verdicts().collect();
+    let settings = PlatformLog::new(log).replay()?;
+    let verdicts: Vec<&ChangeVerdict> = settings.verdicts().collect();
     print(output, &verdicts, || {
         let mut text = String::new();
         for verdict in &verdicts {
--- a/crates/cli/src/settings/show.rs
+++ b/crates/cli/src/settings/show.rs
@@ -94,7 +94,7 @@
     output: OutputFormat,
 ) -> eyre::Result<ExitCode> {
     let tree = match source {
-        TreeSource::Platform { log } => PlatformLog::new(log).fold()?.tree().clone(),
+        TreeSource::Platform { log } => PlatformLog::new(log).replay()?.tree().clone(),
         TreeSource::File { file } => read_file(file)?,
     };
     let path = SettingsPath::parse(path).map_err(|reason| eyre!(reason))?;
@@ -126,9 +126,11 @@
     let path_nodes = tree.nodes_along(path);
     let depth = path_nodes.len() - 1;
     let Some(missing) = path.segments().get(depth) else { return Ok(()) };
-    let known = path_nodes[depth].children.keys().map(|name| &**name);
-    match closest_match(missing, known) {
-        Some(known) => bail!("there is no `{missing}` in the tree; did you mean `{known}`?"),
+    let names = path_nodes[depth].children.keys().map(|name| &**name);
+    match closest_match(missing, names) {
+        Some(suggestion) => {
+            bail!("there is no `{missing}` in the tree; did you mean `{suggestion}`?")
+        }
         None => bail!("there is no `{missing}` in the tree at {path}"),
     }
 }
--- a/crates/cli/src/soak.rs
+++ b/crates/cli/src/soak.rs
@@ -19,7 +19,7 @@
 pub(crate) fn run(command: &SoakCommand) -> eyre::Result<ExitCode> {
     let program = match &command.program {
         Some(program) => program.clone(),
-        None => beside_this()?,
+        None => sibling_host_program()?,
     };
     let mut code = ExitCode::SUCCESS;
     for seed in command.seed..command.seed + command.seeds {
@@ -45,8 +45,9 @@
 }
 
 /// Returns the program of a host that stands beside this one.
-fn beside_this() -> eyre::Result<PathBuf> {
-    let own = env::current_exe()?;
-    let folder = own.parent().ok_or_eyre("this program stands in no folder; name the host's")?;
+fn sibling_host_program() -> eyre::Result<PathBuf> {
+    let executable = env::current_exe()?;
+    let folder =
+        executable.parent().ok_or_eyre("this program stands in no folder; name the host's")?;
     Ok(folder.join(HOST_PROGRAM))
 }
--- a/crates/cli/src/watch.rs
+++ b/crates/cli/src/watch.rs
@@ -12,41 +12,41 @@
 use crate::{options::WatchOptions, output::print};
 
 /// How long a host may take to answer.
-const ANSWER: Duration = Duration::from_secs(3);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Fetches one of a host's pages.
 pub(crate) fn fetch<T: DeserializeOwned>(host: &str, page: &str) -> eyre::Result<T> {
     let url = format!("http://{host}/{page}");
-    let call = ureq::get(&url).config().timeout_global(Some(ANSWER)).build().call();
-    let mut answer =
+    let call = ureq::get(&url).config().timeout_global(Some(RESPONSE_TIMEOUT)).build().call();
+    let mut response =
         call.wrap_err_with(|| format!("{host} does not answer; name its operators' address"))?;
-    let body = answer.body_mut().with_config().limit(64 << 20).read_to_vec()?;
+    let body = response.body_mut().with_config().limit(64 << 20).read_to_vec()?;
     serde_json::from_slice(&body).wrap_err_with(|| format!("{url} gave no usable answer"))
 }
 
 /// Asks every host; those that do not answer are named and left out.
 fn fetch_all<T: DeserializeOwned>(hosts: &[String], page: &str) -> eyre::Result<Vec<T>> {
-    let mut found = Vec::new();
+    let mut responses = Vec::new();
     for host in hosts {
         match fetch(host, page) {
-            Ok(value) => found.push(value),
+            Ok(value) => responses.push(value),
             Err(error) => eprintln!("reelreel: {error:#}"),
         }
     }
-    if found.is_empty() {
+    if responses.is_empty() {
         bail!("none of the hosts answered");
     }
-    Ok(found)
+    Ok(responses)
 }
 
 /// Shows the state of hosts.
 pub(crate) fn status(options: &WatchOptions) -> eyre::Result<ExitCode> {
     let statuses: Vec<NodeStatus> = fetch_all(&options.hosts, "status")?;
-    print(options.output, &statuses, || statuses.iter().map(status_text).collect())?;
+    print(options.output, &statuses, || statuses.iter().map(format_status).collect())?;
     Ok(ExitCode::SUCCESS)
 }
 
-fn status_text(status: &NodeStatus) -> String {
+fn format_status(status: &NodeStatus) -> String {
     let mut text = String::new();
     let ready = if status.ready { "ready" } else { "not ready" };
     let _infallible = writeln!(
@@ -82,14 +82,14 @@
 
 /// Shows the events of hosts in one order.
 pub(crate) fn timeline(options: &WatchOptions) -> eyre::Result<ExitCode> {
-    let parts: Vec<Vec<TimelineEvent>> = fetch_all(&options.hosts, "timeline")?;
-    let events = merge_timelines(parts.into_iter().flatten());
+    let timelines: Vec<Vec<TimelineEvent>> = fetch_all(&options.hosts, "timeline")?;
+    let events = merge_timelines(timelines.into_iter().flatten());
     print(options.output, &events, || {
         let mut text = String::new();
         for event in &events {
-            let TimelineEvent { wall_millis, counter, host, subject, text: what } = event;
+            let TimelineEvent { wall_millis, counter, host, subject, text: description } = event;
             let _infallible =
-                writeln!(text, "{wall_millis}.{counter} host {host} {subject}: {what}");
+                writeln!(text, "{wall_millis}.{counter} host {host} {subject}: {description}");
         }
         text
     })?;
