--- a/crates/cli/tests/logs/main.rs
+++ b/crates/cli/tests/logs/main.rs
@@ -37,7 +37,7 @@
     /// How the request `r1` ended at 10,000.
     request: &'static str,
     /// Lines around it.
-    around: &'static [&'static str],
+    context: &'static [&'static str],
     cause: &'static str,
 }
 
@@ -45,49 +45,49 @@
     CauseCase {
         name: "late-reading",
         request: r#""outcome":"answered","late":true,"status":200,"engine":"e1","sends":1,"prompt":9000,"waited":200,"sent":210,"first":900,"pause":90,"total":2000"#,
-        around: &[],
+        context: &[],
         cause: "served late, most of it spent at its engine",
     },
     CauseCase {
         name: "late-waiting",
         request: r#""outcome":"answered","late":true,"status":200,"engine":"e1","sends":1,"prompt":900,"waited":600,"sent":610,"first":700,"pause":90,"total":2000"#,
-        around: &[],
+        context: &[],
         cause: "served late, most of it spent on its adapter",
     },
     CauseCase {
         name: "late-pause",
         request: r#""outcome":"answered","late":true,"status":200,"engine":"e1","sends":1,"prompt":900,"waited":0,"sent":1,"first":100,"pause":400,"total":2000"#,
-        around: &[],
+        context: &[],
         cause: "served with a long pause in its stream",
     },
     CauseCase {
         name: "late-resent",
         request: r#""outcome":"answered","late":true,"status":200,"engine":"e1","sends":2,"prompt":900,"waited":0,"sent":700,"first":800,"pause":40,"total":2000"#,
-        around: &[],
+        context: &[],
         cause: "served late, sent more than once",
     },
     CauseCase {
         name: "limit-used",
         request: r#""outcome":"limit_used","status":503,"limited_by":"e1","sends":0,"waited":90,"first":0,"total":91"#,
-        around: &[],
+        context: &[],
         cause: "its engines take only so many requests, and had named that limit",
     },
     CauseCase {
         name: "engines-cooling",
         request: r#""outcome":"engines_cooling","status":503,"engine":"e1","cooling_by":"e1","sends":1,"waited":0,"first":0,"total":2"#,
-        around: &[],
+        context: &[],
         cause: "its engines had asked its host to send nothing for a while",
     },
     CauseCase {
         name: "held-back",
         request: r#""outcome":"held_back","status":503,"mark":"aa11","sends":0,"waited":0,"first":0,"total":1"#,
-        around: &[],
+        context: &[],
         cause: "held back: engines ended while they ran it",
     },
     CauseCase {
         name: "ended-under",
         request: r#""outcome":"engine_failed","status":502,"mark":"aa11","engine":"e1","sends":1,"waited":0,"first":0,"total":90"#,
-        around: &[
+        context: &[
             r#"{"at":10001,"host":"one","event":"engine_ended","engine":"e1","runs":2,"marks":["aa11","bb22"]}"#,
             r#"{"at":11500,"host":"two","event":"request_held","mark":"aa11","ends":2,"millis":5000}"#,
         ],
@@ -96,7 +96,7 @@
     CauseCase {
         name: "ended-beside",
         request: r#""outcome":"stream_broken","status":200,"mark":"bb22","engine":"e1","sends":1,"waited":0,"first":40,"total":900"#,
-        around: &[
+        context: &[
             r#"{"at":10001,"host":"two","event":"engine_ended","engine":"e1","runs":1,"marks":["aa11"]}"#,
             r#"{"at":11500,"host":"two","event":"request_held","mark":"aa11","ends":2,"millis":5000}"#,
         ],
@@ -105,7 +105,7 @@
     CauseCase {
         name: "ended-for-nobody",
         request: r#""outcome":"stream_broken","status":200,"mark":"bb22","engine":"e1","sends":1,"waited":0,"first":40,"total":900"#,
-        around: &[
+        context: &[
             r#"{"at":10001,"host":"one","event":"engine_ended","engine":"e1","runs":1,"marks":["bb22"]}"#,
         ],
         cause: "its engine went away",
@@ -113,7 +113,7 @@
     CauseCase {
         name: "loaded-late",
         request: r#""outcome":"adapter_absent","status":503,"key":"m/a1","sends":0,"waited":6,"first":0,"total":7"#,
-        around: &[
+        context: &[
             r#"{"at":11400,"host":"two","event":"order","engine":"e1","kind":"load","key":"m/a1","sequence":4,"token":8,"worth":4.1,"waiting":2,"answer":"Accepted","millis":3}"#,
         ],
         cause: "its adapter was loaded too late",
@@ -121,7 +121,7 @@
     CauseCase {
         name: "order-lost",
         request: r#""outcome":"adapter_absent","status":503,"key":"m/a1","sends":0,"waited":130,"first":0,"total":130"#,
-        around: &[
+        context: &[
             r#"{"at":9950,"host":"two","event":"order","engine":"e1","kind":"load","key":"m/a1","sequence":4,"token":8,"worth":4.1,"waiting":2,"answer":"Unknown","millis":250}"#,
         ],
         cause: "the order to load its adapter got no answer",
@@ -129,7 +129,7 @@
     CauseCase {
         name: "no-placer",
         request: r#""outcome":"adapter_absent","status":503,"key":"m/a1","sends":0,"waited":130,"first":0,"total":130"#,
-        around: &[
+        context: &[
             r#"{"at":1000,"host":"two","event":"lease","service":"s","state":"acting","token":8}"#,
             r#"{"at":4000,"host":"two","event":"lease","service":"s","state":"absent","token":8}"#,
         ],
@@ -138,7 +138,7 @@
     CauseCase {
         name: "never-loaded",
         request: r#""outcome":"adapter_absent","status":503,"key":"m/a1","sends":0,"waited":130,"first":0,"total":130"#,
-        around: &[
+        context: &[
             r#"{"at":1000,"host":"two","event":"lease","service":"s","state":"acting","token":8}"#,
         ],
         cause: "its adapter was not loaded",
@@ -146,37 +146,37 @@
     CauseCase {
         name: "queue-too-long",
         request: r#""outcome":"queue_too_long","status":503,"key":"m/a1","sends":0,"waited":0,"first":0,"total":1"#,
-        around: &[],
+        context: &[],
         cause: "its engines had too much to read before it",
     },
     CauseCase {
         name: "engine-gone",
         request: r#""outcome":"engine_failed","status":502,"engine":"e1","sends":1,"waited":0,"first":0,"total":5"#,
-        around: &[r#"{"at":12000,"host":"one","event":"engine_gone","engine":"e1"}"#],
+        context: &[r#"{"at":12000,"host":"one","event":"engine_gone","engine":"e1"}"#],
         cause: "its engine went away",
     },
     CauseCase {
         name: "engine-stays",
         request: r#""outcome":"engine_failed","status":502,"engine":"e1","sends":1,"waited":0,"first":0,"total":5"#,
-        around: &[r#"{"at":12000,"host":"one","event":"engine_gone","engine":"e2"}"#],
+        context: &[r#"{"at":12000,"host":"one","event":"engine_gone","engine":"e2"}"#],
         cause: "its engine broke off and stayed listed",
     },
     CauseCase {
         name: "no-configuration",
         request: r#""outcome":"refused_early","status":503,"sends":0,"waited":0,"first":0,"total":0"#,
-        around: &[],
+        context: &[],
         cause: "the host knew no configuration",
     },
     CauseCase {
         name: "left-queued",
         request: r#""outcome":"client_gone","status":0,"engine":"e1","sends":1,"waited":0,"first":0,"total":3200"#,
-        around: &[],
+        context: &[],
         cause: "its client left before the engine's first byte",
     },
 ];
 
 #[test]
-fn the_cause_of_a_failed_request_is_named() {
+fn explain_names_the_cause_of_a_failed_request() {
     for case in CAUSE_CASES {
         let revision = if case.name == "no-configuration" { 0 } else { 3 };
         let request = format!(
@@ -184,19 +184,19 @@
             case.request
         );
         let mut lines = vec![request.as_str(), "no event at all"];
-        lines.extend(case.around);
+        lines.extend(case.context);
         let log = LogFile::new(case.name, &lines);
-        let (done, text) = reelreel(&["explain", "r1"], &log);
-        assert!(done, "{}: {text}", case.name);
+        let (success, text) = reelreel(&["explain", "r1"], &log);
+        assert!(success, "{}: {text}", case.name);
         assert!(text.contains(&format!("Cause: {}\n", case.cause)), "{}: {text}", case.name);
-        let (done, text) = reelreel(&["losses"], &log);
-        assert!(done && text.contains(case.cause), "{}: {text}", case.name);
+        let (success, text) = reelreel(&["losses"], &log);
+        assert!(success && text.contains(case.cause), "{}: {text}", case.name);
         assert!(text.contains("1 lines are no events"), "{}: {text}", case.name);
     }
 }
 
 #[test]
-fn lines_around_a_request_are_shown_in_order_and_others_are_not() {
+fn explain_shows_only_relevant_lines_in_time_order() {
     let log = LogFile::new(
         "around",
         &[
@@ -207,8 +207,8 @@
             r#"{"at":10500,"host":"two","event":"order","engine":"e1","kind":"load","key":"m/a1","sequence":4,"token":8,"worth":4.1,"waiting":2,"answer":"Accepted","millis":3}"#,
         ],
     );
-    let (done, text) = reelreel(&["explain", "r1"], &log);
-    assert!(done, "{text}");
+    let (success, text) = reelreel(&["explain", "r1"], &log);
+    assert!(success, "{text}");
     let lost = text.find("store_lost").expect("the host's own line");
     let order = text.find("m/a1\",\"sequence").expect("the order for its adapter");
     assert!(lost < order, "{text}");
@@ -217,7 +217,7 @@
 
 /// Lines of an earlier version name their host otherwise, and say nothing of the store's era.
 #[test]
-fn it_is_said_where_the_configuration_was_read_that_decided_a_request() {
+fn explain_reports_where_the_configuration_was_read() {
     let log = LogFile::new(
         "read",
         &[
@@ -227,14 +227,14 @@
             r#"{"at":10000,"host":"one","event":"request","id":"r1","route":"r","outcome":"adapter_absent","status":503,"sends":0,"waited":6,"first":0,"total":100,"revision":3}"#,
         ],
     );
-    let (done, text) = reelreel(&["explain", "r1"], &log);
-    assert!(done, "{text}");
+    let (success, text) = reelreel(&["explain", "r1"], &log);
+    assert!(success, "{text}");
     let read = "its configuration at offset 6 of the store's era 5, 300 ms before";
     assert!(text.contains(read), "{text}");
 }
 
 #[test]
-fn the_limit_that_decided_a_request_is_named_with_its_age_and_who_dealt_permits() {
+fn explain_reports_the_limit_its_age_and_the_permit_issuer() {
     let log = LogFile::new(
         "limit",
         &[
@@ -244,8 +244,8 @@
             r#"{"at":10000,"host":"one","event":"request","id":"r1","route":"r","outcome":"limit_used","status":503,"limited_by":"e1","sends":0,"waited":90,"first":0,"total":100,"revision":3}"#,
         ],
     );
-    let (done, text) = reelreel(&["explain", "r1"], &log);
-    assert!(done, "{text}");
+    let (success, text) = reelreel(&["explain", "r1"], &log);
+    assert!(success, "{text}");
     let limit =
         "e1 takes 1.7 requests a second, as a line said 1500 ms before; permits were dealt by two";
     assert!(text.contains(limit), "{text}");
@@ -253,7 +253,7 @@
 }
 
 #[test]
-fn the_cooldown_that_decided_a_request_is_named_with_its_length_and_age() {
+fn explain_reports_the_cooldown_length_and_age() {
     let log = LogFile::new(
         "cooldown",
         &[
@@ -263,23 +263,23 @@
             r#"{"at":10000,"host":"one","event":"request","id":"r1","route":"r","outcome":"engines_cooling","status":503,"cooling_by":"e1","sends":0,"waited":0,"first":0,"total":1,"revision":3}"#,
         ],
     );
-    let (done, text) = reelreel(&["explain", "r1"], &log);
-    assert!(done, "{text}");
+    let (success, text) = reelreel(&["explain", "r1"], &log);
+    assert!(success, "{text}");
     let cooldown = "e1 had first asked for 3000 ms without requests 1500 ms before its end";
     assert!(text.contains(cooldown), "{text}");
     assert!(!text.contains("\"e2\""), "{text}");
 }
 
 #[test]
-fn a_request_that_no_line_tells_of_is_an_error_that_says_so() {
+fn explain_fails_for_a_request_without_log_lines() {
     let log = LogFile::new("none", &[r#"{"at":1,"host":"one","event":"stopping","open":0}"#]);
-    let (done, text) = reelreel(&["explain", "r9"], &log);
-    assert!(!done);
+    let (success, text) = reelreel(&["explain", "r9"], &log);
+    assert!(!success);
     assert!(text.contains("no line tells of request r9"), "{text}");
 }
 
 #[test]
-fn losses_as_json_count_one_line_of_a_served_request_for_all_it_stands_for() {
+fn losses_json_scales_up_sampled_served_requests() {
     let log = LogFile::new(
         "json",
         &[
@@ -287,8 +287,8 @@
             r#"{"at":10001,"host":"one","event":"request","id":"r2","route":"r","outcome":"time_over","status":504,"engine":"e","sends":1,"waited":0,"first":0,"total":800,"revision":3}"#,
         ],
     );
-    let (done, text) = reelreel(&["losses", "--output", "json"], &log);
-    assert!(done, "{text}");
+    let (success, text) = reelreel(&["losses", "--output", "json"], &log);
+    assert!(success, "{text}");
     let table: serde_json::Value = serde_json::from_str(&text).expect("JSON");
     assert_eq!(table["causes"][0]["requests"], 16);
     assert_eq!(table["causes"][1]["requests"], 1);
--- a/crates/cli/tests/processes/client.rs
+++ b/crates/cli/tests/processes/client.rs
@@ -17,7 +17,7 @@
     /// Tokens that came, in order.
     pub(crate) tokens: usize,
     /// Whether the stream ended with the word that it is complete, and as HTTP ends it.
-    pub(crate) whole: bool,
+    pub(crate) complete: bool,
     /// The request's id, as the engine answered it.
     pub(crate) id: String,
     /// The adapter that answered.
@@ -56,7 +56,7 @@
     let Some(text) = post(host, "/v1/completions", &completion.headers, &body.to_string()) else {
         return StreamAnswer::default();
     };
-    read_answer(&text)
+    parse_answer(&text)
 }
 
 /// Sends a request on a connection of its own; returns all that came until it closed.
@@ -96,7 +96,7 @@
     serde_json::from_str(body).unwrap_or_default()
 }
 
-fn read_answer(text: &str) -> StreamAnswer {
+fn parse_answer(text: &str) -> StreamAnswer {
     let mut answer = StreamAnswer { status: status(text), ..StreamAnswer::default() };
     let mut done = false;
     let mut error_event = false;
@@ -108,7 +108,7 @@
         } else if let Some(data) = line.strip_prefix("data: ") {
             let value: Value = serde_json::from_str(data).unwrap_or_default();
             if error_event {
-                answer.error = Some(error_of(&value));
+                answer.error = Some(parse_error(&value));
             } else if value["choices"][0]["text"] == format!(" {}", answer.tokens) {
                 answer.tokens += 1;
                 value["id"].as_str().unwrap_or_default().clone_into(&mut answer.id);
@@ -117,13 +117,13 @@
         }
     }
     if answer.status != 200 {
-        answer.error = Some(error_of(&json_body(text)));
+        answer.error = Some(parse_error(&json_body(text)));
     }
-    answer.whole = done && text.ends_with("0\r\n\r\n");
+    answer.complete = done && text.ends_with("0\r\n\r\n");
     answer
 }
 
-fn error_of(value: &Value) -> (String, String) {
+fn parse_error(value: &Value) -> (String, String) {
     let field = |name: &str| value["error"][name].as_str().unwrap_or_default().to_owned();
     (field("type"), field("outcome"))
 }
--- a/crates/cli/tests/processes/configuration.rs
+++ b/crates/cli/tests/processes/configuration.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn of_racing_operators_one_wins_and_every_host_follows() {
+fn concurrent_publications_accept_exactly_one() {
     let site = Site::start();
     let trees: Vec<String> =
         (2..6).map(|worth| TREE.replace("worth = 2.0", &format!("worth = {worth}.5"))).collect();
@@ -45,15 +45,15 @@
         seeds: site.hosts[0].address("peers").to_owned(),
         platform: Some(String::from("127.0.0.1:1")),
     };
-    let fresh = site.start_host(9, 1, &options);
-    site.wait_ready(&fresh);
-    assert_eq!(revision(&fresh), 2);
-    let answer = stream(fresh.address("callers"), &Completion::new("north/brakes", 5));
-    assert!(answer.whole, "{answer:?}");
+    let new_host = site.start_host(9, 1, &options);
+    site.wait_ready(&new_host);
+    assert_eq!(revision(&new_host), 2);
+    let answer = stream(new_host.address("callers"), &Completion::new("north/brakes", 5));
+    assert!(answer.complete, "{answer:?}");
 }
 
 #[test]
-fn a_host_that_was_frozen_or_restarted_ends_with_the_newest_configuration() {
+fn suspended_or_restarted_host_gets_the_latest_configuration() {
     let mut site = Site::start();
     site.hosts[1].signal("STOP");
     site.publish(&TREE.replace("worth = 2.0", "worth = 4.0"), &[]);
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_host_starts_from_a_snapshot_when_the_log_has_forgotten() {
+fn host_starts_from_a_snapshot_after_records_expire() {
     let mut site = Site::start_with_log(40);
     publish_changes(&site, 66);
     wait_until("revision 67 is in force", || site.hosts.iter().all(|host| revision(host) == 67));
@@ -88,45 +88,45 @@
     wait_until("a snapshot is in the log", || snapshots() > 0);
     // Nobody is left whom a fresh host could ask: it has the log alone, from a snapshot on.
     site.hosts.clear();
-    let fresh = site.start_host(1, 1, &HostOptions::default());
-    site.wait_ready(&fresh);
-    assert_eq!(revision(&fresh), 67);
+    let new_host = site.start_host(1, 1, &HostOptions::default());
+    site.wait_ready(&new_host);
+    assert_eq!(revision(&new_host), 67);
 }
 
 #[test]
-fn a_host_that_the_log_has_passed_by_asks_its_peers() {
+fn host_asks_peers_when_the_records_it_needs_have_expired() {
     let site = Site::start_with_log(4);
     publish_changes(&site, 9);
     let (accepted, _) = site.publish(TREE, &[]);
     assert!(!accepted, "without a host nobody knows what the log has forgotten");
     wait_until("revision 10 is in force", || site.hosts.iter().all(|host| revision(host) == 10));
-    let fresh = site.start_host(9, 2, &HostOptions::default());
-    site.wait_ready(&fresh);
-    wait_until("the fresh host has it too", || revision(&fresh) == 10);
+    let new_host = site.start_host(9, 2, &HostOptions::default());
+    site.wait_ready(&new_host);
+    wait_until("the fresh host has it too", || revision(&new_host) == 10);
 }
 
 /// The log comes back without the last two publications: what is in force goes on, and what is published since comes into force once it
 /// has come as far.
 #[test]
-fn what_is_in_force_goes_on_when_the_log_comes_back_older() {
+fn configuration_stays_in_force_after_the_log_rolls_back() {
     let site = Site::start();
     publish_changes(&site, 3);
     let in_force = || site.hosts.iter().map(revision).collect::<Vec<_>>();
     wait_until("revision 4 is in force", || in_force().iter().all(|revision| *revision == 4));
-    site.log_falls_back(2);
+    site.roll_back_log(2);
     let publish = |worth: &str| site.publish(&TREE.replace("worth = 2.0", worth), &[]);
     for (worth, revision) in [("worth = 6.5", 4), ("worth = 7.5", 4), ("worth = 8.5", 5)] {
         let (accepted, text) = publish(worth);
         assert!(accepted, "{text}");
-        wait_until("it is in force", || in_force().iter().all(|known| *known == revision));
+        wait_until("it is in force", || in_force().iter().all(|applied| *applied == revision));
     }
-    let fresh = site.start_host(9, 2, &HostOptions::default());
-    site.wait_ready(&fresh);
-    wait_until("a host that starts has it too", || revision(&fresh) == 5);
+    let new_host = site.start_host(9, 2, &HostOptions::default());
+    site.wait_ready(&new_host);
+    wait_until("a host that starts has it too", || revision(&new_host) == 5);
 }
 
 #[test]
-fn the_command_line_checks_shows_and_explains() {
+fn command_line_shows_settings_status_and_timeline() {
     let site = Site::start();
     let platform = site.platform.address("address");
     let run = |arguments: &[&str]| {
--- a/crates/cli/tests/processes/promises.rs
+++ b/crates/cli/tests/processes/promises.rs
@@ -10,7 +10,7 @@
 };
 
 /// Runs `calls` streams through one host while `meanwhile` happens.
-fn streams_while(
+fn run_streams_during(
     site: &Site,
     host: usize,
     calls: usize,
@@ -27,9 +27,9 @@
 }
 
 /// Loads an adapter and returns which engine has it.
-fn load(site: &Site, model: &'static str) -> u64 {
+fn load_adapter(site: &Site, model: &'static str) -> u64 {
     let answer = stream(site.callers(0), &Completion::new(model, 1));
-    assert!(answer.whole, "{answer:?}");
+    assert!(answer.complete, "{answer:?}");
     let holds = |engine: usize| {
         let report = crate::site::get(site.engines[engine].address("address"), "/report");
         report["adapters"]
@@ -45,27 +45,28 @@
 #[test]
 fn the_death_of_an_engines_owner_cuts_no_stream() {
     let mut site = Site::start();
-    let engine = load(&site, "south/audits");
+    let engine = load_adapter(&site, "south/audits");
     let owner = site.owner_of(engine).expect("the engine has an owner");
     let entry = (0..4).find(|host| *host != owner).expect("another host");
     let completion = Completion::new("south/audits", 400);
-    let answers = streams_while(&site, entry, 12, &completion, || site.hosts[owner].signal("KILL"));
+    let answers =
+        run_streams_during(&site, entry, 12, &completion, || site.hosts[owner].signal("KILL"));
     for answer in &answers {
-        assert!(answer.whole && answer.tokens == 400, "{answer:?}");
+        assert!(answer.complete && answer.tokens == 400, "{answer:?}");
     }
     site.hosts.remove(owner);
     site.wait_owned();
     let after = stream(site.callers(0), &Completion::new("south/audits", 5));
-    assert!(after.whole, "{after:?}");
+    assert!(after.complete, "{after:?}");
     let (runs, cuts) = site.engine_evidence();
     assert_eq!(cuts, 0);
     assert!(runs.values().all(|count| *count == 1), "{runs:?}");
 }
 
 #[test]
-fn a_host_that_wakes_from_a_freeze_runs_nothing_twice_and_unloads_nothing_in_use() {
+fn resumed_host_repeats_no_request_and_unloads_no_adapter_in_use() {
     let site = Site::start();
-    let engine = load(&site, "north/brakes");
+    let engine = load_adapter(&site, "north/brakes");
     let owner = site.owner_of(engine).expect("the engine has an owner");
     let completion = Completion::new("north/brakes", 60).header("x-repeatable", "false");
     let frozen = &site.hosts[owner];
@@ -86,13 +87,13 @@
             })
         });
         let meanwhile = stream(site.callers(entry), &Completion::new("north/chains", 5));
-        assert!(meanwhile.whole, "{meanwhile:?}");
+        assert!(meanwhile.complete, "{meanwhile:?}");
         frozen.signal("CONT");
         for reader in through_frozen {
             let answer = reader.join().expect("a reader");
             let (kind, outcome) = answer.error.clone().unwrap_or_default();
-            assert!(answer.whole || !outcome.is_empty(), "{kind} {answer:?}");
-            may_have_run += usize::from(answer.whole || outcome == "unknown");
+            assert!(answer.complete || !outcome.is_empty(), "{kind} {answer:?}");
+            may_have_run += usize::from(answer.complete || outcome == "unknown");
         }
     });
     let (runs, cuts) = site.engine_evidence();
@@ -100,22 +101,22 @@
     assert!(runs.values().all(|count| *count == 1), "{runs:?}");
     // What was told as not run did not run: the load's call and the one meanwhile come on top.
     assert!(runs.len() <= may_have_run + 2, "{} ran, {may_have_run} may have", runs.len());
-    let named = ["assist/north/brakes@2", "assist/north/chains@1"];
+    let expected = ["assist/north/brakes@2", "assist/north/chains@1"];
     let adapters = site.adapters_run();
-    assert!(adapters.iter().all(|adapter| named.contains(&adapter.as_str())), "{adapters:?}");
+    assert!(adapters.iter().all(|adapter| expected.contains(&adapter.as_str())), "{adapters:?}");
 }
 
 #[test]
-fn restarting_every_host_in_turn_under_load_cuts_no_stream() {
+fn rolling_restart_under_load_interrupts_no_stream() {
     let mut site = Site::start();
-    load(&site, "north/brakes");
+    load_adapter(&site, "north/brakes");
     for host in 0..4 {
         let completion = Completion::new("north/brakes", 250);
         // The balancer sends new callers elsewhere once the host is not ready.
         let answers =
-            streams_while(&site, host, 6, &completion, || site.hosts[host].signal("TERM"));
+            run_streams_during(&site, host, 6, &completion, || site.hosts[host].signal("TERM"));
         for answer in &answers {
-            assert!(answer.whole && answer.tokens == 250, "host {host}: {answer:?}");
+            assert!(answer.complete && answer.tokens == 250, "host {host}: {answer:?}");
         }
         assert!(site.hosts[host].wait(), "host {host} ends by itself");
         let number = u32::try_from(host).expect("a small number") + 1;
@@ -130,58 +131,60 @@
 }
 
 #[test]
-fn a_leaving_engine_gets_nothing_new_and_ends_what_it_has() {
+fn leaving_engine_finishes_open_requests_and_gets_no_new_ones() {
     let site = Site::start();
-    let engine = load(&site, "south/receipts");
-    let place = usize::try_from(engine).expect("a small number") - 1;
+    let engine = load_adapter(&site, "south/receipts");
+    let engine_index = usize::try_from(engine).expect("a small number") - 1;
     let completion = Completion::new("south/receipts", 300);
-    let answers = streams_while(&site, 0, 6, &completion, || {
-        site.engine_switch(place, "leave", &json!(null));
+    let answers = run_streams_during(&site, 0, 6, &completion, || {
+        site.set_engine_switch(engine_index, "leave", &json!(null));
     });
-    assert!(answers.iter().all(|answer| answer.whole), "{answers:?}");
-    let runs_before =
-        crate::site::get(site.engines[place].address("address"), "/evidence")["runs"].clone();
+    assert!(answers.iter().all(|answer| answer.complete), "{answers:?}");
+    let runs_before = crate::site::get(site.engines[engine_index].address("address"), "/evidence")
+        ["runs"]
+        .clone();
     for host in 0..4 {
         let answer = stream(site.callers(host), &Completion::new("south/receipts", 5));
-        assert!(answer.whole, "another engine serves: {answer:?}");
+        assert!(answer.complete, "another engine serves: {answer:?}");
     }
     let runs_after =
-        crate::site::get(site.engines[place].address("address"), "/evidence")["runs"].clone();
+        crate::site::get(site.engines[engine_index].address("address"), "/evidence")["runs"]
+            .clone();
     assert_eq!(runs_before, runs_after);
 }
 
 #[test]
-fn a_broken_stream_is_taken_up_where_it_broke() {
+fn broken_stream_resumes_where_it_was_cut() {
     let site = Site::start();
-    let engine = load(&site, "north/chains");
-    let place = usize::try_from(engine).expect("a small number") - 1;
-    site.engine_switch(place, "cut_after", &json!(20));
+    let engine = load_adapter(&site, "north/chains");
+    let engine_index = usize::try_from(engine).expect("a small number") - 1;
+    site.set_engine_switch(engine_index, "cut_after", &json!(20));
     let answer = stream(site.callers(1), &Completion::new("north/chains", 60));
-    assert!(answer.whole && answer.tokens == 60, "{answer:?}");
+    assert!(answer.complete && answer.tokens == 60, "{answer:?}");
 }
 
 #[test]
-fn a_stream_whose_engine_restarts_ends_with_an_error_and_never_as_if_whole() {
+fn stream_ends_with_an_error_when_its_engine_restarts() {
     let site = Site::start();
-    let engine = load(&site, "north/chains");
-    let place = usize::try_from(engine).expect("a small number") - 1;
+    let engine = load_adapter(&site, "north/chains");
+    let engine_index = usize::try_from(engine).expect("a small number") - 1;
     let completion = Completion::new("north/chains", 400);
-    let answers = streams_while(&site, 2, 5, &completion, || {
-        site.engine_switch(place, "restart", &json!(null));
+    let answers = run_streams_during(&site, 2, 5, &completion, || {
+        site.set_engine_switch(engine_index, "restart", &json!(null));
     });
     for answer in &answers {
-        assert!(!answer.whole, "{answer:?}");
+        assert!(!answer.complete, "{answer:?}");
         let (kind, outcome) = answer.error.clone().unwrap_or_default();
         assert_eq!((kind.as_str(), outcome.as_str()), ("backend_broke", "unknown"));
     }
     let after = stream(site.callers(3), &Completion::new("north/chains", 5));
-    assert!(after.whole, "it is loaded again: {after:?}");
+    assert!(after.complete, "it is loaded again: {after:?}");
 }
 
 #[test]
-fn one_key_by_two_hosts_and_halls_at_once_runs_once() {
+fn concurrent_requests_with_one_idempotency_key_run_once() {
     let site = Site::start();
-    load(&site, "north/brakes");
+    load_adapter(&site, "north/brakes");
     for round in 0..6 {
         let completion =
             Completion::new("north/brakes", 5).header("idempotency-key", format!("order-{round}"));
@@ -196,9 +199,9 @@
                 .collect();
             callers.into_iter().map(|caller| caller.join().expect("a caller")).collect()
         });
-        let whole = answers.iter().filter(|answer| answer.whole).count();
-        assert_eq!(whole, 1, "{answers:?}");
-        for answer in answers.iter().filter(|answer| !answer.whole) {
+        let complete = answers.iter().filter(|answer| answer.complete).count();
+        assert_eq!(complete, 1, "{answers:?}");
+        for answer in answers.iter().filter(|answer| !answer.complete) {
             let (kind, outcome) = answer.error.clone().unwrap_or_default();
             assert_eq!((kind.as_str(), outcome.as_str()), ("key_claimed", "unknown"));
         }
@@ -208,41 +211,41 @@
 }
 
 #[test]
-fn a_lost_append_answer_is_settled_by_the_log() {
+fn lost_append_response_is_resolved_from_the_log() {
     let site = Site::start();
-    site.platform_fault("append", &json!("lose_answer"));
+    site.set_platform_fault("append", &json!("lose_answer"));
     let order = [("idempotency-key", String::from("order-lost"))];
     let answer = post(site.callers(0), "/orders/new", &order, "x").expect("an answer");
     assert_eq!(status(&answer), 200, "the claim stands in the log all the same: {answer}");
-    site.platform_fault("append", &json!("none"));
+    site.set_platform_fault("append", &json!("none"));
     let again = post(site.callers(3), "/orders/new", &order, "x").expect("an answer");
     assert_eq!(status(&again), 409, "{again}");
     assert_eq!(site.service_runs().values().sum::<u64>(), 1);
 }
 
 #[test]
-fn with_the_log_away_keyed_requests_are_refused_at_once_and_others_go_on() {
+fn only_keyed_requests_are_refused_while_the_log_is_unavailable() {
     let site = Site::start();
-    load(&site, "north/brakes");
-    site.platform_fault("read", &json!("refuse"));
+    load_adapter(&site, "north/brakes");
+    site.set_platform_fault("read", &json!("refuse"));
     let keyed = Completion::new("north/brakes", 5).header("idempotency-key", "away");
     wait_until("the host notices", || {
         let (kind, outcome) = stream(site.callers(0), &keyed).error.unwrap_or_default();
         kind == "log_away" && outcome == "not_run"
     });
     let free = stream(site.callers(0), &Completion::new("north/brakes", 5));
-    assert!(free.whole, "{free:?}");
-    site.platform_fault("read", &json!("none"));
+    assert!(free.complete, "{free:?}");
+    site.set_platform_fault("read", &json!("none"));
     let fresh = Completion::new("north/brakes", 5).header("idempotency-key", "back");
-    wait_until("keyed requests are served again", || stream(site.callers(0), &fresh).whole);
+    wait_until("keyed requests are served again", || stream(site.callers(0), &fresh).complete);
 }
 
 #[test]
-fn a_call_that_must_not_be_repeated_is_not_sent_again_when_its_answer_is_lost() {
+fn non_repeatable_request_is_not_resent_when_its_response_is_lost() {
     let site = Site::start();
     let address = site.service.address("address").to_owned();
-    let lose = ureq::put(format!("http://{address}/faults")).send("{\"delay_answer\":15000}");
-    assert!(lose.is_ok());
+    let delayed = ureq::put(format!("http://{address}/faults")).send("{\"delay_answer\":15000}");
+    assert!(delayed.is_ok());
     let answer = post(site.callers(0), "/orders/new", &[], "x").expect("an answer");
     assert!(answer.contains("\"outcome\":\"unknown\""), "{answer}");
     assert_eq!(site.service_runs().values().sum::<u64>(), 1);
--- a/crates/cli/tests/processes/serving.rs
+++ b/crates/cli/tests/processes/serving.rs
@@ -15,7 +15,7 @@
 };
 
 #[test]
-fn every_stream_is_whole_through_every_host() {
+fn streams_are_complete_through_every_host() {
     let site = Site::start();
     let models = ["north/brakes", "north/brakes@1", "south/audits", "assist/south/receipts"];
     let answers: Vec<_> = thread::scope(|scope| {
@@ -35,16 +35,16 @@
             .collect()
     });
     for (model, answer) in &answers {
-        assert!(answer.whole && answer.tokens == 40, "{model}: {answer:?}");
+        assert!(answer.complete && answer.tokens == 40, "{model}: {answer:?}");
     }
-    let wrong: Vec<_> = answers
+    let wrong_model: Vec<_> = answers
         .iter()
         .filter(|(model, answer)| {
             let name = model.trim_start_matches("assist/").split('@').next().unwrap_or_default();
             !answer.model.contains(name) || (model.ends_with("@1") && !answer.model.ends_with("@1"))
         })
         .collect();
-    assert!(wrong.is_empty(), "{wrong:?}");
+    assert!(wrong_model.is_empty(), "{wrong_model:?}");
     let (runs, cuts) = site.engine_evidence();
     assert_eq!(cuts, 0);
     assert!(runs.values().all(|count| *count == 1), "{runs:?}");
@@ -64,15 +64,15 @@
         body.len()
     )
     .expect("the request is written");
-    let mut seen = Vec::new();
+    let mut received = Vec::new();
     let mut reads_with_events = 0;
-    let mut piece = [0; 4096];
-    while !seen.ends_with(b"0\r\n\r\n") {
-        let count = connection.read(&mut piece).expect("the stream goes on");
+    let mut chunk = [0; 4096];
+    while !received.ends_with(b"0\r\n\r\n") {
+        let count = connection.read(&mut chunk).expect("the stream goes on");
         assert!(count > 0, "the stream ended early");
-        seen.extend_from_slice(&piece[..count]);
-        let ended = seen.windows(6).any(|window| window == b"[DONE]");
-        if piece[..count].windows(4).any(|window| window == b"id: ") && !ended {
+        received.extend_from_slice(&chunk[..count]);
+        let ended = received.windows(6).any(|window| window == b"[DONE]");
+        if chunk[..count].windows(4).any(|window| window == b"id: ") && !ended {
             reads_with_events += 1;
         }
     }
@@ -83,106 +83,106 @@
     name: &'static str,
     bytes: &'static str,
     status: u16,
-    part: &'static str,
+    message_part: &'static str,
 }
 
-const BAD: &[BadCase] = &[
-    BadCase { name: "no HTTP", bytes: "hello\r\n\r\n", status: 400, part: "not HTTP/1.1" },
+const BAD_CASES: &[BadCase] = &[
+    BadCase { name: "no HTTP", bytes: "hello\r\n\r\n", status: 400, message_part: "not HTTP/1.1" },
     BadCase {
         name: "malformed JSON",
         bytes: "POST /v1/completions HTTP/1.1\r\nconnection: close\r\ncontent-length: 5\r\n\r\n{\"a\":",
         status: 400,
-        part: "not valid JSON",
+        message_part: "not valid JSON",
     },
     BadCase {
         name: "no model",
         bytes: "POST /v1/completions HTTP/1.1\r\nconnection: close\r\ncontent-length: 2\r\n\r\n{}",
         status: 400,
-        part: "`model` is missing",
+        message_part: "`model` is missing",
     },
     BadCase {
         name: "JSON that is cut short by its length",
         bytes: "POST /v1/completions HTTP/1.1\r\nconnection: close\r\ncontent-length: 23\r\n\r\n{\"model\":\"north/nobody\"}",
         status: 400,
-        part: "not valid JSON",
+        message_part: "not valid JSON",
     },
     BadCase {
         name: "an adapter that does not exist",
         bytes: "POST /v1/chat/completions HTTP/1.1\r\nconnection: close\r\ncontent-length: 24\r\n\r\n{\"model\":\"north/nobody\"}",
         status: 404,
-        part: "no adapter is named",
+        message_part: "no adapter is named",
     },
     BadCase {
         name: "a version that does not exist",
         bytes: "POST /v1/completions HTTP/1.1\r\nconnection: close\r\ncontent-length: 26\r\n\r\n{\"model\":\"north/brakes@9\"}",
         status: 404,
-        part: "has no version 9",
+        message_part: "has no version 9",
     },
     BadCase {
         name: "a deadline that is no number",
         bytes: "POST /v1/completions HTTP/1.1\r\nconnection: close\r\nx-deadline-ms: soon\r\ncontent-length: 24\r\n\r\n{\"model\":\"north/brakes\"}",
         status: 400,
-        part: "X-Deadline-Ms",
+        message_part: "X-Deadline-Ms",
     },
     BadCase {
         name: "a repeatable that is neither",
         bytes: "POST /v1/completions HTTP/1.1\r\nconnection: close\r\nx-repeatable: maybe\r\ncontent-length: 24\r\n\r\n{\"model\":\"north/brakes\"}",
         status: 400,
-        part: "true or false",
+        message_part: "true or false",
     },
     BadCase {
         name: "a body over the limit",
         bytes: "POST /v1/completions HTTP/1.1\r\ncontent-length: 99999999\r\n\r\n",
         status: 413,
-        part: "too large",
+        message_part: "too large",
     },
     BadCase {
         name: "two lengths",
         bytes: "POST /v1/completions HTTP/1.1\r\ncontent-length: 2\r\ncontent-length: 3\r\n\r\n{}",
         status: 400,
-        part: "differ",
+        message_part: "differ",
     },
     BadCase {
         name: "a length that is no number",
         bytes: "POST /v1/completions HTTP/1.1\r\ncontent-length: -2\r\n\r\n{}",
         status: 400,
-        part: "not a number",
+        message_part: "not a number",
     },
     BadCase {
         name: "a chunked body",
         bytes: "POST /v1/completions HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n",
         status: 411,
-        part: "Content-Length",
+        message_part: "Content-Length",
     },
     BadCase {
         name: "a wrong method",
         bytes: "GET /v1/completions HTTP/1.1\r\nconnection: close\r\n\r\n",
         status: 405,
-        part: "method",
+        message_part: "method",
     },
     BadCase {
         name: "a path that no service has",
         bytes: "GET /nothing HTTP/1.1\r\nconnection: close\r\n\r\n",
         status: 404,
-        part: "no service",
+        message_part: "no service",
     },
 ];
 
 #[test]
-fn bad_input_is_refused_at_once_and_never_reaches_an_engine() {
+fn invalid_requests_are_rejected_before_reaching_an_engine() {
     let site = Site::start();
-    for case in BAD {
+    for case in BAD_CASES {
         let answer = exchange(site.callers(0), case.bytes.as_bytes()).expect("the host listens");
         let body = json_body(&answer);
         let message = body["error"]["message"].as_str().unwrap_or_default();
         assert_eq!(status(&answer), case.status, "{}: {answer}", case.name);
-        assert!(message.contains(case.part), "{}: {answer}", case.name);
+        assert!(message.contains(case.message_part), "{}: {answer}", case.name);
         assert_eq!(body["error"]["outcome"], json!("not_run"), "{}", case.name);
         assert!(!body["error"]["remedy"].as_str().unwrap_or_default().is_empty());
     }
-    let half = b"POST /v1/completions HTTP/1.1\r\ncontent-length: 50\r\n\r\n{\"model\":";
+    let partial_request = b"POST /v1/completions HTTP/1.1\r\ncontent-length: 50\r\n\r\n{\"model\":";
     let mut connection = TcpStream::connect(site.callers(0)).expect("the host listens");
-    connection.write_all(half).expect("half a request");
+    connection.write_all(partial_request).expect("half a request");
     connection.shutdown(std::net::Shutdown::Write).expect("and no more");
     let mut answer = String::new();
     connection.read_to_string(&mut answer).expect("an answer");
@@ -197,7 +197,7 @@
     let mut slow = TcpStream::connect(site.callers(0)).expect("the host listens");
     slow.write_all(b"POST /v1/comp").expect("a little");
     let other = stream(site.callers(0), &Completion::new("north/brakes", 5));
-    assert!(other.whole, "{other:?}");
+    assert!(other.complete, "{other:?}");
     slow.set_read_timeout(Some(Duration::from_secs(30))).expect("a limit");
     let mut answer = String::new();
     slow.read_to_string(&mut answer).expect("an answer");
@@ -215,13 +215,13 @@
     let list = exchange(site.callers(1), b"GET /v1/models HTTP/1.1\r\nconnection: close\r\n\r\n");
     let list = json_body(&list.expect("an answer"));
     assert_eq!(list["data"].as_array().map(Vec::len), Some(4), "{list}");
-    let whole = post(
+    let complete = post(
         site.callers(0),
         "/v1/chat/completions",
         &[],
         "{\"model\":\"north/brakes\",\"max_tokens\":3}",
     );
-    let whole = json_body(&whole.expect("an answer"));
-    assert_eq!(whole["choices"][0]["message"]["content"], json!(" 0 1 2"), "{whole}");
-    assert_eq!(whole["model"], json!("assist/north/brakes@2"));
+    let complete = json_body(&complete.expect("an answer"));
+    assert_eq!(complete["choices"][0]["message"]["content"], json!(" 0 1 2"), "{complete}");
+    assert_eq!(complete["model"], json!("assist/north/brakes@2"));
 }
--- a/crates/cli/tests/processes/site.rs
+++ b/crates/cli/tests/processes/site.rs
@@ -14,12 +14,12 @@
 use serde_json::{Value, json};
 
 /// How long anything on the site may take to come about.
-pub(crate) const WITHIN: Duration = Duration::from_mins(1);
+pub(crate) const WAIT_TIMEOUT: Duration = Duration::from_mins(1);
 
 /// The tree that every site begins with.
 const TREE: &str = include_str!("../../../../examples/dev.toml");
 
-static SITES: AtomicU32 = AtomicU32::new(0);
+static NEXT_ID: AtomicU32 = AtomicU32::new(0);
 
 fn program(name: &str) -> PathBuf {
     let path = match name {
@@ -64,8 +64,8 @@
 
     /// Waits for the process to end; says whether it did so by itself and cleanly.
     pub(crate) fn wait(&mut self) -> bool {
-        let until = Instant::now() + WITHIN;
-        while Instant::now() < until {
+        let deadline = Instant::now() + WAIT_TIMEOUT;
+        while Instant::now() < deadline {
             match self.child.try_wait() {
                 Ok(Some(status)) => return status.success(),
                 Ok(None) => thread::sleep(Duration::from_millis(50)),
@@ -109,7 +109,7 @@
 
     /// Starts the same site with a log that keeps that many records of each stream.
     pub(crate) fn start_with_log(retained: u32) -> Self {
-        let number = SITES.fetch_add(1, Ordering::Relaxed);
+        let number = NEXT_ID.fetch_add(1, Ordering::Relaxed);
         let folder = std::env::temp_dir().join(format!("reelreel-{}-{number}", std::process::id()));
         fs::create_dir_all(&folder).expect("a folder for the site");
         let reelreel = program("reelreel");
@@ -149,10 +149,10 @@
     /// Starts an entry host and enters it in the host list.
     pub(crate) fn start_host(&self, host: u32, hall: u16, options: &HostOptions) -> Process {
         let platform = self.platform.address("address");
-        let reached = options.platform.as_deref().unwrap_or(platform);
+        let platform_address = options.platform.as_deref().unwrap_or(platform);
         let settings = format!(
             "host = {host}\nhall = {hall}\ncallers = \"127.0.0.1:0\"\npeers = \"127.0.0.1:0\"\n\
-             operators = \"127.0.0.1:0\"\nplatform = \"{reached}\"\nseeds = \"{}\"\n\
+             operators = \"127.0.0.1:0\"\nplatform = \"{platform_address}\"\nseeds = \"{}\"\n\
              [log]\nlevel = \"warn\"\n[times]\nhosts_every_ms = 300\n",
             options.seeds
         );
@@ -173,7 +173,8 @@
 
     /// Publishes a tree with the command line; returns what it printed.
     pub(crate) fn publish(&self, tree: &str, arguments: &[&str]) -> (bool, String) {
-        let path = self.folder.join(format!("tree-{}.toml", SITES.fetch_add(1, Ordering::Relaxed)));
+        let path =
+            self.folder.join(format!("tree-{}.toml", NEXT_ID.fetch_add(1, Ordering::Relaxed)));
         fs::write(&path, tree).expect("the tree is written");
         let output = Command::new(program("reelreel"))
             .args(["settings", "publish", "--platform", self.platform.address("address")])
@@ -186,17 +187,17 @@
     }
 
     /// Brings the platform's log back from a copy that lacks the last `lost` records of each stream.
-    pub(crate) fn log_falls_back(&self, lost: usize) {
+    pub(crate) fn roll_back_log(&self, lost: usize) {
         put(self.platform.address("address"), &format!("/fall-back/{lost}"), &Value::Null);
     }
 
     /// Switches one of the platform's faults.
-    pub(crate) fn platform_fault(&self, name: &str, kind: &Value) {
+    pub(crate) fn set_platform_fault(&self, name: &str, kind: &Value) {
         put(self.platform.address("address"), &format!("/faults/{name}"), kind);
     }
 
     /// Switches something on an engine.
-    pub(crate) fn engine_switch(&self, engine: usize, name: &str, value: &Value) {
+    pub(crate) fn set_engine_switch(&self, engine: usize, name: &str, value: &Value) {
         put(self.engines[engine].address("address"), &format!("/switch/{name}"), value);
     }
 
@@ -233,10 +234,10 @@
     pub(crate) fn wait_ready(&self, host: &Process) {
         wait_until("a host is ready and knows the site", || {
             let status = host_status(host);
-            let known = |name: &str| status[name].as_u64().unwrap_or(0);
+            let count_of = |name: &str| status[name].as_u64().unwrap_or(0);
             status["ready"] == json!(true)
-                && known("known_servers") == 1
-                && known("known_engines") == self.engines.len() as u64
+                && count_of("known_servers") == 1
+                && count_of("known_engines") == self.engines.len() as u64
         });
     }
 
@@ -274,10 +275,14 @@
 }
 
 /// Waits until something holds.
-pub(crate) fn wait_until(what: &str, holds: impl Fn() -> bool) {
-    let until = Instant::now() + WITHIN;
-    while !holds() {
-        assert!(Instant::now() < until, "{what}: not within {} s", WITHIN.as_secs());
+pub(crate) fn wait_until(description: &str, condition: impl Fn() -> bool) {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
+    while !condition() {
+        assert!(
+            Instant::now() < deadline,
+            "{description}: not within {} s",
+            WAIT_TIMEOUT.as_secs()
+        );
         thread::sleep(Duration::from_millis(50));
     }
 }
--- a/crates/cli/tests/soak/main.rs
+++ b/crates/cli/tests/soak/main.rs
@@ -14,7 +14,7 @@
     seconds: u64,
 }
 
-fn play(case: &SoakCase) {
+fn run_case(case: &SoakCase) {
     let options = SoakOptions {
         seed: case.seed,
         hosts: case.hosts,
@@ -32,11 +32,11 @@
 }
 
 #[test]
-fn three_hosts_keep_their_promises_under_drawn_faults() {
-    play(&SoakCase { seed: 11, hosts: 3, seconds: 25 });
+fn three_hosts_hold_the_guarantees_under_random_faults() {
+    run_case(&SoakCase { seed: 11, hosts: 3, seconds: 25 });
 }
 
 #[test]
-fn five_hosts_keep_their_promises_under_drawn_faults() {
-    play(&SoakCase { seed: 12, hosts: 5, seconds: 25 });
+fn five_hosts_hold_the_guarantees_under_random_faults() {
+    run_case(&SoakCase { seed: 12, hosts: 5, seconds: 25 });
 }
