--- a/crates/cli/src/bench.rs
+++ b/crates/cli/src/bench.rs
@@ -1,7 +1,7 @@
-//! `reelreel bench`: policies side by side on the same callers.
+//! `reelreel bench`: compares residency policies on the same workload.
 //!
-//! The real decision core runs against the fakes in handed-in time, so the same seed gives the same
-//! table on every host. It is no simulator of hosts or networks.
+//! Runs the real decision core with fakes in simulated time, so the same seed gives the same table on
+//! every host. Does not model the performance of hosts or networks.
 
 mod results;
 mod scenario;
@@ -15,7 +15,7 @@
 
 use crate::{options::BenchOptions, output::print};
 
-/// The scenarios that are played where none is named.
+/// Scenarios run by default.
 const DEFAULT_SCENARIOS: [&str; 8] = [
     include_str!(concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/scenarios/kigali-day.toml")),
     include_str!(concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/scenarios/kigali-rush.toml")),
@@ -39,11 +39,11 @@
     match name {
         "value" => Ok(Arc::new(ValuePolicy)),
         "arrival" => Ok(Arc::new(FifoLruPolicy)),
-        other => bail!("there is no policy `{other}`; there are {}", POLICIES.join(", ")),
+        other => bail!("unknown policy `{other}`; available: {}", POLICIES.join(", ")),
     }
 }
 
-/// Plays the scenarios and prints the table.
+/// Runs each scenario with each policy and prints the table.
 pub(crate) fn run(options: &BenchOptions) -> eyre::Result<ExitCode> {
     let scenarios = read_scenarios(options)?;
     let names: Vec<String> = if options.policy.is_empty() {
@@ -82,7 +82,7 @@
         };
         options.scenario.iter().map(read).collect::<eyre::Result<_>>()?
     };
-    let parse = |text: &String| toml::from_str(text).wrap_err("the scenario has a mistake");
+    let parse = |text: &String| toml::from_str(text).wrap_err("invalid scenario file");
     texts.iter().map(parse).collect()
 }
 
--- a/crates/cli/src/bench/results.rs
+++ b/crates/cli/src/bench/results.rs
@@ -1,4 +1,4 @@
-//! What callers got, from what the fakes saw.
+//! Computes the results of one policy from the calls that the fakes recorded.
 
 use std::collections::BTreeMap;
 
@@ -8,34 +8,34 @@
 
 use super::scenario::Scenario;
 
-/// Served calls that waited longer count as having waited, in milliseconds.
+/// Served calls that waited for longer than this count as waited.
 const WAIT_THRESHOLD_MS: u64 = 50;
 
-/// What one policy gave in one scenario.
+/// Results of one policy in one scenario.
 #[derive(Debug, Clone, Serialize)]
 pub(crate) struct PolicyResult {
     pub(crate) scenario: String,
     pub(crate) policy: String,
     pub(crate) calls: usize,
-    /// Share of the worth whose first token came within its deadline and whose answer was whole.
+    /// Share of worth served: first token within the deadline and a complete answer.
     pub(crate) worth_served: f64,
-    /// Share of served calls that waited.
+    /// Share of served calls that waited for longer than the threshold.
     pub(crate) share_waited: f64,
-    /// Waits of those, in seconds.
+    /// Wait quantiles of those calls. Unit: seconds.
     pub(crate) wait_p50: f64,
     pub(crate) wait_p95: f64,
     pub(crate) wait_p99: f64,
     pub(crate) wait_longest: f64,
-    /// Share of an engine's streams that run while it runs any.
+    /// Mean share of an engine's streams in use while it runs any.
     pub(crate) batch_fill: f64,
     pub(crate) loads_per_thousand: f64,
-    /// Share of loads after which nothing ran before the adapter was unloaded again.
+    /// Share of loads whose adapter was unloaded before any request used it.
     pub(crate) wasted_share: f64,
-    /// Median seconds from arrival to a refusal.
+    /// Median time from arrival to refusal. Unit: seconds.
     pub(crate) refused_after: f64,
-    /// Jain's index over organisations of the share of their worth that was served.
+    /// Jain's fairness index over the organisations' shares of worth served.
     pub(crate) jain_index: f64,
-    /// The smallest of those shares.
+    /// Smallest share of worth served of any organisation.
     pub(crate) worst_organisation: f64,
 }
 
@@ -54,7 +54,7 @@
     sorted[index]
 }
 
-/// Works the figures out.
+/// Computes the results of the calls in the measured window.
 pub(crate) fn policy_result(scenario: &Scenario, policy: &str, site: &FakeSite) -> PolicyResult {
     let (from, until) = scenario.measured_window();
     let in_window = |caller: &&CallerRecord| (from..until).contains(&caller.arrived);
--- a/crates/cli/src/bench/scenario.rs
+++ b/crates/cli/src/bench/scenario.rs
@@ -1,4 +1,4 @@
-//! A scenario: a site, its callers, and what happens to it.
+//! Benchmark scenarios: a site, its workload and its scheduled events.
 
 use std::sync::Arc;
 
@@ -14,53 +14,53 @@
 use reelreel_fakes::{CallerCall, EngineShape, FakeSite, FaultPlan, SiteAction, SiteShape};
 use serde::Deserialize;
 
-/// Hosts and engines settle before callers come, in milliseconds.
+/// Start-up time before the first call.
 const SETTLE_MS: u64 = 5_000;
 
 /// A scenario file.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Scenario {
-    /// Its name.
+    /// Name.
     pub(crate) name: String,
-    /// Data halls.
+    /// Number of data halls.
     halls: u16,
-    /// Entry hosts.
+    /// Number of entry hosts.
     hosts: u32,
-    /// Engines.
+    /// Number of engines.
     engines: u32,
-    /// Adapters that an engine holds.
+    /// Adapter slots per engine.
     slots: u32,
-    /// Requests that an engine runs at once.
+    /// Concurrent requests per engine.
     pub(crate) streams: u32,
-    /// Adapters.
+    /// Number of adapters.
     adapters: u32,
-    /// Organisations, over which the adapters are spread.
+    /// Number of organisations that share the adapters.
     organisations: u32,
-    /// Exponent of the adapters' popularity.
+    /// Zipf exponent of adapter popularity.
     zipf: f64,
-    /// Calls a second.
+    /// Calls per second.
     rate: f64,
-    /// Seconds that count.
+    /// Duration of the measured window. Unit: seconds.
     seconds: u64,
-    /// Seconds before them.
+    /// Warm-up time before the measured window. Unit: seconds.
     warm_up: u64,
-    /// Loads a second of the weight store.
+    /// Rate limit of the weight store. Unit: loads per second.
     loads_per_second: f64,
-    /// How long a caller waits for its first token, in milliseconds.
+    /// Maximum time that a caller waits for its first token.
     patience_ms: u64,
-    /// Tokens of an answer, on average; a step of 10 ms gives one.
+    /// Mean number of tokens per answer; an engine step of 10 ms produces one.
     tokens: u32,
-    /// Organisation 0 is worth this, the others 1.
+    /// Worth of organisation 0; all others have 1.
     #[serde(default = "default_worth")]
     first_worth: f64,
-    /// At these seconds other adapters become the popular ones.
+    /// Times at which popularity shifts to other adapters. Unit: seconds.
     #[serde(default)]
     shifts: Vec<u64>,
-    /// Further callers of one organisation.
+    /// Additional load from single organisations.
     #[serde(default)]
     floods: Vec<Flood>,
-    /// What happens.
+    /// Scheduled events.
     #[serde(default)]
     events: Vec<SiteEvent>,
 }
@@ -69,7 +69,7 @@
     1.0
 }
 
-/// Calls of one organisation on top of the others.
+/// Additional load from one organisation.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Flood {
@@ -101,13 +101,13 @@
 }
 
 impl Scenario {
-    /// Returns the milliseconds between which calls count.
+    /// Returns the start and end of the measured window in milliseconds.
     pub(crate) const fn measured_window(&self) -> (u64, u64) {
         let from = SETTLE_MS + self.warm_up * 1_000;
         (from, from + self.seconds * 1_000)
     }
 
-    /// Plays it.
+    /// Runs the scenario to its end.
     pub(crate) fn run(&self, policy: Arc<dyn ResidencyPolicy>, seed: u64) -> FakeSite {
         let mut site = FakeSite::new(self.shape(policy, seed), FaultPlan::default());
         site.act_at(1, SiteAction::Publish(self.tree()));
@@ -179,7 +179,7 @@
         }
     }
 
-    /// Plans callers: exponential gaps, skewed adapters, the same for every policy.
+    /// Schedules calls with exponential intervals and Zipf-distributed adapters, identical for every policy.
     fn plan_calls(&self, site: &mut FakeSite, seed: u64) {
         let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0xca11);
         let ranks = cumulative_popularity(self.adapters, self.zipf);
@@ -205,7 +205,7 @@
         }
     }
 
-    /// Picks an adapter by its rank; each shift gives the ranks to other adapters.
+    /// Draws an adapter by popularity; each shift moves the ranks to other adapters.
     fn pick_adapter(&self, ranks: &[f64], rng: &mut Pcg64Mcg, shifts: usize) -> u32 {
         let draw = rng.random_range(0.0..1.0);
         let rank = ranks.partition_point(|sum| *sum < draw);
@@ -231,13 +231,13 @@
     }
 }
 
-/// Draws the time to the next call, in milliseconds.
+/// Draws the time to the next call. Unit: milliseconds.
 fn exponential_interval(rng: &mut Pcg64Mcg, rate: f64) -> f64 {
     let draw: f64 = rng.random_range(f64::MIN_POSITIVE..1.0);
     -draw.ln() * 1_000.0 / rate
 }
 
-/// Returns the cumulated popularity by rank.
+/// Returns the cumulative popularity by rank.
 fn cumulative_popularity(adapters: u32, exponent: f64) -> Vec<f64> {
     let weights: Vec<f64> = (1..=adapters).map(|rank| f64::from(rank).powf(-exponent)).collect();
     let total: f64 = weights.iter().sum();
--- a/crates/cli/src/capacity.rs
+++ b/crates/cli/src/capacity.rs
@@ -1,8 +1,7 @@
-//! `reelreel capacity`: what state, messages and decisions cost, as slopes over sizes.
+//! `reelreel capacity`: measures memory, message and CPU costs at several sizes.
 //!
-//! Time is what this host took, so only ratios between sizes travel; bytes and counts are exact.
-//! Every row says what it ran on: the core alone, several cores against fakes in handed-in time, or
-//! the process itself.
+//! Times depend on this host, so compare only ratios between sizes; bytes and counts are exact. Each row
+//! states its setup: the core alone, or several cores with fakes in simulated time.
 
 mod claims;
 mod decisions;
@@ -16,20 +15,20 @@
 
 use crate::{options::CapacityOptions, output::print};
 
-/// One measured figure.
+/// One measurement.
 #[derive(Debug, Clone, Serialize)]
 pub(crate) struct CapacityRow {
-    /// What was measured, and on what.
+    /// What was measured and in which setup.
     what: String,
-    /// The size that is varied, in words.
+    /// Description of the varied size.
     size: String,
-    /// The figure.
+    /// Measured value.
     value: f64,
-    /// Its unit.
+    /// Unit of the value.
     unit: &'static str,
 }
 
-/// Gathers figures.
+/// Collects measurements.
 #[derive(Debug, Default)]
 pub(crate) struct CapacityTable {
     rows: Vec<CapacityRow>,
@@ -41,7 +40,7 @@
     }
 }
 
-/// Measures and prints.
+/// Runs the selected measurements and prints the table.
 pub(crate) fn run(options: &CapacityOptions) -> eyre::Result<ExitCode> {
     let mut table = CapacityTable::default();
     let selected =
@@ -73,17 +72,17 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Counts what is allocated, so that memory is measured exactly and not by pages.
+/// Counts allocated bytes, which is more exact than the process's resident pages.
 #[global_allocator]
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
-/// Returns the bytes that are allocated now.
+/// Returns the number of bytes currently allocated.
 fn allocated_bytes() -> f64 {
     let stats = ALLOCATOR.stats();
     stats.bytes_allocated as f64 - stats.bytes_deallocated as f64
 }
 
-/// Returns microseconds that `work` took for each of `count` items, and its result.
+/// Runs `work` and returns its time per item in microseconds and its result.
 fn micros_per_item<T>(count: usize, work: impl FnOnce() -> T) -> (f64, T) {
     let started = Instant::now();
     let result = work();
--- a/crates/cli/src/capacity/claims.rs
+++ b/crates/cli/src/capacity/claims.rs
@@ -1,4 +1,4 @@
-//! Claims of idempotency keys: bytes in the log, memory and time for each.
+//! Measures log size, memory and time per claim of an idempotency key.
 
 use reelreel_core::{
     claim::{ClaimItem, ClaimRecord, ClaimTable},
@@ -8,10 +8,10 @@
 
 use super::{CapacityTable, allocated_bytes, micros_per_item};
 
-/// Claims of one append.
+/// Claims in one append.
 const CLAIMS_PER_APPEND: usize = 100;
 
-/// The window of keys that are remembered, in milliseconds.
+/// How long a claimed key is retained.
 const RETENTION_MS: u64 = 3_600_000;
 
 pub(super) fn measure(table: &mut CapacityTable) {
@@ -36,14 +36,14 @@
         let bytes_per_key = (allocated_bytes() - before) / count as f64;
         table.add("claims: fold, per key", &size, micros, "us");
         table.add("claims: memory, per key", &size, bytes_per_key, "bytes");
-        assert_eq!(claim_table.len(), count, "all keys are remembered");
+        assert_eq!(claim_table.len(), count, "all keys are retained");
     }
 }
 
 fn record(append: usize) -> LogRecord {
     let item = |index: usize| {
         let number = (append * CLAIMS_PER_APPEND + index) as u128;
-        // Spread like hashes, so that the hexadecimal has its usual length.
+        // Spreads keys like hashes, so that their hexadecimal form has its usual length.
         let key = number.wrapping_mul(0x9e37_79b9_7f4a_7c15_f39c_c060_5ced_c835);
         let counter = u32::try_from(number & 0xffff_ffff).unwrap_or_default();
         ClaimItem::new(key, request_id(9, 1_800_000_000_000, counter))
--- a/crates/cli/src/capacity/decisions.rs
+++ b/crates/cli/src/capacity/decisions.rs
@@ -1,4 +1,4 @@
-//! Decisions of one core: a request's route, its permit, its end.
+//! Measures the cost of one core's decisions on a request: routing, permit and completion.
 
 use reelreel_core::{
     ClockMillis, NodeConfig, NodeCore, NodeEvent,
@@ -17,13 +17,13 @@
     tree::{adapter_path, adapters_record, log_record},
 };
 
-/// Requests that are timed.
+/// Number of requests timed.
 const REQUESTS: usize = 4_000;
 
-/// Hosts of the hall.
+/// Hosts in the data hall.
 const HALL_HOSTS: u32 = 53;
 
-/// Adapters that an engine holds.
+/// Resident adapters per engine.
 const RESIDENTS: u32 = 8;
 
 pub(super) fn measure(table: &mut CapacityTable, quick: bool) -> eyre::Result<()> {
@@ -40,7 +40,7 @@
     ClockReading { now: ClockMillis::from_millis(millis), wall_millis: millis }
 }
 
-/// Makes a core that knows a hall's hosts, engines and adapters, and owns nothing.
+/// Builds a core that knows a hall's hosts, engines and adapters and owns no engine.
 fn build_core(engines: u32, adapters: usize) -> eyre::Result<NodeCore> {
     let mut core = NodeCore::new(NodeConfig::new(1_000, 9, 1));
     core.start(clock_reading(1));
@@ -88,7 +88,7 @@
     (id, NodeEvent::RequestArrived(arrived))
 }
 
-/// Times `REQUESTS` arrivals and ends each one after it.
+/// Times `REQUESTS` arrivals, each followed by its cancellation.
 fn time_arrivals(core: &mut NodeCore, from: usize, adapter: impl Fn(usize) -> usize) -> f64 {
     let (micros, ()) = micros_per_item(REQUESTS, || {
         for number in 0..REQUESTS {
@@ -144,7 +144,7 @@
     Ok(())
 }
 
-/// Names the adapter in a slot: the ids of adapters begin after service and organisation.
+/// Returns the adapter in a slot. Node ids count the service and each organisation before its adapters.
 fn resident_adapter(slot: u32, resident: usize) -> AdapterKey {
     let index = slot % u32::try_from(resident).unwrap_or(1);
     let per_organisation = 50;
@@ -153,7 +153,7 @@
     AdapterKey { adapter, version: 1 }
 }
 
-/// Measures the memory of requests that wait.
+/// Measures the memory of waiting requests.
 fn measure_open_requests(table: &mut CapacityTable) -> eyre::Result<()> {
     for count in [1_000, 10_000, 50_000] {
         let mut core = build_core(125, 1_000)?;
@@ -169,7 +169,7 @@
     Ok(())
 }
 
-/// Times whole requests through one host and one engine, fakes included.
+/// Times complete requests through one host and one engine, including the fakes.
 fn measure_complete_requests(table: &mut CapacityTable) -> eyre::Result<()> {
     let mut shape = SiteShape::new(1);
     shape.hosts = vec![(1, 1)];
@@ -199,7 +199,7 @@
     site.run_until(9_999);
     let (micros, ()) = micros_per_item(calls as usize, || site.run_until(40_000));
     let answered = site.evidence.callers.values().filter(|caller| caller.told.is_some()).count();
-    eyre::ensure!(answered == calls as usize, "{answered} of {calls} calls were told");
+    eyre::ensure!(answered == calls as usize, "only {answered} of {calls} calls were answered");
     table.add("core and fakes: a whole request, entry and owner", "20000 requests", micros, "us");
     Ok(())
 }
--- a/crates/cli/src/capacity/hosts.rs
+++ b/crates/cli/src/capacity/hosts.rs
@@ -1,4 +1,4 @@
-//! Many hosts: idle cost, messages, time to settle after losses, time for a change to be in force.
+//! Measures many hosts: idle cost, messages, recovery time after losses and propagation time of a change.
 
 use std::time::{Duration, Instant};
 
@@ -18,22 +18,22 @@
 
 use super::{CapacityTable, tree::adapters_record};
 
-/// Engines for each host, as at the size to design for: 6,000 for 370.
+/// Engines per host at the design size of 6,000 engines and 370 hosts.
 const ENGINES_PER_HOST: u32 = 16;
 
-/// Hosts start within this time, in milliseconds.
+/// Time after which all hosts have started.
 const SETTLE_MS: u64 = 20_000;
 
 fn frame_bytes(message: &PeerMessage) -> u64 {
     let mut bytes = BytesMut::new();
     let stamp = HybridTimestamp { wall_millis: 1_800_000_000_000, counter: 7 };
     let frame = PeerFrame { from: 370, stamp, message: message.clone() };
-    // A message that can not be written is no message; none is that large here.
+    // Encoding fails only for messages over the frame limit; none here is that large.
     drop(FrameCodec::default().encode(frame, &mut bytes));
     bytes.len() as u64
 }
 
-/// Makes a site of that many hosts in halls of equal size.
+/// Builds a site with hosts and engines spread evenly over the halls.
 fn build_site(hosts: u32, halls: u16) -> FakeSite {
     let hall = |index: u32| 1 + u16::try_from(index % u32::from(halls)).unwrap_or_default();
     let mut shape = SiteShape::new(u64::from(hosts));
@@ -54,7 +54,7 @@
     site
 }
 
-/// Adds what single messages take on the wire.
+/// Adds the encoded size of single messages.
 fn measure_frames(table: &mut CapacityTable) {
     let (request, attempt, engine) = (u128::MAX / 3, 1, 2_000);
     let adapter = AdapterKey { adapter: 94_000, version: 1 };
@@ -102,7 +102,7 @@
     Ok(())
 }
 
-/// Measures how a site settles after losses and restarts.
+/// Measures how a site recovers from losses and restarts.
 pub(super) fn measure_losses(table: &mut CapacityTable, quick: bool) {
     let hosts = if quick { 30 } else { 123 };
     measure_host_loss(table, hosts);
@@ -141,7 +141,7 @@
         .count()
 }
 
-/// Publishes a change while one hall is cut off, and measures when it is in force.
+/// Publishes a change and measures when it is in force on every host.
 fn measure_change(table: &mut CapacityTable, hosts: u32) -> eyre::Result<()> {
     let mut site = build_site(hosts, 3);
     let scale = format!("{hosts} hosts");
@@ -155,14 +155,17 @@
     site.run_until(SETTLE_MS + 15_000);
     let last = site.evidence.forced.iter().filter(|forced| forced.revision == 2);
     let count = last.clone().count();
-    eyre::ensure!(count == hosts as usize, "{count} of {hosts} hosts have the change");
+    eyre::ensure!(
+        count == hosts as usize,
+        "the change is in force on only {count} of {hosts} hosts"
+    );
     let last = last.map(|forced| forced.at).max().unwrap_or(0);
     let millis = last.saturating_sub(SETTLE_MS) as f64;
     table.add("fakes: change in force on all hosts", scale, millis, "ms");
     Ok(())
 }
 
-/// Runs until as many engines are owned as there are, and returns how long that took.
+/// Runs until `engines` engines are owned, for at most `limit_ms`, and returns the elapsed milliseconds.
 fn run_until_owned(site: &mut FakeSite, engines: usize, limit_ms: u64) -> f64 {
     const STEP_MS: u64 = 50;
     let started = site.now;
@@ -210,7 +213,7 @@
     table.add("fakes: bytes meanwhile, per host and second", &scale, bytes, "bytes");
 }
 
-/// Restarts a tenth of the hosts, one each two seconds, and counts engines that changed hands.
+/// Restarts a tenth of the hosts, one every two seconds, and counts takeover orders.
 fn measure_rolling_restart(table: &mut CapacityTable, hosts: u32) {
     let mut site = build_site(hosts, 3);
     let scale = format!("{hosts} hosts, a tenth restarted in turn");
--- a/crates/cli/src/capacity/tree.rs
+++ b/crates/cli/src/capacity/tree.rs
@@ -1,4 +1,4 @@
-//! The settings tree: memory for each adapter, folding, snapshots, look-ups.
+//! Measures the settings tree: memory per adapter, applying records, snapshots and lookups.
 
 use reelreel_core::settings::{
     ChangeRecord, EditAction, SettingKey, SettingValue, SettingsEdit, SettingsFold, SettingsPath,
@@ -7,18 +7,18 @@
 
 use super::{CapacityTable, allocated_bytes, micros_per_item};
 
-/// Adapters of one organisation, as spread over the tree.
+/// Adapters per organisation.
 const ADAPTERS_PER_ORGANISATION: usize = 50;
 
-/// Look-ups that are timed.
+/// Number of lookups timed.
 const LOOKUPS: usize = 20_000;
 
-/// Names an adapter of the measured tree.
+/// Returns the path of an adapter in the measured tree.
 pub(super) fn adapter_path(index: usize) -> String {
     format!("assist/organisation-{}/adapter-{index}", index / ADAPTERS_PER_ORGANISATION)
 }
 
-/// Publishes that many adapters, each with a version, as one record.
+/// Builds one change record that creates `count` adapters with a version each.
 pub(super) fn adapters_record(count: usize) -> ChangeRecord {
     let adapter = |index: usize| SettingsEdit {
         path: SettingsPath::parse(&adapter_path(index)).unwrap_or_default(),
@@ -34,7 +34,7 @@
     }
 }
 
-/// Returns a record of the settings stream.
+/// Encodes a change as a record of the settings stream.
 pub(super) fn log_record(offset: u64, record: &ChangeRecord) -> eyre::Result<LogRecord> {
     Ok(LogRecord { offset, written_millis: offset, payload: serde_json::to_vec(record)? })
 }
@@ -76,7 +76,7 @@
         let (resolve_micros, found) = micros_per_item(LOOKUPS, || {
             names.iter().filter(|name| restored.tree().resolve(name).is_ok()).count()
         });
-        eyre::ensure!(found == LOOKUPS, "{found} of {LOOKUPS} models were found");
+        eyre::ensure!(found == LOOKUPS, "only {found} of {LOOKUPS} models were found");
         table.add("settings: a model resolved", &size, resolve_micros, "us");
         let path = SettingsPath::parse(&names[0]).unwrap_or_default();
         let (effective_micros, worth) = micros_per_item(LOOKUPS, || {
--- a/crates/cli/src/daemon.rs
+++ b/crates/cli/src/daemon.rs
@@ -1,4 +1,4 @@
-//! `reelreeld`: one entry host.
+//! `reelreeld`: the daemon of one entry host.
 
 mod host;
 
@@ -12,21 +12,21 @@
     iterator::Signals,
 };
 
-/// How long a planned stop waits for the last streams to end.
+/// Maximum time that a graceful shutdown waits for open streams.
 const DRAIN_TIMEOUT: Duration = Duration::from_mins(10);
 
 /// Runs one entry host of reelreel.
 ///
-/// SIGTERM stops it in a planned way: it takes no new requests, hands its engines over and ends
-/// when its last stream has ended. A second SIGTERM ends it at once.
+/// SIGTERM starts a graceful shutdown: the host accepts no new requests, hands its engines over and
+/// exits when its last stream has ended. A second SIGTERM exits at once.
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options, version)]
 struct DaemonOptions {
-    /// Only check the settings file, and name every mistake in it
+    /// Check the settings file, print every error in it and exit
     check: bool,
-    /// Serve on the users' platform, with the settings file that it lays down
+    /// Run on the users' platform with the settings file that it provides
     platform: bool,
-    /// The host's own settings, in TOML; with --platform, another file than the platform names
+    /// Host settings file in TOML; with --platform, replaces the file that the platform provides
     #[bpaf(positional("SETTINGS"))]
     settings: Option<PathBuf>,
 }
@@ -47,11 +47,11 @@
         return host::run_on_platform(options.settings.as_deref(), options.check);
     }
     let Some(settings) = &options.settings else {
-        eyre::bail!("name the host's settings file, or use --platform");
+        eyre::bail!("pass the host's settings file or --platform");
     };
     let path = settings.display();
     let text = fs::read_to_string(settings)
-        .wrap_err_with(|| format!("{path} can not be read; name the host's settings file"))?;
+        .wrap_err_with(|| format!("cannot read host settings file {path}"))?;
     let settings = match NodeSettings::read(&text) {
         Ok(settings) => settings,
         Err(errors) => {
@@ -62,12 +62,12 @@
         }
     };
     if options.check {
-        println!("{path}: no mistakes");
+        println!("{path}: no errors");
         return Ok(ExitCode::SUCCESS);
     }
     start_logs(settings.log_format, settings.log_level)?;
     let host = EntryHost::start(&settings)?;
-    // One line for whoever starts hosts on free ports.
+    // A parent process that starts hosts on free ports reads the addresses from this line.
     println!(
         "{{\"callers\":\"{}\",\"peers\":\"{}\",\"operators\":\"{}\"}}",
         host.callers(),
@@ -76,7 +76,7 @@
     );
     let mut signals = Signals::new([SIGTERM, SIGINT])?;
     let signal = signals.forever().next();
-    log::info!("signal {}: stopping", signal.unwrap_or(SIGTERM));
+    log::info!("received signal {}; shutting down", signal.unwrap_or(SIGTERM));
     host.drain();
     std::thread::spawn(move || {
         if signals.forever().next().is_some() {
@@ -84,7 +84,10 @@
         }
     });
     if !host.wait_stopped(DRAIN_TIMEOUT) {
-        log::warn!("streams still ran after {} s", DRAIN_TIMEOUT.as_secs());
+        log::warn!(
+            "shutdown timed out after {} s with streams still open",
+            DRAIN_TIMEOUT.as_secs()
+        );
     }
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/cli/src/dev.rs
+++ b/crates/cli/src/dev.rs
@@ -1,4 +1,4 @@
-//! `reelreel dev`: everything on one host, for a try.
+//! `reelreel dev`: runs a site, or parts of one, locally for development.
 
 mod all;
 mod single;
@@ -8,7 +8,7 @@
 
 use crate::options::DevCommand;
 
-/// Runs all of it, or one part.
+/// Runs the whole site or one component.
 pub(crate) fn run(command: &DevCommand) -> eyre::Result<ExitCode> {
     match command {
         DevCommand::All(options) => all::run(options),
@@ -18,7 +18,7 @@
     }
 }
 
-/// Waits for the signal to stop.
+/// Blocks until SIGINT or SIGTERM.
 fn wait_for_signal() -> eyre::Result<()> {
     use signal_hook::{
         consts::{SIGINT, SIGTERM},
--- a/crates/cli/src/dev/all.rs
+++ b/crates/cli/src/dev/all.rs
@@ -1,4 +1,4 @@
-//! Everything as threads of one process, with a line to try.
+//! Runs a whole site in one process and prints example commands.
 
 use std::{fs, process::ExitCode};
 
@@ -11,18 +11,18 @@
 };
 use crate::options::DevAll;
 
-/// The settings tree that is published where none is named.
+/// Settings tree published by default.
 const DEFAULT_TREE: &str =
     include_str!(concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/dev.toml"));
 
-/// Runs a site until the signal to stop.
+/// Runs a site until SIGINT or SIGTERM.
 pub(super) fn run(options: &DevAll) -> eyre::Result<ExitCode> {
     let text = match &options.tree {
         Some(file) => fs::read_to_string(file)?,
         None => DEFAULT_TREE.to_owned(),
     };
     let Ok(tree) = read_tree(&text) else {
-        bail!("the tree has mistakes; name them with `reelreel settings check`");
+        bail!("the settings tree is invalid; run `reelreel settings check` for details");
     };
     if options.hosts == 0 || options.halls == 0 {
         bail!("at least one host and one hall are needed");
@@ -49,9 +49,9 @@
     let operators: Vec<String> =
         site.hosts.iter().map(|host| host.operators().to_string()).collect();
     println!("State:       reelreel status {}", operators.join(" "));
-    println!("Time line:   reelreel timeline {}", operators.join(" "));
+    println!("Timeline:    reelreel timeline {}", operators.join(" "));
     println!("Settings:    reelreel settings history --platform {}", site.platform.address());
-    println!("Ctrl-C stops it.");
+    println!("Press Ctrl-C to stop.");
     wait_for_signal()?;
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/cli/src/dev/single.rs
+++ b/crates/cli/src/dev/single.rs
@@ -1,4 +1,4 @@
-//! One stand-in as a process of its own, entered in the platform's host list.
+//! Runs one stand-in as its own process and registers it in the platform's host list.
 
 use std::{process::ExitCode, time::Duration};
 
@@ -11,14 +11,14 @@
 use super::wait_for_signal;
 use crate::options::{DevEngine, DevPlatform, DevService};
 
-/// Prints where a stand-in listens, for whoever started it, and lets it run until the signal.
+/// Prints the listening address as JSON for the parent process and blocks until SIGINT or SIGTERM.
 fn announce_and_wait(address: &str) -> eyre::Result<ExitCode> {
     println!("{{\"address\":\"{address}\"}}");
     wait_for_signal()?;
     Ok(ExitCode::SUCCESS)
 }
 
-/// Runs a platform.
+/// Runs a stand-in platform.
 pub(super) fn platform(options: &DevPlatform) -> eyre::Result<ExitCode> {
     let stand_in = PlatformStandIn::start(&PlatformOptions {
         address: options.listen.clone(),
@@ -30,7 +30,7 @@
     announce_and_wait(stand_in.address())
 }
 
-/// Runs an engine.
+/// Runs a stand-in engine.
 pub(super) fn engine(options: &DevEngine) -> eyre::Result<ExitCode> {
     let stand_in = EngineStandIn::start(&EngineOptions {
         address: options.listen.clone(),
@@ -47,7 +47,7 @@
     announce_and_wait(stand_in.address())
 }
 
-/// Runs a plain service.
+/// Runs a stand-in plain service.
 pub(super) fn service(options: &DevService) -> eyre::Result<ExitCode> {
     let stand_in = ServiceStandIn::start(&ServiceOptions { address: options.listen.clone() })?;
     let record = HostRecord::new(HostRole::Server, options.id, options.hall, stand_in.address())
@@ -56,11 +56,11 @@
     announce_and_wait(stand_in.address())
 }
 
-/// Enters a stand-in in the platform's host list.
+/// Registers a stand-in in the platform's host list.
 fn register(platform: &str, record: &HostRecord) -> eyre::Result<()> {
     let body = serde_json::to_vec(record)?;
     ureq::put(format!("http://{platform}/hosts"))
         .send(&body[..])
-        .wrap_err_with(|| format!("platform {platform} does not answer; start it first"))?;
+        .wrap_err_with(|| format!("cannot register at platform {platform}; is it running?"))?;
     Ok(())
 }
--- a/crates/cli/src/dev/site.rs
+++ b/crates/cli/src/dev/site.rs
@@ -1,4 +1,4 @@
-//! A whole site as threads of one process.
+//! A whole site running in one process.
 
 use std::{
     net::SocketAddr,
@@ -16,27 +16,27 @@
 
 use crate::{options::LogSource, platform_log::PlatformLog};
 
-/// How long a site may take until every host serves.
+/// Maximum time until every host is ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How large a site is.
+/// Size of a site.
 #[derive(Debug, Clone)]
 pub(crate) struct DevSiteOptions {
-    /// Entry hosts.
+    /// Number of entry hosts.
     pub(crate) hosts: u32,
-    /// Engines.
+    /// Number of engines.
     pub(crate) engines: u32,
-    /// Data halls.
+    /// Number of data halls.
     pub(crate) halls: u16,
-    /// Requests that an engine runs at once.
+    /// Concurrent requests per engine.
     pub(crate) streams: u32,
-    /// Callers' port of the first host; zero picks free ones.
+    /// Callers' port of the first host; zero picks a free one.
     pub(crate) port: u16,
 }
 
-/// A running site. Dropping it stops everything.
+/// A running site, stopped on drop.
 pub(crate) struct DevSite {
-    /// The entry hosts; stopped before what they talk to.
+    /// Entry hosts. Declared first so that they are dropped before the components that they call.
     pub(crate) hosts: Vec<EntryHost>,
     /// The engines.
     pub(crate) engines: Vec<EngineStandIn>,
@@ -47,7 +47,7 @@
 }
 
 impl DevSite {
-    /// Starts a site, publishes `tree` and waits until every host serves.
+    /// Starts a site, publishes `tree` and waits until every host is ready.
     pub(crate) fn start(options: &DevSiteOptions, tree: &SettingsTree) -> eyre::Result<Self> {
         let platform = PlatformStandIn::start(&PlatformOptions {
             host_lag: Duration::from_millis(50),
@@ -91,7 +91,7 @@
         Ok(site)
     }
 
-    /// Returns where callers reach the hosts.
+    /// Returns the hosts' addresses for callers.
     pub(crate) fn callers(&self) -> Vec<SocketAddr> {
         self.hosts.iter().map(EntryHost::callers).collect()
     }
@@ -102,7 +102,7 @@
             let url = format!("http://{}/readyz", host.operators());
             while ureq::get(&url).call().is_err() {
                 if Instant::now() > deadline {
-                    bail!("host at {} does not get ready", host.operators());
+                    bail!("host {} did not become ready in time", host.operators());
                 }
                 thread::sleep(Duration::from_millis(50));
             }
@@ -120,7 +120,7 @@
     NodeSettings::read(&text).map_err(|errors| eyre!("built-in settings: {}", errors[0]))
 }
 
-/// Publishes a whole tree.
+/// Publishes a tree as the first revision.
 fn publish_tree(platform: &str, tree: &SettingsTree) -> eyre::Result<()> {
     let record = ChangeRecord {
         format: RECORD_FORMAT,
--- a/crates/cli/src/host.rs
+++ b/crates/cli/src/host.rs
@@ -1,4 +1,4 @@
-//! `reelreeld --platform`: one host on the users' platform.
+//! `reelreeld --platform`: runs one host on the users' platform.
 
 use std::{path::Path, process::ExitCode, sync::Arc};
 
@@ -14,18 +14,19 @@
     iterator::Signals,
 };
 
-/// The stack of the thread that waits for signals. Unit: bytes.
+/// Stack size of the signal thread.
 const SIGNAL_THREAD_STACK_BYTES: usize = 64 * 1024;
 
-/// Runs one host until its planned stop has ended; with `check`, only reads its settings.
+/// Runs one host until its graceful shutdown has finished; with `check`, only validates its settings.
 pub(crate) fn run_on_platform(path: Option<&Path>, check: bool) -> eyre::Result<ExitCode> {
     let path = path.map_or_else(settings_path, Path::to_owned);
     let profile = read_settings(&path)?;
     if check {
-        println!("{}: no mistakes", path.display());
+        println!("{}: no errors", path.display());
         return Ok(ExitCode::SUCCESS);
     }
-    let events = EventLog::start(Arc::clone(&profile.name)).wrap_err("no thread for log lines")?;
+    let events =
+        EventLog::start(Arc::clone(&profile.name)).wrap_err("cannot start the log thread")?;
     let clock = Arc::new(MonotonicClock::new());
     let shared = Arc::new(SharedState::new(profile, reelreel_platform::dialects(), events, clock));
     watch_signals(&shared)?;
@@ -33,7 +34,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Begins the planned stop at SIGTERM, and checks the settings anew at SIGHUP.
+/// Starts the graceful shutdown on SIGTERM or SIGINT and checks the settings file again on SIGHUP.
 fn watch_signals(shared: &Arc<SharedState>) -> eyre::Result<()> {
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP])?;
     let shared = Arc::clone(shared);
--- a/crates/cli/src/logs.rs
+++ b/crates/cli/src/logs.rs
@@ -1,7 +1,7 @@
-//! What hosts' structured log lines say: of one request, and of all that were not served.
+//! Analysis of the hosts' structured logs.
 //!
-//! [`mod@line`] reads lines, [`cause`] names why a request ended as it did, [`explain`] puts together what
-//! all hosts say of one request, and [`losses`] counts causes.
+//! [`mod@line`] parses lines, [`cause`] classifies why a request ended as it did, [`explain`] reports on one request,
+//! and [`losses`] counts requests by cause.
 
 mod cause;
 pub(crate) mod explain;
--- a/crates/cli/src/logs/cause.rs
+++ b/crates/cli/src/logs/cause.rs
@@ -1,4 +1,4 @@
-//! Why a request ended as it did, from its own line and from the lines around it.
+//! Classifies why a request ended as it did, from its own log line and the lines logged around it.
 
 use std::{collections::BTreeSet, fmt};
 
@@ -6,103 +6,104 @@
 
 use super::line::{HostLogs, LogLine};
 
-/// How long after a request its load, or the end of its engine, may still explain it. Unit: milliseconds.
+/// How long after a request ended a load or an engine end may still explain it.
 const CAUSE_WINDOW_AFTER_MS: u64 = 5000;
 
-/// How long before a request something may have happened that explains it. Unit: milliseconds.
+/// How long before a request arrived an event may explain it.
 const CAUSE_WINDOW_BEFORE_MS: u64 = 5000;
 
-/// How long after a request another one may be held back under which its engine ended: that takes one engine more. Unit:
-/// milliseconds.
+/// How long after a request ended a quarantine may still explain it.
+///
+/// A request is quarantined only after it has ended another engine, so this window is longer.
 const QUARANTINE_WINDOW_MS: u64 = 60_000;
 
-/// What a request's line says.
+/// A request's log line.
 #[derive(Debug, Clone)]
 pub(super) struct RequestLine {
-    /// When it ended, by the wall clock. Unit: milliseconds since 1970.
+    /// Wall-clock time at which the request ended. Unit: milliseconds since 1970.
     pub(super) at: u64,
-    /// The host that had it.
+    /// Host that logged the request.
     pub(super) host: String,
-    /// How it ended.
+    /// The logged event.
     pub(super) event: RequestEvent,
 }
 
 impl RequestLine {
-    /// Returns what a line says of a request, if it does.
+    /// Returns the request that a line logs, or `None` for another event.
     pub(super) fn from_log_line(line: &LogLine) -> Option<Self> {
         let HostEvent::Request(event) = &line.event else { return None };
         Some(Self { at: line.at, host: line.host.clone(), event: event.clone() })
     }
 
-    /// Returns when it arrived, by the wall clock. Unit: milliseconds since 1970.
+    /// Returns the wall-clock time of arrival. Unit: milliseconds since 1970.
     pub(super) const fn arrived(&self) -> u64 {
         self.at.saturating_sub(self.event.total)
     }
 
-    /// Returns the span of the wall clock in which something may explain it.
+    /// Returns the first and last wall-clock time at which an event may explain the request.
     pub(super) const fn cause_window(&self) -> (u64, u64) {
         (self.arrived().saturating_sub(CAUSE_WINDOW_BEFORE_MS), self.at + CAUSE_WINDOW_AFTER_MS)
     }
 }
 
-/// Why a request ended as it did.
+/// The cause of a request's outcome.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) enum RequestCause {
-    /// It was served in time.
+    /// Served within its target.
     Served,
-    /// It was served late: its stream paused longer than its route wants.
+    /// Served late: the stream paused for longer than the route's target.
     LateStreamPause,
-    /// It was served late after it had been sent more than once.
+    /// Served late after at least one retry.
     LateRetried,
-    /// It was served late: it waited for its adapter for longer than its engine then took.
+    /// Served late: the wait for the adapter took longer than the engine.
     LateAdapterWait,
-    /// It was served late: its engine took most of the time until its first event.
+    /// Served late: the engine took most of the time until the first event.
     LateAtEngine,
-    /// No configuration was known to the host.
+    /// The host had no configuration.
     NoConfiguration,
-    /// The configuration has no route for it.
+    /// No route of the configuration matches the request.
     NoRoute,
-    /// The host refused it for another reason before any engine was thought of.
+    /// The host refused the request before engine selection, for any other reason.
     RejectedOnArrival,
-    /// Nobody held the placement lease that its adapter needs.
+    /// No host held the placement lease that loading the adapter needs.
     NoPlacer,
-    /// The order to load its adapter got no answer.
+    /// The order to load the adapter got no answer.
     LoadOrderUnanswered,
-    /// Its adapter was loaded, but after it was given up.
+    /// The adapter was loaded after the request had been given up.
     AdapterLoadedLate,
-    /// Its adapter was not loaded at all.
+    /// The adapter was not loaded.
     AdapterNotLoaded,
-    /// The best engine had too much to read before it, so that it was refused at once.
+    /// The best engine had too many prompt tokens queued, so the request was refused on arrival.
     QueueTooLong,
-    /// Engines promised not to have run it, being full or not ready.
+    /// Engines rejected the request without running it because they were full or not ready.
     EnginesRefused,
-    /// No engine took work, or none could be reached.
+    /// No engine accepted requests, or none was reachable.
     NoEngine,
-    /// The engines that could run it have named limits, and its turn would have come too late.
+    /// The rate limits of the engines left no permit before the deadline.
     RateLimited,
-    /// The engines that could run it wanted no requests from its host for a while.
+    /// The engines were in a cooldown that they had requested of this host.
     EnginesInCooldown,
-    /// It is held back: engines ended while they ran it.
+    /// The request is quarantined because engines ended while they ran it.
     Quarantined,
-    /// Its engine ended while it ran this request, which is held back since.
+    /// The engine ended while it ran this request, which was quarantined for that.
     CrashedItsEngine,
-    /// Its engine ended while it ran another request, which is held back since.
+    /// The engine ended while it also ran another request, which was quarantined for that.
     EngineCrashedByOther,
-    /// Its engine went away.
+    /// The engine ended or left the host list.
     EngineGone,
-    /// Its engine fell silent or broke off, and stayed listed.
+    /// The engine stopped responding or closed the connection, and stayed listed.
     EngineDisconnected,
-    /// Its engine answered with an error of its own.
+    /// The engine returned an error.
     EngineError,
-    /// Its time ended with an engine at work.
+    /// The deadline passed while an engine ran the request.
     DeadlineExceeded,
-    /// Its client left while it waited for its adapter.
+    /// The client disconnected while the request waited for its adapter.
     ClientLeftDuringLoad,
-    /// Its client left while an engine had given no first byte.
+    /// The client disconnected before the engine's first byte.
     ClientLeftBeforeFirstByte,
-    /// Its client left in the middle of the answer.
+    /// The client disconnected during the answer.
     ClientLeftDuringAnswer,
-    /// It ended in a way that this program does not know.
+    /// The outcome is not known to this version.
     Unknown,
 }
 
@@ -145,7 +146,7 @@
 }
 
 impl RequestCause {
-    /// Names the cause from the request's line and the lines around it.
+    /// Determines the cause from the request's line and the lines logged around it.
     pub(super) fn classify(request: &RequestLine, logs: &HostLogs) -> Self {
         match &*request.event.outcome {
             "answered" if request.event.late => Self::classify_late(&request.event),
@@ -222,7 +223,7 @@
     }
 }
 
-/// Returns the marks of the requests that ran at the request's engine when it ended, as any host saw it.
+/// Returns the marks of the requests that the request's engine ran when it ended, as logged by any host.
 fn marks_at_engine_end(request: &RequestLine, logs: &HostLogs) -> BTreeSet<String> {
     let (from, until) = request.cause_window();
     let engine_ends = logs.lines_between(from, until).iter().filter_map(|line| match &line.event {
@@ -236,7 +237,7 @@
     engine_ends.flatten().cloned().collect()
 }
 
-/// Returns the marks that were held back by some time after the request.
+/// Returns the marks quarantined up to the end of the quarantine window.
 fn quarantined_marks(request: &RequestLine, logs: &HostLogs) -> BTreeSet<String> {
     let quarantined = logs.lines_between(0, request.at + QUARANTINE_WINDOW_MS).iter();
     let quarantined = quarantined.filter_map(|line| match &line.event {
@@ -254,7 +255,7 @@
     })
 }
 
-/// Returns whether any host held a placement lease and gave orders around the request.
+/// Returns whether any host gave orders around the request, or held a placement lease when it ended.
 fn had_placer(request: &RequestLine, logs: &HostLogs) -> bool {
     let (from, until) = request.cause_window();
     let mut nearby_lines = logs.lines_between(from, until).iter();
--- a/crates/cli/src/logs/explain.rs
+++ b/crates/cli/src/logs/explain.rs
@@ -1,4 +1,4 @@
-//! `reelreel explain`: what all hosts' logs say of one request, and the cause of its end.
+//! `reelreel explain`: reports the log lines related to one request and the cause of its outcome.
 
 use std::{fmt::Write as _, path::PathBuf};
 
@@ -10,13 +10,13 @@
     line::{HostLogs, LogLine},
 };
 
-/// The most lines around a request that are shown.
+/// Maximum number of related lines shown.
 const MAX_CONTEXT_LINES: usize = 60;
 
 /// Explains one request from the logs in `files`.
 ///
 /// # Errors
-/// Returns that a file can not be read, or that no line tells of the request.
+/// Returns an error if a file cannot be read or no line mentions the request.
 pub(crate) fn explain(id: &str, files: &[PathBuf]) -> eyre::Result<String> {
     let logs = HostLogs::read(files)?;
     let request = logs
@@ -26,8 +26,8 @@
         .find(|request| request.event.id == id);
     let Some(request) = request else {
         bail!(
-            "no line tells of request {id}; name the logs of all hosts, and mind that of requests \
-             that were served in time one in sixteen is logged"
+            "no log line mentions request {id}; pass the logs of all hosts, and note that only one in \
+             sixteen of the requests served in time is logged"
         );
     };
     let mut text = String::new();
@@ -42,24 +42,24 @@
     let (from, until) = request.cause_window();
     let context_lines: Vec<&LogLine> =
         logs.lines_between(from, until).iter().filter(|line| is_relevant(line, &request)).collect();
-    writeln!(text, "\nAround it, in milliseconds after its arrival:")?;
+    writeln!(text, "\nRelated events, in milliseconds after its arrival:")?;
     for line in context_lines.iter().take(MAX_CONTEXT_LINES) {
         let after = i128::from(line.at) - i128::from(request.arrived());
         let event = serde_json::to_string(&line.event)?;
         writeln!(text, "{after:>8}  {:<20} {event}", line.host)?;
     }
     if context_lines.len() > MAX_CONTEXT_LINES {
-        writeln!(text, "          and {} lines more", context_lines.len() - MAX_CONTEXT_LINES)?;
+        writeln!(text, "          and {} more lines", context_lines.len() - MAX_CONTEXT_LINES)?;
     }
     let left_out: u64 = logs.lines_between(from, until).iter().map(|line| line.left_out).sum();
     if left_out > 0 {
-        writeln!(text, "          {left_out} lines found no room in this time")?;
+        writeln!(text, "          {left_out} lines were dropped by full log queues in this time")?;
     }
     writeln!(text, "\nCause: {}", RequestCause::classify(&request, &logs))?;
     Ok(text)
 }
 
-/// Says where in the store the configuration that decided a request was read, and how long before.
+/// Describes the store position and age of the configuration that applied to a request.
 fn configuration_source(logs: &HostLogs, request: &RequestLine) -> String {
     let mut before = logs.lines_between(0, request.at).iter().rev();
     let read = before.find_map(|line| match line.event {
@@ -71,7 +71,7 @@
         _ => None,
     });
     read.map_or_else(
-        || String::from("no line says where its configuration was read"),
+        || String::from("no line logs where its configuration was read"),
         |(at, era, offset)| {
             let ago = request.arrived().saturating_sub(at);
             format!(
@@ -81,7 +81,7 @@
     )
 }
 
-/// Says what an engine had named for which a request waited, how long before, and who dealt its permits.
+/// Describes the rate limit that an engine had announced, its age, and the host that issued the permits.
 fn limit_source(logs: &HostLogs, request: &RequestLine, engine: &str) -> String {
     let before = || logs.lines_between(0, request.at).iter().rev();
     let limit_event = before().find_map(|line| match &line.event {
@@ -96,15 +96,15 @@
     });
     let permit_issuer = permit_issuer.map_or_else(|| String::from("nobody"), ToOwned::to_owned);
     limit_event.map_or_else(
-        || format!("no line says what {engine} had named; permits were dealt by {permit_issuer}"),
+        || format!("no line logs the limit of {engine}; permits were issued by {permit_issuer}"),
         |(at, limit)| {
             let ago = request.arrived().saturating_sub(at);
-            format!("{engine} takes {limit} requests a second, as a line said {ago} ms before; permits were dealt by {permit_issuer}")
+            format!("{engine} takes {limit} requests a second, as logged {ago} ms before; permits were issued by {permit_issuer}")
         },
     )
 }
 
-/// Says which cooldown an engine had asked a request's host for, and how long before.
+/// Describes the cooldown that an engine had requested of the request's host, and its age.
 fn cooldown_source(logs: &HostLogs, request: &RequestLine, engine: &str) -> String {
     let cooldown_event =
         logs.lines_between(0, request.at).iter().rev().find_map(|line| match &line.event {
@@ -116,11 +116,11 @@
             _ => None,
         });
     cooldown_event.map_or_else(
-        || format!("no line says what {engine} had asked for"),
+        || format!("no line logs the cooldown of {engine}"),
         |(at, millis)| {
             let ago = request.at.saturating_sub(at);
             format!(
-                "{engine} had first asked for {millis} ms without requests {ago} ms before its end"
+                "{engine} had first requested a cooldown of {millis} ms {ago} ms before its end"
             )
         },
     )
@@ -146,7 +146,7 @@
     Ok(())
 }
 
-/// Returns whether a line tells of something that may explain the request.
+/// Returns whether a line may help to explain the request.
 fn is_relevant(line: &LogLine, request: &RequestLine) -> bool {
     let same_host = line.host == request.host;
     match &line.event {
--- a/crates/cli/src/logs/line.rs
+++ b/crates/cli/src/logs/line.rs
@@ -1,4 +1,4 @@
-//! Reading log lines.
+//! Parses log lines.
 
 use std::{
     fs::File,
@@ -13,31 +13,32 @@
 /// A line of a host's log.
 #[derive(Debug, Clone, Deserialize)]
 pub(super) struct LogLine {
-    /// The wall clock. Unit: milliseconds since 1970.
+    /// Wall-clock time. Unit: milliseconds since 1970.
     pub(super) at: u64,
-    /// The host; lines of earlier versions call it by another name.
+    /// Host that wrote the line; earlier versions named the field `machine`.
     #[serde(alias = "machine")]
     pub(super) host: String,
-    /// What it says.
+    /// The logged event.
     #[serde(flatten)]
     pub(super) event: HostEvent,
-    /// How many lines before it found no room.
+    /// Number of lines dropped before this one because the queue was full.
     #[serde(default)]
     pub(super) left_out: u64,
 }
 
-/// The lines of several hosts in the order of their times.
+/// The log lines of several hosts, sorted by time.
 #[derive(Debug, Default)]
 pub(super) struct HostLogs {
-    /// The lines.
+    /// Lines sorted by time.
     pub(super) lines: Vec<LogLine>,
-    /// Lines that are none of a host's events.
+    /// Number of lines that are not host events.
     pub(super) skipped_lines: usize,
 }
 
 impl HostLogs {
-    /// Reads files; `-` is the standard input. Whatever stands before a line's first brace is passed
-    /// over, so that lines may carry a collector's own time and name.
+    /// Reads files; `-` is the standard input.
+    ///
+    /// Text before a line's first brace is ignored, so that a log collector may add a prefix.
     pub(super) fn read(files: &[impl AsRef<Path>]) -> eyre::Result<Self> {
         let mut logs = Self::default();
         for file in files {
@@ -47,7 +48,7 @@
                 continue;
             }
             let log_file = File::open(path)
-                .wrap_err_with(|| format!("{} can not be read; name a log file", path.display()))?;
+                .wrap_err_with(|| format!("cannot read log file {}", path.display()))?;
             logs.read_lines(BufReader::new(log_file))?;
         }
         logs.lines.sort_by_key(|line| line.at);
@@ -68,7 +69,7 @@
         Ok(())
     }
 
-    /// Returns the lines within a span of the wall clock, both ends included.
+    /// Returns the lines between two wall-clock times, both included.
     pub(super) fn lines_between(&self, from: u64, until: u64) -> &[LogLine] {
         let start = self.lines.partition_point(|line| line.at < from);
         let end = self.lines.partition_point(|line| line.at <= until);
--- a/crates/cli/src/logs/losses.rs
+++ b/crates/cli/src/logs/losses.rs
@@ -1,4 +1,4 @@
-//! `reelreel losses`: how the requests of some logs ended, by cause, and what loading cost them.
+//! `reelreel losses`: counts logged requests by cause, with their waits for adapters, and events over time.
 
 use std::{collections::BTreeMap, fmt::Write as _, path::PathBuf};
 
@@ -11,31 +11,31 @@
 };
 use crate::output::OutputFormat;
 
-/// The span of one row of the table over time. Unit: milliseconds.
+/// Interval covered by one row of the table over time.
 const INTERVAL_MS: u64 = 2000;
 
-/// Requests by cause.
+/// Requests of one cause and route.
 #[derive(Debug, Serialize)]
 struct CauseRow {
     cause: String,
     route: String,
     requests: u64,
-    /// The mean time that they waited for an adapter. Unit: milliseconds.
+    /// Mean wait for an adapter. Unit: milliseconds.
     waited: u64,
-    /// The mean time until they ended. Unit: milliseconds.
+    /// Mean total duration. Unit: milliseconds.
     total: u64,
 }
 
-/// What happened in one span of time.
+/// Event counts of one interval.
 #[derive(Debug, Default, Serialize)]
 struct IntervalRow {
-    /// The beginning of the span after the first line. Unit: milliseconds.
+    /// Start of the interval, counted from the first line. Unit: milliseconds.
     from: u64,
     served: u64,
     lost: u64,
     loads: u64,
     unloads: u64,
-    /// Orders without a useful answer.
+    /// Orders that were neither accepted nor already done.
     lost_orders: u64,
 }
 
@@ -46,10 +46,10 @@
     passed_over: usize,
 }
 
-/// Counts how the requests in the logs of `files` ended.
+/// Counts the requests logged in `files` by cause.
 ///
 /// # Errors
-/// Returns that a file can not be read.
+/// Returns an error if a file cannot be read.
 pub(crate) fn losses(files: &[PathBuf], output: OutputFormat) -> eyre::Result<String> {
     let logs = HostLogs::read(files)?;
     let table = LossTable {
@@ -85,7 +85,7 @@
     rows
 }
 
-/// Returns how many requests one line stands for.
+/// Returns how many requests one line represents: served requests are sampled.
 fn requests_per_line(cause: &RequestCause) -> u64 {
     if *cause == RequestCause::Served { LOGGED_SHARE } else { 1 }
 }
@@ -146,7 +146,7 @@
         )?;
     }
     if table.passed_over > 0 {
-        writeln!(text, "\n{} lines are no events of a host.", table.passed_over)?;
+        writeln!(text, "\n{} lines are not host events.", table.passed_over)?;
     }
     Ok(text)
 }
--- a/crates/cli/src/measure.rs
+++ b/crates/cli/src/measure.rs
@@ -1,4 +1,4 @@
-//! `reelreel measure`: what the path through entry hosts adds to calling an engine directly.
+//! `reelreel measure`: compares latency through entry hosts with direct calls to an engine.
 
 use std::{
     fmt::Write as _,
@@ -21,17 +21,17 @@
     output::print,
 };
 
-/// The adapter that is measured; one host owns its engine, the other passes requests on to it.
+/// Adapter under measurement; one host owns its engine and the other forwards requests to the owner.
 const MODEL: &str = "assist/north/brakes@2";
 
-/// A tree with that one adapter.
+/// Settings tree with that one adapter.
 const SETTINGS_TREE: &str = "deadline_ms = 60000\nqueue_limit = 100000\n[service.assist]\nbase_model = \"base\"\n\
     [service.assist.organisation.north.adapter.brakes]\nversion = 2\n";
 
-/// The stack of a thread that reads one stream.
+/// Stack size of a thread that reads one stream.
 const READER_STACK_BYTES: usize = 128 << 10;
 
-/// Microseconds of one measurement, split where the caller sees them.
+/// Latencies of one path as seen by the caller. Unit: microseconds.
 #[derive(Debug, Clone, Serialize)]
 struct PathLatencies {
     streams: usize,
@@ -67,22 +67,22 @@
     }
 }
 
-/// Where a stream is asked for.
+/// Endpoint that streams are requested from.
 #[derive(Debug, Clone)]
 struct Target {
     address: String,
-    /// The engine's present token, where the engine is called directly.
+    /// The engine's current fencing token, for direct calls.
     token: Option<u64>,
 }
 
-/// Returns the highest token that the engine has accepted, which a direct call must carry.
+/// Returns the highest fencing token that the engine has accepted, which a direct call must carry.
 fn engine_token(address: &str) -> eyre::Result<u64> {
     let mut answer = ureq::get(format!("http://{address}/report")).call()?;
     let report: serde_json::Value = serde_json::from_slice(&answer.body_mut().read_to_vec()?)?;
     report["token"].as_u64().ok_or_else(|| eyre!("the engine's report has no token"))
 }
 
-/// Measures and prints.
+/// Runs the measurement and prints the table.
 pub(crate) fn run(options: &MeasureOptions) -> eyre::Result<ExitCode> {
     let tree = read_tree(SETTINGS_TREE).map_err(|errors| eyre!("built-in tree: {}", errors[0]))?;
     let max_streams = options.streams.iter().copied().max().unwrap_or(1);
@@ -103,7 +103,7 @@
         }
         let mut samples: Vec<Samples> =
             targets.iter().map(|_| Samples::new()).collect::<eyre::Result<_>>()?;
-        // The paths take turns within each round, so that noise of the host meets all alike.
+        // Paths alternate within each round, so that noise on the host affects all of them equally.
         for round in 0..options.rounds.max(2) {
             for ((_, target), samples) in targets.iter().zip(&mut samples) {
                 let round_samples = run_round(target, streams, options.tokens)?;
@@ -142,7 +142,7 @@
     text
 }
 
-/// Asks until the adapter is loaded and every engine has its owner.
+/// Repeats a request until the adapter is loaded and the engine has an owner.
 fn warm_up(target: &Target) -> eyre::Result<()> {
     const TIMEOUT: Duration = Duration::from_secs(20);
     let deadline = Instant::now() + TIMEOUT;
@@ -155,7 +155,7 @@
     }
 }
 
-/// Opens all streams at once and reads each to its end.
+/// Opens all streams concurrently and reads each to its end.
 fn run_round(target: &Target, streams: usize, tokens: usize) -> eyre::Result<Samples> {
     let barrier = Arc::new(Barrier::new(streams));
     let mut readers = Vec::new();
@@ -169,7 +169,7 @@
     }
     let mut samples = Samples::new()?;
     for reader in readers {
-        let times = reader.join().map_err(|_| eyre!("a reader panicked"))??;
+        let times = reader.join().map_err(|_| eyre!("a reader thread panicked"))??;
         samples.first.record(micros(times.first))?;
         for between_tokens in times.between_tokens {
             samples.between_tokens.record(micros(between_tokens))?;
@@ -187,7 +187,7 @@
     between_tokens: Vec<Duration>,
 }
 
-/// Reads one stream and checks that it is whole.
+/// Reads one stream and checks that it is complete.
 fn stream_once(target: &Target, tokens: usize, index: usize) -> eyre::Result<StreamTimes> {
     let body = json!({ "model": MODEL, "prompt": "p", "max_tokens": tokens, "stream": true });
     let agent: ureq::Agent = ureq::Agent::config_builder()
@@ -207,7 +207,7 @@
     read_events(answer.into_body().into_reader(), started, tokens)
 }
 
-/// Notes when each event of a stream came.
+/// Records when each event of a stream arrives.
 fn read_events(
     mut source: impl Read,
     started: Instant,
@@ -236,12 +236,12 @@
                 received += 1;
                 last_event = now;
             } else if event != b"data: [DONE]\n\n" {
-                bail!("a stream held {}", String::from_utf8_lossy(&event));
+                bail!("unexpected event in a stream: {}", String::from_utf8_lossy(&event));
             }
         }
     }
     if received != tokens || !buffer.is_empty() {
-        bail!("a stream of {tokens} tokens came with {received}");
+        bail!("incomplete stream: got {received} of {tokens} tokens");
     }
     Ok(times)
 }
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -1,4 +1,4 @@
-//! How results are printed.
+//! Prints results as text or JSON.
 
 use std::{
     fmt,
@@ -8,10 +8,10 @@
 
 use serde::Serialize;
 
-/// For people or for scripts.
+/// Format of printed results.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum OutputFormat {
-    /// For people.
+    /// Human-readable text.
     Text,
     /// One JSON value.
     Json,
@@ -24,7 +24,7 @@
         match text {
             "text" => Ok(Self::Text),
             "json" => Ok(Self::Json),
-            other => Err(format!("`{other}` is no format; write text or json")),
+            other => Err(format!("unknown format `{other}`; use text or json")),
         }
     }
 }
@@ -38,7 +38,7 @@
     }
 }
 
-/// Prints a value as JSON, or calls for its text.
+/// Prints a value as JSON or as the result of `text`.
 pub(crate) fn print(
     format: OutputFormat,
     value: &impl Serialize,
@@ -50,7 +50,7 @@
     }
 }
 
-/// Writes to standard output. A reader that has seen enough, such as `head`, is no error.
+/// Writes to standard output. A closed pipe, as left by `head`, is not an error.
 pub(crate) fn write_out(text: &str) -> eyre::Result<()> {
     match io::stdout().write_all(text.as_bytes()) {
         Err(error) if error.kind() == io::ErrorKind::BrokenPipe => Ok(()),
--- a/crates/cli/src/platform_log.rs
+++ b/crates/cli/src/platform_log.rs
@@ -1,4 +1,4 @@
-//! The settings stream as an operator's tool reads and writes it.
+//! Reads and appends to the platform's settings stream.
 
 use std::time::{Duration, Instant};
 
@@ -12,31 +12,31 @@
 
 use crate::{options::LogSource, watch};
 
-/// How long a publication may take to show up in the log.
+/// Maximum time until the verdict of a publication is in the log.
 const VERDICT_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// How long one read waits for records.
+/// Maximum time that one read waits for records.
 const LONG_POLL_WAIT: Duration = Duration::from_millis(500);
 
 /// The settings stream of one platform.
 pub(crate) struct PlatformLog {
     platform: PlatformHttp,
-    /// A host that is asked where the log has forgotten the beginning.
+    /// Host that provides a snapshot where the log's first records have expired.
     host: Option<String>,
 }
 
 impl PlatformLog {
-    /// Names the platform, and a host where the operator did.
+    /// Creates a client for the platform, without connecting.
     pub(crate) fn new(source: &LogSource) -> Self {
         Self { platform: PlatformHttp::new(&source.platform), host: source.host.clone() }
     }
 
-    /// Folds the settings stream up to its end, from a snapshot where the start has expired.
+    /// Replays the settings stream to its end, from a snapshot if there is one.
     pub(crate) fn replay(&self) -> eyre::Result<SettingsFold> {
         let mut settings = SettingsFold::default();
         self.install_latest_snapshot(&mut settings)?;
         if let Some(host) = &self.host {
-            // A host that can not be asked is no loss while the log still has the records.
+            // An unreachable host is not an error while the log still has the records.
             if let Ok(snapshot) = watch::fetch::<SettingsSnapshot>(host, "settings") {
                 settings.install_snapshot(snapshot)?;
             }
@@ -53,7 +53,7 @@
         let newest = batch.records.last().map(|record| record.payload.clone());
         if let Some(payload) = newest {
             let snapshot = SettingsSnapshot::from_json(&payload);
-            // A snapshot that can not be trusted is no loss while the log still has the records.
+            // An invalid snapshot is not an error while the log still has the records.
             if let Ok(snapshot) = snapshot {
                 drop(settings.install_snapshot(snapshot));
             }
@@ -61,7 +61,7 @@
         Ok(())
     }
 
-    /// Folds what has come since; the first read waits up to `wait` for something.
+    /// Applies all new records; the first read waits up to `wait` for one.
     fn read_new_records(&self, settings: &mut SettingsFold, wait: Duration) -> eyre::Result<()> {
         let mut wait = wait;
         loop {
@@ -69,20 +69,20 @@
             let batch = self.platform.read(LogStream::Settings, from, wait)?;
             wait = Duration::ZERO;
             if settings.enter_era(batch.era) {
-                // The log came back from an older copy: what it has now is folded from the start.
+                // The log was restored from an older copy: replay it from the start.
                 self.install_latest_snapshot(settings)?;
                 continue;
             }
             if batch.end < from {
                 bail!(
-                    "the log ends at {}, before the {from} records that the host knows; it has come back from an older copy, try again in a moment",
+                    "the log ends at offset {}, before the {from} records already read; it was restored from an older copy, try again in a moment",
                     batch.end
                 );
             }
             let Some(first) = batch.records.first() else { return Ok(()) };
             if first.offset > from {
                 bail!(
-                    "records from {from} have expired and no snapshot covers them; name a running host with --host"
+                    "records from offset {from} have expired and no snapshot covers them; pass a running host with --host"
                 );
             }
             for record in batch.records {
@@ -93,22 +93,22 @@
         }
     }
 
-    /// Publishes a change and waits until the log shows what became of it.
+    /// Publishes a change and waits for its verdict in the log.
     ///
-    /// An append whose answer is lost is not repeated: the log itself tells whether it was written.
+    /// An append whose response is lost is not retried: reading the log shows whether it was written.
     pub(crate) fn publish(&self, record: &ChangeRecord) -> eyre::Result<ChangeVerdict> {
         let mut state = PublicationState::initial();
-        let mut settings = self.replay().wrap_err("the settings in force can not be read")?;
+        let mut settings = self.replay().wrap_err("cannot read the settings in force")?;
         let payload = serde_json::to_vec(record)?;
         let result = self.platform.append(LogStream::Settings, &payload);
         state = state.after(PublicationEvent::Appended);
         if result == AppendResult::Refused {
             state = state.after(PublicationEvent::AppendRefused);
-            bail!("publication {}: the platform took nothing; publish again", state.name());
+            bail!("publication {}: the platform refused the append; publish again", state.name());
         }
         let deadline = Instant::now() + VERDICT_TIMEOUT;
         while Instant::now() < deadline {
-            // The log may be away for a moment; the verdict is in it all the same.
+            // A failed read is retried: the log may be unavailable for a moment.
             drop(self.read_new_records(&mut settings, LONG_POLL_WAIT));
             let verdict = settings.verdicts().find(|verdict| verdict.change_id == record.change_id);
             if let Some(verdict) = verdict {
@@ -116,7 +116,7 @@
             }
         }
         bail!(
-            "publication {}: it did not show up in the log within {} s; look for {} with `reelreel settings history` before publishing again",
+            "publication {}: not found in the log within {} s; look for {} with `reelreel settings history` before publishing again",
             state.name(),
             VERDICT_TIMEOUT.as_secs(),
             record.change_id
--- a/crates/cli/src/settings.rs
+++ b/crates/cli/src/settings.rs
@@ -1,4 +1,4 @@
-//! `reelreel settings`: check, show, diff, publish, history.
+//! `reelreel settings`: checks, shows, compares and publishes the settings tree.
 
 mod publish;
 mod show;
@@ -10,7 +10,7 @@
 
 use crate::options::SettingsCommand;
 
-/// Runs one of the settings commands.
+/// Runs a settings command.
 pub(crate) fn run(command: &SettingsCommand) -> eyre::Result<ExitCode> {
     match command {
         SettingsCommand::Check { file } => check(file),
@@ -29,7 +29,7 @@
     match read_tree(&text) {
         Ok(mut tree) => {
             tree.reindex();
-            println!("{}: no mistakes, {} adapters", file.display(), tree.adapter_count());
+            println!("{}: no errors, {} adapters", file.display(), tree.adapter_count());
             Ok(ExitCode::SUCCESS)
         }
         Err(errors) => {
@@ -43,10 +43,10 @@
 
 fn read_text(file: &Path) -> eyre::Result<String> {
     fs::read_to_string(file)
-        .wrap_err_with(|| format!("{} can not be read; name a TOML file", file.display()))
+        .wrap_err_with(|| format!("cannot read settings file {}", file.display()))
 }
 
-/// Reads a tree from a file, or fails with all mistakes in it.
+/// Reads a tree from a file; the error lists every invalid line.
 fn read_file(file: &Path) -> eyre::Result<SettingsTree> {
     let text = read_text(file)?;
     match read_tree(&text) {
@@ -54,7 +54,7 @@
         Err(errors) => {
             let lines: Vec<String> =
                 errors.iter().map(|error| format!("{}:{error}", file.display())).collect();
-            bail!("the file has mistakes:\n{}", lines.join("\n"))
+            bail!("the settings file is invalid:\n{}", lines.join("\n"))
         }
     }
 }
--- a/crates/cli/src/settings/publish.rs
+++ b/crates/cli/src/settings/publish.rs
@@ -1,4 +1,4 @@
-//! Publications: what a file would change, publishing it, and what became of earlier ones.
+//! Exports, compares and publishes settings files and lists earlier publications.
 
 use std::{fmt::Write, path::Path, process::ExitCode, time::SystemTime};
 
@@ -14,10 +14,10 @@
     platform_log::PlatformLog,
 };
 
-/// The first line of an exported file, before the revision.
+/// Prefix of an exported file's first line; the base revision follows.
 const BASE_REVISION_PREFIX: &str = "# made from revision ";
 
-/// Writes the tree in force as a file.
+/// Prints the tree in force as a settings file.
 pub(super) fn export(log: &LogSource) -> eyre::Result<ExitCode> {
     let settings = PlatformLog::new(log).replay()?;
     write_out(&format!(
@@ -28,7 +28,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Returns the revision that a file says it was made from.
+/// Returns the base revision in a file's first line.
 fn parse_base_revision(text: &str) -> Option<u64> {
     text.lines().next()?.strip_prefix(BASE_REVISION_PREFIX)?.trim().parse().ok()
 }
@@ -51,7 +51,7 @@
     text
 }
 
-/// Shows what publishing a file would change.
+/// Prints the edits that publishing a file would make.
 pub(super) fn diff(log: &LogSource, file: &Path, output: OutputFormat) -> eyre::Result<ExitCode> {
     let target = read_file(file)?;
     let settings = PlatformLog::new(log).replay()?;
@@ -72,7 +72,7 @@
         edits.retain(|edit| edit.path.segments().starts_with(at.segments()));
     }
     if edits.is_empty() {
-        println!("nothing to publish: revision {} is the same", settings.revision());
+        println!("nothing to publish: the file equals revision {}", settings.revision());
         return Ok(ExitCode::SUCCESS);
     }
     let base_revision =
@@ -93,13 +93,13 @@
     Ok(if verdict.result.is_ok() { ExitCode::SUCCESS } else { ExitCode::from(3) })
 }
 
-/// Makes an id that no other publication has: time and process.
+/// Returns a unique id built from the time and the process id.
 fn change_id() -> String {
     let elapsed = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
     format!("{:x}-{:x}", elapsed.as_nanos(), std::process::id())
 }
 
-/// Shows the last publications.
+/// Prints the latest publications and their verdicts.
 pub(super) fn history(log: &LogSource, output: OutputFormat) -> eyre::Result<ExitCode> {
     let settings = PlatformLog::new(log).replay()?;
     let verdicts: Vec<&ChangeVerdict> = settings.verdicts().collect();
--- a/crates/cli/src/settings/show.rs
+++ b/crates/cli/src/settings/show.rs
@@ -1,4 +1,4 @@
-//! What is in force where, and which keys there are.
+//! Prints effective settings and the available keys.
 
 use std::{fmt::Write, process::ExitCode};
 
@@ -25,7 +25,7 @@
     meaning: &'static str,
 }
 
-/// Lists all keys.
+/// Prints all keys of the settings tree.
 pub(super) fn keys(output: OutputFormat) -> eyre::Result<ExitCode> {
     let row = |key: &SettingKey| KeyRow {
         key: key.name(),
@@ -56,7 +56,7 @@
     meaning: &'static str,
 }
 
-/// Lists all keys of a host's own file.
+/// Prints all keys of a host's settings file.
 pub(super) fn host_keys(output: OutputFormat) -> eyre::Result<ExitCode> {
     let row = |field: &FieldSpec| {
         let dot = if field.table.is_empty() { "" } else { "." };
@@ -87,7 +87,7 @@
     from: String,
 }
 
-/// Shows the values in force at a place.
+/// Prints the effective values at a path and where each is set.
 pub(super) fn show(
     source: &TreeSource,
     path: &str,
--- a/crates/cli/src/soak.rs
+++ b/crates/cli/src/soak.rs
@@ -1,6 +1,6 @@
-//! `reelreel soak`: real hosts under drawn faults.
+//! `reelreel soak`: runs real hosts under random faults.
 //!
-//! It starts hosts as processes of their own and ends only these. No host ever starts a process.
+//! Starts hosts as separate processes and ends only these.
 
 use std::{env, path::PathBuf, process::ExitCode, time::Duration};
 
@@ -12,10 +12,10 @@
 
 use crate::options::SoakCommand;
 
-/// The program of a host.
+/// File name of the host program.
 const HOST_PROGRAM: &str = "reelreeld";
 
-/// Plays the soaks, and fails where a promise was broken in one.
+/// Runs one soak for each seed; the exit code is a failure if any guarantee was violated.
 pub(crate) fn run(command: &SoakCommand) -> eyre::Result<ExitCode> {
     let program = match &command.program {
         Some(program) => program.clone(),
@@ -44,10 +44,11 @@
     Ok(code)
 }
 
-/// Returns the program of a host that stands beside this one.
+/// Returns the path of the host program in this executable's directory.
 fn sibling_host_program() -> eyre::Result<PathBuf> {
     let executable = env::current_exe()?;
-    let folder =
-        executable.parent().ok_or_eyre("this program stands in no folder; name the host's")?;
+    let folder = executable.parent().ok_or_eyre(
+        "the executable has no parent directory; pass the host program with --program",
+    )?;
     Ok(folder.join(HOST_PROGRAM))
 }
--- a/crates/cli/src/watch.rs
+++ b/crates/cli/src/watch.rs
@@ -1,4 +1,4 @@
-//! `reelreel status` and `reelreel timeline`: what hosts say of themselves.
+//! `reelreel status` and `reelreel timeline`: query the state and events of hosts.
 
 use std::{fmt::Write, process::ExitCode, time::Duration};
 
@@ -11,20 +11,20 @@
 
 use crate::{options::WatchOptions, output::print};
 
-/// How long a host may take to answer.
+/// Maximum time for a host's response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Fetches one of a host's pages.
+/// Fetches a JSON page from a host's operators' address.
 pub(crate) fn fetch<T: DeserializeOwned>(host: &str, page: &str) -> eyre::Result<T> {
     let url = format!("http://{host}/{page}");
     let call = ureq::get(&url).config().timeout_global(Some(RESPONSE_TIMEOUT)).build().call();
     let mut response =
-        call.wrap_err_with(|| format!("{host} does not answer; name its operators' address"))?;
+        call.wrap_err_with(|| format!("cannot reach {host}; pass its operators' address"))?;
     let body = response.body_mut().with_config().limit(64 << 20).read_to_vec()?;
-    serde_json::from_slice(&body).wrap_err_with(|| format!("{url} gave no usable answer"))
+    serde_json::from_slice(&body).wrap_err_with(|| format!("invalid response from {url}"))
 }
 
-/// Asks every host; those that do not answer are named and left out.
+/// Fetches a page from every host; hosts that fail are reported on standard error and skipped.
 fn fetch_all<T: DeserializeOwned>(hosts: &[String], page: &str) -> eyre::Result<Vec<T>> {
     let mut responses = Vec::new();
     for host in hosts {
@@ -34,12 +34,12 @@
         }
     }
     if responses.is_empty() {
-        bail!("none of the hosts answered");
+        bail!("no host responded");
     }
     Ok(responses)
 }
 
-/// Shows the state of hosts.
+/// Prints the state of hosts.
 pub(crate) fn status(options: &WatchOptions) -> eyre::Result<ExitCode> {
     let statuses: Vec<NodeStatus> = fetch_all(&options.hosts, "status")?;
     print(options.output, &statuses, || statuses.iter().map(format_status).collect())?;
@@ -51,7 +51,7 @@
     let ready = if status.ready { "ready" } else { "not ready" };
     let _infallible = writeln!(
         text,
-        "host {} hall {}: {ready}, {}, revision {}, {} open requests, host {} gives store turns",
+        "host {} hall {}: {ready}, {}, revision {}, {} open requests, host {} schedules store loads",
         status.host,
         status.hall,
         status.drain,
@@ -69,7 +69,7 @@
     for engine in &status.engines {
         let _infallible = writeln!(
             text,
-            "  engine {}: {}, {} permits out, {} waiting, holds {}",
+            "  engine {}: {}, {} open permits, {} waiting, holds {}",
             engine.engine,
             engine.state,
             engine.permits,
@@ -80,7 +80,7 @@
     text
 }
 
-/// Shows the events of hosts in one order.
+/// Prints the events of hosts, merged in causal order.
 pub(crate) fn timeline(options: &WatchOptions) -> eyre::Result<ExitCode> {
     let timelines: Vec<Vec<TimelineEvent>> = fetch_all(&options.hosts, "timeline")?;
     let events = merge_timelines(timelines.into_iter().flatten());
--- a/crates/cli/tests/logs/main.rs
+++ b/crates/cli/tests/logs/main.rs
@@ -1,4 +1,4 @@
-//! `reelreel explain` and `reelreel losses`, over lines as hosts write them.
+//! Tests `reelreel explain` and `reelreel losses` on log lines as hosts write them.
 
 use std::{fs, path::PathBuf, process::Command};
 
@@ -34,9 +34,9 @@
 
 struct CauseCase {
     name: &'static str,
-    /// How the request `r1` ended at 10,000.
+    /// Fields of the log line of request `r1`, which ended at 10,000 ms.
     request: &'static str,
-    /// Lines around it.
+    /// Other lines in the same log.
     context: &'static [&'static str],
     cause: &'static str,
 }
@@ -191,7 +191,7 @@
         assert!(text.contains(&format!("Cause: {}\n", case.cause)), "{}: {text}", case.name);
         let (success, text) = reelreel(&["losses"], &log);
         assert!(success && text.contains(case.cause), "{}: {text}", case.name);
-        assert!(text.contains("1 lines are no events"), "{}: {text}", case.name);
+        assert!(text.contains("1 lines are not host events"), "{}: {text}", case.name);
     }
 }
 
@@ -215,7 +215,7 @@
     assert!(!text.contains("m/a2") && !text.contains("three"), "{text}");
 }
 
-/// Lines of an earlier version name their host otherwise, and say nothing of the store's era.
+/// Guards against failing on lines of earlier versions, which name the host `machine` and lack the store's era.
 #[test]
 fn explain_reports_where_the_configuration_was_read() {
     let log = LogFile::new(
@@ -247,7 +247,7 @@
     let (success, text) = reelreel(&["explain", "r1"], &log);
     assert!(success, "{text}");
     let limit =
-        "e1 takes 1.7 requests a second, as a line said 1500 ms before; permits were dealt by two";
+        "e1 takes 1.7 requests a second, as logged 1500 ms before; permits were issued by two";
     assert!(text.contains(limit), "{text}");
     assert!(!text.contains("\"e2\""), "{text}");
 }
@@ -265,7 +265,7 @@
     );
     let (success, text) = reelreel(&["explain", "r1"], &log);
     assert!(success, "{text}");
-    let cooldown = "e1 had first asked for 3000 ms without requests 1500 ms before its end";
+    let cooldown = "e1 had first requested a cooldown of 3000 ms 1500 ms before its end";
     assert!(text.contains(cooldown), "{text}");
     assert!(!text.contains("\"e2\""), "{text}");
 }
@@ -275,7 +275,7 @@
     let log = LogFile::new("none", &[r#"{"at":1,"host":"one","event":"stopping","open":0}"#]);
     let (success, text) = reelreel(&["explain", "r9"], &log);
     assert!(!success);
-    assert!(text.contains("no line tells of request r9"), "{text}");
+    assert!(text.contains("no log line mentions request r9"), "{text}");
 }
 
 #[test]
