--- a/crates/cli/src/options.rs
+++ b/crates/cli/src/options.rs
@@ -1,4 +1,4 @@
-//! What can be asked for on the command line.
+//! Command-line options.
 
 use std::path::PathBuf;
 
@@ -6,45 +6,45 @@
 
 use crate::output::OutputFormat;
 
-/// Publishes settings, shows what hosts do, and runs everything on one host for a try.
+/// Manages settings, inspects hosts and runs a local site for development.
 ///
-/// Completions: `reelreel --bpaf-complete-style-bash` (or -zsh, -fish, -elvish) prints the script.
+/// `reelreel --bpaf-complete-style-bash` (or -zsh, -fish, -elvish) prints a shell completion script.
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options, version)]
 pub(crate) enum Command {
-    /// Runs a platform, engines and entry hosts, or one of them, for a try on this host
+    /// Runs a local site, or one component of it, for development
     #[bpaf(command)]
     Dev(#[bpaf(external(dev_command))] DevCommand),
     /// Checks, shows and publishes the settings tree
     #[bpaf(command)]
     Settings(#[bpaf(external(settings_command))] SettingsCommand),
-    /// Shows the state of hosts
+    /// Shows the current state of hosts
     #[bpaf(command)]
     Status(#[bpaf(external(watch_options))] WatchOptions),
-    /// Shows the events of hosts in one order, causes before effects
+    /// Shows the events of hosts merged in causal order
     #[bpaf(command)]
     Timeline(#[bpaf(external(watch_options))] WatchOptions),
-    /// Puts together what all hosts' logs say of one request, and names the cause of its end
+    /// Shows the log lines related to one request and the cause of its outcome
     #[bpaf(command)]
     Explain(#[bpaf(external(explain_options))] ExplainOptions),
-    /// Counts how the requests in hosts' logs ended, by cause and over time
+    /// Counts the requests in hosts' logs by cause and over time
     #[bpaf(command)]
     Losses(#[bpaf(external(losses_options))] LossesOptions),
-    /// Plays scenarios against several policies and prints what callers got
+    /// Compares residency policies on simulated scenarios
     #[bpaf(command)]
     Bench(#[bpaf(external(bench_options))] BenchOptions),
-    /// Measures what state, messages and decisions cost, for docs/CAPACITY.md
+    /// Measures memory, message and CPU costs for docs/CAPACITY.md
     #[bpaf(command)]
     Capacity(#[bpaf(external(capacity_options))] CapacityOptions),
-    /// Plays drawn faults against real hosts and checks the promises from outside
+    /// Injects random faults into real hosts and checks the guarantees from outside
     #[bpaf(command)]
     Soak(#[bpaf(external(soak_options))] SoakCommand),
-    /// Measures what the path through entry hosts adds to calling an engine directly
+    /// Compares latency through entry hosts with direct calls to an engine
     #[bpaf(command)]
     Measure(#[bpaf(external(measure_options))] MeasureOptions),
 }
 
-/// What `reelreel dev` runs.
+/// Components that `reelreel dev` can run.
 #[derive(Debug, Clone, Bpaf)]
 pub(crate) enum DevCommand {
     /// Runs only a stand-in platform
@@ -56,102 +56,102 @@
     /// Runs only a stand-in plain service
     #[bpaf(command)]
     Service(#[bpaf(external(dev_service))] DevService),
-    /// Everything, as threads of one process
+    /// Runs a whole site in one process
     All(#[bpaf(external(dev_all))] DevAll),
 }
 
-/// Everything as threads of one process.
+/// Options of a whole site in one process.
 #[derive(Debug, Clone, Bpaf)]
 pub(crate) struct DevAll {
-    /// Entry hosts
+    /// Number of entry hosts
     #[bpaf(argument("COUNT"), fallback(2), display_fallback)]
     pub(crate) hosts: u32,
-    /// Engines
+    /// Number of engines
     #[bpaf(argument("COUNT"), fallback(3), display_fallback)]
     pub(crate) engines: u32,
-    /// Data halls over which both are spread
+    /// Number of data halls over which hosts and engines are spread
     #[bpaf(argument("COUNT"), fallback(1), display_fallback)]
     pub(crate) halls: u16,
     /// Callers' port of the first host
     #[bpaf(argument("PORT"), fallback(8080), display_fallback)]
     pub(crate) port: u16,
-    /// Another settings tree than the built-in one
+    /// Settings tree in TOML; a built-in one by default
     #[bpaf(argument("FILE"))]
     pub(crate) tree: Option<PathBuf>,
 }
 
-/// A stand-in platform.
+/// Options of a stand-in platform.
 #[derive(Debug, Clone, Bpaf)]
 pub(crate) struct DevPlatform {
-    /// Where it listens; port 0 picks a free one
+    /// Address to listen on; port 0 picks a free one
     #[bpaf(argument("ADDRESS"), fallback(String::from("127.0.0.1:0")), display_fallback)]
     pub(crate) listen: String,
-    /// Loads a second that the weight store gives, one at a time
+    /// Rate of the weight store in loads per second, one load at a time
     #[bpaf(argument("RATE"), fallback(3.0), display_fallback)]
     pub(crate) loads: f64,
-    /// How late the host list is, in milliseconds
+    /// Delay of the host list in milliseconds
     #[bpaf(argument("MILLIS"), fallback(500), display_fallback)]
     pub(crate) host_lag: u64,
-    /// Records of a stream that are kept
+    /// Number of records retained per stream
     #[bpaf(argument("COUNT"), fallback(100_000), display_fallback)]
     pub(crate) retained: usize,
 }
 
-/// A stand-in engine.
+/// Options of a stand-in engine.
 #[derive(Debug, Clone, Bpaf)]
 pub(crate) struct DevEngine {
-    /// Its number
+    /// Id, unique among components of its kind
     #[bpaf(argument("NUMBER"))]
     pub(crate) id: u32,
-    /// Its data hall
+    /// Data hall
     #[bpaf(argument("NUMBER"), fallback(1), display_fallback)]
     pub(crate) hall: u16,
-    /// Its service
+    /// Service name
     #[bpaf(argument("NAME"), fallback(String::from("assist")), display_fallback)]
     pub(crate) service: String,
-    /// The platform, whose host list it enters
+    /// Platform to register with
     #[bpaf(argument("ADDRESS"))]
     pub(crate) platform: String,
-    /// Where it listens; port 0 picks a free one
+    /// Address to listen on; port 0 picks a free one
     #[bpaf(argument("ADDRESS"), fallback(String::from("127.0.0.1:0")), display_fallback)]
     pub(crate) listen: String,
-    /// Adapters that it holds
+    /// Number of adapter slots
     #[bpaf(argument("COUNT"), fallback(4), display_fallback)]
     pub(crate) slots: u32,
-    /// Requests that it runs at once
+    /// Maximum number of concurrent requests
     #[bpaf(argument("COUNT"), fallback(32), display_fallback)]
     pub(crate) streams: u32,
-    /// Do not check fence tokens
+    /// Do not check fencing tokens
     pub(crate) no_fence: bool,
 }
 
-/// A stand-in plain service.
+/// Options of a stand-in plain service.
 #[derive(Debug, Clone, Bpaf)]
 pub(crate) struct DevService {
-    /// Its number
+    /// Id, unique among components of its kind
     #[bpaf(argument("NUMBER"))]
     pub(crate) id: u32,
-    /// Its data hall
+    /// Data hall
     #[bpaf(argument("NUMBER"), fallback(1), display_fallback)]
     pub(crate) hall: u16,
-    /// Its service
+    /// Service name
     #[bpaf(argument("NAME"), fallback(String::from("orders")), display_fallback)]
     pub(crate) service: String,
-    /// The platform, whose host list it enters
+    /// Platform to register with
     #[bpaf(argument("ADDRESS"))]
     pub(crate) platform: String,
-    /// Where it listens; port 0 picks a free one
+    /// Address to listen on; port 0 picks a free one
     #[bpaf(argument("ADDRESS"), fallback(String::from("127.0.0.1:0")), display_fallback)]
     pub(crate) listen: String,
 }
 
-/// What is done with the settings tree.
+/// Commands for the settings tree.
 #[derive(Debug, Clone, Bpaf)]
 pub(crate) enum SettingsCommand {
-    /// Names every mistake in a file
+    /// Checks a settings file and prints every error in it
     #[bpaf(command)]
     Check {
-        /// The tree, in TOML
+        /// Settings tree in TOML
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
@@ -167,38 +167,38 @@
         #[bpaf(external(output_format))]
         output: OutputFormat,
     },
-    /// Shows the values in force at a place, and where each comes from
+    /// Shows the effective values at a path and where each is set
     #[bpaf(command)]
     Show {
         #[bpaf(external(tree_source))]
         source: TreeSource,
         #[bpaf(external(output_format))]
         output: OutputFormat,
-        /// service/organisation/adapter, or a part of it from the left; / for the site
+        /// Path: service, service/organisation or service/organisation/adapter; / for the site
         #[bpaf(positional("PATH"))]
         path: String,
     },
-    /// Writes the tree in force as a file to change and publish
+    /// Prints the tree in force as a settings file to edit and publish
     #[bpaf(command)]
     Export {
         #[bpaf(external(log_source))]
         log: LogSource,
     },
-    /// Shows what publishing a file would change
+    /// Shows the edits that publishing a file would make
     #[bpaf(command)]
     Diff {
         #[bpaf(external(log_source))]
         log: LogSource,
         #[bpaf(external(output_format))]
         output: OutputFormat,
-        /// The tree, in TOML
+        /// Settings tree in TOML
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
     /// Publishes a file and waits for the verdict
     #[bpaf(command)]
     Publish(#[bpaf(external(publish_options))] PublishOptions),
-    /// Shows the last publications and what became of each
+    /// Shows the latest publications and their verdicts
     #[bpaf(command)]
     History {
         #[bpaf(external(log_source))]
@@ -208,42 +208,42 @@
     },
 }
 
-/// Where the settings in force are read from.
+/// Source of the settings in force.
 #[derive(Debug, Clone, Bpaf)]
 pub(crate) struct LogSource {
-    /// The platform
+    /// Platform address
     #[bpaf(argument("ADDRESS"))]
     pub(crate) platform: String,
-    /// A host's operators' address, for when the log has forgotten the beginning
+    /// Operators' address of a host that provides a snapshot if the log's first records have expired
     #[bpaf(argument("ADDRESS"))]
     pub(crate) host: Option<String>,
 }
 
-/// How a file is published.
+/// Options for publishing a file.
 #[derive(Debug, Clone, Bpaf)]
 pub(crate) struct PublishOptions {
     #[bpaf(external(log_source))]
     pub(crate) log: LogSource,
-    /// Who publishes
+    /// Author of the change
     #[bpaf(argument("NAME"), fallback(String::from("operator")), display_fallback)]
     pub(crate) author: String,
-    /// Why
+    /// Description of the change
     #[bpaf(argument("TEXT"), fallback(String::new()))]
     pub(crate) message: String,
-    /// The revision that the file was made from; an exported file names its own
+    /// Revision that the file is based on; an exported file states its own
     #[bpaf(argument("REVISION"))]
     pub(crate) base: Option<u64>,
-    /// Publish only what lies at or below this path
+    /// Publish only edits at or below this path
     #[bpaf(argument("PATH"))]
     pub(crate) at: Option<String>,
     #[bpaf(external(output_format))]
     pub(crate) output: OutputFormat,
-    /// The tree, in TOML
+    /// Settings tree in TOML
     #[bpaf(positional("FILE"))]
     pub(crate) file: PathBuf,
 }
 
-/// Where a tree is read from.
+/// Source of a settings tree.
 #[derive(Debug, Clone, Bpaf)]
 pub(crate) enum TreeSource {
     /// From the platform's log
@@ -259,105 +259,99 @@
     },
 }
 
-/// Which hosts are asked.
+/// Options of the commands that query hosts.
 #[derive(Debug, Clone, Bpaf)]
 pub(crate) struct WatchOptions {
     #[bpaf(external(output_format))]
     pub(crate) output: OutputFormat,
     /// Operators' addresses of the hosts
-    #[bpaf(positional("ADDRESS"), some("name at least one host's operators' address"))]
+    #[bpaf(positional("ADDRESS"), some("pass at least one host's operators' address"))]
     pub(crate) hosts: Vec<String>,
 }
 
-/// Which request is explained.
+/// Options of `reelreel explain`.
 #[derive(Debug, Clone, Bpaf)]
 pub(crate) struct ExplainOptions {
-    /// The request's id
+    /// Request id
     #[bpaf(positional("REQUEST"))]
     pub(crate) id: String,
-    /// Log files of hosts on a platform; - for the standard input
-    #[bpaf(
-        positional("LOG"),
-        some("name the log files of all hosts, or - for the standard input")
-    )]
+    /// Log files of hosts; - reads standard input
+    #[bpaf(positional("LOG"), some("pass the log files of all hosts, or - for standard input"))]
     pub(crate) logs: Vec<PathBuf>,
 }
 
-/// Whose losses are counted.
+/// Options of `reelreel losses`.
 #[derive(Debug, Clone, Bpaf)]
 pub(crate) struct LossesOptions {
     #[bpaf(external(output_format))]
     pub(crate) output: OutputFormat,
-    /// Log files of hosts on a platform; - for the standard input
-    #[bpaf(
-        positional("LOG"),
-        some("name the log files of all hosts, or - for the standard input")
-    )]
+    /// Log files of hosts; - reads standard input
+    #[bpaf(positional("LOG"), some("pass the log files of all hosts, or - for standard input"))]
     pub(crate) logs: Vec<PathBuf>,
 }
 
-/// Which soaks are played.
+/// Options of `reelreel soak`.
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(generate(soak_options))]
 pub(crate) struct SoakCommand {
-    /// The first seed; a seed is the whole plan
+    /// First seed; the seed determines the whole fault plan
     #[bpaf(argument("NUMBER"), fallback(1), display_fallback)]
     pub(crate) seed: u64,
-    /// How many seeds, one after the other
+    /// Number of consecutive seeds to run
     #[bpaf(argument("COUNT"), fallback(1), display_fallback)]
     pub(crate) seeds: u64,
-    /// Hosts, a process each
+    /// Number of hosts, one process each
     #[bpaf(argument("COUNT"), fallback(4), display_fallback)]
     pub(crate) hosts: usize,
-    /// For how many seconds things happen in each
+    /// Duration of fault injection per seed in seconds
     #[bpaf(argument("SECONDS"), fallback(30), display_fallback)]
     pub(crate) seconds: u64,
-    /// Only print the plans
+    /// Print the fault plans without running them
     pub(crate) plan: bool,
-    /// The program of a host; the one beside this program where none is named
+    /// Host program; by default the one in this program's directory
     #[bpaf(argument("FILE"))]
     pub(crate) program: Option<PathBuf>,
-    /// Where plans and logs of soaks go in which a promise was broken
+    /// Folder for plans and logs of soaks that violated a guarantee
     #[bpaf(argument("FOLDER"))]
     pub(crate) folder: Option<PathBuf>,
 }
 
-/// What is measured.
+/// Options of `reelreel measure`.
 #[derive(Debug, Clone, Bpaf)]
 pub(crate) struct MeasureOptions {
-    /// Streams at once; may be given several times
+    /// Number of concurrent streams; may be repeated
     #[bpaf(argument("COUNT"), many, map(default_streams))]
     pub(crate) streams: Vec<usize>,
-    /// Tokens of each answer
+    /// Tokens per answer
     #[bpaf(argument("COUNT"), fallback(100), display_fallback)]
     pub(crate) tokens: usize,
-    /// Rounds of each number of streams; the first one warms up and is not counted
+    /// Rounds per number of streams; the first is a warm-up and not counted
     #[bpaf(argument("COUNT"), fallback(4), display_fallback)]
     pub(crate) rounds: usize,
     #[bpaf(external(output_format))]
     pub(crate) output: OutputFormat,
 }
 
-/// Which scenarios are played.
+/// Options of `reelreel bench`.
 #[derive(Debug, Clone, Bpaf)]
 pub(crate) struct BenchOptions {
-    /// Seeds callers and hosts; the same seed gives the same table
+    /// Random seed; the same seed gives the same table
     #[bpaf(argument("NUMBER"), fallback(1), display_fallback)]
     pub(crate) seed: u64,
-    /// A scenario file; may be given several times. All built-in ones where none is named
+    /// Scenario file, may be repeated; all built-in scenarios by default
     #[bpaf(argument("FILE"), many)]
     pub(crate) scenario: Vec<PathBuf>,
-    /// A policy (value, arrival); may be given several times. All where none is named
+    /// Policy (value, arrival), may be repeated; all policies by default
     #[bpaf(argument("NAME"), many)]
     pub(crate) policy: Vec<String>,
     #[bpaf(external(output_format))]
     pub(crate) output: OutputFormat,
 }
 
-/// What is measured for the capacity page.
+/// Options of `reelreel capacity`.
 #[derive(Debug, Clone, Bpaf)]
 pub(crate) struct CapacityOptions {
-    /// Leave out the largest sizes
+    /// Skip the largest sizes
     pub(crate) quick: bool,
     /// Measure only these parts: tree, claims, decisions, hosts, losses
     #[bpaf(argument("PART"), many)]
@@ -372,7 +366,7 @@
 
 fn output_format() -> impl Parser<OutputFormat> {
     bpaf::long("output")
-        .help("How to print: text or json")
+        .help("Output format: text or json")
         .argument::<OutputFormat>("FORMAT")
         .fallback(OutputFormat::Text)
         .display_fallback()
--- a/crates/cli/tests/logs/main.rs
+++ b/crates/cli/tests/logs/main.rs
@@ -27,7 +27,7 @@
         .args(arguments)
         .arg(&log.path)
         .output()
-        .expect("the program runs");
+        .expect("reelreel starts");
     let text = [output.stdout, output.stderr].concat();
     (output.status.success(), String::from_utf8_lossy(&text).into_owned())
 }
--- a/crates/cli/tests/processes/client.rs
+++ b/crates/cli/tests/processes/client.rs
@@ -1,4 +1,4 @@
-//! A caller: sends requests and reads answers to their very end.
+//! A test client that sends requests and reads responses to their end.
 
 use std::{
     fmt::Write as _,
@@ -9,24 +9,24 @@
 
 use serde_json::{Value, json};
 
-/// What a caller got for a streamed completion.
+/// The response to a streamed completion.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct StreamAnswer {
-    /// The status of the answer.
+    /// HTTP status.
     pub(crate) status: u16,
-    /// Tokens that came, in order.
+    /// Number of tokens received in order.
     pub(crate) tokens: usize,
-    /// Whether the stream ended with the word that it is complete, and as HTTP ends it.
+    /// Whether the stream ended with `[DONE]` and the final HTTP chunk.
     pub(crate) complete: bool,
-    /// The request's id, as the engine answered it.
+    /// Request id in the engine's response.
     pub(crate) id: String,
-    /// The adapter that answered.
+    /// Adapter that served the request.
     pub(crate) model: String,
-    /// The error's kind and outcome, where there was one.
+    /// Type and outcome of the error, if any.
     pub(crate) error: Option<(String, String)>,
 }
 
-/// A completion to ask for.
+/// A completion request.
 #[derive(Debug, Clone)]
 pub(crate) struct Completion {
     pub(crate) model: &'static str,
@@ -45,7 +45,7 @@
     }
 }
 
-/// Asks for a streamed completion and reads it to its end.
+/// Requests a streamed completion and reads it to its end.
 pub(crate) fn stream(host: &str, completion: &Completion) -> StreamAnswer {
     let body = json!({
         "model": completion.model,
@@ -59,7 +59,7 @@
     parse_answer(&text)
 }
 
-/// Sends a request on a connection of its own; returns all that came until it closed.
+/// Sends a request on a new connection and returns everything received until it closes.
 pub(crate) fn post(
     host: &str,
     path: &str,
@@ -74,23 +74,23 @@
     exchange(host, head.as_bytes())
 }
 
-/// Writes bytes as they are and reads until the host closes.
+/// Writes raw bytes and reads until the host closes the connection.
 pub(crate) fn exchange(host: &str, bytes: &[u8]) -> Option<String> {
     let mut stream = TcpStream::connect(host).ok()?;
     stream.set_read_timeout(Some(Duration::from_mins(1))).ok()?;
     stream.write_all(bytes).ok()?;
     let mut answer = Vec::new();
-    // A host that is killed resets the connection; what came before counts all the same.
+    // A killed host resets the connection; the data received before still counts.
     let _reset = stream.read_to_end(&mut answer);
     Some(String::from_utf8_lossy(&answer).into_owned())
 }
 
-/// Returns an answer's status.
+/// Returns the HTTP status of a response.
 pub(crate) fn status(answer: &str) -> u16 {
     answer.split(' ').nth(1).and_then(|text| text.parse().ok()).unwrap_or(0)
 }
 
-/// Returns the JSON body of an answer that has a Content-Length.
+/// Returns the JSON body of a response with a Content-Length.
 pub(crate) fn json_body(answer: &str) -> Value {
     let body = answer.split_once("\r\n\r\n").map(|(_, body)| body).unwrap_or_default();
     serde_json::from_str(body).unwrap_or_default()
--- a/crates/cli/tests/processes/configuration.rs
+++ b/crates/cli/tests/processes/configuration.rs
@@ -1,4 +1,4 @@
-//! Configuration on real processes: racing operators, a fresh host without the platform.
+//! Tests of configuration with real processes: concurrent publications, new hosts, expired and rolled-back logs.
 
 use std::{process::Command, thread};
 
@@ -23,7 +23,7 @@
     let verdicts: Vec<(bool, String)> = thread::scope(|scope| {
         let operators: Vec<_> =
             trees.iter().map(|tree| scope.spawn(|| site.publish(tree, &["--base", "1"]))).collect();
-        operators.into_iter().map(|operator| operator.join().expect("an operator")).collect()
+        operators.into_iter().map(|operator| operator.join().expect("operator thread")).collect()
     });
     let accepted = verdicts.iter().filter(|(accepted, _)| *accepted).count();
     assert_eq!(accepted, 1, "{verdicts:?}");
@@ -40,7 +40,7 @@
     let site = Site::start();
     site.publish(&TREE.replace("worth = 2.0", "worth = 4.0"), &[]);
     wait_until("revision 2 is in force", || site.hosts.iter().all(|host| revision(host) == 2));
-    // Nothing listens at this address: for the fresh host the platform does not exist.
+    // Nothing listens at this address, so the platform is unavailable to the new host.
     let options = HostOptions {
         seeds: site.hosts[0].address("peers").to_owned(),
         platform: Some(String::from("127.0.0.1:1")),
@@ -65,7 +65,7 @@
     }
 }
 
-/// Publishes that many changes, one after another.
+/// Publishes `count` changes in sequence.
 fn publish_changes(site: &Site, count: u64) {
     for number in 0..count {
         let worth = format!("worth = {}.5", number + 3);
@@ -86,7 +86,7 @@
         crate::site::get(site.platform.address("address"), path)["end"].as_u64().unwrap_or(0)
     };
     wait_until("a snapshot is in the log", || snapshots() > 0);
-    // Nobody is left whom a fresh host could ask: it has the log alone, from a snapshot on.
+    // No peer is left, so a new host can start only from the snapshot in the log.
     site.hosts.clear();
     let new_host = site.start_host(1, 1, &HostOptions::default());
     site.wait_ready(&new_host);
@@ -98,15 +98,18 @@
     let site = Site::start_with_log(4);
     publish_changes(&site, 9);
     let (accepted, _) = site.publish(TREE, &[]);
-    assert!(!accepted, "without a host nobody knows what the log has forgotten");
+    assert!(
+        !accepted,
+        "publishing without --host must fail once the log's first records have expired"
+    );
     wait_until("revision 10 is in force", || site.hosts.iter().all(|host| revision(host) == 10));
     let new_host = site.start_host(9, 2, &HostOptions::default());
     site.wait_ready(&new_host);
-    wait_until("the fresh host has it too", || revision(&new_host) == 10);
+    wait_until("revision 10 is in force on the new host", || revision(&new_host) == 10);
 }
 
-/// The log comes back without the last two publications: what is in force goes on, and what is published since comes into force once it
-/// has come as far.
+/// The log loses the last two publications. The configuration in force must stay, and new publications
+/// take effect only once their revision exceeds it.
 #[test]
 fn configuration_stays_in_force_after_the_log_rolls_back() {
     let site = Site::start();
@@ -118,11 +121,13 @@
     for (worth, revision) in [("worth = 6.5", 4), ("worth = 7.5", 4), ("worth = 8.5", 5)] {
         let (accepted, text) = publish(worth);
         assert!(accepted, "{text}");
-        wait_until("it is in force", || in_force().iter().all(|applied| *applied == revision));
+        wait_until("the expected revision is in force", || {
+            in_force().iter().all(|applied| *applied == revision)
+        });
     }
     let new_host = site.start_host(9, 2, &HostOptions::default());
     site.wait_ready(&new_host);
-    wait_until("a host that starts has it too", || revision(&new_host) == 5);
+    wait_until("revision 5 is in force on the new host", || revision(&new_host) == 5);
 }
 
 #[test]
@@ -131,7 +136,7 @@
     let platform = site.platform.address("address");
     let run = |arguments: &[&str]| {
         let output = Command::new(env!("CARGO_BIN_EXE_reelreel")).args(arguments).output();
-        let output = output.expect("the command line runs");
+        let output = output.expect("reelreel starts");
         let text = String::from_utf8_lossy(&output.stdout).into_owned();
         (output.status.code(), text + &String::from_utf8_lossy(&output.stderr))
     };
--- a/crates/cli/tests/processes/main.rs
+++ b/crates/cli/tests/processes/main.rs
@@ -1,4 +1,4 @@
-//! The whole system as separate processes, with real signals and cut sockets.
+//! Tests of the whole system as separate processes, with real signals and closed sockets.
 
 mod client;
 mod site;
--- a/crates/cli/tests/processes/promises.rs
+++ b/crates/cli/tests/processes/promises.rs
@@ -1,4 +1,4 @@
-//! The promises on real processes: kills, freezes, planned stops, cut sockets.
+//! Tests of the guarantees with real processes: kills, suspensions, graceful shutdowns, closed sockets.
 
 use std::{thread, time::Duration};
 
@@ -9,7 +9,7 @@
     site::{HostOptions, Site, host_status, wait_until},
 };
 
-/// Runs `calls` streams through one host while `meanwhile` happens.
+/// Opens `calls` streams through one host and runs `meanwhile` while they are open.
 fn run_streams_during(
     site: &Site,
     host: usize,
@@ -22,11 +22,11 @@
             (0..calls).map(|_| scope.spawn(|| stream(site.callers(host), completion))).collect();
         thread::sleep(Duration::from_millis(900));
         meanwhile();
-        readers.into_iter().map(|reader| reader.join().expect("a reader")).collect()
+        readers.into_iter().map(|reader| reader.join().expect("reader thread")).collect()
     })
 }
 
-/// Loads an adapter and returns which engine has it.
+/// Loads an adapter and returns the number of an engine that holds it.
 fn load_adapter(site: &Site, model: &'static str) -> u64 {
     let answer = stream(site.callers(0), &Completion::new(model, 1));
     assert!(answer.complete, "{answer:?}");
@@ -38,7 +38,7 @@
             .flatten()
             .any(|held| held["name"].as_str().unwrap_or_default().contains(model))
     };
-    wait_until("the adapter shows in a report", || (0..4).any(holds));
+    wait_until("an engine reports the adapter", || (0..4).any(holds));
     (0..4).find(|engine| holds(*engine)).map_or(0, |engine| engine as u64 + 1)
 }
 
@@ -77,7 +77,7 @@
         thread::sleep(Duration::from_millis(50));
         frozen.signal("STOP");
         let entry = (0..4).find(|host| *host != owner).expect("another host");
-        // The others take the engine over and go on.
+        // Another host must take the engine over.
         wait_until("another host owns the engine", || {
             let others = site.hosts.iter().enumerate().filter(|(host, _)| *host != owner);
             others.map(|(_, host)| host_status(host)).any(|status| {
@@ -90,7 +90,7 @@
         assert!(meanwhile.complete, "{meanwhile:?}");
         frozen.signal("CONT");
         for reader in through_frozen {
-            let answer = reader.join().expect("a reader");
+            let answer = reader.join().expect("reader thread");
             let (kind, outcome) = answer.error.clone().unwrap_or_default();
             assert!(answer.complete || !outcome.is_empty(), "{kind} {answer:?}");
             may_have_run += usize::from(answer.complete || outcome == "unknown");
@@ -99,7 +99,8 @@
     let (runs, cuts) = site.engine_evidence();
     assert_eq!(cuts, 0);
     assert!(runs.values().all(|count| *count == 1), "{runs:?}");
-    // What was told as not run did not run: the load's call and the one meanwhile come on top.
+    // Requests reported as `not_run` must not have run. Two more runs come from loading the adapter and
+    // from the request during the suspension.
     assert!(runs.len() <= may_have_run + 2, "{} ran, {may_have_run} may have", runs.len());
     let expected = ["assist/north/brakes@2", "assist/north/chains@1"];
     let adapters = site.adapters_run();
@@ -112,13 +113,13 @@
     load_adapter(&site, "north/brakes");
     for host in 0..4 {
         let completion = Completion::new("north/brakes", 250);
-        // The balancer sends new callers elsewhere once the host is not ready.
+        // Opens no new streams after SIGTERM, as a load balancer does once the host is not ready.
         let answers =
             run_streams_during(&site, host, 6, &completion, || site.hosts[host].signal("TERM"));
         for answer in &answers {
             assert!(answer.complete && answer.tokens == 250, "host {host}: {answer:?}");
         }
-        assert!(site.hosts[host].wait(), "host {host} ends by itself");
+        assert!(site.hosts[host].wait(), "host {host} exits cleanly");
         let number = u32::try_from(host).expect("a small number") + 1;
         let hall = if host < 2 { 1 } else { 2 };
         let fresh = site.start_host(number, hall, &HostOptions::default());
@@ -145,7 +146,7 @@
         .clone();
     for host in 0..4 {
         let answer = stream(site.callers(host), &Completion::new("south/receipts", 5));
-        assert!(answer.complete, "another engine serves: {answer:?}");
+        assert!(answer.complete, "another engine serves the request: {answer:?}");
     }
     let runs_after =
         crate::site::get(site.engines[engine_index].address("address"), "/evidence")["runs"]
@@ -178,7 +179,7 @@
         assert_eq!((kind.as_str(), outcome.as_str()), ("backend_broke", "unknown"));
     }
     let after = stream(site.callers(3), &Completion::new("north/chains", 5));
-    assert!(after.complete, "it is loaded again: {after:?}");
+    assert!(after.complete, "the adapter is loaded again: {after:?}");
 }
 
 #[test]
@@ -197,7 +198,7 @@
                     })
                 })
                 .collect();
-            callers.into_iter().map(|caller| caller.join().expect("a caller")).collect()
+            callers.into_iter().map(|caller| caller.join().expect("caller thread")).collect()
         });
         let complete = answers.iter().filter(|answer| answer.complete).count();
         assert_eq!(complete, 1, "{answers:?}");
@@ -215,10 +216,14 @@
     let site = Site::start();
     site.set_platform_fault("append", &json!("lose_answer"));
     let order = [("idempotency-key", String::from("order-lost"))];
-    let answer = post(site.callers(0), "/orders/new", &order, "x").expect("an answer");
-    assert_eq!(status(&answer), 200, "the claim stands in the log all the same: {answer}");
+    let answer = post(site.callers(0), "/orders/new", &order, "x").expect("a response");
+    assert_eq!(
+        status(&answer),
+        200,
+        "the claim is in the log although the response was lost: {answer}"
+    );
     site.set_platform_fault("append", &json!("none"));
-    let again = post(site.callers(3), "/orders/new", &order, "x").expect("an answer");
+    let again = post(site.callers(3), "/orders/new", &order, "x").expect("a response");
     assert_eq!(status(&again), 409, "{again}");
     assert_eq!(site.service_runs().values().sum::<u64>(), 1);
 }
@@ -229,7 +234,7 @@
     load_adapter(&site, "north/brakes");
     site.set_platform_fault("read", &json!("refuse"));
     let keyed = Completion::new("north/brakes", 5).header("idempotency-key", "away");
-    wait_until("the host notices", || {
+    wait_until("the host refuses keyed requests", || {
         let (kind, outcome) = stream(site.callers(0), &keyed).error.unwrap_or_default();
         kind == "log_away" && outcome == "not_run"
     });
@@ -246,7 +251,7 @@
     let address = site.service.address("address").to_owned();
     let delayed = ureq::put(format!("http://{address}/faults")).send("{\"delay_answer\":15000}");
     assert!(delayed.is_ok());
-    let answer = post(site.callers(0), "/orders/new", &[], "x").expect("an answer");
+    let answer = post(site.callers(0), "/orders/new", &[], "x").expect("a response");
     assert!(answer.contains("\"outcome\":\"unknown\""), "{answer}");
     assert_eq!(site.service_runs().values().sum::<u64>(), 1);
 }
--- a/crates/cli/tests/processes/serving.rs
+++ b/crates/cli/tests/processes/serving.rs
@@ -1,4 +1,4 @@
-//! Serving without faults: whole answers, errors that say what holds, plain services.
+//! Tests of serving without faults: complete responses, errors for invalid requests, plain services.
 
 use std::{
     io::{Read, Write},
@@ -31,7 +31,7 @@
         }
         readers
             .into_iter()
-            .map(|(model, reader)| (model, reader.join().expect("a reader")))
+            .map(|(model, reader)| (model, reader.join().expect("reader thread")))
             .collect()
     });
     for (model, answer) in &answers {
@@ -48,7 +48,7 @@
     let (runs, cuts) = site.engine_evidence();
     assert_eq!(cuts, 0);
     assert!(runs.values().all(|count| *count == 1), "{runs:?}");
-    // Each adapter stands on few engines, so most of these hosts do not own the engine they used.
+    // Each adapter is resident on few engines, so most requests were forwarded to another host.
     let owner = site.owner_of(1).expect("engine 1 has an owner");
     assert!(owner < 2, "an engine is owned within its hall");
 }
@@ -76,7 +76,7 @@
             reads_with_events += 1;
         }
     }
-    assert!(reads_with_events > 50, "200 events came in {reads_with_events} pieces");
+    assert!(reads_with_events > 50, "200 events arrived in only {reads_with_events} reads");
 }
 
 struct BadCase {
@@ -182,10 +182,10 @@
     }
     let partial_request = b"POST /v1/completions HTTP/1.1\r\ncontent-length: 50\r\n\r\n{\"model\":";
     let mut connection = TcpStream::connect(site.callers(0)).expect("the host listens");
-    connection.write_all(partial_request).expect("half a request");
-    connection.shutdown(std::net::Shutdown::Write).expect("and no more");
+    connection.write_all(partial_request).expect("the partial request is written");
+    connection.shutdown(std::net::Shutdown::Write).expect("the write side is closed");
     let mut answer = String::new();
-    connection.read_to_string(&mut answer).expect("an answer");
+    connection.read_to_string(&mut answer).expect("a response");
     assert_eq!(status(&answer), 400, "{answer}");
     let (runs, _) = site.engine_evidence();
     assert!(runs.is_empty(), "{runs:?}");
@@ -195,25 +195,25 @@
 fn a_slow_sender_is_told_so_and_holds_nobody_up() {
     let site = Site::start();
     let mut slow = TcpStream::connect(site.callers(0)).expect("the host listens");
-    slow.write_all(b"POST /v1/comp").expect("a little");
+    slow.write_all(b"POST /v1/comp").expect("the partial head is written");
     let other = stream(site.callers(0), &Completion::new("north/brakes", 5));
     assert!(other.complete, "{other:?}");
-    slow.set_read_timeout(Some(Duration::from_secs(30))).expect("a limit");
+    slow.set_read_timeout(Some(Duration::from_secs(30))).expect("the read timeout is set");
     let mut answer = String::new();
-    slow.read_to_string(&mut answer).expect("an answer");
+    slow.read_to_string(&mut answer).expect("a response");
     assert_eq!(status(&answer), 408, "{answer}");
 }
 
 #[test]
 fn plain_services_are_reached_by_path_and_models_are_listed() {
     let site = Site::start();
-    let answer = post(site.callers(2), "/orders/new?x=1", &[], "12 chains").expect("an answer");
+    let answer = post(site.callers(2), "/orders/new?x=1", &[], "12 chains").expect("a response");
     assert_eq!(status(&answer), 200, "{answer}");
     assert_eq!(json_body(&answer)["path"], json!("/orders/new?x=1"));
     assert_eq!(json_body(&answer)["received_bytes"], json!(9));
     assert_eq!(site.service_runs().values().sum::<u64>(), 1);
     let list = exchange(site.callers(1), b"GET /v1/models HTTP/1.1\r\nconnection: close\r\n\r\n");
-    let list = json_body(&list.expect("an answer"));
+    let list = json_body(&list.expect("a response"));
     assert_eq!(list["data"].as_array().map(Vec::len), Some(4), "{list}");
     let complete = post(
         site.callers(0),
@@ -221,7 +221,7 @@
         &[],
         "{\"model\":\"north/brakes\",\"max_tokens\":3}",
     );
-    let complete = json_body(&complete.expect("an answer"));
+    let complete = json_body(&complete.expect("a response"));
     assert_eq!(complete["choices"][0]["message"]["content"], json!(" 0 1 2"), "{complete}");
     assert_eq!(complete["model"], json!("assist/north/brakes@2"));
 }
--- a/crates/cli/tests/processes/site.rs
+++ b/crates/cli/tests/processes/site.rs
@@ -1,4 +1,4 @@
-//! A site of processes: a platform, engines, a plain service, entry hosts in two halls.
+//! A site of separate processes: a platform, engines, a plain service and entry hosts in two halls.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -13,10 +13,10 @@
 
 use serde_json::{Value, json};
 
-/// How long anything on the site may take to come about.
+/// Maximum time to wait for any condition on the site.
 pub(crate) const WAIT_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// The tree that every site begins with.
+/// Initial settings tree of every site.
 const TREE: &str = include_str!("../../../../examples/dev.toml");
 
 static NEXT_ID: AtomicU32 = AtomicU32::new(0);
@@ -29,10 +29,10 @@
     PathBuf::from(path)
 }
 
-/// A process that ends with the test.
+/// A child process that is killed on drop.
 pub(crate) struct Process {
     child: Child,
-    /// The addresses that it printed.
+    /// Addresses printed by the process at start-up.
     pub(crate) addresses: BTreeMap<String, String>,
 }
 
@@ -62,7 +62,7 @@
         assert!(status.is_ok_and(|status| status.success()), "signal {name}");
     }
 
-    /// Waits for the process to end; says whether it did so by itself and cleanly.
+    /// Waits for the process to exit and returns whether it exited with success in time.
     pub(crate) fn wait(&mut self) -> bool {
         let deadline = Instant::now() + WAIT_TIMEOUT;
         while Instant::now() < deadline {
@@ -83,7 +83,7 @@
     }
 }
 
-/// The site.
+/// A running site.
 pub(crate) struct Site {
     folder: PathBuf,
     pub(crate) platform: Process,
@@ -92,12 +92,12 @@
     pub(crate) hosts: Vec<Process>,
 }
 
-/// What a host is started with.
+/// Options for starting a host.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct HostOptions {
-    /// Peers' addresses to begin with.
+    /// Addresses of initial peers.
     pub(crate) seeds: String,
-    /// The platform, where it is not the site's.
+    /// Platform address, if it is not the site's platform.
     pub(crate) platform: Option<String>,
 }
 
@@ -107,7 +107,7 @@
         Self::start_with_log(100_000)
     }
 
-    /// Starts the same site with a log that keeps that many records of each stream.
+    /// Starts the same site with a log that retains `retained` records per stream.
     pub(crate) fn start_with_log(retained: u32) -> Self {
         let number = NEXT_ID.fetch_add(1, Ordering::Relaxed);
         let folder = std::env::temp_dir().join(format!("reelreel-{}-{number}", std::process::id()));
@@ -146,7 +146,7 @@
         site
     }
 
-    /// Starts an entry host and enters it in the host list.
+    /// Starts an entry host and registers it in the host list.
     pub(crate) fn start_host(&self, host: u32, hall: u16, options: &HostOptions) -> Process {
         let platform = self.platform.address("address");
         let platform_address = options.platform.as_deref().unwrap_or(platform);
@@ -171,7 +171,7 @@
         self.hosts[host].address("callers")
     }
 
-    /// Publishes a tree with the command line; returns what it printed.
+    /// Publishes a tree with `reelreel` and returns whether it succeeded and its standard output.
     pub(crate) fn publish(&self, tree: &str, arguments: &[&str]) -> (bool, String) {
         let path =
             self.folder.join(format!("tree-{}.toml", NEXT_ID.fetch_add(1, Ordering::Relaxed)));
@@ -181,27 +181,27 @@
             .args(arguments)
             .arg(&path)
             .output()
-            .expect("the command line runs");
+            .expect("reelreel starts");
         let text = String::from_utf8_lossy(&output.stdout).into_owned();
         (output.status.success(), text)
     }
 
-    /// Brings the platform's log back from a copy that lacks the last `lost` records of each stream.
+    /// Rolls the platform's log back by the last `lost` records of each stream.
     pub(crate) fn roll_back_log(&self, lost: usize) {
         put(self.platform.address("address"), &format!("/fall-back/{lost}"), &Value::Null);
     }
 
-    /// Switches one of the platform's faults.
+    /// Sets one of the platform's faults.
     pub(crate) fn set_platform_fault(&self, name: &str, kind: &Value) {
         put(self.platform.address("address"), &format!("/faults/{name}"), kind);
     }
 
-    /// Switches something on an engine.
+    /// Sets a switch of an engine.
     pub(crate) fn set_engine_switch(&self, engine: usize, name: &str, value: &Value) {
         put(self.engines[engine].address("address"), &format!("/switch/{name}"), value);
     }
 
-    /// Returns what really happened on the engines: runs by request id, and cuts by unloads.
+    /// Returns the engines' runs by request id and the number of streams cut by unloads.
     pub(crate) fn engine_evidence(&self) -> (BTreeMap<String, u64>, u64) {
         let mut runs: BTreeMap<String, u64> = BTreeMap::new();
         let mut cuts = 0;
@@ -215,7 +215,7 @@
         (runs, cuts)
     }
 
-    /// Returns the adapters that anything ran on.
+    /// Returns the adapters that served requests.
     pub(crate) fn adapters_run(&self) -> BTreeSet<String> {
         let evidence = |engine: &Process| get(engine.address("address"), "/evidence");
         let names = |evidence: Value| -> Vec<String> {
@@ -225,14 +225,14 @@
         self.engines.iter().map(evidence).flat_map(names).collect()
     }
 
-    /// Returns how often each request ran on the plain service.
+    /// Returns the number of runs of each request on the plain service.
     pub(crate) fn service_runs(&self) -> BTreeMap<String, u64> {
         serde_json::from_value(get(self.service.address("address"), "/evidence"))
             .unwrap_or_default()
     }
 
     pub(crate) fn wait_ready(&self, host: &Process) {
-        wait_until("a host is ready and knows the site", || {
+        wait_until("the host is ready and knows all engines and servers", || {
             let status = host_status(host);
             let count_of = |name: &str| status[name].as_u64().unwrap_or(0);
             status["ready"] == json!(true)
@@ -241,7 +241,7 @@
         });
     }
 
-    /// Waits until every engine has an owner that has settled.
+    /// Waits until every engine is in the state `owned`.
     pub(crate) fn wait_owned(&self) {
         wait_until("every engine is owned", || {
             let owned: usize = self
@@ -255,7 +255,7 @@
         });
     }
 
-    /// Returns which host owns an engine, by its place among the hosts.
+    /// Returns the index of the host that owns an engine.
     pub(crate) fn owner_of(&self, engine: u64) -> Option<usize> {
         self.hosts.iter().position(|host| {
             let status = host_status(host);
@@ -274,7 +274,7 @@
     }
 }
 
-/// Waits until something holds.
+/// Waits until `condition` returns true.
 pub(crate) fn wait_until(description: &str, condition: impl Fn() -> bool) {
     let deadline = Instant::now() + WAIT_TIMEOUT;
     while !condition() {
@@ -295,7 +295,7 @@
         .into()
 }
 
-/// Fetches JSON; null where there is none.
+/// Fetches JSON; returns null on any error.
 pub(crate) fn get(address: &str, path: &str) -> Value {
     let answer = agent().get(format!("http://{address}{path}")).call();
     let body = answer.ok().and_then(|mut answer| answer.body_mut().read_to_vec().ok());
@@ -307,7 +307,7 @@
     assert!(answer.is_ok_and(|answer| answer.status().as_u16() == 200), "put {path}");
 }
 
-/// Returns what operators see of a host; null where it does not answer.
+/// Returns a host's status page, or null if the host does not respond.
 pub(crate) fn host_status(host: &Process) -> Value {
     get(host.address("operators"), "/status")
 }
--- a/crates/cli/tests/soak/main.rs
+++ b/crates/cli/tests/soak/main.rs
@@ -1,16 +1,16 @@
-//! A short soak of real hosts, by seeds: those that ever failed, with what was wrong, and one more.
+//! Short soaks of real hosts with fixed seeds.
 //!
-//! The long ones are started by hand: `reelreel soak --seed N --seeds 50`.
+//! Run longer ones by hand: `reelreel soak --seed N --seeds 50`.
 
 use std::{path::PathBuf, time::Duration};
 
 use reelreel_soak::run::{SoakOptions, run_soak, usual_folder};
 
-/// One soak that is played each time.
+/// A soak with a fixed seed.
 struct SoakCase {
     seed: u64,
     hosts: usize,
-    /// For how long things happen, besides a calm in which all is to hold again. Unit: seconds.
+    /// Duration of fault injection, before a fault-free recovery phase. Unit: seconds.
     seconds: u64,
 }
 
@@ -25,7 +25,7 @@
     let report = run_soak(&options).expect("hosts start");
     println!("{}", report.text(case.seed));
     assert!(report.broken.is_empty(), "{}", report.text(case.seed));
-    // A soak in which nothing happens, or nobody is served, shows nothing.
+    // Guards against a soak that passes because it injects few faults or serves few requests.
     let (sent, served) = report.requests;
     assert!(report.faults.values().sum::<usize>() >= 10, "{:?}", report.faults);
     assert!(served * 3 >= sent && served >= 300, "{served} of {sent} are served");
