--- a/crates/cli/src/bench/figures.rs
+++ b/crates/cli/src/bench/results.rs
@@ -1,4 +1,4 @@
-//! What callers got, from what the fakes saw.
+//! Computes the results of one policy from the calls that the fakes recorded.
 
 use std::collections::BTreeMap;
 
@@ -8,41 +8,41 @@
 
 use super::scenario::Scenario;
 
-/// Served calls that waited longer count as having waited, in milliseconds.
-const WAITED: u64 = 50;
+/// Served calls that waited for longer than this count as waited.
+const WAIT_THRESHOLD_MS: u64 = 50;
 
-/// What one policy gave in one scenario.
+/// Results of one policy in one scenario.
 #[derive(Debug, Clone, Serialize)]
-pub(crate) struct PolicyFigures {
+pub(crate) struct PolicyResult {
     pub(crate) scenario: String,
     pub(crate) policy: String,
     pub(crate) calls: usize,
-    /// Share of the worth whose first token came within its deadline and whose answer was whole.
+    /// Share of worth served: first token within the deadline and a complete answer.
     pub(crate) worth_served: f64,
-    /// Share of served calls that waited.
+    /// Share of served calls that waited for longer than the threshold.
     pub(crate) share_waited: f64,
-    /// Waits of those, in seconds.
+    /// Wait quantiles of those calls. Unit: seconds.
     pub(crate) wait_p50: f64,
     pub(crate) wait_p95: f64,
     pub(crate) wait_p99: f64,
     pub(crate) wait_longest: f64,
-    /// Share of an engine's streams that run while it runs any.
+    /// Mean share of an engine's streams in use while it runs any.
     pub(crate) batch_fill: f64,
     pub(crate) loads_per_thousand: f64,
-    /// Share of loads after which nothing ran before the adapter was unloaded again.
+    /// Share of loads whose adapter was unloaded before any request used it.
     pub(crate) wasted_share: f64,
-    /// Median seconds from arrival to a refusal.
+    /// Median time from arrival to refusal. Unit: seconds.
     pub(crate) refused_after: f64,
-    /// Jain's index over organisations of the share of their worth that was served.
+    /// Jain's fairness index over the organisations' shares of worth served.
     pub(crate) jain_index: f64,
-    /// The smallest of those shares.
+    /// Smallest share of worth served of any organisation.
     pub(crate) worst_organisation: f64,
 }
 
-fn served(caller: &CallerRecord) -> bool {
-    let whole = matches!(caller.outcome, Some((CallerOutcome::Answered, _)));
-    let due = caller.arrived_at + caller.max_wait_ms;
-    whole && caller.first_token_at.is_some_and(|first| first <= due)
+fn was_served(caller: &CallerRecord) -> bool {
+    let complete = matches!(caller.outcome, Some((CallerOutcome::Answered, _)));
+    let deadline = caller.arrived_at + caller.max_wait_ms;
+    complete && caller.first_token_at.is_some_and(|first| first <= deadline)
 }
 
 fn quantile(sorted: &[f64], quantile: f64) -> f64 {
@@ -50,15 +50,15 @@
         return 0.0;
     }
     #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "an index")]
-    let place = ((sorted.len() - 1) as f64 * quantile).round() as usize;
-    sorted[place]
+    let index = ((sorted.len() - 1) as f64 * quantile).round() as usize;
+    sorted[index]
 }
 
-/// Works the figures out.
-pub(crate) fn figures(scenario: &Scenario, policy: &str, site: &FakeSite) -> PolicyFigures {
-    let (from, until) = scenario.counted();
-    let counted = |caller: &&CallerRecord| (from..until).contains(&caller.arrived_at);
-    let callers: Vec<&CallerRecord> = site.evidence.callers.values().filter(counted).collect();
+/// Computes the results of the calls in the measured window.
+pub(crate) fn policy_result(scenario: &Scenario, policy: &str, site: &FakeSite) -> PolicyResult {
+    let (from, until) = scenario.measured_window();
+    let in_window = |caller: &&CallerRecord| (from..until).contains(&caller.arrived_at);
+    let callers: Vec<&CallerRecord> = site.evidence.callers.values().filter(in_window).collect();
     let worth: f64 = callers.iter().map(|caller| caller.worth).sum();
     let mut waits = Vec::new();
     let mut refusals = Vec::new();
@@ -68,12 +68,12 @@
     for caller in &callers {
         let share = organisations.entry(&caller.organisation).or_default();
         share.1 += caller.worth;
-        if served(caller) {
+        if was_served(caller) {
             share.0 += caller.worth;
             served_worth += caller.worth;
             served_count += 1;
             let waited = caller.first_run_at.unwrap_or(caller.arrived_at) - caller.arrived_at;
-            if waited > WAITED {
+            if waited > WAIT_THRESHOLD_MS {
                 waits.push(waited as f64 / 1_000.0);
             }
         } else if let Some((_, at)) = caller.outcome {
@@ -83,15 +83,15 @@
     waits.sort_by(f64::total_cmp);
     refusals.sort_by(f64::total_cmp);
     let shares: Vec<f64> =
-        organisations.values().map(|(served, asked)| served / asked.max(1e-9)).collect();
+        organisations.values().map(|(served, total)| served / total.max(1e-9)).collect();
     let sum: f64 = shares.iter().sum();
-    let squares: f64 = shares.iter().map(|share| share * share).sum();
+    let sum_of_squares: f64 = shares.iter().map(|share| share * share).sum();
     let busy = site
         .evidence
         .busy_time
         .values()
         .fold((0.0, 0.0), |sum, (running, time)| (sum.0 + running, sum.1 + time));
-    PolicyFigures {
+    PolicyResult {
         scenario: scenario.name.clone(),
         policy: policy.to_owned(),
         calls: callers.len(),
@@ -106,7 +106,7 @@
             / site.evidence.callers.len().max(1) as f64,
         wasted_share: site.evidence.unused_loads as f64 / (site.evidence.loads as f64).max(1.0),
         refused_after: quantile(&refusals, 0.5),
-        jain_index: sum * sum / (shares.len() as f64 * squares).max(1e-9),
+        jain_index: sum * sum / (shares.len() as f64 * sum_of_squares).max(1e-9),
         worst_organisation: shares.iter().copied().fold(1.0, f64::min),
     }
 }
--- a/crates/cli/src/dev/site.rs
+++ b/crates/cli/src/dev/site.rs
@@ -1,4 +1,4 @@
-//! A whole site as threads of one process.
+//! A whole site running in one process.
 
 use std::{
     net::SocketAddr,
@@ -16,27 +16,27 @@
 
 use crate::{options::LogSource, platform_log::PlatformLog};
 
-/// How long a site may take until every host serves.
-const READY_WITHIN: Duration = Duration::from_secs(30);
+/// Maximum time until every host is ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How large a site is.
+/// Size of a site.
 #[derive(Debug, Clone)]
-pub(crate) struct SiteShape {
-    /// Entry hosts.
+pub(crate) struct DevSiteOptions {
+    /// Number of entry hosts.
     pub(crate) hosts: u32,
-    /// Engines.
+    /// Number of engines.
     pub(crate) engines: u32,
-    /// Data halls.
+    /// Number of data halls.
     pub(crate) halls: u16,
-    /// Requests that an engine runs at once.
+    /// Concurrent requests per engine.
     pub(crate) streams: u32,
-    /// Callers' port of the first host; zero picks free ones.
+    /// Callers' port of the first host; zero picks a free one.
     pub(crate) port: u16,
 }
 
-/// A running site. Dropping it stops everything.
+/// A running site, stopped on drop.
 pub(crate) struct DevSite {
-    /// The entry hosts; stopped before what they talk to.
+    /// Entry hosts. Declared first so that they are dropped before the components that they call.
     pub(crate) hosts: Vec<EntryHost>,
     /// The engines.
     pub(crate) engines: Vec<EngineStandIn>,
@@ -47,25 +47,25 @@
 }
 
 impl DevSite {
-    /// Starts a site, publishes `tree` and waits until every host serves.
-    pub(crate) fn start(shape: &SiteShape, tree: &SettingsTree) -> eyre::Result<Self> {
+    /// Starts a site, publishes `tree` and waits until every host is ready.
+    pub(crate) fn start(options: &DevSiteOptions, tree: &SettingsTree) -> eyre::Result<Self> {
         let platform = PlatformStandIn::start(&PlatformOptions {
             host_lag: Duration::from_millis(50),
             ..PlatformOptions::default()
         })?;
-        publish(platform.address(), tree)?;
-        let hall = |index: u32| 1 + u16::try_from(index % u32::from(shape.halls)).unwrap_or(0);
+        publish_tree(platform.address(), tree)?;
+        let hall_of = |index: u32| 1 + u16::try_from(index % u32::from(options.halls)).unwrap_or(0);
         let mut engines = Vec::new();
-        for index in 0..shape.engines {
+        for index in 0..options.engines {
             let engine = EngineStandIn::start(&EngineOptions {
                 platform: platform.address().to_owned(),
-                streams: shape.streams as usize,
+                streams: options.streams as usize,
                 ..EngineOptions::default()
             })?;
             let record =
-                HostRecord::new(HostRole::Engine, index + 1, hall(index), engine.address())
+                HostRecord::new(HostRole::Engine, index + 1, hall_of(index), engine.address())
                     .service("assist")
-                    .engine(4, shape.streams, true);
+                    .engine(4, options.streams, true);
             platform.hosts().put(record);
             engines.push(engine);
         }
@@ -73,16 +73,16 @@
         let record = HostRecord::new(HostRole::Server, 1, 1, service.address()).service("orders");
         platform.hosts().put(record);
         let mut hosts = Vec::new();
-        for index in 0..shape.hosts {
-            let port = if index == 0 { shape.port } else { 0 };
+        for index in 0..options.hosts {
+            let port = if index == 0 { options.port } else { 0 };
             let host = EntryHost::start(&host_settings(
                 index + 1,
-                hall(index),
+                hall_of(index),
                 port,
                 platform.address(),
             )?)?;
             let peers = host.peers().to_string();
-            let record = HostRecord::new(HostRole::Entry, index + 1, hall(index), peers);
+            let record = HostRecord::new(HostRole::Entry, index + 1, hall_of(index), peers);
             platform.hosts().put(record);
             hosts.push(host);
         }
@@ -91,18 +91,18 @@
         Ok(site)
     }
 
-    /// Returns where callers reach the hosts.
+    /// Returns the hosts' addresses for callers.
     pub(crate) fn callers(&self) -> Vec<SocketAddr> {
         self.hosts.iter().map(EntryHost::callers).collect()
     }
 
     fn wait_ready(&self) -> eyre::Result<()> {
-        let until = Instant::now() + READY_WITHIN;
+        let deadline = Instant::now() + READY_TIMEOUT;
         for host in &self.hosts {
-            let page = format!("http://{}/readyz", host.operators());
-            while ureq::get(&page).call().is_err() {
-                if Instant::now() > until {
-                    bail!("host at {} does not get ready", host.operators());
+            let url = format!("http://{}/readyz", host.operators());
+            while ureq::get(&url).call().is_err() {
+                if Instant::now() > deadline {
+                    bail!("host {} did not become ready in time", host.operators());
                 }
                 thread::sleep(Duration::from_millis(50));
             }
@@ -117,11 +117,11 @@
          peers = \"127.0.0.1:0\"\noperators = \"127.0.0.1:0\"\nplatform = \"{platform}\"\n\
          [log]\nlevel = \"warn\"\n[times]\nhosts_every_ms = 500\n"
     );
-    NodeSettings::parse(&text).map_err(|mistakes| eyre!("built-in settings: {}", mistakes[0]))
+    NodeSettings::parse(&text).map_err(|errors| eyre!("built-in settings: {}", errors[0]))
 }
 
-/// Publishes a whole tree.
-fn publish(platform: &str, tree: &SettingsTree) -> eyre::Result<()> {
+/// Publishes a tree as the first revision.
+fn publish_tree(platform: &str, tree: &SettingsTree) -> eyre::Result<()> {
     let record = ChangeRecord {
         format: RECORD_FORMAT,
         change_id: String::from("dev"),
--- a/crates/cli/src/logs/losses.rs
+++ b/crates/cli/src/logs/losses.rs
@@ -1,4 +1,4 @@
-//! `reelreel losses`: how the requests of some logs ended, by cause, and what loading cost them.
+//! `reelreel losses`: counts logged requests by cause, with their waits for adapters, and events over time.
 
 use std::{collections::BTreeMap, fmt::Write as _, path::PathBuf};
 
@@ -11,66 +11,69 @@
 };
 use crate::output::OutputFormat;
 
-/// The span of one row of the table over time. Unit: milliseconds.
-const ROW_MILLIS: u64 = 2000;
+/// Interval covered by one row of the table over time.
+const INTERVAL_MS: u64 = 2000;
 
-/// Requests by cause.
+/// Requests of one cause and route.
 #[derive(Debug, Serialize)]
 struct CauseRow {
     cause: String,
     route: String,
     requests: u64,
-    /// The mean time that they waited for an adapter. Unit: milliseconds.
+    /// Mean wait for an adapter. Unit: milliseconds.
     waited: u64,
-    /// The mean time until they ended. Unit: milliseconds.
+    /// Mean total duration. Unit: milliseconds.
     total: u64,
 }
 
-/// What happened in one span of time.
+/// Event counts of one interval.
 #[derive(Debug, Default, Serialize)]
-struct SpanRow {
-    /// The beginning of the span after the first line. Unit: milliseconds.
+struct IntervalRow {
+    /// Start of the interval, counted from the first line. Unit: milliseconds.
     from: u64,
     served: u64,
     lost: u64,
     loads: u64,
     unloads: u64,
-    /// Orders without a useful answer.
+    /// Orders that were neither accepted nor already done.
     lost_orders: u64,
 }
 
 #[derive(Debug, Serialize)]
 struct LossTable {
     causes: Vec<CauseRow>,
-    spans: Vec<SpanRow>,
+    spans: Vec<IntervalRow>,
     passed_over: usize,
 }
 
-/// Counts how the requests in the logs of `files` ended.
+/// Counts the requests logged in `files` by cause.
 ///
 /// # Errors
-/// Returns that a file can not be read.
+/// Returns an error if a file cannot be read.
 pub(crate) fn losses(files: &[PathBuf], output: OutputFormat) -> eyre::Result<String> {
     let logs = HostLogs::read(files)?;
-    let table =
-        LossTable { causes: causes(&logs), spans: spans(&logs), passed_over: logs.passed_over };
+    let table = LossTable {
+        causes: cause_rows(&logs),
+        spans: interval_rows(&logs),
+        passed_over: logs.skipped_lines,
+    };
     match output {
         OutputFormat::Json => Ok(serde_json::to_string_pretty(&table)?),
-        OutputFormat::Text => text(&table),
+        OutputFormat::Text => format_table(&table),
     }
 }
 
-fn causes(logs: &HostLogs) -> Vec<CauseRow> {
-    let mut sums: BTreeMap<(RequestCause, String), (u64, u64, u64)> = BTreeMap::new();
-    for request in logs.lines.iter().filter_map(RequestLine::of) {
-        let cause = RequestCause::of(&request, logs);
-        let count = weight(&cause);
-        let sum = sums.entry((cause, request.event.route.clone())).or_default();
+fn cause_rows(logs: &HostLogs) -> Vec<CauseRow> {
+    let mut totals: BTreeMap<(RequestCause, String), (u64, u64, u64)> = BTreeMap::new();
+    for request in logs.lines.iter().filter_map(RequestLine::from_log_line) {
+        let cause = RequestCause::classify(&request, logs);
+        let count = requests_per_line(&cause);
+        let sum = totals.entry((cause, request.event.route.clone())).or_default();
         sum.0 += count;
         sum.1 += count * request.event.waited;
         sum.2 += count * request.event.total;
     }
-    let rows = sums.into_iter().map(|((cause, route), (requests, waited, total))| CauseRow {
+    let rows = totals.into_iter().map(|((cause, route), (requests, waited, total))| CauseRow {
         cause: cause.to_string(),
         route,
         requests,
@@ -82,23 +85,24 @@
     rows
 }
 
-/// Returns how many requests one line stands for.
-fn weight(cause: &RequestCause) -> u64 {
+/// Returns how many requests one line represents: served requests are sampled.
+fn requests_per_line(cause: &RequestCause) -> u64 {
     if *cause == RequestCause::Served { LOG_SAMPLE_INTERVAL } else { 1 }
 }
 
-fn spans(logs: &HostLogs) -> Vec<SpanRow> {
+fn interval_rows(logs: &HostLogs) -> Vec<IntervalRow> {
     let Some(begin) = logs.lines.first().map(|line| line.at) else { return Vec::new() };
-    let mut rows: BTreeMap<u64, SpanRow> = BTreeMap::new();
+    let mut rows: BTreeMap<u64, IntervalRow> = BTreeMap::new();
     for line in &logs.lines {
-        let from = (line.at - begin) / ROW_MILLIS * ROW_MILLIS;
-        let row = rows.entry(from).or_insert_with(|| SpanRow { from, ..SpanRow::default() });
-        count(row, line);
+        let from = (line.at - begin) / INTERVAL_MS * INTERVAL_MS;
+        let row =
+            rows.entry(from).or_insert_with(|| IntervalRow { from, ..IntervalRow::default() });
+        add_line(row, line);
     }
     rows.into_values().collect()
 }
 
-fn count(row: &mut SpanRow, line: &LogLine) {
+fn add_line(row: &mut IntervalRow, line: &LogLine) {
     match &line.event {
         HostEvent::Request(event) if event.outcome == "answered" => {
             row.served += LOG_SAMPLE_INTERVAL;
@@ -114,7 +118,7 @@
     }
 }
 
-fn text(table: &LossTable) -> eyre::Result<String> {
+fn format_table(table: &LossTable) -> eyre::Result<String> {
     let mut text = String::new();
     writeln!(
         text,
@@ -135,14 +139,14 @@
         "from ms", "served", "lost", "loads", "unloads", "lost orders"
     )?;
     for row in &table.spans {
-        let SpanRow { from, served, lost, loads, unloads, lost_orders } = row;
+        let IntervalRow { from, served, lost, loads, unloads, lost_orders } = row;
         writeln!(
             text,
             "{from:>8} {served:>8} {lost:>8} {loads:>8} {unloads:>8} {lost_orders:>12}"
         )?;
     }
     if table.passed_over > 0 {
-        writeln!(text, "\n{} lines are no events of a host.", table.passed_over)?;
+        writeln!(text, "\n{} lines are not host events.", table.passed_over)?;
     }
     Ok(text)
 }
--- a/crates/cli/src/settings/show.rs
+++ b/crates/cli/src/settings/show.rs
@@ -1,4 +1,4 @@
-//! What is in force where, and which keys there are.
+//! Prints effective settings and the available keys.
 
 use std::{fmt::Write, process::ExitCode};
 
@@ -25,7 +25,7 @@
     meaning: &'static str,
 }
 
-/// Lists all keys.
+/// Prints all keys of the settings tree.
 pub(super) fn keys(output: OutputFormat) -> eyre::Result<ExitCode> {
     let row = |key: &SettingKey| KeyRow {
         key: key.name(),
@@ -56,7 +56,7 @@
     meaning: &'static str,
 }
 
-/// Lists all keys of a host's own file.
+/// Prints all keys of a host's settings file.
 pub(super) fn host_keys(output: OutputFormat) -> eyre::Result<ExitCode> {
     let row = |field: &FieldSpec| {
         let dot = if field.table.is_empty() { "" } else { "." };
@@ -87,14 +87,14 @@
     from: String,
 }
 
-/// Shows the values in force at a place.
+/// Prints the effective values at a path and where each is set.
 pub(super) fn show(
     source: &TreeSource,
     path: &str,
     output: OutputFormat,
 ) -> eyre::Result<ExitCode> {
     let tree = match source {
-        TreeSource::Platform { log } => PlatformLog::new(log).fold()?.tree().clone(),
+        TreeSource::Platform { log } => PlatformLog::new(log).replay()?.tree().clone(),
         TreeSource::File { file } => read_file(file)?,
     };
     let path = SettingsPath::parse(path).map_err(|reason| eyre!(reason))?;
@@ -126,9 +126,11 @@
     let path_nodes = tree.nodes_along(path);
     let depth = path_nodes.len() - 1;
     let Some(missing) = path.segments().get(depth) else { return Ok(()) };
-    let known = path_nodes[depth].children.keys().map(|name| &**name);
-    match closest_match(missing, known) {
-        Some(known) => bail!("there is no `{missing}` in the tree; did you mean `{known}`?"),
+    let names = path_nodes[depth].children.keys().map(|name| &**name);
+    match closest_match(missing, names) {
+        Some(suggestion) => {
+            bail!("there is no `{missing}` in the tree; did you mean `{suggestion}`?")
+        }
         None => bail!("there is no `{missing}` in the tree at {path}"),
     }
 }
