--- a/crates/gateway/src/control/aggregates.rs
+++ b/crates/gateway/src/control/aggregates.rs
@@ -161,9 +161,9 @@
         self.coordinating = lease;
         for aggregate in &mut self.members {
             if self.coordinating.is_some() {
-                aggregate.start_coordinating(context)
+                aggregate.start_coordinating(context);
             } else {
-                aggregate.stop_coordinating()
+                aggregate.stop_coordinating();
             }
         }
     }
--- a/crates/gateway/src/control/aggregates/limits.rs
+++ b/crates/gateway/src/control/aggregates/limits.rs
@@ -114,9 +114,9 @@
         for report in &changes {
             share.receive(report, now);
         }
-        let changed = share.receive_grants(&own_grants, now) || !changes.is_empty();
+        let has_updates = share.receive_grants(&own_grants, now) || !changes.is_empty();
         drop(share);
-        if changed {
+        if has_updates {
             self.shared.permits_changed();
         }
     }
--- a/crates/gateway/src/control/aggregates/quotas.rs
+++ b/crates/gateway/src/control/aggregates/quotas.rs
@@ -143,9 +143,9 @@
         ledger.update_limits(context.routes, context.now);
         let low_levels = ledger.quotas.low_levels(context.now);
         self.shared.quotas().apply_ledger_levels(&low_levels, context.now);
-        let soon = !low_levels.is_empty()
+        let levels_due = !low_levels.is_empty()
             && context.now.since(self.published_at) >= MIN_LOW_LEVEL_INTERVAL;
-        if due || soon {
+        if due || levels_due {
             self.published_at = context.now;
             frame.quotas = Some(QuotaFrame { named: low_levels.iter().map(Into::into).collect() });
         }
--- a/crates/gateway/src/control/configuration.rs
+++ b/crates/gateway/src/control/configuration.rs
@@ -34,8 +34,8 @@
 
     pub(super) fn apply_configuration(&mut self, records: &[KeyedRecord]) {
         for record in records {
-            let known = self.configuration.holds(&record.key, record.position);
-            if !known && self.apply_operator_record(record) {
+            let already_applied = self.configuration.holds(&record.key, record.position);
+            if !already_applied && self.apply_operator_record(record) {
                 self.feed.queue_record(RecordLine::from(record));
                 self.shared.wake_control.notify_one();
             }
--- a/crates/gateway/src/control/feed.rs
+++ b/crates/gateway/src/control/feed.rs
@@ -30,7 +30,7 @@
 
 /// The changes that a reader passes on, and its followers.
 #[derive(Default)]
-pub struct FeedSource {
+pub struct FollowerFeed {
     followers: Vec<mpsc::Sender<EncodedFrame>>,
     pending: StateFrame,
     /// The engine entries to pass on with `pending`.
@@ -43,7 +43,7 @@
     logged_as_reader: bool,
 }
 
-impl FeedSource {
+impl FollowerFeed {
     /// Queues a record of the configuration for the followers.
     pub fn queue_record(&mut self, record: RecordLine) {
         self.full_frame = None;
--- a/crates/gateway/src/control/state.rs
+++ b/crates/gateway/src/control/state.rs
@@ -25,8 +25,8 @@
 use crate::{
     border::KeyedRecord,
     control::{
-        aggregates::AggregateSet, domain::PlacementDomain, feed::FeedSource, host_count::HostCount,
-        orders::OrderClients, topic_mirror::TopicMirror,
+        aggregates::AggregateSet, domain::PlacementDomain, feed::FollowerFeed,
+        host_count::HostCount, orders::OrderClients, topic_mirror::TopicMirror,
     },
     events::HostEvent,
     host::SharedState,
@@ -67,7 +67,7 @@
     pub(super) may_serve: bool,
     /// The last era of the store that was handled.
     pub(super) last_known_era: StoreEra,
-    pub(super) feed: FeedSource,
+    pub(super) feed: FollowerFeed,
     pub(super) following: watch::Sender<bool>,
     /// Counts how often the store has become available again.
     store_returns: watch::Sender<u32>,
@@ -113,7 +113,7 @@
             started_at,
             may_serve: false,
             last_known_era: 0,
-            feed: FeedSource::default(),
+            feed: FollowerFeed::default(),
             following: watch::Sender::new(false),
             store_returns: watch::Sender::new(0),
             host_count,
