--- a/crates/gateway/src/control/aggregates/limits.rs
+++ b/crates/gateway/src/control/aggregates/limits.rs
@@ -124,9 +124,9 @@
         for report in &limit_changes {
             share.receive(report, now);
         }
-        let changed = share.receive_grants(&own_grants, now) || !limit_changes.is_empty();
+        let has_updates = share.receive_grants(&own_grants, now) || !limit_changes.is_empty();
         drop(share);
-        if changed {
+        if has_updates {
             self.shared.permits_changed();
         }
     }
