--- a/crates/cli/src/capacity/tree.rs
+++ b/crates/cli/src/capacity/tree.rs
@@ -86,7 +86,7 @@
         table.add("settings: effective values of a place", &size, effective_micros, "us");
         let mut change = adapters_record(0);
         change.edits = vec![SettingsEdit {
-            path: path,
+            path,
             action: EditAction::Set(SettingKey::Version, SettingValue::Integer(2)),
         }];
         change.base_revision = 1;
