--- a/crates/cli/src/host.rs
+++ b/crates/cli/src/host.rs
@@ -28,7 +28,7 @@
     let events =
         EventLog::start(Arc::clone(&profile.name)).wrap_err("cannot start the log thread")?;
     let clock = Arc::new(MonotonicClock::new());
-    let shared = Arc::new(SharedState::new(profile, reelreel_platform::dialects(), events, clock));
+    let shared = Arc::new(SharedState::new(profile, reelreel_platform::codecs(), events, clock));
     watch_signals(&shared)?;
     run_host(&shared)?;
     Ok(ExitCode::SUCCESS)
--- a/crates/core/src/placement/engine_reports.rs
+++ b/crates/core/src/placement/engine_reports.rs
@@ -26,7 +26,8 @@
         }
         let observations = inventory.load_observations(report, requested_at);
         let completed = inventory.pending.iter().map(|load| &load.key);
-        let completed = completed.filter(|key| report.held.iter().any(|held| held.key == **key));
+        let completed =
+            completed.filter(|key| report.loaded_models.iter().any(|loaded| loaded.key == **key));
         for key in completed {
             self.load_suspects.record_success(key);
         }
--- a/crates/core/src/placement/inventory.rs
+++ b/crates/core/src/placement/inventory.rs
@@ -52,8 +52,8 @@
     pub sequence: u64,
     /// Whether the engine is loading or unloading a base model.
     pub model_change_in_progress: bool,
-    /// Models and adapters that the engine holds.
-    pub held: Vec<LoadedModel>,
+    /// Models and adapters that the engine has loaded.
+    pub loaded_models: Vec<LoadedModel>,
     /// Models and adapters that the engine is loading.
     pub pending: Vec<LoadedModel>,
 }
@@ -126,7 +126,7 @@
     pub entry: Arc<EngineEntry>,
     /// Number of orders taken, if known.
     pub sequence: Option<u64>,
-    /// Models and adapters that the engine holds.
+    /// Models and adapters that the engine has loaded.
     pub held: BTreeMap<ModelKey, WeightVersion>,
     /// Loads in progress.
     pub pending: Vec<PendingLoad>,
@@ -270,7 +270,7 @@
             return false;
         }
         let held: BTreeMap<ModelKey, WeightVersion> =
-            report.held.iter().map(|held| (Arc::clone(&held.key), held.version)).collect();
+            report.loaded_models.iter().map(|held| (Arc::clone(&held.key), held.version)).collect();
         let recently_held: Vec<ModelKey> = self.held.keys().chain(held.keys()).cloned().collect();
         for key in recently_held {
             self.record_cached(&key);
@@ -345,9 +345,11 @@
         let adapters = self.pending.iter().filter(|load| load.is_store_adapter());
         let observations = adapters.filter_map(|load| {
             let still_pending = report.pending.iter().any(|pending| pending.key == load.key);
-            let is_held =
-                report.held.iter().any(|held| held.key == load.key && held.version >= load.version);
-            let observed = still_pending || is_held;
+            let is_loaded = report
+                .loaded_models
+                .iter()
+                .any(|loaded| loaded.key == load.key && loaded.version >= load.version);
+            let observed = still_pending || is_loaded;
             let order_id = load.order_id?;
             observed.then_some(LoadObservation {
                 load: order_id,
--- a/crates/core/src/placement/load_suspects.rs
+++ b/crates/core/src/placement/load_suspects.rs
@@ -74,8 +74,8 @@
             FailedLoad { incarnation, version, started_at, recorded_at: now, engine_ended };
         loads.insert(Arc::clone(&engine.name), failed);
         let engine_failures = consecutive_failures(loads);
-        if let Some(hold) = QuarantinePeriod::after(engine_failures, CRASHES_UNTIL_QUARANTINED) {
-            let (key, quarantine) = (Arc::clone(&load.key), hold.duration(false));
+        if let Some(period) = QuarantinePeriod::after(engine_failures, CRASHES_UNTIL_QUARANTINED) {
+            let (key, quarantine) = (Arc::clone(&load.key), period.duration(false));
             self.new_quarantines.push(QuarantinedLoad { key, engine_failures, quarantine });
         }
     }
@@ -108,18 +108,19 @@
         now: ClockMillis,
     ) -> Option<Duration> {
         let loads = self.by_key.get(key)?;
-        let hold = QuarantinePeriod::after(consecutive_failures(loads), CRASHES_UNTIL_QUARANTINED)?;
+        let period =
+            QuarantinePeriod::after(consecutive_failures(loads), CRASHES_UNTIL_QUARANTINED)?;
         let last = loads.values().max_by_key(|load| load.recorded_at)?;
-        let until = last.recorded_at + hold.duration(version > last.version);
+        let until = last.recorded_at + period.duration(version > last.version);
         (now < until).then(|| until.since(now))
     }
 
     /// Drops adapters without recent failures.
     pub fn drop_expired(&mut self, now: ClockMillis) {
         self.by_key.retain(|_, loads| {
-            let hold =
+            let period =
                 QuarantinePeriod::after(consecutive_failures(loads), CRASHES_UNTIL_QUARANTINED);
-            let retention = hold.map_or(SUSPECT_TTL, QuarantinePeriod::retention);
+            let retention = period.map_or(SUSPECT_TTL, QuarantinePeriod::retention);
             loads.values().any(|load| now.since(load.recorded_at) < retention)
         });
     }
--- a/crates/core/tests/placement/simulation.rs
+++ b/crates/core/tests/placement/simulation.rs
@@ -146,7 +146,7 @@
             incarnation: self.entry.incarnation,
             sequence: self.sequence,
             model_change_in_progress: false,
-            held: self.held.keys().map(held).collect(),
+            loaded_models: self.held.keys().map(held).collect(),
             pending: self.pending.iter().map(|(key, _)| held(key)).collect(),
         }
     }
--- a/crates/core/tests/suspended.rs
+++ b/crates/core/tests/suspended.rs
@@ -73,10 +73,10 @@
     let limit = QuotaLimit { per_second: 10.0, burst: 10.0, unit: QuotaUnit::Requests };
     let tolerance = QuotaTolerance { window: Duration::from_secs(8), overage: 0.1, extra: 1.0 };
     let (north, hosts) = (Arc::from("north"), 10);
-    let terms = QuotaContext { limit: &limit, tolerance: &tolerance, hosts };
+    let context = QuotaContext { limit: &limit, tolerance: &tolerance, hosts };
     let mut share = QuotaShare::unspent();
     share.apply_ledger_levels(&[], SUSPENDED_AT);
-    let granted = (0..200).filter(|_| share.take(&north, 1, &terms, RESUMED_AT).is_ok()).count();
+    let granted = (0..200).filter(|_| share.take(&north, 1, &context, RESUMED_AT).is_ok()).count();
     // An equal share of the quota: a tenth of 90 requests per window.
     assert!(granted <= 20, "{granted} granted at once");
 }
@@ -94,16 +94,16 @@
 
 #[test]
 fn a_quarantine_ends_during_a_suspension() {
-    let mut book = QuarantineTracker::new("host", CRASHES_UNTIL_QUARANTINED);
+    let mut tracker = QuarantineTracker::new("host", CRASHES_UNTIL_QUARANTINED);
     for (engine, began) in [("a", 0), ("b", 200)] {
         let began = SUSPENDED_AT + Duration::from_millis(began);
         let run = InterruptedRun { mark: 1, organisation: None, began, version: 0 };
-        book.record_crash(
+        tracker.record_crash(
             engine_incarnation_id(engine, 0),
             &[run],
             began + Duration::from_millis(50),
         );
     }
-    assert!(book.quarantine_left(1, 0, SUSPENDED_AT + Duration::from_secs(1)).is_some());
-    assert_eq!(book.quarantine_left(1, 0, RESUMED_AT), None);
+    assert!(tracker.quarantine_left(1, 0, SUSPENDED_AT + Duration::from_secs(1)).is_some());
+    assert_eq!(tracker.quarantine_left(1, 0, RESUMED_AT), None);
 }
--- a/crates/gateway/examples/path_cost.rs
+++ b/crates/gateway/examples/path_cost.rs
@@ -9,8 +9,8 @@
     reason = "the stand-ins are shared with the host tests, which use more of them"
 )]
 
-#[path = "../tests/host/dialect.rs"]
-mod dialect;
+#[path = "../tests/host/codec.rs"]
+mod codec;
 #[path = "../tests/host/engine.rs"]
 mod engine;
 #[path = "../tests/host/site.rs"]
--- a/crates/gateway/src/codec.rs
+++ b/crates/gateway/src/codec.rs
@@ -130,10 +130,10 @@
     /// requests before these are forwarded to an engine.
     fn reserved_fields(&self) -> &'static [&'static str];
 
-    /// Sets the header fields for `terms` on a request to an engine.
+    /// Sets the header fields for `metadata` on a request to an engine.
     ///
     /// The caller has removed [`Self::reserved_fields`].
-    fn set_forward_metadata(&self, fields: &mut HeaderFields, terms: &ForwardMetadata<'_>);
+    fn set_forward_metadata(&self, fields: &mut HeaderFields, metadata: &ForwardMetadata<'_>);
 
     /// Decodes the metadata of an engine's response.
     fn decode_response(&self, head: &ResponseHead) -> ResponseMetadata;
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -59,7 +59,7 @@
 /// fit into the bound.
 const CHANGE_BOUND_DIVISOR: u32 = 2;
 
-/// Maximum pause between failed reads of the configuration on hosts that read it for others.
+/// Maximum backoff between failed reads of the configuration on hosts that read it for others.
 const MAX_READER_BACKOFF: Duration = Duration::from_millis(250);
 
 /// Time to live of this host's group membership, unless the store requires a longer one.
@@ -93,10 +93,10 @@
     ];
     let mut stopping = shared.stopping.subscribe();
     loop {
-        let pause = state.borrow_mut().tick(&state);
+        let delay = state.borrow_mut().tick(&state);
         tokio::time::sleep(MIN_TICK_INTERVAL).await;
         tokio::select! {
-            () = tokio::time::sleep(pause.saturating_sub(MIN_TICK_INTERVAL)) => {}
+            () = tokio::time::sleep(delay.saturating_sub(MIN_TICK_INTERVAL)) => {}
             () = shared.wake_control.notified() => {}
             changed = stopping.wait_for(|stopping| *stopping) => {
                 drop(changed);
@@ -122,8 +122,8 @@
     let state = state.borrow();
     let shared = state.shared();
     let calls = shared.metrics.store_calls.clone();
-    let dialect = Arc::clone(&shared.codecs.store);
-    StoreClient::new(dialect, shared.profile.store_address, calls, state.eras().clone())
+    let codec = Arc::clone(&shared.codecs.store);
+    StoreClient::new(codec, shared.profile.store_address, calls, state.eras().clone())
 }
 
 fn backoff(shared: &SharedState, salt: u64) -> Backoff {
@@ -147,8 +147,8 @@
     let sink = |update| state.borrow_mut().apply_configuration_update(update);
     let following = state.borrow().following();
     let returns = state.borrow().store_returns();
-    let pause = StoreBackoff::probing(backoff(&shared, 0x1111), returns);
-    follow_topic(client, options, pause, following, sink).await;
+    let backoff = StoreBackoff::probing(backoff(&shared, 0x1111), returns);
+    follow_topic(client, options, backoff, following, sink).await;
 }
 
 /// Returns the long-poll time of a read whose changes must be in force within `bound`.
@@ -156,7 +156,7 @@
     (bound / CHANGE_BOUND_DIVISOR).min(LONG_POLL_WAIT)
 }
 
-/// Returns the maximum pause between failed reads of the configuration. Where the configuration
+/// Returns the maximum backoff between failed reads of the configuration. Where the configuration
 /// authorizes keys, hosts that read for others retry sooner, so that they and their followers
 /// recover quickly.
 fn max_backoff(state: &SharedControl, serves_keys: bool) -> Box<dyn Fn() -> Duration> {
@@ -180,6 +180,6 @@
         max_backoff: Box::new(|| MAX_BACKOFF),
     };
     let returns = state.borrow().store_returns();
-    let pause = StoreBackoff::passive(backoff(&shared, 0x2222), returns);
-    follow_topic(client, options, pause, following, sink).await;
+    let backoff = StoreBackoff::passive(backoff(&shared, 0x2222), returns);
+    follow_topic(client, options, backoff, following, sink).await;
 }
--- a/crates/gateway/src/control/aggregates/departures.rs
+++ b/crates/gateway/src/control/aggregates/departures.rs
@@ -28,19 +28,19 @@
         Self { shared }
     }
 
-    fn receive_lines(&self, lines: &[DepartureMessage], context: &AggregateContext<'_>) {
-        if !lines.is_empty() {
-            self.shared.departures().receive(&reports(lines), context.now);
+    fn receive_messages(&self, messages: &[DepartureMessage], context: &AggregateContext<'_>) {
+        if !messages.is_empty() {
+            self.shared.departures().receive(&reports(messages), context.now);
             self.shared.wake_control.notify_one();
         }
     }
 }
 
-fn reports(lines: &[DepartureMessage]) -> Vec<DepartureReport> {
-    lines.iter().map(Into::into).collect()
+fn reports(messages: &[DepartureMessage]) -> Vec<DepartureReport> {
+    messages.iter().map(Into::into).collect()
 }
 
-fn lines(reports: &[DepartureReport]) -> Vec<DepartureMessage> {
+fn messages(reports: &[DepartureReport]) -> Vec<DepartureMessage> {
     reports.iter().map(Into::into).collect()
 }
 
@@ -56,7 +56,7 @@
     }
 
     fn report(&mut self, frame: &mut HostReportFrame, context: &AggregateContext<'_>) -> bool {
-        frame.departures = lines(&self.shared.departures().take_pending(context.now));
+        frame.departures = messages(&self.shared.departures().take_pending(context.now));
         !frame.departures.is_empty()
     }
 
@@ -72,7 +72,7 @@
         frame: &HostReportFrame,
         context: &AggregateContext<'_>,
     ) {
-        self.receive_lines(&frame.departures, context);
+        self.receive_messages(&frame.departures, context);
     }
 
     fn snapshot(
@@ -81,16 +81,16 @@
         frame: &mut AggregateFrame,
         context: &AggregateContext<'_>,
     ) {
-        frame.departures = lines(&self.shared.departures().snapshot(context.now));
+        frame.departures = messages(&self.shared.departures().snapshot(context.now));
     }
 
     fn handle_unsubscribe(&mut self, _: &RemovedSubscriber, _: &AggregateContext<'_>) {}
 
     fn publish(&mut self, frame: &mut AggregateFrame, _: bool, context: &AggregateContext<'_>) {
-        frame.departures = lines(&self.shared.departures().take_unpublished(context.now));
+        frame.departures = messages(&self.shared.departures().take_unpublished(context.now));
     }
 
     fn receive(&mut self, frame: &AggregateFrame, context: &AggregateContext<'_>) {
-        self.receive_lines(&frame.departures, context);
+        self.receive_messages(&frame.departures, context);
     }
 }
--- a/crates/gateway/src/control/domain.rs
+++ b/crates/gateway/src/control/domain.rs
@@ -20,7 +20,7 @@
 use tokio::sync::mpsc;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::control::plan_encoding::{EngineNumbers, change_line, decode_work_lines, engine_line};
+use crate::control::plan_encoding::{EngineNumbers, change_message, decode_work, engine_message};
 use crate::demand::DemandReport;
 use crate::peers::frame::{
     DemandFrame, EncodedFrame, EngineChangeMessage, FrameBody, LoadEstimateMessage, PlanFrame,
@@ -142,7 +142,7 @@
     engine_numbers: EngineNumbers,
     /// Engines by the numbers in the placer's frames.
     engines_by_number: HashMap<u32, EngineName>,
-    /// Minimum pause after the last work frame, by the size of that frame.
+    /// Minimum delay after the last work frame, by the size of that frame.
     work_interval: Duration,
     /// Engines with changes that have not been sent to the subscribers.
     unsent: BTreeSet<EngineName>,
@@ -202,13 +202,9 @@
         if !changed.is_empty() || now.since(self.last_broadcast_at) >= HEARTBEAT_INTERVAL {
             self.last_broadcast_at = now;
             let (numbers, work) = self.engine_numbers.encode(&changed);
-            let pace = self.store_throughput.map(Into::into);
-            let frame = PlanFrame {
-                store_throughput: pace,
-                engine_numbers: numbers,
-                work,
-                ..self.empty_frame()
-            };
+            let store_throughput = self.store_throughput.map(Into::into);
+            let frame =
+                PlanFrame { store_throughput, engine_numbers: numbers, work, ..self.empty_frame() };
             let frame = FrameBody::Plan(frame).encoded();
             self.work_interval =
                 ONE_SECOND.mul_f64(frame.bytes.len() as f64 / WORK_BYTES_PER_SECOND);
@@ -279,16 +275,16 @@
 
     /// Applies a change of an engine's loaded models; ignores it if the plan does not have the
     /// engine.
-    fn apply_change(&mut self, line: &EngineChangeMessage) {
-        let Some(loaded) = self.plan.get_mut(line.engine.as_str()) else { return };
-        let gained: Vec<LoadedModel> = line.added.iter().map(Into::into).collect();
+    fn apply_change(&mut self, message: &EngineChangeMessage) {
+        let Some(loaded) = self.plan.get_mut(message.engine.as_str()) else { return };
+        let gained: Vec<LoadedModel> = message.added.iter().map(Into::into).collect();
         let is_gained = |key: &ModelKey| gained.iter().any(|model| model.key == *key);
         loaded.retain(|model| {
-            !is_gained(&model.key) && !line.removed.iter().any(|key| **key == *model.key)
+            !is_gained(&model.key) && !message.removed.iter().any(|key| **key == *model.key)
         });
         record_loaded_models(
             &mut self.weight_caches,
-            &EngineName::from(line.engine.as_str()),
+            &EngineName::from(message.engine.as_str()),
             &gained,
         );
         loaded.extend(gained);
@@ -327,7 +323,7 @@
 
     /// Decodes the work in a placer's frame, ignoring engines with an unknown number.
     pub fn decode_work(&self, frame: &PlanFrame) -> Vec<(EngineName, EngineWork)> {
-        decode_work_lines(&self.engines_by_number, &frame.work)
+        decode_work(&self.engines_by_number, &frame.work)
     }
 
     /// Returns the throughput of the weight store if it differs from the last call.
@@ -346,22 +342,23 @@
         self.plan_token = frame.token;
         self.store_throughput =
             frame.store_throughput.as_ref().map(Into::into).or(self.store_throughput);
-        for line in &frame.engines {
-            let loaded: Vec<LoadedModel> = line.loaded_models.iter().map(Into::into).collect();
-            let engine = EngineName::from(line.engine.as_str());
-            self.incarnations.insert(Arc::clone(&engine), line.incarnation);
+        for message in &frame.engines {
+            let loaded: Vec<LoadedModel> = message.loaded_models.iter().map(Into::into).collect();
+            let engine = EngineName::from(message.engine.as_str());
+            self.incarnations.insert(Arc::clone(&engine), message.incarnation);
             record_loaded_models(&mut self.weight_caches, &engine, &loaded);
             self.plan.insert(engine, loaded);
         }
-        for line in &frame.changes {
-            self.apply_change(line);
+        for message in &frame.changes {
+            self.apply_change(message);
         }
-        for line in &frame.engine_numbers {
-            self.engines_by_number.insert(line.number, EngineName::from(line.engine.as_str()));
+        for message in &frame.engine_numbers {
+            self.engines_by_number
+                .insert(message.number, EngineName::from(message.engine.as_str()));
         }
-        for line in &frame.estimates {
-            let due = now + Duration::from_millis(u64::from(line.expected_in_ms));
-            self.estimates.insert(Arc::from(line.key.as_str()), due);
+        for message in &frame.estimates {
+            let due = now + Duration::from_millis(u64::from(message.expected_in_ms));
+            self.estimates.insert(Arc::from(message.key.as_str()), due);
         }
         self.plan_up_to_date = true;
         true
@@ -369,12 +366,12 @@
 
     /// Encodes the complete plan, for a new subscriber.
     pub fn full_plan(&self) -> EncodedFrame {
-        let lines = self.plan.iter();
-        let lines =
-            lines.map(|(engine, loaded)| engine_line(engine, self.incarnation(engine), loaded));
+        let messages = self.plan.iter();
+        let messages = messages
+            .map(|(engine, loaded)| engine_message(engine, self.incarnation(engine), loaded));
         let frame = PlanFrame {
-            engines: lines.collect(),
-            engine_numbers: self.engine_numbers.lines(),
+            engines: messages.collect(),
+            engine_numbers: self.engine_numbers.messages(),
             ..self.empty_frame()
         };
         FrameBody::Plan(frame).encoded()
@@ -388,8 +385,10 @@
             let Some(loaded) = self.plan.get(engine) else { continue };
             let sent = self.sent_plan.insert(Arc::clone(engine), loaded.clone());
             match sent {
-                Some(sent) => frame.changes.push(change_line(engine, &sent, loaded)),
-                None => frame.engines.push(engine_line(engine, self.incarnation(engine), loaded)),
+                Some(sent) => frame.changes.push(change_message(engine, &sent, loaded)),
+                None => {
+                    frame.engines.push(engine_message(engine, self.incarnation(engine), loaded));
+                }
             }
         }
         FrameBody::Plan(frame).encoded()
@@ -428,11 +427,11 @@
         let (service, token) = (self.service.to_string(), self.lease_token);
         let hosts = self.subscribed_hosts();
         for subscriber in &mut self.subscribers {
-            let lines = subscriber.awaiting_estimates.drain(..).filter_map(|key| estimate(&key));
-            let lines = lines
+            let messages = subscriber.awaiting_estimates.drain(..).filter_map(|key| estimate(&key));
+            let messages = messages
                 .take(MAX_ESTIMATES_PER_FRAME)
                 .map(|(key, delay)| LoadEstimateMessage::new(&key, delay));
-            let estimates: Vec<LoadEstimateMessage> = lines.collect();
+            let estimates: Vec<LoadEstimateMessage> = messages.collect();
             if estimates.is_empty() {
                 continue;
             }
--- a/crates/gateway/src/control/feed.rs
+++ b/crates/gateway/src/control/feed.rs
@@ -197,19 +197,19 @@
     /// Returns the complete state, for a peer whose clock showed `requested_at` when it sent the
     /// request.
     pub fn response_frame(&self, requested_at: u64) -> StateFrame {
-        StateFrame { clock: Some(self.clock_line(requested_at)), ..self.state_frame() }
+        StateFrame { clock: Some(self.clock_message(requested_at)), ..self.state_frame() }
     }
 
     /// Queues the owners of the partitions for the followers.
     pub fn queue_owners(&mut self) {
         self.feed.full_frame = None;
-        self.feed.pending.owners = self.owner_lines();
+        self.feed.pending.owners = self.owner_messages();
     }
 
     /// Returns the owners of the partitions in the form that is sent to peers.
-    pub fn owner_lines(&self) -> Vec<PartitionOwnerMessage> {
-        let lines = self.owners.iter();
-        lines
+    pub fn owner_messages(&self) -> Vec<PartitionOwnerMessage> {
+        let owners = self.owners.iter();
+        owners
             .map(|(partition, host)| PartitionOwnerMessage {
                 partition: *partition,
                 member: host.to_string(),
--- a/crates/gateway/src/control/freshness.rs
+++ b/crates/gateway/src/control/freshness.rs
@@ -52,11 +52,11 @@
 
     /// Returns the response to a peer's request for this host's clock, without configuration.
     pub fn clock_frame(&self, requested_at: u64) -> StateFrame {
-        StateFrame { clock: Some(self.clock_line(requested_at)), ..self.era_frame() }
+        StateFrame { clock: Some(self.clock_message(requested_at)), ..self.era_frame() }
     }
 
     /// Returns this host's clock reading as a response to a peer's request.
-    pub fn clock_line(&self, requested_at: u64) -> ClockMessage {
+    pub fn clock_message(&self, requested_at: u64) -> ClockMessage {
         ClockMessage { requested_at, now: self.shared.clock.now().as_millis() }
     }
 }
--- a/crates/gateway/src/control/membership.rs
+++ b/crates/gateway/src/control/membership.rs
@@ -22,7 +22,7 @@
 /// have joined again.
 const LOW_CAPACITY_JOIN_DELAY: Duration = Duration::from_secs(3);
 
-/// Maximum pause between failed joins. A join is cheap for the store, and leases depend on it.
+/// Maximum backoff between failed joins. A join is cheap for the store, and leases depend on it.
 const MAX_JOIN_BACKOFF: Duration = Duration::from_secs(1);
 
 /// Minimum number of consecutive checks after which a host with low capacity joins.
@@ -61,7 +61,7 @@
     let shared = Arc::clone(state.borrow().shared());
     let mut client = store_client(&state);
     let returns = state.borrow().store_returns();
-    let mut pause = StoreBackoff::passive(backoff(&shared, 0x4444), returns);
+    let mut store_backoff = StoreBackoff::passive(backoff(&shared, 0x4444), returns);
     let mut jitter = backoff(&shared, 0x5555);
     let time_to_live = MEMBERSHIP_TTL.max(shared.profile.min_membership_ttl);
     let member = own_member(&shared);
@@ -69,7 +69,7 @@
         || shared.profile.capacity.should_leave(state.borrow().high_capacity_members());
     let sink = |update| state.borrow_mut().apply_membership_update(update);
     loop {
-        wait_until_needed(&state, &mut client, &mut pause, &mut jitter).await;
+        wait_until_needed(&state, &mut client, &mut store_backoff, &mut jitter).await;
         let backoff = backoff(&shared, 0x3333).with_max_delay(MAX_JOIN_BACKOFF);
         let clock = Arc::clone(&shared.clock);
         run_membership(&mut client, member, time_to_live, clock, backoff, should_leave, sink).await;
@@ -95,7 +95,7 @@
 async fn wait_until_needed(
     state: &SharedControl,
     client: &mut StoreClient,
-    pause: &mut StoreBackoff,
+    backoff: &mut StoreBackoff,
     jitter: &mut Backoff,
 ) {
     let shared = Arc::clone(state.borrow().shared());
@@ -107,10 +107,10 @@
         if !is_following || state.borrow().should_join() {
             if let Err(error) = fetch_owners(state, client).await {
                 log::debug!("failed to read the partition owners: {error}");
-                pause.wait_after_failure(MAX_BACKOFF).await;
+                backoff.wait_after_failure(MAX_BACKOFF).await;
                 continue;
             }
-            pause.reset();
+            backoff.reset();
             let too_early = shared.clock.now().since(started_at) < policy.delay;
             let is_needed = !too_early && state.borrow().should_join();
             needed_checks = if is_needed { needed_checks + 1 } else { 0 };
--- a/crates/gateway/src/control/orders.rs
+++ b/crates/gateway/src/control/orders.rs
@@ -78,20 +78,20 @@
     order: PlannedOrder,
 ) {
     let shared = Arc::clone(state.borrow().shared());
-    let dialect = &shared.codecs.engine;
+    let codec = &shared.codecs.engine;
     if shared.availability().without_limit(&order.engine) != EngineAvailability::Available {
         let now = shared.clock.now();
         state.borrow_mut().handle_order_answer(&service, token, &order, OrderAnswer::NotSent, now);
         return;
     }
     let mut client = state.borrow_mut().order_clients().take(&order.engine);
-    let call = dialect.encode_order(&order, &shared.profile.name, token);
+    let call = codec.encode_order(&order, &shared.profile.name, token);
     let sent_at = shared.clock.now();
     shared.count_engine_call(&order.engine.name, EngineCallKind::Order);
     let answer = match client.call(&call, ORDER_TIMEOUT).await {
-        Ok(answer) => {
-            record_announcements(&shared, &order.engine, &answer, sent_at);
-            dialect.decode_order_response(&answer)
+        Ok(response) => {
+            record_announcements(&shared, &order.engine, &response, sent_at);
+            codec.decode_order_response(&response)
         }
         Err(CallError::NotSent(_)) => OrderAnswer::NotSent,
         Err(CallError::NoResponse(_) | CallError::TimedOut) => OrderAnswer::Unknown,
@@ -128,16 +128,16 @@
 fn record_announcements(
     shared: &SharedState,
     engine: &EngineEntry,
-    answer: &CallResponse,
+    response: &CallResponse,
     sent_at: ClockMillis,
 ) {
-    let announcements = shared.codecs.request.decode_announcements(&answer.head);
+    let announcements = shared.codecs.request.decode_announcements(&response.head);
     shared.record_announcements(engine, &announcements, sent_at, ResponseKind::Other);
 }
 
 async fn request_report(state: SharedControl, service: ServiceName, engine: Arc<EngineEntry>) {
     let shared = Arc::clone(state.borrow().shared());
-    let dialect = &shared.codecs.engine;
+    let codec = &shared.codecs.engine;
     if shared.availability().without_limit(&engine) != EngineAvailability::Available {
         if let Some(planner) = state.borrow_mut().planner(&service) {
             planner.handle_report_failure(&engine.name, false);
@@ -146,16 +146,16 @@
     }
     let mut client = state.borrow_mut().order_clients().take(&engine);
     let sent_at = shared.clock.now();
-    let call = dialect.encode_report_request(&engine.name);
+    let call = codec.encode_report_request(&engine.name);
     shared.count_engine_call(&engine.name, EngineCallKind::Report);
-    let answer = client.call(&call, REPORT_TIMEOUT).await;
-    if let Ok(answer) = &answer {
-        record_announcements(&shared, &engine, answer, sent_at);
+    let response = client.call(&call, REPORT_TIMEOUT).await;
+    if let Ok(response) = &response {
+        record_announcements(&shared, &engine, response, sent_at);
     }
     // Only a refused connection shows that the process has ended; other errors may be caused by
     // this host or its network.
-    let connection_refused = matches!(&answer, Err(CallError::NotSent(error)) if error.kind() == ErrorKind::ConnectionRefused);
-    let report = answer.ok().and_then(|answer| dialect.decode_report(&answer).ok());
+    let connection_refused = matches!(&response, Err(CallError::NotSent(error)) if error.kind() == ErrorKind::ConnectionRefused);
+    let report = response.ok().and_then(|response| codec.decode_report(&response).ok());
     let mut state = state.borrow_mut();
     state.order_clients().put_back(&engine.name, client);
     let Some(planner) = state.planner(&service) else { return };
--- a/crates/gateway/src/control/plan_encoding.rs
+++ b/crates/gateway/src/control/plan_encoding.rs
@@ -39,9 +39,9 @@
     }
 
     /// Returns all assigned numbers, for a new subscriber.
-    pub(super) fn lines(&self) -> Vec<EngineNumberMessage> {
-        let lines = self.numbers.iter();
-        lines
+    pub(super) fn messages(&self) -> Vec<EngineNumberMessage> {
+        let numbers = self.numbers.iter();
+        numbers
             .map(|(engine, number)| EngineNumberMessage {
                 number: *number,
                 engine: engine.to_string(),
@@ -51,17 +51,17 @@
 }
 
 /// Encodes all models that an incarnation of an engine has loaded.
-pub(super) fn engine_line(
+pub(super) fn engine_message(
     engine: &EngineName,
     incarnation: EngineIncarnation,
     loaded: &[LoadedModel],
 ) -> EngineModelsMessage {
-    let held = loaded.iter().map(LoadedModelMessage::from).collect();
-    EngineModelsMessage { engine: engine.to_string(), loaded_models: held, incarnation }
+    let loaded_models = loaded.iter().map(LoadedModelMessage::from).collect();
+    EngineModelsMessage { engine: engine.to_string(), loaded_models, incarnation }
 }
 
 /// Encodes the models that were loaded and unloaded since `sent`.
-pub(super) fn change_line(
+pub(super) fn change_message(
     engine: &EngineName,
     sent: &[LoadedModel],
     loaded: &[LoadedModel],
@@ -77,14 +77,14 @@
 }
 
 /// Decodes work by engine number, ignoring unknown numbers.
-pub(super) fn decode_work_lines(
+pub(super) fn decode_work(
     engines_by_number: &HashMap<u32, EngineName>,
     encoded: &[u64],
 ) -> Vec<(EngineName, EngineWork)> {
-    let lines = encoded.chunks_exact(FIELDS_PER_ENGINE).filter_map(|line| {
-        let engine = engines_by_number.get(&u32::try_from(line[0]).ok()?)?;
-        let open = u32::try_from(line[1]).ok()?;
-        Some((Arc::clone(engine), EngineWork { open, pending_prefill_tokens: line[2] }))
+    let entries = encoded.chunks_exact(FIELDS_PER_ENGINE).filter_map(|entry| {
+        let engine = engines_by_number.get(&u32::try_from(entry[0]).ok()?)?;
+        let open = u32::try_from(entry[1]).ok()?;
+        Some((Arc::clone(engine), EngineWork { open, pending_prefill_tokens: entry[2] }))
     });
-    lines.collect()
+    entries.collect()
 }
--- a/crates/gateway/src/control/state.rs
+++ b/crates/gateway/src/control/state.rs
@@ -164,7 +164,7 @@
     pub(super) fn record_store_call(&mut self, answered: bool) {
         let now = self.shared.clock.now();
         if answered {
-            self.record_store_answer(now);
+            self.record_store_response(now);
         } else {
             self.store_health.record_failure(now);
         }
@@ -175,7 +175,7 @@
         self.store_health.record_reader_update(self.shared.clock.now());
     }
 
-    fn record_store_answer(&mut self, now: ClockMillis) {
+    fn record_store_response(&mut self, now: ClockMillis) {
         if self.store_health.record_response(now) {
             self.store_returns.send_modify(|returns| *returns = returns.wrapping_add(1));
         }
@@ -186,12 +186,12 @@
         self.handle_new_era();
         let now = self.shared.clock.now();
         match update {
-            MembershipUpdate::Joined { assignment: share, sent } => {
-                self.record_store_answer(now);
-                self.handle_assignment(&share.partitions, sent);
-                let token = generation_token(share.era, share.generation);
+            MembershipUpdate::Joined { assignment, sent } => {
+                self.record_store_response(now);
+                self.handle_assignment(&assignment.partitions, sent);
+                let token = generation_token(assignment.era, assignment.generation);
                 for domain in self.domains.values_mut() {
-                    let listed = share.partitions.contains(&domain.partition);
+                    let listed = assignment.partitions.contains(&domain.partition);
                     domain.tenure.handle_join(listed, token, sent, now);
                 }
             }
@@ -274,7 +274,7 @@
             configuration: configuration.collect(),
             names,
             engines,
-            owners: self.owner_lines(),
+            owners: self.owner_messages(),
             complete: true,
             engines_end: self.engine_records.end().offset,
             engines_era: self.engine_records.end().era,
@@ -313,10 +313,11 @@
         }
     }
 
-    fn apply_owners(&mut self, lines: &[PartitionOwnerMessage]) {
-        let owner =
-            |line: &PartitionOwnerMessage| Some((line.partition, line.member.parse().ok()?));
-        let owners: HashMap<u32, GroupMember> = lines.iter().filter_map(owner).collect();
+    fn apply_owners(&mut self, messages: &[PartitionOwnerMessage]) {
+        let owner = |message: &PartitionOwnerMessage| {
+            Some((message.partition, message.member.parse().ok()?))
+        };
+        let owners: HashMap<u32, GroupMember> = messages.iter().filter_map(owner).collect();
         if !owners.is_empty() && owners != self.owners {
             self.owners = owners;
             self.table_changed = true;
--- a/crates/gateway/src/engines/end_detection.rs
+++ b/crates/gateway/src/engines/end_detection.rs
@@ -72,8 +72,8 @@
 
 fn report_engine_end(traffic: &TrafficState, entry: &EngineEntry, runs: &[InterruptedRun]) {
     let shared = &traffic.shared;
-    let life = engine_incarnation_id(&entry.name, entry.incarnation);
-    shared.quarantine().record_crash(life, runs, traffic.now());
+    let incarnation = engine_incarnation_id(&entry.name, entry.incarnation);
+    shared.quarantine().record_crash(incarnation, runs, traffic.now());
     shared.wake_control.notify_one();
     shared.metrics.engines_ended.inc();
     shared.events.write(HostEvent::EngineEnded {
--- a/crates/gateway/src/engines/send.rs
+++ b/crates/gateway/src/engines/send.rs
@@ -27,7 +27,7 @@
     /// The status and header fields.
     pub head: ResponseHead,
     /// Values read from the header fields.
-    pub facts: ResponseMetadata,
+    pub metadata: ResponseMetadata,
     /// Decoder of the body.
     pub decoder: BodyDecoder,
     /// Whether the connection can be reused after the body has been read.
@@ -66,7 +66,7 @@
 /// Returns why there is no response; the request may have run.
 pub async fn send_request(
     connection: &mut EngineConnection,
-    dialect: &dyn RequestCodec,
+    codec: &dyn RequestCodec,
     request: &Bytes,
     method: &str,
     id: &str,
@@ -81,14 +81,21 @@
         }
         let framing = BodyFraming::of_response(&head, method).map_err(ReadError::from)?;
         let mut decoder = BodyDecoder::new(framing);
-        let facts = dialect.decode_response(&head);
-        let rejected = facts.not_run || facts.misdirected;
-        let matches_request = facts.id.as_deref().map_or(rejected, |response_id| response_id == id);
+        let metadata = codec.decode_response(&head);
+        let rejected = metadata.not_run || metadata.misdirected;
+        let matches_request =
+            metadata.id.as_deref().map_or(rejected, |response_id| response_id == id);
         if matches_request {
             reusable &= head.keeps_connection() && framing != BodyFraming::UntilClose;
-            return Ok(EngineResponse { head, facts, decoder, reusable, unrelated_announcements });
+            return Ok(EngineResponse {
+                head,
+                metadata,
+                decoder,
+                reusable,
+                unrelated_announcements,
+            });
         }
-        unrelated_announcements = facts.announcements.merged(unrelated_announcements);
+        unrelated_announcements = metadata.announcements.merged(unrelated_announcements);
         if framing == BodyFraming::UntilClose || !head.keeps_connection() {
             break;
         }
--- a/crates/gateway/src/peers/client.rs
+++ b/crates/gateway/src/peers/client.rs
@@ -103,8 +103,8 @@
                     received_at = clock.now();
                     true
                 }
-                Some(FrameBody::Aggregate(sums)) => {
-                    state.borrow_mut().apply_published_aggregates(&sums);
+                Some(FrameBody::Aggregate(aggregate)) => {
+                    state.borrow_mut().apply_published_aggregates(&aggregate);
                     received_at = clock.now();
                     true
                 }
--- a/crates/gateway/src/peers/server.rs
+++ b/crates/gateway/src/peers/server.rs
@@ -68,9 +68,9 @@
                             return;
                         }
                     }
-                    Some(FrameBody::HostReport(count)) => state.borrow_mut().aggregate_peer_reports(&count),
-                    Some(FrameBody::StateRequest(ask)) => {
-                        let response = state.borrow().response_frame(ask.requested_at);
+                    Some(FrameBody::HostReport(report)) => state.borrow_mut().aggregate_peer_reports(&report),
+                    Some(FrameBody::StateRequest(request)) => {
+                        let response = state.borrow().response_frame(request.requested_at);
                         if stream.send(FrameBody::State(response).encoded()).await.is_err() {
                             return;
                         }
--- a/crates/gateway/src/traffic.rs
+++ b/crates/gateway/src/traffic.rs
@@ -91,7 +91,7 @@
     retry_shares: RefCell<HashMap<ServiceName, RetryShare>>,
     /// Admission control of each service without models.
     pub admissions: RefCell<HashMap<ServiceName, AdmissionController>>,
-    /// Models and adapters that engines reported as not held, with the time of the report.
+    /// Models and adapters that engines reported as not loaded, with the time of the report.
     absent_copies: RefCell<HashMap<(EngineName, ModelKey), ClockMillis>>,
     /// Total size of the buffered request bodies, in bytes.
     pub body_bytes: Cell<usize>,
@@ -163,7 +163,7 @@
         speeds.get(service).map_or(Duration::ZERO, |speed| speed.time_for(tokens))
     }
 
-    /// Records that an engine reported not to hold a model or adapter, and reports it to the
+    /// Records that an engine reported not to have loaded a model or adapter, and reports it to the
     /// placer.
     pub fn record_absence(&self, service: &ServiceName, engine: &EngineName, key: &ModelKey) {
         let copy = (Arc::clone(engine), Arc::clone(key));
@@ -183,7 +183,7 @@
         }
     }
 
-    /// Returns whether an engine recently reported not to hold a model or adapter.
+    /// Returns whether an engine recently reported not to have loaded a model or adapter.
     pub fn is_absent(&self, engine: &EngineName, key: &ModelKey) -> bool {
         let copy = (Arc::clone(engine), Arc::clone(key));
         let reported_at = self.absent_copies.borrow().get(&copy).copied();
--- a/crates/gateway/src/traffic/attempt.rs
+++ b/crates/gateway/src/traffic/attempt.rs
@@ -40,7 +40,7 @@
         // A request that may have terminated an engine must not run at two engines at a time.
         let may_retry = may_retry && self.within_send_limits() && !self.is_suspect();
         let (traffic, service) = (Rc::clone(self.traffic), Arc::clone(&self.service));
-        let (key, id) = (self.facts.model.clone(), self.facts.id.clone());
+        let (key, id) = (self.metadata.model.clone(), self.metadata.id.clone());
         let (timeout, excluded) =
             (self.route.latency_target * FIRST_BYTE_TIMEOUT_TARGETS, [Arc::clone(&entry.name)]);
         async move {
@@ -101,15 +101,15 @@
             }
         };
         let sent_at = self.traffic.now();
-        let dialect = Arc::clone(&self.traffic.shared.codecs.request);
+        let codec = Arc::clone(&self.traffic.shared.codecs.request);
         let deadline_expired = self.deadline.clone().expired(DEADLINE_SLACK);
         let first_byte_timeout = self.first_byte_timeout(entry);
         let sending = send_request(
             &mut connection,
-            &*dialect,
+            &*codec,
             &request,
             &self.request.head.method,
-            &self.facts.id,
+            &self.metadata.id,
         );
         let response = tokio::select! {
             biased;
@@ -154,11 +154,11 @@
         version: Option<WeightVersion>,
     ) -> SendOutcome {
         let entry = Arc::clone(&connection.entry);
-        if response.facts.not_run || response.facts.misdirected {
-            if !response.facts.misdirected {
+        if response.metadata.not_run || response.metadata.misdirected {
+            if !response.metadata.misdirected {
                 self.record_outcome(&entry, EngineOutcome::Refused);
             }
-            let absent = response.facts.misdirected;
+            let absent = response.metadata.misdirected;
             self.drain_and_keep(connection, response).await;
             return SendOutcome::NotRun { absent };
         }
@@ -166,7 +166,7 @@
         let claims_not_run = matches!(response.head.status, 408 | 421 | 429 | 503);
         let success = (200..300).contains(&response.head.status);
         let other_version = self.ran_other_version(&entry, &response, version);
-        if claims_not_run || (success && (!response.facts.signed || other_version)) {
+        if claims_not_run || (success && (!response.metadata.signed || other_version)) {
             // Not relayed: the status would tell the client that the request did not run, the
             // success is unsigned, or the response was computed with other weights.
             connection.close();
@@ -208,8 +208,8 @@
         requested: Option<WeightVersion>,
     ) -> bool {
         let names_adapter =
-            self.facts.model.as_ref().is_some_and(|key| adapter_name(key).is_some());
-        let ran = response.facts.version.value().filter(|_| !names_adapter);
+            self.metadata.model.as_ref().is_some_and(|key| adapter_name(key).is_some());
+        let ran = response.metadata.version.value().filter(|_| !names_adapter);
         let (Some(requested), Some(ran)) = (requested, ran) else { return false };
         if requested != ran {
             self.traffic.shared.metrics.other_versions.inc();
@@ -226,8 +226,8 @@
     pub fn connect_options(&self, recent_only: bool) -> ConnectOptions {
         ConnectOptions {
             recent_only,
-            key: self.facts.model.clone(),
-            prefill_tokens: self.facts.prompt.tokens(),
+            key: self.metadata.model.clone(),
+            prefill_tokens: self.metadata.prompt.tokens(),
         }
     }
 
@@ -267,7 +267,7 @@
     fn pending_prefill_before(&self, entry: &EngineEntry) -> u64 {
         let reported = self.traffic.shared.shared_work().get(&entry.name).pending_prefill_tokens;
         let (_, local) = self.traffic.pool.borrow().health_and_work(&entry.name);
-        reported.max(local.pending_prefill_tokens.saturating_sub(self.facts.prompt.tokens()))
+        reported.max(local.pending_prefill_tokens.saturating_sub(self.metadata.prompt.tokens()))
     }
 
     /// Records the announcements in a response's head; the request was sent at `sent_at`.
@@ -288,12 +288,12 @@
                 ResponseKind::Other,
             );
         }
-        let facts = &response.facts;
-        let ran = facts.signed && !facts.not_run && !facts.misdirected;
+        let metadata = &response.metadata;
+        let ran = metadata.signed && !metadata.not_run && !metadata.misdirected;
         let kind = if ran { ResponseKind::Accepted } else { ResponseKind::Rejected };
-        shared.record_announcements(entry, &facts.announcements, sent_at, kind);
-        if facts.not_run {
-            let cooldown = matches!(facts.announcements.cooldown, Declared::Present(_));
+        shared.record_announcements(entry, &metadata.announcements, sent_at, kind);
+        if metadata.not_run {
+            let cooldown = matches!(metadata.announcements.cooldown, Declared::Present(_));
             shared.metrics.count_rejection(self.sends > 1, cooldown);
         }
     }
@@ -310,7 +310,7 @@
         version: Option<WeightVersion>,
         resume_after: Option<&str>,
     ) -> Bytes {
-        let terms = ForwardMetadata {
+        let metadata = ForwardMetadata {
             engine: &entry.name,
             remaining: self.deadline.remaining(),
             priority: self.priority(),
@@ -318,7 +318,7 @@
             version,
             resume_after,
         };
-        let dialect = &*self.traffic.shared.codecs.request;
-        forwarded_request(dialect, &self.request, &terms)
+        let codec = &*self.traffic.shared.codecs.request;
+        forwarded_request(codec, &self.request, &metadata)
     }
 }
--- a/crates/gateway/src/traffic/exchange.rs
+++ b/crates/gateway/src/traffic/exchange.rs
@@ -109,7 +109,7 @@
     /// The request.
     pub request: ClientRequest,
     /// Values read from its header fields.
-    pub facts: RequestMetadata,
+    pub metadata: RequestMetadata,
     /// Its route.
     pub route: Arc<RouteEntry>,
     /// The service that runs it.
@@ -202,15 +202,15 @@
         request: ClientRequest,
         prepared: PreparedRequest,
     ) -> Self {
-        let PreparedRequest { facts, route, service, organisation, mark, quota_cost, revision } =
+        let PreparedRequest { metadata, route, service, organisation, mark, quota_cost, revision } =
             prepared;
-        let time_limit = facts.deadline.unwrap_or(route.timeout).min(route.timeout);
+        let time_limit = metadata.deadline.unwrap_or(route.timeout).min(route.timeout);
         Self {
             traffic,
             client,
             deadline: RequestDeadline::new(&traffic.shared.clock, request.arrived, time_limit),
             request,
-            facts,
+            metadata,
             route,
             service,
             organisation,
@@ -238,8 +238,8 @@
     }
 
     async fn run(&mut self) -> (ConnectionAction, &'static str) {
-        if let Some(key) = &self.facts.model {
-            let tokens = self.facts.prompt.tokens();
+        if let Some(key) = &self.metadata.model {
+            let tokens = self.metadata.prompt.tokens();
             self.traffic.shared.demand().record_request(&self.service, key, tokens);
         }
         // Checked before admission and before an engine is chosen: a quarantined request can
@@ -300,9 +300,9 @@
     fn pick_excluding(&self, excluded: &[EngineName]) -> EnginePick {
         let requirements = EngineRequirements {
             service: &self.service,
-            key: self.facts.model.as_ref(),
+            key: self.metadata.model.as_ref(),
             excluded,
-            id: &self.facts.id,
+            id: &self.metadata.id,
             permit_use: self.permit_use(),
         };
         pick_engine(self.traffic, &requirements)
@@ -337,7 +337,7 @@
                 self.handle_full_server(entry).await
             }
             SendOutcome::NotRun { absent } => {
-                if absent && let Some(key) = &self.facts.model {
+                if absent && let Some(key) = &self.metadata.model {
                     self.traffic.record_absence(&self.service, &entry.name, key);
                 }
                 if !self.try_spend_resend() {
--- a/crates/gateway/src/traffic/forward.rs
+++ b/crates/gateway/src/traffic/forward.rs
@@ -14,18 +14,18 @@
 /// Buffer capacity reserved for the head, in bytes.
 const TYPICAL_HEAD_BYTES: usize = 512;
 
-/// Serializes a request with its method, target and body unaltered and the terms of this send.
+/// Serializes a request with its method, target and body unaltered and the metadata of this send.
 pub fn forwarded_request(
-    dialect: &dyn RequestCodec,
+    codec: &dyn RequestCodec,
     request: &ClientRequest,
-    terms: &ForwardMetadata<'_>,
+    metadata: &ForwardMetadata<'_>,
 ) -> Bytes {
-    let mut fields = forwarded_fields(dialect, &request.head.fields);
+    let mut fields = forwarded_fields(codec, &request.head.fields);
     let bodiless = matches!(request.head.method.as_str(), "GET" | "HEAD");
     if !request.body.is_empty() || !bodiless {
         fields.push("Content-Length", request.body.len().to_string());
     }
-    dialect.set_forward_metadata(&mut fields, terms);
+    codec.set_forward_metadata(&mut fields, metadata);
     let head = RequestHead {
         method: request.head.method.clone(),
         target: request.head.target.clone(),
@@ -41,9 +41,9 @@
 /// Returns the client's header fields that are forwarded unaltered.
 ///
 /// Leaves out hop-by-hop fields, `Content-Length`, and the fields that only the system sets.
-pub fn forwarded_fields(dialect: &dyn RequestCodec, fields: &HeaderFields) -> HeaderFields {
+pub fn forwarded_fields(codec: &dyn RequestCodec, fields: &HeaderFields) -> HeaderFields {
     let mut passed = fields.end_to_end();
     passed.remove_all(&["Content-Length"]);
-    passed.remove_all(dialect.reserved_fields());
+    passed.remove_all(codec.reserved_fields());
     passed
 }
--- a/crates/gateway/src/traffic/local_response.rs
+++ b/crates/gateway/src/traffic/local_response.rs
@@ -44,7 +44,7 @@
     }
 
     /// Serializes the response; `close` announces that the connection is closed after it.
-    pub fn write(&self, dialect: &dyn RequestCodec, id: Option<&str>, close: bool) -> BytesMut {
+    pub fn write(&self, codec: &dyn RequestCodec, id: Option<&str>, close: bool) -> BytesMut {
         let mut head = ResponseHead::new(self.status);
         head.fields.push("Content-Type", "text/plain");
         head.fields.push("Content-Length", (self.text.len() + 1).to_string());
@@ -52,7 +52,7 @@
             head.fields.push("Retry-After", format!("{:.2}", time.as_secs_f64()));
         }
         if let Some(id) = id {
-            dialect.set_response_id(&mut head.fields, id);
+            codec.set_response_id(&mut head.fields, id);
         }
         if close {
             head.fields.push("Connection", "close");
--- a/crates/gateway/src/traffic/permit.rs
+++ b/crates/gateway/src/traffic/permit.rs
@@ -130,9 +130,9 @@
     pub(super) async fn pick_for_resume(&self, excluded: &[EngineName]) -> EnginePick {
         let requirements = EngineRequirements {
             service: &self.service,
-            key: self.facts.model.as_ref(),
+            key: self.metadata.model.as_ref(),
             excluded,
-            id: &self.facts.id,
+            id: &self.metadata.id,
             permit_use: PermitUse::Resumed,
         };
         let mut permits = self.traffic.shared.permits.subscribe();
--- a/crates/gateway/src/traffic/pick.rs
+++ b/crates/gateway/src/traffic/pick.rs
@@ -26,7 +26,7 @@
     Limited(Vec<Arc<EngineEntry>>),
     /// All candidates are within a cooldown.
     Cooling(CoolingEngines),
-    /// No engine holds the requested model or adapter.
+    /// No engine has loaded the requested model or adapter.
     ColdStart,
     /// No engine of the service accepts new work.
     Unavailable,
@@ -48,7 +48,7 @@
 pub struct EngineRequirements<'request> {
     /// The service.
     pub service: &'request str,
-    /// The model or adapter that the engine must hold.
+    /// The model or adapter that the engine must have loaded.
     pub key: Option<&'request ModelKey>,
     /// Engines that must not be picked.
     pub excluded: &'request [EngineName],
--- a/crates/gateway/src/traffic/preflight.rs
+++ b/crates/gateway/src/traffic/preflight.rs
@@ -96,7 +96,7 @@
         }
         let table = self.traffic.table();
         let routes = table.routes.as_ref().filter(|routes| routes.revision() != self.revision)?;
-        let holds = match routes.identify(&self.route, &self.facts.key) {
+        let holds = match routes.identify(&self.route, &self.metadata.key) {
             Ok(holder) => holder.is_none_or(|holder| holder.name == organisation.name),
             Err(_) => false,
         };
--- a/crates/gateway/src/traffic/prepare.rs
+++ b/crates/gateway/src/traffic/prepare.rs
@@ -31,7 +31,7 @@
 #[derive(Debug)]
 pub struct PreparedRequest {
     /// Values read from its header fields.
-    pub facts: RequestMetadata,
+    pub metadata: RequestMetadata,
     /// Its route.
     pub route: Arc<RouteEntry>,
     /// The service that runs it.
@@ -79,8 +79,8 @@
 ) -> Result<PreparedRequest, EarlyRefusal> {
     let serves_keys = traffic.shared.serves_keys(request.arrived);
     let table = traffic.table();
-    let facts = traffic.shared.codecs.request.decode_request(&request.head);
-    let facts = facts.map_err(|_| INVALID_FIELDS)?;
+    let metadata = traffic.shared.codecs.request.decode_request(&request.head);
+    let metadata = metadata.map_err(|_| INVALID_FIELDS)?;
     let Some(routes) = table.routes.as_ref().filter(|_| table.engines_known) else {
         return Err(NOT_READY.into());
     };
@@ -91,29 +91,29 @@
     if routes.requires_key(route) && !serves_keys {
         return Err(EarlyRefusal::new(KEY_VALIDITY_UNKNOWN, "keys_in_doubt"));
     }
-    let identified = routes.identify(route, &facts.key);
+    let identified = routes.identify(route, &metadata.key);
     let organisation = identified.map_err(|_| EarlyRefusal::new(UNKNOWN_KEY, "key_refused"))?;
     let max_duration = (!route.kind.is_stream()).then_some(route.timeout);
     if traffic.shared.is_too_late_for(max_duration) {
         return Err(STOPPING.into());
     }
-    let Some(service) = route.service(xxh3_64(facts.id.as_bytes())) else {
+    let Some(service) = route.service(xxh3_64(metadata.id.as_bytes())) else {
         return Err(NO_ROUTE.into());
     };
     let quota_cost = match &organisation {
-        Some(organisation) => charge_quota(traffic, organisation, facts.tokens, table.hosts)?,
+        Some(organisation) => charge_quota(traffic, organisation, metadata.tokens, table.hosts)?,
         None => 0,
     };
     let (route, service) = (Arc::clone(route), Arc::clone(service));
     let revision = routes.revision();
-    let mark = marked_request(request, &facts, organisation.as_deref()).mark();
-    Ok(PreparedRequest { facts, route, service, organisation, mark, quota_cost, revision })
+    let mark = marked_request(request, &metadata, organisation.as_deref()).mark();
+    Ok(PreparedRequest { metadata, route, service, organisation, mark, quota_cost, revision })
 }
 
 /// Returns the parts of a request that identify it when it is repeated.
 fn marked_request<'request>(
     request: &'request ClientRequest,
-    facts: &'request RequestMetadata,
+    metadata: &'request RequestMetadata,
     organisation: Option<&'request OrganisationEntry>,
 ) -> RequestIdentity<'request> {
     RequestIdentity {
@@ -121,7 +121,7 @@
         method: &request.head.method,
         host: request.head.fields.text("host").unwrap_or_default(),
         target: &request.head.target,
-        model: facts.model.as_deref(),
+        model: metadata.model.as_deref(),
         body: &request.body,
     }
 }
@@ -135,9 +135,9 @@
 ) -> Result<u64, EarlyRefusal> {
     let Some(limit) = &organisation.quota else { return Ok(0) };
     let cost = limit.cost(tokens);
-    let terms =
+    let context =
         QuotaContext { limit, tolerance: &traffic.shared.profile.bounds.quota_tolerance, hosts };
-    let spent = traffic.shared.quotas().take(&organisation.name, cost, &terms, traffic.now());
+    let spent = traffic.shared.quotas().take(&organisation.name, cost, &context, traffic.now());
     match spent {
         Ok(()) => Ok(cost),
         Err(wait) => Err(EarlyRefusal {
@@ -159,11 +159,11 @@
     // Closing the connection lets a retry reach a host that can validate keys.
     let retry_elsewhere = response == KEY_VALIDITY_UNKNOWN;
     let keep = request.head.keeps_connection() && !traffic.shared.is_stopping() && !retry_elsewhere;
-    let dialect = &traffic.shared.codecs.request;
-    let facts = dialect.decode_request(&request.head).ok();
-    let fingerprint = facts.as_ref().and_then(|facts| facts.key.fingerprint());
-    let id = facts.map(|facts| facts.id);
-    let bytes = response.write(&**dialect, id.as_deref(), !keep);
+    let codec = &traffic.shared.codecs.request;
+    let metadata = codec.decode_request(&request.head).ok();
+    let fingerprint = metadata.as_ref().and_then(|metadata| metadata.key.fingerprint());
+    let id = metadata.map(|metadata| metadata.id);
+    let bytes = response.write(&**codec, id.as_deref(), !keep);
     let written = client.write(&bytes).await.is_ok();
     let labels =
         RequestLabels { route: String::from("none"), outcome: response.status.to_string() };
--- a/crates/gateway/src/traffic/quarantine.rs
+++ b/crates/gateway/src/traffic/quarantine.rs
@@ -66,7 +66,7 @@
 
     /// Returns the newest published version of the request's adapter or base model.
     fn published_version(&self) -> WeightVersion {
-        let Some(key) = &self.facts.model else { return 0 };
+        let Some(key) = &self.metadata.model else { return 0 };
         let table = self.traffic.table();
         let published = |key: &str| table.versions.get(key).map_or(0, PublishedVersions::newest);
         published(key).max(published(base_model(key)))
--- a/crates/gateway/src/traffic/refusal.rs
+++ b/crates/gateway/src/traffic/refusal.rs
@@ -30,7 +30,7 @@
     ///
     /// Never refuses a request that has been sent before: it may have run.
     pub(super) fn queue_retry_after(&self, entry: &EngineEntry) -> Option<Duration> {
-        if self.sends > 0 || self.facts.model.is_none() {
+        if self.sends > 0 || self.metadata.model.is_none() {
             return None;
         }
         let ahead = self.pending_prefill_at(entry);
@@ -39,7 +39,9 @@
             latency_target: self.route.latency_target,
             remaining: self.deadline.remaining(),
             pending_prefill_time: self.traffic.prefill_time_for(&self.service, ahead),
-            prefill_time: self.traffic.prefill_time_for(&self.service, self.facts.prompt.tokens()),
+            prefill_time: self
+                .traffic
+                .prefill_time_for(&self.service, self.metadata.prompt.tokens()),
             client_retried: self.client_retried(),
         };
         request.refusal_retry_after()
@@ -48,7 +50,7 @@
     /// Returns whether the client appears to have retried: its deadline is below the route's
     /// timeout.
     pub(super) fn client_retried(&self) -> bool {
-        let deadline = self.facts.deadline.unwrap_or(self.route.timeout);
+        let deadline = self.metadata.deadline.unwrap_or(self.route.timeout);
         deadline < self.route.timeout.mul_f64(RETRIED_DEADLINE_FRACTION)
     }
 
@@ -154,8 +156,8 @@
         outcome: &'static str,
     ) -> (ConnectionAction, &'static str) {
         let keep = self.keeps_client_connection();
-        let dialect = &*self.traffic.shared.codecs.request;
-        let bytes = response.write(dialect, Some(&self.facts.id), !keep);
+        let codec = &*self.traffic.shared.codecs.request;
+        let bytes = response.write(codec, Some(&self.metadata.id), !keep);
         self.status = response.status;
         let written = self.client.write(&bytes).await.is_ok();
         let action = if keep && written { ConnectionAction::Keep } else { ConnectionAction::Close };
--- a/crates/gateway/src/traffic/relay.rs
+++ b/crates/gateway/src/traffic/relay.rs
@@ -237,7 +237,7 @@
             if std::mem::take(&mut awaiting_first_byte) {
                 connection.record_prefill_done();
                 let (time, prompt_tokens) =
-                    (self.traffic.now().since(sent_at), self.facts.prompt.tokens());
+                    (self.traffic.now().since(sent_at), self.metadata.prompt.tokens());
                 self.traffic.record_prefill_time(
                     &self.service,
                     prompt_tokens,
@@ -330,9 +330,9 @@
             return None;
         };
         self.traffic.shared.metrics.resumes.inc();
-        let dialect = Arc::clone(&self.traffic.shared.codecs.request);
-        let (method, id) = (self.request.head.method.clone(), self.facts.id.clone());
-        let sending = send_request(&mut connection, &*dialect, &request, &method, &id);
+        let codec = Arc::clone(&self.traffic.shared.codecs.request);
+        let (method, id) = (self.request.head.method.clone(), self.metadata.id.clone());
+        let sending = send_request(&mut connection, &*codec, &request, &method, &id);
         let response = tokio::select! {
             biased;
             response = sending => Some(response),
@@ -345,7 +345,7 @@
         match response {
             Some(Ok(response))
                 if response.head.status == 200
-                    && response.facts.signed
+                    && response.metadata.signed
                     && !self.ran_other_version(&entry, &response, version) =>
             {
                 Some((connection, response, now))
--- a/crates/gateway/src/traffic/request_log.rs
+++ b/crates/gateway/src/traffic/request_log.rs
@@ -26,12 +26,12 @@
             shared.metrics.count_organisation(&organisation.name, outcome);
         }
         let late = outcome == "answered" && self.is_late();
-        let id_hash = xxh3_64(self.facts.id.as_bytes());
+        let id_hash = xxh3_64(self.metadata.id.as_bytes());
         if outcome == "answered" && !late && !id_hash.is_multiple_of(LOG_SAMPLE_INTERVAL) {
             return;
         }
         shared.events.write(HostEvent::Request(RequestEvent {
-            id: self.facts.id.clone(),
+            id: self.metadata.id.clone(),
             route: self.route.name.clone(),
             outcome: outcome.into(),
             late,
@@ -39,12 +39,12 @@
             fingerprint: None,
             mark: (outcome != "answered").then(|| format_mark(self.mark)),
             status: self.status,
-            key: self.facts.model.as_ref().map(ToString::to_string),
+            key: self.metadata.model.as_ref().map(ToString::to_string),
             engine: self.sent_to.last().map(ToString::to_string),
             limited_by: self.limited_by.as_ref().map(ToString::to_string),
             cooling_by: self.cooling_by.as_ref().map(ToString::to_string),
             sends: self.sends,
-            prompt: self.facts.prompt.tokens(),
+            prompt: self.metadata.prompt.tokens(),
             waited: duration_millis(self.waited),
             sent: self.last_sent_ms,
             first: self.first_byte_ms,
--- a/crates/gateway/src/traffic/wait.rs
+++ b/crates/gateway/src/traffic/wait.rs
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Keeps counting the request until an available engine holds its adapter, or for at most
+    /// Keeps counting the request until an available engine has loaded its adapter, or for at most
     /// `time`, when its client has retried.
     fn keep_counted_for(self, time: Duration) {
         tokio::task::spawn_local(async move {
@@ -85,7 +85,7 @@
     }
 }
 
-/// Returns whether any engine that accepts requests from this host holds a model or adapter.
+/// Returns whether any engine that accepts requests from this host has loaded a model or adapter.
 fn has_available_copy(traffic: &TrafficState, service: &str, key: &str) -> bool {
     let table = traffic.table();
     if !table.copies.contains_key(key) {
@@ -109,7 +109,7 @@
     /// Waits until an engine can take the request, or until it is refused.
     ///
     /// The request counts as waiting for its adapter even if only engines without a permit for it
-    /// hold a copy: the placer may load another copy elsewhere.
+    /// have loaded a copy: the placer may load another copy elsewhere.
     pub async fn wait_for_engine(&mut self) -> WaitOutcome {
         let mut changes = self.traffic.table_changes();
         let mut permits = self.traffic.shared.permits.subscribe();
@@ -117,8 +117,8 @@
             return WaitOutcome::PickAgain;
         }
         let started_at = self.traffic.now();
-        let mut guard = self.facts.model.clone().map(|key| {
-            let tokens = self.facts.prompt.tokens();
+        let mut guard = self.metadata.model.clone().map(|key| {
+            let tokens = self.metadata.prompt.tokens();
             let worth = self.cold_request().worth();
             WaitGuard::new(self.traffic, &self.service, &key, tokens, worth)
         });
@@ -190,7 +190,7 @@
     /// The placer then loads another copy at once, and not at these engines if other hosts can't
     /// use them either.
     fn record_cooldown_wait(&mut self, cooling: CoolingEngines) {
-        if let Some(key) = &self.facts.model {
+        if let Some(key) = &self.metadata.model {
             let mut demand = self.traffic.shared.demand();
             demand.set_copies_unavailable(&self.service, key, cooling.available_at);
             for engine in &cooling.engines {
@@ -204,14 +204,14 @@
     /// Returns whether a placer has estimated when the request's adapter will be loaded.
     pub(super) fn has_load_estimate(&self) -> bool {
         let table = self.traffic.table();
-        self.facts.model.as_ref().is_some_and(|key| table.estimates.contains_key(key))
+        self.metadata.model.as_ref().is_some_and(|key| table.estimates.contains_key(key))
     }
 
     /// Returns the estimated time until the request's adapter is loaded.
     pub(super) fn load_estimate(&self) -> Option<Duration> {
         let now = self.traffic.now();
         let table = self.traffic.table();
-        let due = self.facts.model.as_ref().and_then(|key| table.estimates.get(key)).copied();
+        let due = self.metadata.model.as_ref().and_then(|key| table.estimates.get(key)).copied();
         due.filter(|due| now.since(*due) < ESTIMATE_GRACE).map(|due| due.since(now))
     }
 
@@ -227,7 +227,9 @@
                 available_in: cooling.available_at.since(now),
                 loadable_elsewhere: cooling.loadable_elsewhere,
             }),
-            prefill_time: self.traffic.prefill_time_for(&self.service, self.facts.prompt.tokens()),
+            prefill_time: self
+                .traffic
+                .prefill_time_for(&self.service, self.metadata.prompt.tokens()),
             max_event_gap: self.route.max_event_gap,
             client_retried: self.client_retried(),
         }
--- a/crates/gateway/tests/host/codec.rs
+++ b/crates/gateway/tests/host/codec.rs
@@ -1,4 +1,4 @@
-//! The plain dialect that the stand-ins of these tests speak.
+//! The plain codec that the stand-ins of these tests use.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -70,14 +70,14 @@
         &[DEADLINE, ENGINE, HOLD, PIN, PRIORITY, KEY, ORGANISATION]
     }
 
-    fn set_forward_metadata(&self, fields: &mut HeaderFields, terms: &ForwardMetadata<'_>) {
-        fields.push(DEADLINE, terms.remaining.as_millis().to_string());
-        fields.push(ENGINE, terms.engine);
-        fields.push(PRIORITY, terms.priority.to_string());
-        if let Some(organisation) = terms.organisation {
+    fn set_forward_metadata(&self, fields: &mut HeaderFields, metadata: &ForwardMetadata<'_>) {
+        fields.push(DEADLINE, metadata.remaining.as_millis().to_string());
+        fields.push(ENGINE, metadata.engine);
+        fields.push(PRIORITY, metadata.priority.to_string());
+        if let Some(organisation) = metadata.organisation {
             fields.push(ORGANISATION, organisation);
         }
-        if let Some(event) = terms.resume_after {
+        if let Some(event) = metadata.resume_after {
             fields.replace(RESUME_AFTER, event);
         }
     }
@@ -133,9 +133,9 @@
     CallRequest { head, body: Bytes::from(body) }
 }
 
-fn parse_json(answer: &CallResponse) -> Result<Value, CodecError> {
-    match answer.head.status {
-        200 => serde_json::from_slice(&answer.body)
+fn parse_json(response: &CallResponse) -> Result<Value, CodecError> {
+    match response.head.status {
+        200 => serde_json::from_slice(&response.body)
             .map_err(|error| CodecError::Malformed(error.to_string())),
         410 => Err(CodecError::Gone),
         status => Err(CodecError::Refused(status)),
@@ -159,8 +159,8 @@
         call("POST", String::from("/orders"), &body)
     }
 
-    fn decode_order_response(&self, answer: &CallResponse) -> OrderAnswer {
-        match answer.head.status {
+    fn decode_order_response(&self, response: &CallResponse) -> OrderAnswer {
+        match response.head.status {
             202 => OrderAnswer::Accepted,
             200 => OrderAnswer::Done,
             409 => OrderAnswer::Conflict,
@@ -173,13 +173,13 @@
         call("GET", String::from("/state"), &Value::Null)
     }
 
-    fn decode_report(&self, answer: &CallResponse) -> Result<EngineReport, CodecError> {
-        let body = parse_json(answer)?;
+    fn decode_report(&self, response: &CallResponse) -> Result<EngineReport, CodecError> {
+        let body = parse_json(response)?;
         Ok(EngineReport {
             incarnation: body["born"].as_u64().unwrap_or_default(),
             sequence: body["sequence"].as_u64().unwrap_or_default(),
             model_change_in_progress: false,
-            held: loaded_models(&body["held"]),
+            loaded_models: loaded_models(&body["held"]),
             pending: loaded_models(&body["pending"]),
         })
     }
@@ -210,13 +210,14 @@
 }
 
 impl StoreCodec for PlainStore {
-    fn decode_era(&self, answer: &CallResponse) -> StoreEra {
-        let era = answer.head.fields.text(ERA);
+    fn decode_era(&self, response: &CallResponse) -> StoreEra {
+        let era = response.head.fields.text(ERA);
         era.and_then(|era| era.parse().ok()).unwrap_or_default()
     }
 
-    fn decode_cooldown(&self, answer: &CallResponse) -> Option<Cooldown> {
-        declared(&answer.head, COOLDOWN, |text| Cooldown::from_seconds(text.parse().ok()?)).value()
+    fn decode_cooldown(&self, response: &CallResponse) -> Option<Cooldown> {
+        declared(&response.head, COOLDOWN, |text| Cooldown::from_seconds(text.parse().ok()?))
+            .value()
     }
 
     fn encode_snapshot_request(&self, topic: KeyedTopic, after: Option<&str>) -> CallRequest {
@@ -224,9 +225,9 @@
         call("GET", target, &Value::Null)
     }
 
-    fn decode_snapshot_page(&self, answer: &CallResponse) -> Result<SnapshotPage, CodecError> {
-        let body = parse_json(answer)?;
-        let era = self.decode_era(answer);
+    fn decode_snapshot_page(&self, response: &CallResponse) -> Result<SnapshotPage, CodecError> {
+        let body = parse_json(response)?;
+        let era = self.decode_era(response);
         let more = body["more"].as_bool().unwrap_or_default();
         Ok(SnapshotPage { records: records(era, &body), more, end: position(era, &body["end"]) })
     }
@@ -245,10 +246,10 @@
     fn decode_records(
         &self,
         from: StorePosition,
-        answer: &CallResponse,
+        response: &CallResponse,
     ) -> Result<RecordBatch, CodecError> {
-        let body = parse_json(answer)?;
-        let era = self.decode_era(answer);
+        let body = parse_json(response)?;
+        let era = self.decode_era(response);
         let records = records(era, &body);
         let last = records.last().map(|record| record.position.next());
         let next = last.unwrap_or(StorePosition { era, ..from });
@@ -267,11 +268,11 @@
         call("POST", String::from("/join"), &body)
     }
 
-    fn decode_assignment(&self, answer: &CallResponse) -> Result<GroupAssignment, CodecError> {
-        let body = parse_json(answer)?;
+    fn decode_assignment(&self, response: &CallResponse) -> Result<GroupAssignment, CodecError> {
+        let body = parse_json(response)?;
         let parts = body["partitions"].as_array().into_iter().flatten().filter_map(Value::as_u64);
         Ok(GroupAssignment {
-            era: self.decode_era(answer),
+            era: self.decode_era(response),
             generation: body["generation"].as_u64().unwrap_or_default(),
             partitions: parts.filter_map(|part| u32::try_from(part).ok()).collect(),
         })
@@ -285,8 +286,8 @@
         call("GET", String::from("/owners"), &Value::Null)
     }
 
-    fn decode_owners(&self, answer: &CallResponse) -> Result<HashMap<u32, String>, CodecError> {
-        let body = parse_json(answer)?;
+    fn decode_owners(&self, response: &CallResponse) -> Result<HashMap<u32, String>, CodecError> {
+        let body = parse_json(response)?;
         let owners =
             body.as_object().into_iter().flatten().filter_map(|(part, member)| {
                 Some((part.parse().ok()?, member.as_str()?.to_owned()))
@@ -328,7 +329,7 @@
     }
 }
 
-pub(crate) fn dialects(routes: RoutesByRevision) -> Codecs {
+pub(crate) fn codecs(routes: RoutesByRevision) -> Codecs {
     Codecs {
         request: Arc::new(PlainExchange),
         engine: Arc::new(PlainEngines),
--- a/crates/gateway/tests/host/engine.rs
+++ b/crates/gateway/tests/host/engine.rs
@@ -11,7 +11,7 @@
 use reelreel_stand_ins::connection::{ServedConnection, ServedRequest, StoppableServer, serve};
 use serde_json::{Value, json};
 
-use crate::dialect::{
+use crate::codec::{
     COOLDOWN, DEADLINE, ENGINE, ENTRY_HOST, LEAVING, LIMIT, MODEL, NOT_RUN, REQUEST, RESUME_AFTER,
     RUN_BY, VERSION,
 };
@@ -21,7 +21,7 @@
 pub(crate) enum EngineBehaviour {
     /// Responds with the request's body.
     Echo,
-    /// Responds with this many events, with a pause between them.
+    /// Responds with this many events, with a delay between them.
     Stream(u32),
     /// Sends this many events, then closes the connection within the next one.
     TruncateStream(u32),
--- a/crates/gateway/tests/host/fleet.rs
+++ b/crates/gateway/tests/host/fleet.rs
@@ -6,7 +6,7 @@
 };
 
 use crate::{
-    dialect::ENTRY_HOST,
+    codec::ENTRY_HOST,
     engine::{EngineBehaviour, StandInEngine},
     site::{MODEL_NAME, TestHost, TestSite, wait_until},
 };
--- a/crates/gateway/tests/host/main.rs
+++ b/crates/gateway/tests/host/main.rs
@@ -1,10 +1,10 @@
-//! Complete hosts over real sockets, against stand-ins that speak the plain dialect.
+//! Complete hosts over real sockets, against stand-ins that use the plain codec.
 
 mod announcements;
 mod recheck_before_send;
 mod configuration;
 mod quarantine;
-mod dialect;
+mod codec;
 mod engine;
 mod engine_faults;
 mod events;
@@ -24,4 +24,4 @@
 mod rollback_histories;
 mod streams;
 mod suspended;
-mod system_fields;
+mod reserved_fields;
--- a/crates/gateway/tests/host/organisations.rs
+++ b/crates/gateway/tests/host/organisations.rs
@@ -6,7 +6,7 @@
 };
 
 use crate::{
-    dialect::{KEY, ORGANISATION, PRIORITY, REQUEST},
+    codec::{KEY, ORGANISATION, PRIORITY, REQUEST},
     engine::{EngineBehaviour, StandInEngine},
     site::{
         MODEL_NAME, ORGANISATIONS_REVISION, REVOKED_KEY_REVISION, TestHost, TestSite, raw_exchange,
@@ -404,13 +404,13 @@
     assert_eq!(count_granted(&[&host], 8), 8);
 }
 
-/// Guards against long retry pauses after an outage in which the store did not respond.
+/// Guards against long retry backoff after an outage in which the store did not respond.
 #[test]
 fn keys_are_served_again_soon_after_the_store_stops_hanging() {
     let site = site_with_organisations();
     let host = site.host_with_revocation_bound("silent", REVOCATION_BOUND, true);
     site.store.hang(true);
-    // Long enough for the retry pauses to reach their maximum.
+    // Long enough for the retry backoffs to reach their maximum.
     thread::sleep(Duration::from_millis(6500));
     assert_eq!(request_status(&host, "s1", "/single/a", "key-n1"), "503");
     site.store.hang(false);
--- a/crates/gateway/tests/host/reserved_fields.rs
+++ b/crates/gateway/tests/host/reserved_fields.rs
@@ -3,7 +3,7 @@
 use reelreel_stand_ins::connection::ServedRequest;
 
 use crate::{
-    dialect::{HOLD, PIN, REQUEST},
+    codec::{HOLD, PIN, REQUEST},
     engine::{EngineBehaviour, StandInEngine},
     site::{MODEL_NAME, TestHost, TestSite, raw_exchange},
 };
--- a/crates/gateway/tests/host/rollback_histories/simulation.rs
+++ b/crates/gateway/tests/host/rollback_histories/simulation.rs
@@ -27,7 +27,7 @@
 use tokio::sync::mpsc;
 
 use crate::{
-    dialect::dialects,
+    codec::codecs,
     site::{TestProfile, client_limits},
 };
 
@@ -192,7 +192,7 @@
             .collect();
         let events = EventLog::start_to(Arc::from(name), std::io::sink()).expect("a thread");
         let clock: Arc<dyn ClockSource> = self.clock.clone();
-        let shared = SharedState::new(profile, dialects(Arc::new(tables)), events, clock);
+        let shared = SharedState::new(profile, codecs(Arc::new(tables)), events, clock);
         let state = Rc::new(RefCell::new(ControlState::new(Arc::new(shared))));
         ModelHost {
             state,
@@ -238,7 +238,7 @@
             Step::Wait(millis) => self.clock.advance(Duration::from_millis(millis)),
         }
         for host in &self.hosts {
-            let _pause = host.state.borrow_mut().tick(&host.state);
+            let _delay = host.state.borrow_mut().tick(&host.state);
         }
         self.steps_since_restore = self.steps_since_restore.map(|steps| steps + 1);
         if self.steps_since_restore.is_some_and(|steps| steps >= MAX_STEPS_UNTIL_REWRITE) {
@@ -284,15 +284,15 @@
         let first = usize::try_from(from.offset).expect("a short topic");
         let offsets = first..self.store.topics[topic].len();
         let records = offsets.map(|offset| self.store.record(topic, offset)).collect();
-        let asked = Some(self.clock.now());
-        self.update(host, topic, TopicUpdate::Records { records, requested_at: asked }, end);
+        let requested_at = Some(self.clock.now());
+        self.update(host, topic, TopicUpdate::Records { records, requested_at }, end);
     }
 
     fn read_complete(&mut self, host: usize, topic: usize) {
         self.receive_era(host);
-        let (records, end, asked) =
+        let (records, end, requested_at) =
             (self.store.newest(topic), self.store.end(topic), self.clock.now());
-        self.update(host, topic, TopicUpdate::Snapshot { records, end, requested_at: asked }, end);
+        self.update(host, topic, TopicUpdate::Snapshot { records, end, requested_at }, end);
     }
 
     /// Passes on the era that each response of the store carries.
@@ -315,14 +315,14 @@
         if host == reader {
             return;
         }
-        // Makes it a reader by its share of the group.
-        let share =
+        // Makes it a reader by its assignment in the group.
+        let assignment =
             GroupAssignment { era: self.store.era, generation: 1, partitions: vec![0, 1, 2, 3] };
         let sent = self.clock.now();
         let (sender, frames) = mpsc::channel(64);
         let mut source = self.hosts[reader].state.borrow_mut();
         source.eras().observe(self.store.era, "store");
-        source.apply_membership_update(MembershipUpdate::Joined { assignment: share, sent });
+        source.apply_membership_update(MembershipUpdate::Joined { assignment, sent });
         let accepted = source.add_follower(sender, 0);
         drop(source);
         if accepted {
--- a/crates/gateway/tests/host/site.rs
+++ b/crates/gateway/tests/host/site.rs
@@ -34,7 +34,7 @@
     profile::{HostProfile, OperatorBounds},
 };
 
-use crate::{dialect::dialects, engine::StandInEngine, store::StandInStore};
+use crate::{codec::codecs, engine::StandInEngine, store::StandInStore};
 
 /// How long a test waits for a condition.
 pub(crate) const WAIT_LIMIT: Duration = Duration::from_secs(10);
@@ -329,7 +329,7 @@
         let events = EventLog::start(Arc::from(name)).expect("a thread for log lines");
         let shared = Arc::new(SharedState::new(
             profile,
-            dialects(Arc::new(routes_by_revision)),
+            codecs(Arc::new(routes_by_revision)),
             events,
             clock,
         ));
--- a/crates/gateway/tests/host/store.rs
+++ b/crates/gateway/tests/host/store.rs
@@ -14,7 +14,7 @@
 use reelreel_stand_ins::connection::{ServedConnection, ServedRequest, serve};
 use serde_json::{Value, json};
 
-use crate::dialect::{COOLDOWN, ERA};
+use crate::codec::{COOLDOWN, ERA};
 
 const PARTITIONS: u32 = 4;
 
--- a/crates/gateway/tests/host/store_restore.rs
+++ b/crates/gateway/tests/host/store_restore.rs
@@ -22,7 +22,7 @@
 use tokio::sync::watch;
 
 use crate::{
-    dialect::PlainStore,
+    codec::PlainStore,
     engine::{EngineBehaviour, FIRST_INCARNATION},
     organisations::site_with_organisations,
     site::{MODEL_NAME, REVOKED_KEY_REVISION, TestHost, TestSite, wait_until},
@@ -361,9 +361,9 @@
     eras: &EraTracker,
     enough: impl Fn(&[TopicUpdate]) -> bool,
 ) -> Vec<TopicUpdate> {
-    let dialect = Arc::new(PlainStore { routes: Arc::default() });
-    let client = StoreClient::new(dialect, site.store.address, Counter::default(), eras.clone());
-    let terms = FollowOptions {
+    let codec = Arc::new(PlainStore { routes: Arc::default() });
+    let client = StoreClient::new(codec, site.store.address, Counter::default(), eras.clone());
+    let options = FollowOptions {
         topic: KeyedTopic::Configuration,
         min_interval: Duration::from_millis(5),
         poll_wait: Duration::from_millis(200),
@@ -371,7 +371,7 @@
         max_backoff: Box::new(|| Duration::from_millis(50)),
     };
     let returns = watch::Sender::new(0);
-    let pause = StoreBackoff::probing(Backoff::new(1), returns.subscribe());
+    let backoff = StoreBackoff::probing(Backoff::new(1), returns.subscribe());
     let gate = watch::Sender::new(false);
     let updates = Updates::default();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
@@ -383,7 +383,7 @@
             }
         };
         tokio::select! {
-            () = follow_topic(client, terms, pause, gate.subscribe(), sink) => {}
+            () = follow_topic(client, options, backoff, gate.subscribe(), sink) => {}
             () = polling => {}
             () = tokio::time::sleep(APPLY_LIMIT) => {}
         }
--- a/crates/gateway/tests/host/streams.rs
+++ b/crates/gateway/tests/host/streams.rs
@@ -6,7 +6,7 @@
 };
 
 use crate::{
-    dialect::RESUME_AFTER,
+    codec::RESUME_AFTER,
     engine::EngineBehaviour,
     site::{MODEL_NAME, TestSite, wait_until},
 };
